--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 # The tests that are known to fail, of KNOWN-RED.txt.
 RED = ^($(shell sed -n 's/^\(Test[A-Za-z0-9_]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd'|' -))$$
 
-.PHONY: build fmt lint vet tidy test race race-all demo measure long generate known-red mutations
+.PHONY: build fmt lint vet tidy test race race-all demo measure long generate known-red mutations tools
 
 build: ## build all commands into bin/
 	$(GO) build -o bin/ ./cmd/...
@@ -41,6 +41,9 @@
 race-all: ## the race detector over all tests but those of real processes, some minutes
 	$(GO) test -race -timeout 30m -skip '$(RED)' ./modules/... ./models/... ./platform/... ./services/... ./tests/soak
 
+tools: ## build gopls into bin/, for renames; a module of its own, so that go.mod keeps to the product
+	$(GO) build -C contrib/tools -o ../../bin/gopls golang.org/x/tools/gopls
+
 demo: ## run everything in one process
 	$(GO) run ./cmd/rillsail-standin demo
 
