--- a/services/dispatch/burst_test.go
+++ b/services/dispatch/burst_test.go
@@ -13,8 +13,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// lossAfter gives what the loss of a task's worker says when others without tasks have gone before it.
-func lossAfter(t *testing.T, before func(b *bench)) jobs.LostRun {
+// lostRunAfter gives what the loss of a task's worker says when others without tasks have gone before it.
+func lostRunAfter(t *testing.T, before func(b *bench)) jobs.LostRun {
 	t.Helper()
 	b := newBench(t, 4)
 	for n := range b.ids {
@@ -22,14 +22,14 @@
 	}
 	before(b)
 	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
-	b.crashed(t)
+	b.crashWorkerOfOnlyStart(t)
 	lost := b.jobs[testJob].steps[0].tasks[0].suspicion.Lost
 	require.Len(t, lost, 1)
 	return lost[0]
 }
 
-// loseIdle loses workers without tasks, so long apart, and brings back others in their places.
-func (b *bench) loseIdle(count int, apart time.Duration) {
+// loseIdleWorkers loses workers without tasks, so long apart, and brings back others in their places.
+func (b *bench) loseIdleWorkers(count int, apart time.Duration) {
 	list := b.Workers()
 	for n := range count {
 		b.Replaced(b.ids[1+n%3], b.now)
@@ -46,17 +46,17 @@
 // TestWorkersWithNothingOnThemShowHowOftenWorkersGo guards against losses by chance that are not counted,
 // because no task was lost: of tasks that are lost beside them each seems to be the cause.
 func TestWorkersWithNothingOnThemShowHowOftenWorkersGo(t *testing.T) {
-	quiet := lossAfter(t, func(*bench) {})
-	stormy := lossAfter(t, func(b *bench) { b.loseIdle(6, 1200*time.Millisecond) })
+	quiet := lostRunAfter(t, func(*bench) {})
+	stormy := lostRunAfter(t, func(b *bench) { b.loseIdleWorkers(6, 1200*time.Millisecond) })
 	require.Less(t, stormy.Weight, quiet.Weight-2)
 }
 
 // TestBurstSaysLittleOfAWorkerThatGoesByItself guards against tasks that end their workers one by one where,
 // from time to time, many workers go together: each loss seemed to be by chance, and a sixth start followed.
 func TestBurstSaysLittleOfAWorkerThatGoesByItself(t *testing.T) {
-	quiet := lossAfter(t, func(*bench) {})
-	after := lossAfter(t, func(b *bench) {
-		b.loseIdle(3, 10*time.Millisecond)
+	quiet := lostRunAfter(t, func(*bench) {})
+	after := lostRunAfter(t, func(b *bench) {
+		b.loseIdleWorkers(3, 10*time.Millisecond)
 		b.now = b.now.Add(2 * time.Second)
 	})
 	require.Greater(t, after.Weight, quiet.Weight-1, "a third of what it would lose if bursts counted in full")
@@ -70,10 +70,10 @@
 		}
 		return times
 	}
-	found := burstsOf(at(9000, 1000, 1040, 5000, 1010, 5030, 9020, 9060))
+	found := findBursts(at(9000, 1000, 1040, 5000, 1010, 5030, 9020, 9060))
 	require.Len(t, found, 2, "two workers are no burst")
 	for ms, in := range map[int]bool{999: false, 1000: true, 1040: true, 1300: true, 1500: false, 5000: false, 9000: true} {
-		require.Equal(t, in, found.have(time.UnixMilli(int64(ms))), "%d ms", ms)
+		require.Equal(t, in, found.contains(time.UnixMilli(int64(ms))), "%d ms", ms)
 	}
 }
 
@@ -100,7 +100,7 @@
 		}
 		b.now = ends
 		b.Unreached(starts[0].Worker.ID, true, b.now)
-		b.comeBack()
+		b.replaceAllWorkers()
 		if losses == 1 {
 			require.Empty(t, task.suspicion.Lost, "chance explains it")
 		}
@@ -109,8 +109,8 @@
 	require.Greater(t, task.suspicion.Doubt(), 0.0)
 }
 
-// comeBack brings other workers up in the places of all that are there.
-func (b *bench) comeBack() {
+// replaceAllWorkers brings other workers up in the places of all that are there.
+func (b *bench) replaceAllWorkers() {
 	b.now = b.now.Add(2 * time.Second)
 	list := b.Workers()
 	for n := range list {
--- a/services/dispatch/checkpoint_model_test.go
+++ b/services/dispatch/checkpoint_model_test.go
@@ -17,81 +17,81 @@
 	run  jobs.RunID
 }
 
-// textOrigin is what a text is, as the one who made it knows.
-type textOrigin struct {
+// checkpointOrigin is what a text is, as the one who made it knows.
+type checkpointOrigin struct {
 	task    jobs.TaskID
 	ordered bool // by a run that some owner had ordered
 }
 
-// shownText is the newest text that an owner has been shown of a task.
-type shownText struct {
+// shownCheckpoint is the newest text that an owner has been shown of a task.
+type shownCheckpoint struct {
 	run   jobs.RunID
 	text  jobs.Text
 	final bool // the run has ended with it
 }
 
-// textModel knows of each text whose it is, and what the present owner has been shown.
-type textModel struct {
-	owner   jobs.Epoch
-	texts   map[jobs.Text]textOrigin
-	ordered map[taskRun]jobs.StartCall
-	runs    map[jobs.TaskID][]jobs.RunID // those ordered
-	highest map[jobs.TaskID]jobs.RunID   // of those ordered, made up and given elsewhere
-	least   map[jobs.ID]jobs.RunID       // that other cells had given to tasks that came back
-	shown   map[jobs.TaskID]shownText    // to this owner
+// checkpointModel knows of each text whose it is, and what the present owner has been shown.
+type checkpointModel struct {
+	owner       jobs.Epoch
+	checkpoints map[jobs.Text]checkpointOrigin
+	ordered     map[taskRun]jobs.StartCall
+	runs        map[jobs.TaskID][]jobs.RunID    // those ordered
+	highest     map[jobs.TaskID]jobs.RunID      // of those ordered, made up and given elsewhere
+	least       map[jobs.ID]jobs.RunID          // that other cells had given to tasks that came back
+	shown       map[jobs.TaskID]shownCheckpoint // to this owner
 }
 
-func newTextModel() textModel {
-	return textModel{
-		texts: map[jobs.Text]textOrigin{}, ordered: map[taskRun]jobs.StartCall{}, runs: map[jobs.TaskID][]jobs.RunID{},
-		highest: map[jobs.TaskID]jobs.RunID{}, least: map[jobs.ID]jobs.RunID{}, shown: map[jobs.TaskID]shownText{},
+func newCheckpointModel() checkpointModel {
+	return checkpointModel{
+		checkpoints: map[jobs.Text]checkpointOrigin{}, ordered: map[taskRun]jobs.StartCall{}, runs: map[jobs.TaskID][]jobs.RunID{},
+		highest: map[jobs.TaskID]jobs.RunID{}, least: map[jobs.ID]jobs.RunID{}, shown: map[jobs.TaskID]shownCheckpoint{},
 	}
 }
 
-// beginOwner begins a new owner, which has been shown nothing.
-func (m *textModel) beginOwner(epoch jobs.Epoch) {
+// startOwner begins a new owner, which has been shown nothing.
+func (m *checkpointModel) startOwner(epoch jobs.Epoch) {
 	m.owner = epoch
 	clear(m.shown)
 }
 
-// leastInvented is above all numbers that owners up to the present one can have given to runs of the
+// minInventedRun is above all numbers that owners up to the present one can have given to runs of the
 // task, unless an invented one has driven them up.
-func (m *textModel) leastInvented(task jobs.TaskID) jobs.RunID {
+func (m *checkpointModel) minInventedRun(task jobs.TaskID) jobs.RunID {
 	return m.least[task.Job] + jobs.RunID(m.owner+1)*runsPerEpoch
 }
 
-// farAbove is above the numbers of all owners of a play: an invented number that is just above
+// inventedRunOffset is above the numbers of all owners of a play: an invented number that is just above
 // those of one owner may be one of its successor's.
-const farAbove = 1 << 40
+const inventedRunOffset = 1 << 40
 
-// unbelievable makes up the number of a run that no owner can have ordered, nor can one to come.
-func (m *textModel) unbelievable(task jobs.TaskID) jobs.RunID {
-	m.highest[task] = max(m.highest[task], m.leastInvented(task)+farAbove) + 1
+// inventRun makes up the number of a run that no owner can have ordered, nor can one to come.
+func (m *checkpointModel) inventRun(task jobs.TaskID) jobs.RunID {
+	m.highest[task] = max(m.highest[task], m.minInventedRun(task)+inventedRunOffset) + 1
 	return m.highest[task]
 }
 
-// believes tells whether the owner can know that a run was ordered: it is its own present one, or
+// mayBeOrderedRun tells whether the owner can know that a run was ordered: it is its own present one, or
 // perhaps a former owner's.
-func (m *textModel) believes(t *task, run jobs.RunID) bool {
+func (m *checkpointModel) mayBeOrderedRun(t *task, run jobs.RunID) bool {
 	own := t.run == run && m.ordered[taskRun{t.id(), run}].Fence.Epoch() == m.owner
-	return own || m.isOrdered(t.id(), run) && run < m.leastInvented(t.id())
+	return own || m.isOrdered(t.id(), run) && run < m.minInventedRun(t.id())
 }
 
-func (m *textModel) newText(task jobs.TaskID, ordered bool) jobs.Text {
-	text := jobs.Text(fmt.Sprintf("text %d", len(m.texts)))
-	m.texts[text] = textOrigin{task, ordered}
+func (m *checkpointModel) newCheckpoint(task jobs.TaskID, ordered bool) jobs.Text {
+	text := jobs.Text(fmt.Sprintf("text %d", len(m.checkpoints)))
+	m.checkpoints[text] = checkpointOrigin{task, ordered}
 	return text
 }
 
-func (m *textModel) isOrdered(task jobs.TaskID, run jobs.RunID) bool {
+func (m *checkpointModel) isOrdered(task jobs.TaskID, run jobs.RunID) bool {
 	_, ordered := m.ordered[taskRun{task, run}]
 	return ordered
 }
 
-// show notes that a row of an ordered run has shown a text. A run's end is its last word.
-func (m *textModel) show(core *Core, task jobs.TaskID, shown shownText) {
+// recordShown notes that a row of an ordered run has shown a text. A run's end is its last word.
+func (m *checkpointModel) recordShown(core *Core, task jobs.TaskID, shown shownCheckpoint) {
 	t := core.find(task)
-	if shown.text == "" || t == nil || !t.step.spec.Checkpoints || !m.believes(t, shown.run) {
+	if shown.text == "" || t == nil || !t.step.spec.Checkpoints || !m.mayBeOrderedRun(t, shown.run) {
 		return
 	}
 	before, known := m.shown[task]
@@ -107,7 +107,7 @@
 	lastEnd uint64
 }
 
-func (m *textModel) beginReport(core *Core, f flight) reportBefore {
+func (m *checkpointModel) beginReport(core *Core, f flight) reportBefore {
 	w := core.workers[f.worker.info.ID]
 	if w == nil || f.report.Clock < w.clock {
 		return reportBefore{}
@@ -117,26 +117,26 @@
 
 // endReport notes what the owner has been shown: running rows count of the run that it takes
 // for the task's, ends the first time that they are listed, but for those of runs that have failed.
-func (m *textModel) endReport(core *Core, f flight, before reportBefore) {
+func (m *checkpointModel) endReport(core *Core, f flight, before reportBefore) {
 	if !before.taken {
 		return
 	}
 	for _, run := range f.report.Running {
 		t := core.find(run.Task)
 		if t != nil && t.worker != nil && t.worker.info.ID == f.worker.info.ID && t.run == run.Run {
-			m.show(core, run.Task, shownText{run: run.Run, text: run.Checkpoint})
+			m.recordShown(core, run.Task, shownCheckpoint{run: run.Run, text: run.Checkpoint})
 		}
 	}
 	for _, ended := range f.report.Ended {
 		if ended.Number > before.lastEnd && ended.How != jobs.EndFailed {
-			m.show(core, ended.Task, shownText{run: ended.Run, text: ended.Checkpoint, final: true})
+			m.recordShown(core, ended.Task, shownCheckpoint{run: ended.Run, text: ended.Checkpoint, final: true})
 		}
 	}
 }
 
-// judge fails the test when a start brings anything but the newest text of its task's newest run
+// checkStart fails the test when a start brings anything but the newest text of its task's newest run
 // that has shown one. One that is repeated is the same message again.
-func (m *textModel) judge(t require.TestingT, start StartOrder) {
+func (m *checkpointModel) checkStart(t require.TestingT, start StartOrder) {
 	call := start.Call
 	key := taskRun{call.Task, call.Run}
 	if first, repeated := m.ordered[key]; repeated {
@@ -148,7 +148,7 @@
 	m.runs[call.Task] = append(m.runs[call.Task], call.Run)
 	m.highest[call.Task] = max(m.highest[call.Task], call.Run)
 	if call.Checkpoint != "" {
-		origin, known := m.texts[call.Checkpoint]
+		origin, known := m.checkpoints[call.Checkpoint]
 		require.True(t, known, "a text that nobody has made: %q", call.Checkpoint)
 		require.Equal(t, call.Task, origin.task, "a text of another task")
 		require.True(t, origin.ordered, "a text of a run that nobody has ordered")
--- a/services/dispatch/checkpoint_random_test.go
+++ b/services/dispatch/checkpoint_random_test.go
@@ -28,9 +28,9 @@
 	os.Exit(m.Run())
 }
 
-// savingHappenings are what happens around an owner whose tasks save their work; those that
+// checkpointEvents are what happens around an owner whose tasks save their work; those that
 // stand more often happen more often.
-var savingHappenings = []string{
+var checkpointEvents = []string{
 	"settle", "settle", "settle", "settle", "settle", "settle", "submit", "submit lasting", "cancel",
 	"call", "call", "call", "deliver", "deliver", "decide", "decide", "carry", "carry", "carry", "store", "pass", "pass long",
 	"save", "save", "save", "save", "save", "save", "succeed", "fail", "stop", "stop", "stop",
@@ -39,8 +39,8 @@
 	"move away and back", "answers pass each other",
 }
 
-// mostJobs is how many jobs a play has at most: so few that their tasks run many times.
-const mostJobs = 4
+// maxJobs is how many jobs a play has at most: so few that their tasks run many times.
+const maxJobs = 4
 
 // TestStartsBringTheNewestTextOfTheirTask plays an owner among workers that save, end, go and come
 // back, list ends late, again and in any order, and invent runs. It holds of every start that
@@ -49,12 +49,12 @@
 func TestStartsBringTheNewestTextOfTheirTask(t *testing.T) {
 	starts, resumed := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newSavingWorld(rt)
+		w := newCheckpointWorld(rt)
 		w.submit(false)
 		w.submit(true)
 		w.settle()
 		for range rapid.IntRange(20, 200).Draw(rt, "steps") {
-			w.happen(rapid.SampledFrom(savingHappenings).Draw(rt, "what"))
+			w.playEvent(rapid.SampledFrom(checkpointEvents).Draw(rt, "what"))
 		}
 		w.settle()
 		starts, resumed = starts+w.starts, resumed+w.resumed
@@ -63,44 +63,46 @@
 	require.Greater(t, resumed, starts/10, "the test plays hardly any start that matters")
 }
 
-// worker draws a worker.
-func (w *savingWorld) worker() *savingWorker {
+// drawWorker draws a worker.
+func (w *checkpointWorld) drawWorker() *checkpointWorker {
 	return w.workers[rapid.IntRange(0, len(w.workers)-1).Draw(w.T, "worker")]
 }
 
-// job draws a job.
-func (w *savingWorld) job() jobs.ID { return jobID(rapid.IntRange(0, w.jobs-1).Draw(w.T, "job")) }
+// drawJob draws a job.
+func (w *checkpointWorld) drawJob() jobs.ID {
+	return jobID(rapid.IntRange(0, w.jobs-1).Draw(w.T, "job"))
+}
 
-// task draws a task of a job's first step.
-func (w *savingWorld) task() jobs.TaskID {
-	return jobs.TaskID{Job: w.job(), Index: rapid.IntRange(0, 1).Draw(w.T, "index")}
+// drawTask draws a task of a job's first step.
+func (w *checkpointWorld) drawTask() jobs.TaskID {
+	return jobs.TaskID{Job: w.drawJob(), Index: rapid.IntRange(0, 1).Draw(w.T, "index")}
 }
 
-// passAnswers lets a run end between two answers of one millisecond, the later one of which arrives
+// reorderAnswers lets a run end between two answers of one millisecond, the later one of which arrives
 // first.
-func (w *savingWorld) passAnswers(worker *savingWorker) {
+func (w *checkpointWorld) reorderAnswers(worker *checkpointWorker) {
 	before := len(w.flights)
 	w.call(worker)
-	w.runOn(worker, "stop")
+	w.changeRun(worker, "stop")
 	w.call(worker)
 	for len(w.flights) > before {
 		w.deliver(len(w.flights) - 1)
 	}
 }
 
-// happen lets one thing happen.
-func (w *savingWorld) happen(what string) {
+// playEvent lets one thing happen.
+func (w *checkpointWorld) playEvent(what string) {
 	switch what {
 	case "settle":
 		w.settle()
 	case "submit", "submit lasting":
-		if w.jobs < mostJobs {
+		if w.jobs < maxJobs {
 			w.submit(what == "submit lasting")
 		}
 	case "cancel":
-		w.core.Cancel(w.job())
+		w.core.Cancel(w.drawJob())
 	case "call":
-		w.call(w.worker())
+		w.call(w.drawWorker())
 	case "deliver":
 		if len(w.flights) > 0 {
 			w.deliver(rapid.IntRange(0, len(w.flights)-1).Draw(w.T, "flight"))
@@ -109,32 +111,32 @@
 		w.decide()
 	case "carry":
 		if len(w.orders) > 0 {
-			w.carry(rapid.IntRange(0, len(w.orders)-1).Draw(w.T, "order"), rapid.SampledFrom(orderFates).Draw(w.T, "fate"))
+			w.resolveOrder(rapid.IntRange(0, len(w.orders)-1).Draw(w.T, "order"), rapid.SampledFrom(orderFates).Draw(w.T, "fate"))
 		}
 	case "store":
 		w.store()
 	case "pass":
-		w.pass(time.Duration(rapid.IntRange(0, 500).Draw(w.T, "ms")) * time.Millisecond)
+		w.advance(time.Duration(rapid.IntRange(0, 500).Draw(w.T, "ms")) * time.Millisecond)
 	case "pass long":
-		w.pass(3 * time.Second)
+		w.advance(3 * time.Second)
 	case "take over":
 		w.takeOver()
 	case "move away and back":
-		task := w.task()
+		task := w.drawTask()
 		w.endRunOf(task)
 		w.moveAwayAndBack(task)
 	default:
-		w.happenAt(w.worker(), what)
+		w.playWorkerEvent(w.drawWorker(), what)
 	}
 }
 
-// happenAt lets one thing happen at a worker.
-func (w *savingWorld) happenAt(worker *savingWorker, what string) {
+// playWorkerEvent lets one thing happen at a worker.
+func (w *checkpointWorld) playWorkerEvent(worker *checkpointWorker, what string) {
 	switch what {
 	case "save", "succeed", "fail", "stop":
-		w.runOn(worker, what)
+		w.changeRun(worker, what)
 	case "answers pass each other":
-		w.passAnswers(worker)
+		w.reorderAnswers(worker)
 	case "cut":
 		worker.cut = true
 	case "heal":
@@ -152,12 +154,12 @@
 		worker.info.Draining, worker.info.Remaining = true, 3*time.Second
 		w.list()
 	default:
-		w.invent(worker, w.task(), what)
+		w.reportUnaccountedRun(worker, w.drawTask(), what)
 	}
 }
 
-// runOn lets a run on a worker save or end.
-func (w *savingWorld) runOn(worker *savingWorker, what string) {
+// changeRun lets a run on a worker save or end.
+func (w *checkpointWorld) changeRun(worker *checkpointWorker, what string) {
 	runs := worker.runs()
 	if len(runs) == 0 {
 		return
@@ -172,28 +174,28 @@
 }
 
 // replace puts another incarnation in the place of a worker.
-func (w *savingWorld) replace(worker *savingWorker) {
-	if worker.gone || len(w.workers) > 2*savingWorkers {
+func (w *checkpointWorld) replace(worker *checkpointWorker) {
+	if worker.gone || len(w.workers) > 2*checkpointWorkers {
 		return
 	}
 	worker.gone, worker.listed = true, rapid.Bool().Draw(w.T, "its entry stays")
 	id := jobs.WorkerID(fmt.Sprint("w", len(w.workers)))
-	w.workers = append(w.workers, newSavingWorker(id, worker.info.Address, w.now))
+	w.workers = append(w.workers, newCheckpointWorker(id, worker.info.Address, w.now))
 	w.list()
 }
 
-// invent lets a worker report what no order of this cell accounts for: an older run of the task
+// reportUnaccountedRun lets a worker report what no order of this cell accounts for: an older run of the task
 // that has ended, or runs there, or one that nobody ordered. Older ones have numbers that no invented
 // run has driven up: an owner believes those of the one run that it has ordered itself, where
 // it has ordered it.
-func (w *savingWorld) invent(worker *savingWorker, task jobs.TaskID, what string) {
+func (w *checkpointWorld) reportUnaccountedRun(worker *checkpointWorker, task jobs.TaskID, what string) {
 	if len(w.runs[task]) == 0 || worker.gone || worker.running[task] != nil {
 		return
 	}
-	run := &savingRun{task: task, run: rapid.SampledFrom(w.runs[task]).Draw(w.T, "older run")}
+	run := &checkpointRun{task: task, run: rapid.SampledFrom(w.runs[task]).Draw(w.T, "older run")}
 	if what == "run that nobody ordered" || what == "end that nobody ordered" {
-		run.run = w.unbelievable(task)
-	} else if run.run >= w.leastInvented(task) {
+		run.run = w.inventRun(task)
+	} else if run.run >= w.minInventedRun(task) {
 		return
 	}
 	w.save(run)
@@ -205,7 +207,7 @@
 }
 
 // endRunOf lets the run of a task end, and its owner hear of it, so that the task waits.
-func (w *savingWorld) endRunOf(task jobs.TaskID) {
+func (w *checkpointWorld) endRunOf(task jobs.TaskID) {
 	for _, worker := range w.workers {
 		if run := worker.running[task]; run != nil {
 			w.save(run)
@@ -221,13 +223,13 @@
 
 // moveAwayAndBack hands a task to another cell and takes it back, with runs there in between. Numbers
 // that an invented run has driven up are not handed over: then they are as good as ordered.
-func (w *savingWorld) moveAwayAndBack(task jobs.TaskID) {
+func (w *checkpointWorld) moveAwayAndBack(task jobs.TaskID) {
 	record := w.records[task.Job]
 	if !record.Spec.Divisible() || record.Ended != "" {
 		return
 	}
 	t := w.core.find(task)
-	if t == nil || t.run >= w.leastInvented(task) {
+	if t == nil || t.run >= w.minInventedRun(task) {
 		return
 	}
 	move := Move{Job: task.Job, Tasks: jobs.TaskSet{task.Step: {task.Index}}}
--- a/services/dispatch/checkpoint_worker_test.go
+++ b/services/dispatch/checkpoint_worker_test.go
@@ -13,22 +13,22 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// savingRun is a run on a savingWorker with what it has saved last; empty: nothing.
-type savingRun struct {
+// checkpointRun is a run on a checkpointWorker with what it has saved last; empty: nothing.
+type checkpointRun struct {
 	task jobs.TaskID
 	run  jobs.RunID
 	text jobs.Text
 }
 
-// savingWorker is a worker whose runs save their work. It obeys as docs/design/platform.md says:
+// checkpointWorker is a worker whose runs save their work. It obeys as docs/design/platform.md says:
 // the newest epoch it has seen, no run that isn't above one ended or stopped here, no start
 // later than its lease, nothing that outlives the lease.
-type savingWorker struct {
+type checkpointWorker struct {
 	info    jobs.Worker
 	began   time.Time
 	until   time.Time // the end of its lease
 	fence   jobs.Fence
-	running map[jobs.TaskID]*savingRun
+	running map[jobs.TaskID]*checkpointRun
 	barred  map[jobs.TaskID]jobs.RunID // the highest that was stopped or has ended
 	ends    []jobs.Ended
 	lastEnd uint64
@@ -37,24 +37,24 @@
 	listed  bool
 }
 
-func newSavingWorker(id jobs.WorkerID, address string, now time.Time) *savingWorker {
-	return &savingWorker{
+func newCheckpointWorker(id jobs.WorkerID, address string, now time.Time) *checkpointWorker {
+	return &checkpointWorker{
 		info:  jobs.Worker{ID: id, Pool: testPool, Address: address, Capacity: models.Resources{CPU: 4000, Memory: 8000}},
-		began: now, listed: true, running: map[jobs.TaskID]*savingRun{}, barred: map[jobs.TaskID]jobs.RunID{},
+		began: now, listed: true, running: map[jobs.TaskID]*checkpointRun{}, barred: map[jobs.TaskID]jobs.RunID{},
 	}
 }
 
-func (w *savingWorker) clock(now time.Time) models.Milli { return models.MilliOf(now.Sub(w.began)) }
+func (w *checkpointWorker) clock(now time.Time) models.Milli { return models.MilliOf(now.Sub(w.began)) }
 
-// prolong takes the end of a lease on the worker's own clock.
-func (w *savingWorker) prolong(until models.Milli) {
+// renewLease takes the end of a lease on the worker's own clock.
+func (w *checkpointWorker) renewLease(until models.Milli) {
 	if at := w.began.Add(until.Duration()); at.After(w.until) {
 		w.until = at
 	}
 }
 
 // lapse ends all runs once the lease is over.
-func (w *savingWorker) lapse(now time.Time) {
+func (w *checkpointWorker) lapse(now time.Time) {
 	if now.Before(w.until) {
 		return
 	}
@@ -64,26 +64,26 @@
 }
 
 // runs are its runs in the order of their tasks.
-func (w *savingWorker) runs() []*savingRun {
-	return slices.SortedFunc(maps.Values(w.running), func(a, b *savingRun) int {
+func (w *checkpointWorker) runs() []*checkpointRun {
+	return slices.SortedFunc(maps.Values(w.running), func(a, b *checkpointRun) int {
 		return strings.Compare(a.task.String(), b.task.String())
 	})
 }
 
 // end ends a run with what it has saved last.
-func (w *savingWorker) end(run *savingRun, how jobs.End) {
+func (w *checkpointWorker) end(run *checkpointRun, how jobs.End) {
 	delete(w.running, run.task)
 	w.listEnd(run, how)
 }
 
-func (w *savingWorker) listEnd(run *savingRun, how jobs.End) {
+func (w *checkpointWorker) listEnd(run *checkpointRun, how jobs.End) {
 	w.barred[run.task] = max(w.barred[run.task], run.run)
 	w.lastEnd++
 	w.ends = append(w.ends, jobs.Ended{Number: w.lastEnd, Task: run.task, Run: run.run, How: how, Checkpoint: run.text})
 }
 
 // report is what the worker says now.
-func (w *savingWorker) report(now time.Time) jobs.Report {
+func (w *checkpointWorker) report(now time.Time) jobs.Report {
 	report := jobs.Report{Clock: w.clock(now), Ended: append([]jobs.Ended(nil), w.ends...)}
 	for _, run := range w.runs() {
 		report.Running = append(report.Running, jobs.Run{Task: run.task, Run: run.run, Checkpoint: run.text, Figure: 1000})
@@ -92,14 +92,14 @@
 }
 
 // forget forgets the ends that are acknowledged.
-func (w *savingWorker) forget(acknowledged uint64) {
+func (w *checkpointWorker) forget(acknowledged uint64) {
 	for len(w.ends) > 0 && w.ends[0].Number <= acknowledged {
 		w.ends = w.ends[1:]
 	}
 }
 
 // start obeys a start.
-func (w *savingWorker) start(call jobs.StartCall, now time.Time) Result {
+func (w *checkpointWorker) start(call jobs.StartCall, now time.Time) Result {
 	if call.Fence < w.fence {
 		return Result{Outcome: OutcomeRefused, Refusal: jobs.RefusedFence}
 	}
@@ -107,19 +107,19 @@
 	if call.Until < w.clock(now) {
 		return Result{Outcome: OutcomeRefused, Refusal: jobs.RefusedLate}
 	}
-	w.prolong(call.Until)
+	w.renewLease(call.Until)
 	if there := w.running[call.Task]; there != nil && there.run == call.Run {
 		return Result{Outcome: OutcomeDone}
 	}
 	if w.running[call.Task] != nil || w.barred[call.Task] >= call.Run {
 		return Result{Outcome: OutcomeRefused, Refusal: jobs.RefusedRun}
 	}
-	w.running[call.Task] = &savingRun{task: call.Task, run: call.Run, text: call.Checkpoint}
+	w.running[call.Task] = &checkpointRun{task: call.Task, run: call.Run, text: call.Checkpoint}
 	return Result{Outcome: OutcomeDone}
 }
 
 // stop obeys a stop, and gives the run that it stops before it has ended; nil: it bars one.
-func (w *savingWorker) stop(call jobs.StopCall) (*savingRun, Result) {
+func (w *checkpointWorker) stop(call jobs.StopCall) (*checkpointRun, Result) {
 	if call.Fence < w.fence {
 		return nil, Result{Outcome: OutcomeRefused, Refusal: jobs.RefusedFence}
 	}
--- a/services/dispatch/checkpoint_world_test.go
+++ b/services/dispatch/checkpoint_world_test.go
@@ -18,7 +18,7 @@
 
 // flight is a report on its way to the owner.
 type flight struct {
-	worker *savingWorker
+	worker *checkpointWorker
 	sent   time.Time
 	report jobs.Report
 }
@@ -29,14 +29,14 @@
 	owner *Core
 }
 
-// savingWorld is a cell whose tasks save their work, with the store and the workers around
+// checkpointWorld is a cell whose tasks save their work, with the store and the workers around
 // its owner, and the model of what each text is.
-type savingWorld struct {
+type checkpointWorld struct {
 	*rapid.T
 	core    *Core
 	epoch   jobs.Epoch
 	now     time.Time
-	workers []*savingWorker
+	workers []*checkpointWorker
 	flights []flight
 	orders  []sentOrder
 
@@ -46,32 +46,32 @@
 	jobs     int
 	version  uint64
 
-	textModel
+	checkpointModel
 	starts, resumed int
 }
 
-const savingWorkers = 3
+const checkpointWorkers = 3
 
-func newSavingWorld(rt *rapid.T) *savingWorld {
-	w := &savingWorld{
+func newCheckpointWorld(rt *rapid.T) *checkpointWorld {
+	w := &checkpointWorld{
 		T: rt, now: time.Unix(1_000_000, 0), epoch: 5, version: 1,
-		records: map[jobs.ID]jobs.Record{}, progress: map[jobs.ID]jobs.Progress{}, textModel: newTextModel(),
+		records: map[jobs.ID]jobs.Record{}, progress: map[jobs.ID]jobs.Progress{}, checkpointModel: newCheckpointModel(),
 	}
-	for n := range savingWorkers {
-		w.workers = append(w.workers, newSavingWorker(jobs.WorkerID(fmt.Sprint("w", n)), fmt.Sprint("a", n), w.now))
+	for n := range checkpointWorkers {
+		w.workers = append(w.workers, newCheckpointWorker(jobs.WorkerID(fmt.Sprint("w", n)), fmt.Sprint("a", n), w.now))
 	}
 	w.takeOver()
 	return w
 }
 
 // takeOver puts a new owner in the place of the present one; all that it has is the store.
-func (w *savingWorld) takeOver() {
+func (w *checkpointWorld) takeOver() {
 	w.epoch++
 	w.core = New(Config{
 		Epoch: w.epoch, Taken: w.now, Lease: 4 * time.Second, LongestLease: 8 * time.Second, Logger: zap.NewNop(),
 	})
 	w.flights = nil
-	w.beginOwner(w.epoch)
+	w.startOwner(w.epoch)
 	w.core.Enrol(w.roster, w.now)
 	for n := range w.jobs {
 		id := jobID(n)
@@ -84,7 +84,7 @@
 func jobID(n int) jobs.ID { return jobs.ID(fmt.Sprintf("%016x", n+1)) }
 
 // submit hands in a job of tasks that save their work and one that does not, or of tasks that last.
-func (w *savingWorld) submit(lasting bool) {
+func (w *checkpointWorld) submit(lasting bool) {
 	size := models.Resources{CPU: 1500, Memory: 10}
 	steps := []jobs.Step{
 		{Count: 2, Size: size, Estimate: 5000, Checkpoints: true},
@@ -103,7 +103,7 @@
 }
 
 // list lets the owner read the list of workers.
-func (w *savingWorld) list() {
+func (w *checkpointWorld) list() {
 	var list []jobs.Worker
 	for _, worker := range w.workers {
 		if worker.listed {
@@ -114,7 +114,7 @@
 }
 
 // store carries out what the owner wants to be stored.
-func (w *savingWorld) store() {
+func (w *checkpointWorld) store() {
 	changes := w.core.TakeChanges(100, w.now)
 	for _, change := range changes.Jobs {
 		if change.Ended != nil {
@@ -129,8 +129,8 @@
 	w.core.Stored(changes, w.now)
 }
 
-// pass lets time go by.
-func (w *savingWorld) pass(span time.Duration) {
+// advance lets time go by.
+func (w *checkpointWorld) advance(span time.Duration) {
 	w.now = w.now.Add(span)
 	for _, worker := range w.workers {
 		worker.lapse(w.now)
@@ -138,7 +138,7 @@
 }
 
 // call asks a worker for a report, which is on its way then.
-func (w *savingWorld) call(worker *savingWorker) {
+func (w *checkpointWorld) call(worker *checkpointWorker) {
 	call, known := w.core.LeaseCall(worker.info.ID, 0, w.now)
 	switch {
 	case !known:
@@ -149,13 +149,13 @@
 	default:
 		worker.fence = call.Fence
 		worker.forget(call.Acknowledged)
-		worker.prolong(call.Until)
+		worker.renewLease(call.Until)
 		w.flights = append(w.flights, flight{worker, w.now, worker.report(w.now)})
 	}
 }
 
 // deliver lets a report arrive.
-func (w *savingWorld) deliver(n int) {
+func (w *checkpointWorld) deliver(n int) {
 	f := w.flights[n]
 	w.flights = append(w.flights[:n:n], w.flights[n+1:]...)
 	before := w.beginReport(w.core, f)
@@ -164,12 +164,12 @@
 }
 
 // decide takes the owner's orders and judges what its starts bring.
-func (w *savingWorld) decide() {
+func (w *checkpointWorld) decide() {
 	orders := w.core.Decide(w.now)
 	slices.SortStableFunc(orders, func(a, b Order) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) }) // that of stops is any
 	for _, order := range orders {
 		if start, ok := order.(StartOrder); ok {
-			w.judge(w.T, start)
+			w.checkStart(w.T, start)
 			w.starts++
 			if start.Call.Checkpoint != "" {
 				w.resumed++
@@ -182,8 +182,8 @@
 // Ways of an order.
 var orderFates = []string{"done", "done", "done", "answer lost", "order lost", "order late", "not done", "not sent"}
 
-// carry lets an order reach its worker, or what else becomes of it.
-func (w *savingWorld) carry(n int, fate string) {
+// resolveOrder lets an order reach its worker, or what else becomes of it.
+func (w *checkpointWorld) resolveOrder(n int, fate string) {
 	sent := w.orders[n]
 	w.orders = append(w.orders[:n:n], w.orders[n+1:]...)
 	result := Result{Outcome: OutcomeUnknown}
@@ -211,7 +211,7 @@
 }
 
 // obey carries out an order at the worker that it names.
-func (w *savingWorld) obey(order Order) Result {
+func (w *checkpointWorld) obey(order Order) Result {
 	switch order := order.(type) {
 	case StartOrder:
 		if worker := w.find(order.Worker.ID); worker != nil {
@@ -231,7 +231,7 @@
 }
 
 // find finds a worker that can be reached.
-func (w *savingWorld) find(id jobs.WorkerID) *savingWorker {
+func (w *checkpointWorld) find(id jobs.WorkerID) *checkpointWorker {
 	for _, worker := range w.workers {
 		if worker.info.ID == id && !worker.cut && !worker.gone {
 			return worker
@@ -241,14 +241,14 @@
 }
 
 // save lets a run save its work.
-func (w *savingWorld) save(run *savingRun) {
-	run.text = w.newText(run.task, w.isOrdered(run.task, run.run))
+func (w *checkpointWorld) save(run *checkpointRun) {
+	run.text = w.newCheckpoint(run.task, w.isOrdered(run.task, run.run))
 }
 
 // settle lets all reports, orders and writes come through.
-func (w *savingWorld) settle() {
+func (w *checkpointWorld) settle() {
 	for range 2 { // the first answers tell the workers' clocks
-		w.pass(100 * time.Millisecond)
+		w.advance(100 * time.Millisecond)
 		for _, worker := range w.workers {
 			w.call(worker)
 		}
@@ -259,6 +259,6 @@
 	}
 	w.decide()
 	for len(w.orders) > 0 {
-		w.carry(0, "done")
+		w.resolveOrder(0, "done")
 	}
 }
--- a/services/dispatch/evidence_play_test.go
+++ b/services/dispatch/evidence_play_test.go
@@ -37,81 +37,81 @@
 }
 
 const (
-	playWorkers  = 12
-	playStep     = 20 * time.Millisecond
-	playReport   = 100 * time.Millisecond
-	playHandIn   = 250 * time.Millisecond
-	playWork     = time.Second
-	playTime     = 20 * time.Second // in which jobs come
-	playEnd      = 60 * time.Second // by which all is decided
-	playDown     = 3300 * time.Millisecond
-	playCrashing = 0.08 // of the jobs
-	mostStarts   = 5
-	leastCrash   = 5 * time.Millisecond
-	crashSpread  = 300 // the longest time until a crash, over the shortest
-	playsInCI    = 40  // of each case
-	playsOfFew   = 2000
+	simulatedWorkers    = 12
+	simulationStep      = 20 * time.Millisecond
+	reportInterval      = 100 * time.Millisecond
+	submitInterval      = 250 * time.Millisecond
+	taskRuntime         = time.Second
+	submitTime          = 20 * time.Second // in which jobs come
+	simulationTime      = 60 * time.Second // by which all is decided
+	workerDowntime      = 3300 * time.Millisecond
+	crashingJobShare    = 0.08 // of the jobs
+	mostStarts          = 5
+	minCrashTime        = 5 * time.Millisecond
+	crashTimeRange      = 300 // the longest time until a crash, over the shortest
+	simulationsInCI     = 40  // of each case
+	simulationsOfBursts = 2000
 )
 
-// playedWorker is a worker of a play, as it is.
-type playedWorker struct {
+// simulatedWorker is a worker of a play, as it is.
+type simulatedWorker struct {
 	info  jobs.Worker
 	down  time.Time // since when it is; zero: it is up
-	runs  map[jobs.TaskID]playedRun
+	runs  map[jobs.TaskID]simulatedRun
 	ended []jobs.Ended
 	clock time.Time // when it showed nothing
 }
 
 // running are the tasks that run, in the same order in each play.
-func (w *playedWorker) running() []jobs.TaskID {
+func (w *simulatedWorker) running() []jobs.TaskID {
 	return slices.SortedFunc(maps.Keys(w.runs), func(a, b jobs.TaskID) int { return cmp.Compare(a.String(), b.String()) })
 }
 
-type playedRun struct {
+type simulatedRun struct {
 	run   jobs.RunID
 	began time.Time
 }
 
-// evidencePlay is one play of a case.
-type evidencePlay struct {
+// lossSimulation is one play of a case.
+type lossSimulation struct {
 	*Core
 	evidenceCase
-	draw     *rand.Rand
-	now      time.Time
-	began    time.Time
-	workers  []*playedWorker
-	made     int
-	crashing map[jobs.ID]time.Duration
-	crashes  map[jobs.ID]int
-	lost     int // runs of jobs that end no worker
-	burst    time.Time
+	random      *rand.Rand
+	now         time.Time
+	began       time.Time
+	workers     []*simulatedWorker
+	workersMade int
+	crashing    map[jobs.ID]time.Duration
+	crashes     map[jobs.ID]int
+	lost        int // runs of jobs that end no worker
+	burst       time.Time
 }
 
-func newEvidencePlay(c evidenceCase, seed uint64) *evidencePlay {
-	p := &evidencePlay{
-		evidenceCase: c, draw: rand.New(rand.NewPCG(seed, 7)), began: time.Unix(1_000_000, 0),
+func newLossSimulation(c evidenceCase, seed uint64) *lossSimulation {
+	p := &lossSimulation{
+		evidenceCase: c, random: rand.New(rand.NewPCG(seed, 7)), began: time.Unix(1_000_000, 0),
 		crashing: map[jobs.ID]time.Duration{}, crashes: map[jobs.ID]int{},
 	}
 	p.now = p.began
 	p.Core = New(Config{Epoch: 5, Taken: p.now, Lease: 4 * time.Second, LongestLease: 8 * time.Second, Logger: zap.NewNop()})
 	p.Enrol(jobs.Roster{}, p.now)
-	for range playWorkers {
-		p.workers = append(p.workers, p.boot())
+	for range simulatedWorkers {
+		p.workers = append(p.workers, p.newWorker())
 	}
 	p.list()
 	return p
 }
 
-func (p *evidencePlay) boot() *playedWorker {
-	p.made++
-	id := jobs.WorkerID(fmt.Sprintf("w%d", p.made))
-	return &playedWorker{
+func (p *lossSimulation) newWorker() *simulatedWorker {
+	p.workersMade++
+	id := jobs.WorkerID(fmt.Sprintf("w%d", p.workersMade))
+	return &simulatedWorker{
 		info: jobs.Worker{ID: id, Pool: testPool, Address: string(id), Capacity: models.Resources{CPU: 4000, Memory: 8000}},
-		runs: map[jobs.TaskID]playedRun{}, clock: p.now,
+		runs: map[jobs.TaskID]simulatedRun{}, clock: p.now,
 	}
 }
 
-func (p *evidencePlay) list() {
+func (p *lossSimulation) list() {
 	list := make([]jobs.Worker, 0, len(p.workers))
 	for _, w := range p.workers {
 		list = append(list, w.info)
@@ -119,15 +119,15 @@
 	p.SetWorkers(list, p.now)
 }
 
-func (p *evidencePlay) run() {
-	for n := 0; p.now.Sub(p.began) < playEnd; n++ {
-		p.now = p.now.Add(playStep)
-		if at := p.now.Sub(p.began); at > time.Second && at < playTime && at%playHandIn < playStep {
-			p.handIn(n)
+func (p *lossSimulation) run() {
+	for n := 0; p.now.Sub(p.began) < simulationTime; n++ {
+		p.now = p.now.Add(simulationStep)
+		if at := p.now.Sub(p.began); at > time.Second && at < submitTime && at%submitInterval < simulationStep {
+			p.submit(n)
 		}
-		p.work()
-		p.lose()
-		if p.now.Sub(p.began)%playReport < playStep {
+		p.completeRuns()
+		p.loseAndReplaceWorkers()
+		if p.now.Sub(p.began)%reportInterval < simulationStep {
 			p.report()
 		}
 		p.obey()
@@ -135,21 +135,21 @@
 	}
 }
 
-func (p *evidencePlay) handIn(n int) {
+func (p *lossSimulation) submit(n int) {
 	id := jobs.ID(fmt.Sprintf("%016x", n))
-	if p.draw.Float64() < playCrashing {
-		p.crashing[id] = time.Duration(float64(leastCrash) * math.Pow(crashSpread, p.draw.Float64()))
+	if p.random.Float64() < crashingJobShare {
+		p.crashing[id] = time.Duration(float64(minCrashTime) * math.Pow(crashTimeRange, p.random.Float64()))
 	}
 	p.AddJob(jobs.Record{
 		Spec: jobs.Spec{ID: id, Queue: "q", Steps: []jobs.Step{{
-			Count: 4, Size: models.Resources{CPU: 1000, Memory: 500}, Estimate: models.MilliOf(playWork),
+			Count: 4, Size: models.Resources{CPU: 1000, Memory: 500}, Estimate: models.MilliOf(taskRuntime),
 		}}},
 		Terms: jobs.Terms{Pool: testPool, MaxAttempts: 3, Slack: 250, Stretch: 1.5}, Accepted: models.UnixMilliOf(p.now),
 	}, jobs.Progress{}, true, p.now)
 }
 
-// work ends runs that are done, and workers that a run ends.
-func (p *evidencePlay) work() {
+// completeRuns ends runs that are done, and workers that a run ends.
+func (p *lossSimulation) completeRuns() {
 	for _, w := range p.workers {
 		for _, id := range w.running() {
 			r := w.runs[id]
@@ -158,8 +158,8 @@
 			switch {
 			case crashes && id.Index == 0 && ran >= after:
 				p.crashes[id.Job]++
-				p.down(w)
-			case ran >= playWork && w.down.IsZero():
+				p.crash(w)
+			case ran >= taskRuntime && w.down.IsZero():
 				delete(w.runs, id)
 				w.ended = append(w.ended, jobs.Ended{Number: uint64(len(w.ended) + 1), Task: id, Run: r.run, How: jobs.EndSucceeded})
 			}
@@ -167,7 +167,7 @@
 	}
 }
 
-func (p *evidencePlay) down(w *playedWorker) {
+func (p *lossSimulation) crash(w *simulatedWorker) {
 	if !w.down.IsZero() {
 		return
 	}
@@ -181,23 +181,23 @@
 	p.Unreached(w.info.ID, true, p.now)
 }
 
-// lose lets workers go by themselves, and others come in the places of those that went.
-func (p *evidencePlay) lose() {
+// loseAndReplaceWorkers lets workers go by themselves, and others come in the places of those that went.
+func (p *lossSimulation) loseAndReplaceWorkers() {
 	burst := p.BurstEvery > 0 && p.now.Sub(p.burst) >= p.BurstEvery.Duration()
 	if burst {
 		p.burst = p.now
 	}
 	came := false
 	for n, w := range p.workers {
-		alone := p.AloneEvery > 0 && p.draw.Float64() < float64(playStep)/float64(p.AloneEvery.Duration())
+		alone := p.AloneEvery > 0 && p.random.Float64() < float64(simulationStep)/float64(p.AloneEvery.Duration())
 		switch {
-		case !w.down.IsZero() && p.now.Sub(w.down) >= playDown:
+		case !w.down.IsZero() && p.now.Sub(w.down) >= workerDowntime:
 			p.Replaced(w.info.ID, p.now)
-			p.workers[n] = p.boot()
+			p.workers[n] = p.newWorker()
 			came = true
-		case p.now.Sub(p.began) > playTime:
-		case alone || burst && p.draw.Float64() < p.BurstShare:
-			p.down(w)
+		case p.now.Sub(p.began) > submitTime:
+		case alone || burst && p.random.Float64() < p.BurstShare:
+			p.crash(w)
 		}
 	}
 	if came {
@@ -205,7 +205,7 @@
 	}
 }
 
-func (p *evidencePlay) report() {
+func (p *lossSimulation) report() {
 	for _, w := range p.workers {
 		if !w.down.IsZero() {
 			p.Unreached(w.info.ID, true, p.now)
@@ -222,8 +222,8 @@
 }
 
 // obey carries out what the core orders.
-func (p *evidencePlay) obey() {
-	workers := map[jobs.WorkerID]*playedWorker{}
+func (p *lossSimulation) obey() {
+	workers := map[jobs.WorkerID]*simulatedWorker{}
 	for _, w := range p.workers {
 		workers[w.info.ID] = w
 	}
@@ -235,7 +235,7 @@
 				p.Started(order, Result{Outcome: OutcomeUnreached}, p.now)
 				continue
 			}
-			w.runs[order.Call.Task] = playedRun{run: order.Call.Run, began: p.now}
+			w.runs[order.Call.Task] = simulatedRun{run: order.Call.Run, began: p.now}
 			p.Started(order, Result{Outcome: OutcomeDone}, p.now)
 		case StopOrder:
 			if w := workers[order.Worker.ID]; w != nil {
@@ -250,23 +250,23 @@
 // few give their job up, and of a thousand tasks that end their workers few are started a sixth time, also
 // where workers go in bursts, or one by one all the time.
 func TestEvidenceOfLostRuns(t *testing.T) {
-	playEvidence(t, "testdata/evidence_plays.json", playsInCI)
+	simulateLosses(t, "testdata/evidence_plays.json", simulationsInCI)
 }
 
 // TestEvidenceOfLostRunsInFrequentBursts guards against innocent jobs that are given up where some of the workers go at
 // the same moment every 2 s, so that what is lost starts again at the same time after each burst.
 func TestEvidenceOfLostRunsInFrequentBursts(t *testing.T) {
-	playEvidence(t, "testdata/evidence_plays_bursts.json", playsOfFew)
+	simulateLosses(t, "testdata/evidence_plays_bursts.json", simulationsOfBursts)
 }
 
-// playEvidence plays each case of a file so often.
-func playEvidence(t *testing.T, file string, plays int) {
+// simulateLosses plays each case of a file so often.
+func simulateLosses(t *testing.T, file string, plays int) {
 	for _, c := range casefile.Read[[]evidenceCase](t, file) {
 		t.Run(c.Name, func(t *testing.T) {
 			t.Parallel()
 			var all evidenceTally
 			for seed := range plays {
-				p := newEvidencePlay(c, uint64(seed))
+				p := newLossSimulation(c, uint64(seed))
 				p.run()
 				all.add(p)
 			}
@@ -286,7 +286,7 @@
 	undecided int // of them, not given up in time
 }
 
-func (all *evidenceTally) add(p *evidencePlay) {
+func (all *evidenceTally) add(p *lossSimulation) {
 	all.lost += p.lost
 	all.crashing += len(p.crashing)
 	for id, ended := range p.ended {
--- a/services/dispatch/evidence_test.go
+++ b/services/dispatch/evidence_test.go
@@ -32,18 +32,18 @@
 func TestWhatALossSays(t *testing.T) {
 	for _, c := range casefile.Read[[]lossCase](t, "testdata/evidence.json") {
 		t.Run(c.Name, func(t *testing.T) {
-			e := circumstances{ran: c.Ran.Duration(), chance: byChance + c.MoreChance}
+			e := lossContext{runtime: c.Ran.Duration(), chanceRate: baselineLossRate + c.MoreChance}
 			for _, ran := range c.Before {
-				e.before = append(e.before, ran.Duration())
+				e.earlierRuntimes = append(e.earlierRuntimes, ran.Duration())
 			}
 			for _, ran := range c.Beside {
-				share := crasherShare
+				share := crasherPrior
 				if c.Suspected {
 					share = 1
 				}
-				e.beside = append(e.beside, neighbour{ran: ran.Duration(), share: share})
+				e.neighbours = append(e.neighbours, neighbour{runtime: ran.Duration(), crasherProbability: share})
 			}
-			doubt, weight := e.weigh()
+			doubt, weight := e.evidence()
 			require.InDelta(t, c.Doubt, doubt, 0.01)
 			require.InDelta(t, c.Weight, weight, 0.01)
 		})
@@ -59,11 +59,11 @@
 	for range 20_000 {
 		var tried task
 		for {
-			ran := time.Duration(draw.ExpFloat64() * float64(crashEvery))
-			if ran >= mostRan {
+			ran := time.Duration(draw.ExpFloat64() * float64(meanTimeBetweenLosses))
+			if ran >= maxTimeToCrash {
 				break
 			}
-			doubt, weight := circumstances{ran: ran, chance: byChance}.weigh()
+			doubt, weight := lossContext{runtime: ran, chanceRate: baselineLossRate}.evidence()
 			tried.suspicion.Lost = append(tried.suspicion.Lost, jobs.LostRun{Doubt: doubt, Weight: weight})
 		}
 		if tried.crashesWorkers() {
@@ -83,14 +83,14 @@
 			b.report(n, jobs.Report{})
 		}
 		for n := range earlier {
-			b.noteLoss(b.workers[b.ids[n]], b.now)
+			b.recordWorkerLoss(b.workers[b.ids[n]], b.now)
 		}
-		b.now = b.now.Add(lossesKept + 10*time.Second)
+		b.now = b.now.Add(lossRetention + 10*time.Second)
 		for n := range b.ids {
 			b.report(n, jobs.Report{})
 		}
 		b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
-		b.crashed(t)
+		b.crashWorkerOfOnlyStart(t)
 		lost := b.jobs[testJob].steps[0].tasks[0].suspicion.Lost
 		require.Len(t, lost, 1)
 		return lost[0].Weight
@@ -102,10 +102,10 @@
 // the start of a task that had ended others after 0.15 s. The loss was weighed as one after 0.8 s, spoke
 // for the task, and a sixth start followed.
 func TestTimeOfALossThatNobodySawIsNotTakenForItsEnd(t *testing.T) {
-	loss := circumstances{ran: 814 * time.Millisecond, before: []time.Duration{152 * time.Millisecond}, chance: 0.048}
-	_, seen := loss.weigh()
+	loss := lossContext{runtime: 814 * time.Millisecond, earlierRuntimes: []time.Duration{152 * time.Millisecond}, chanceRate: 0.048}
+	_, seen := loss.evidence()
 	require.Negative(t, seen)
-	loss.atMost = true
-	_, unseen := loss.weigh()
+	loss.runtimeIsUpperBound = true
+	_, unseen := loss.evidence()
 	require.Greater(t, unseen, 2.0)
 }
--- a/services/dispatch/gone.go
+++ b/services/dispatch/gone.go
@@ -26,11 +26,11 @@
 			c.setRetired(w, true)
 		case !c.hasLapsed(w):
 		case !w.listed:
-			c.drop(w, "gone and lapsed", now)
+			c.removeWorker(w, "gone and lapsed", now)
 		case len(w.tasks) > 0:
 			c.config.Logger.Warn("silent worker's tasks have lapsed", zap.String("worker", string(w.info.ID)), zap.Int("tasks", len(w.tasks)))
 			c.countSilentRuns(w, now)
-			c.freeTasks(w)
+			c.requeueTasks(w)
 			c.judge(now)
 		}
 	}
@@ -56,9 +56,9 @@
 // neither in the list nor reached.
 const leaveMargin = 300 * time.Millisecond
 
-// returnsWithin is when a worker that lives is back in the list after an outage of the
+// maxRelistDelay is when a worker that lives is back in the list after an outage of the
 // store, as the users' platform says, with the time between two looks at the list.
-const returnsWithin = 3 * time.Second
+const maxRelistDelay = 3 * time.Second
 
 // Unreached says that no connection to a worker came about. One that was to leave by now
 // has left, with all that ran there, if it is not in the list any more or if nobody listens
@@ -76,10 +76,10 @@
 	}
 	switch {
 	case !w.leaves.IsZero() && now.After(w.leaves.Add(-leaveMargin)) && (nobodyListens || !w.listed):
-		c.drop(w, "it has drained and left", now)
+		c.removeWorker(w, "it has drained and left", now)
 	case w.listed:
-	case nobodyListens && !w.missing.IsZero() && now.Sub(w.missing) > returnsWithin:
-		c.drop(w, "it is not in the list any more, and nobody listens at its address", now)
+	case nobodyListens && !w.missing.IsZero() && now.Sub(w.missing) > maxRelistDelay:
+		c.removeWorker(w, "it is not in the list any more, and nobody listens at its address", now)
 	}
 }
 
@@ -108,25 +108,25 @@
 func (c *Core) Replaced(id jobs.WorkerID, now time.Time) {
 	if w, ok := c.workers[id]; ok {
 		c.replaced[w.info.Incarnation()] = struct{}{}
-		c.drop(w, "another incarnation answers at its address", now)
+		c.removeWorker(w, "another incarnation answers at its address", now)
 	}
 }
 
-// drop forgets a worker that certainly runs nothing.
-func (c *Core) drop(w *worker, reason string, now time.Time) {
+// removeWorker forgets a worker that certainly runs nothing.
+func (c *Core) removeWorker(w *worker, reason string, now time.Time) {
 	c.config.Logger.Info("worker is gone", zap.String("worker", string(w.info.ID)), zap.String("reason", reason),
 		zap.Int64("born", int64(w.info.Born)), zap.Int("tasks", len(w.tasks)), zap.Int64("unanswered_ms", now.Sub(w.lastAlive(now)).Milliseconds()))
-	c.workerLost(w, now)
-	c.noteGone(w)
-	c.freeTasks(w)
+	c.countWorkerLoss(w, now)
+	c.recordUnheardLoss(w)
+	c.requeueTasks(w)
 	c.judge(now)
 	delete(c.workers, w.info.ID)
 	c.order = slices.DeleteFunc(c.order, func(o *worker) bool { return o == w })
 	c.rosterChanged = c.rosterChanged || w.enrolled
 }
 
-// freeTasks lets the tasks of a worker that certainly runs nothing wait again.
-func (c *Core) freeTasks(w *worker) {
+// requeueTasks lets the tasks of a worker that certainly runs nothing wait again.
+func (c *Core) requeueTasks(w *worker) {
 	for _, t := range slices.Clone(w.tasks) {
 		c.counts.Lapsed++
 		c.wait(t)
--- a/services/dispatch/incarnation.go
+++ b/services/dispatch/incarnation.go
@@ -28,28 +28,28 @@
 		c.Replaced(meant.ID, now)
 	default:
 		c.counts.RestartsMet++
-		c.restart(w, born, now, now)
+		c.replaceIncarnation(w, born, now, now)
 	}
 }
 
 // reporting gives the incarnation that a report is of, and whether none that is later has come.
 func (c *Core) reporting(w *worker, sent time.Time, report jobs.Report, now time.Time) (reports *worker, later bool) {
-	c.noteUnreadableBorn(w, report)
+	c.logUnreadableStartTime(w, report)
 	switch {
-	case !w.isOther(report):
-		c.learnBorn(w, report)
+	case !w.isOtherIncarnation(report):
+		c.learnStartTime(w, report)
 		return w, report.Clock >= w.clock
 	case sent.Before(w.since):
 		return w, false
 	default:
 		c.counts.RestartsReported++
-		return c.restart(w, report.Born, sent, now), true
+		return c.replaceIncarnation(w, report.Born, sent, now), true
 	}
 }
 
-// isOther tells whether the report is of another incarnation. One that begins to say when it started
+// isOtherIncarnation tells whether the report is of another incarnation. One that begins to say when it started
 // may be that: then its clock has begun anew.
-func (w *worker) isOther(report jobs.Report) bool {
+func (w *worker) isOtherIncarnation(report jobs.Report) bool {
 	switch {
 	case report.Born == 0:
 		return false
@@ -60,16 +60,16 @@
 	}
 }
 
-// learnBorn takes the start that a report names, if it is not known yet; the roster has to name it.
-func (c *Core) learnBorn(w *worker, report jobs.Report) {
+// learnStartTime takes the start that a report names, if it is not known yet; the roster has to name it.
+func (c *Core) learnStartTime(w *worker, report jobs.Report) {
 	if w.info.Born == 0 && report.Born != 0 {
 		w.info.Born = report.Born
 		c.rosterChanged = true
 	}
 }
 
-// noteUnreadableBorn logs once that the start in a worker's reports makes no sense.
-func (c *Core) noteUnreadableBorn(w *worker, report jobs.Report) {
+// logUnreadableStartTime logs once that the start in a worker's reports makes no sense.
+func (c *Core) logUnreadableStartTime(w *worker, report jobs.Report) {
 	if report.BornUnreadable && !w.bornTold {
 		w.bornTold = true
 		c.config.Logger.Warn("worker's reports don't say when it started", zap.String("worker", string(w.info.ID)))
@@ -95,14 +95,14 @@
 	return hurry
 }
 
-// restart puts another incarnation in the place of a worker that has ended. What ran there is lost; the
+// replaceIncarnation puts another incarnation in the place of a worker that has ended. What ran there is lost; the
 // new one is called at once, and gets starts when the roster and the list name it. Calls that were sent
 // before since were not meant for it.
-func (c *Core) restart(w *worker, born models.UnixMilli, since, now time.Time) *worker {
+func (c *Core) replaceIncarnation(w *worker, born models.UnixMilli, since, now time.Time) *worker {
 	c.config.Logger.Info("worker has started again under its id", zap.String("worker", string(w.info.ID)),
 		zap.Int64("before", int64(w.info.Born)), zap.Int64("born", int64(born)), zap.Bool("listed", w.entry != nil && w.entry.Born == born))
-	open := w.openStarts()
-	c.drop(w, "it has started again under its id", now)
+	open := w.unansweredStarts()
+	c.removeWorker(w, "it has started again under its id", now)
 	info := w.info
 	info.Born, info.Draining, info.Remaining, info.Leaves = born, false, 0, 0
 	next := c.addWorker(info, now)
@@ -120,8 +120,8 @@
 	return next
 }
 
-// openStarts are the tasks on the worker with a start that may be carried out yet.
-func (w *worker) openStarts() []*task {
+// unansweredStarts are the tasks on the worker with a start that may be carried out yet.
+func (w *worker) unansweredStarts() []*task {
 	var open []*task
 	for _, t := range w.tasks {
 		if t.open {
--- a/services/dispatch/incarnation_test.go
+++ b/services/dispatch/incarnation_test.go
@@ -15,27 +15,27 @@
 
 // The starts of incarnations. The time of day is set back between the two: the later is the smaller one.
 const (
-	bornFirst  = models.UnixMilli(2_000_000)
-	bornSecond = models.UnixMilli(1_000_000)
+	firstStartTime  = models.UnixMilli(2_000_000)
+	secondStartTime = models.UnixMilli(1_000_000)
 )
 
-// newBornBench makes a core with a worker that says when it started, runs a task.
-func newBornBench(t *testing.T) (b *bench, start StartOrder) {
+// newIncarnationBench makes a core with a worker that says when it started, runs a task.
+func newIncarnationBench(t *testing.T) (b *bench, start StartOrder) {
 	t.Helper()
-	b, start = newBornStart(t, 2)
+	b, start = newIncarnationStart(t, 2)
 	b.Started(start, Result{Outcome: OutcomeDone}, b.now)
-	require.Equal(t, bornFirst, start.Worker.Born, "the order is for this incarnation")
+	require.Equal(t, firstStartTime, start.Worker.Born, "the order is for this incarnation")
 	return b, start
 }
 
-// newBornStart makes a core with so many workers, one of which says when it started and has not answered yet that it is
+// newIncarnationStart makes a core with so many workers, one of which says when it started and has not answered yet that it is
 // to start a task.
-func newBornStart(t *testing.T, workers int) (b *bench, start StartOrder) {
+func newIncarnationStart(t *testing.T, workers int) (b *bench, start StartOrder) {
 	t.Helper()
 	b = newBench(t, workers)
-	b.list(bornFirst)
+	b.list(firstStartTime)
 	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
-	b.report(0, jobs.Report{Born: bornFirst})
+	b.report(0, jobs.Report{Born: firstStartTime})
 	starts := b.storedStarts()
 	require.Len(t, starts, 1)
 	return b, starts[0]
@@ -48,8 +48,8 @@
 	b.SetWorkers([]jobs.Worker{entry}, b.now)
 }
 
-// restarted reports for an incarnation whose clock shows so much.
-func (b *bench) restarted(born models.UnixMilli, clock models.Milli, report jobs.Report) {
+// reportIncarnation reports for an incarnation whose clock shows so much.
+func (b *bench) reportIncarnation(born models.UnixMilli, clock models.Milli, report jobs.Report) {
 	b.now = b.now.Add(100 * time.Millisecond)
 	report.Born, report.Clock = born, clock
 	b.call(0, report)
@@ -58,26 +58,26 @@
 // TestReportOfAnotherIncarnationEndsTheFormerOne guards against what is kept by id: the clock, the
 // numbers of ends and what may be forgotten of them, and the runs.
 func TestReportOfAnotherIncarnationEndsTheFormerOne(t *testing.T) {
-	b, start := newBornBench(t)
-	b.report(0, jobs.Report{Born: bornFirst, Ended: []jobs.Ended{{Number: 7, Task: taskOf(9), Run: 1, How: jobs.EndStopped}}})
-	b.restarted(bornSecond, 30, jobs.Report{})
+	b, start := newIncarnationBench(t)
+	b.report(0, jobs.Report{Born: firstStartTime, Ended: []jobs.Ended{{Number: 7, Task: taskOf(9), Run: 1, How: jobs.EndStopped}}})
+	b.reportIncarnation(secondStartTime, 30, jobs.Report{})
 	require.Nil(t, b.jobs[testJob].steps[0].tasks[0].worker, "its run is lost at once")
 	call, _ := b.LeaseCall(b.ids[0], time.Second, b.now)
 	require.Zero(t, call.Acknowledged, "the numbers of its ends begin anew")
 	require.Less(t, call.Until, models.Milli(10_000), "and so does its clock")
-	require.Equal(t, bornSecond, b.Worker(b.ids[0]).Born)
-	b.restarted(bornSecond, 60, jobs.Report{Ended: []jobs.Ended{{Number: 1, Task: start.Call.Task, Run: start.Call.Run, How: jobs.EndSucceeded}}})
+	require.Equal(t, secondStartTime, b.Worker(b.ids[0]).Born)
+	b.reportIncarnation(secondStartTime, 60, jobs.Report{Ended: []jobs.Ended{{Number: 1, Task: start.Call.Task, Run: start.Call.Run, How: jobs.EndSucceeded}}})
 	require.Equal(t, 1, b.jobs[testJob].steps[0].done, "a start that was carried out late counts")
 }
 
 // TestRestartedWorkerGetsStartsWhenRosterAndListNameIt guards against starts that no successor knows
 // of, and against room that the former incarnation had.
 func TestRestartedWorkerGetsStartsWhenRosterAndListNameIt(t *testing.T) {
-	b, _ := newBornBench(t)
-	b.restarted(bornSecond, 30, jobs.Report{})
-	b.restarted(bornSecond, 60, jobs.Report{})
+	b, _ := newIncarnationBench(t)
+	b.reportIncarnation(secondStartTime, 30, jobs.Report{})
+	b.reportIncarnation(secondStartTime, 60, jobs.Report{})
 	require.Empty(t, b.storedStarts(), "its entry is that of the former one")
-	b.list(bornSecond)
+	b.list(secondStartTime)
 	b.now = b.now.Add(scanPause + time.Millisecond)
 	require.Len(t, b.storedStarts(), 1)
 }
@@ -85,29 +85,29 @@
 // TestEntryOfAnotherIncarnationProvesNothing guards against entries that come late: only who
 // answers tells which incarnation is there.
 func TestEntryOfAnotherIncarnationProvesNothing(t *testing.T) {
-	b, start := newBornBench(t)
-	b.list(bornSecond)
+	b, start := newIncarnationBench(t)
+	b.list(secondStartTime)
 	require.NotNil(t, b.jobs[testJob].steps[0].tasks[0].worker, "it may be an entry of before")
 	require.False(t, b.usable(b.workers[b.ids[0]], b.now), "what the list says is not of it")
 	call, _ := b.LeaseCall(b.ids[0], time.Second, b.now)
 	require.Zero(t, call.Wait, "who is there is asked at once")
-	b.report(0, jobs.Report{Born: bornFirst, Running: []jobs.Run{{Task: start.Call.Task, Run: start.Call.Run}}})
+	b.report(0, jobs.Report{Born: firstStartTime, Running: []jobs.Run{{Task: start.Call.Task, Run: start.Call.Run}}})
 	require.NotNil(t, b.jobs[testJob].steps[0].tasks[0].worker)
 	call, _ = b.LeaseCall(b.ids[0], time.Second, b.now)
 	require.NotZero(t, call.Wait, "and asked no more")
-	b.list(bornFirst)
+	b.list(firstStartTime)
 	require.True(t, b.usable(b.workers[b.ids[0]], b.now))
 }
 
 // TestLateReportOfAFormerIncarnationIsPassedOver guards against answers that pass each other.
 func TestLateReportOfAFormerIncarnationIsPassedOver(t *testing.T) {
-	b, start := newBornBench(t)
+	b, start := newIncarnationBench(t)
 	sent := b.now
-	b.restarted(bornSecond, 30, jobs.Report{})
+	b.reportIncarnation(secondStartTime, 30, jobs.Report{})
 	b.Reported(b.ids[0], sent, jobs.Report{
-		Born: bornFirst, Clock: 900_000, Running: []jobs.Run{{Task: start.Call.Task, Run: start.Call.Run}},
+		Born: firstStartTime, Clock: 900_000, Running: []jobs.Run{{Task: start.Call.Task, Run: start.Call.Run}},
 	}, b.now)
-	require.Equal(t, bornSecond, b.Worker(b.ids[0]).Born)
+	require.Equal(t, secondStartTime, b.Worker(b.ids[0]).Born)
 	require.Nil(t, b.jobs[testJob].steps[0].tasks[0].worker)
 	require.EqualValues(t, 1, b.Counts().ReportsPassedOver)
 }
@@ -115,12 +115,12 @@
 // TestOrderThatMeetsAnotherIncarnationTellsOfIt: the run it was for is lost, and a second one that
 // was on its way says nothing new.
 func TestOrderThatMeetsAnotherIncarnationTellsOfIt(t *testing.T) {
-	b, start := newBornBench(t)
+	b, start := newIncarnationBench(t)
 	stop := StopOrder{Worker: start.Worker, Call: jobs.StopCall{Task: start.Call.Task, Run: start.Call.Run}}
-	met := Result{Outcome: OutcomeIncarnation, Born: bornSecond}
+	met := Result{Outcome: OutcomeIncarnation, Born: secondStartTime}
 	for range 2 {
 		b.Stopped(stop, met, b.now)
-		require.Equal(t, bornSecond, b.Worker(b.ids[0]).Born)
+		require.Equal(t, secondStartTime, b.Worker(b.ids[0]).Born)
 	}
 	require.EqualValues(t, 1, b.Counts().RestartsMet)
 	require.Nil(t, b.jobs[testJob].steps[0].tasks[0].worker)
@@ -137,70 +137,70 @@
 	starts := b.storedStarts()
 	require.Len(t, starts, 1)
 	b.Started(starts[0], Result{Outcome: OutcomeDone}, b.now)
-	running := jobs.Report{Born: bornFirst, Running: []jobs.Run{{Task: starts[0].Call.Task, Run: starts[0].Call.Run}}}
+	running := jobs.Report{Born: firstStartTime, Running: []jobs.Run{{Task: starts[0].Call.Task, Run: starts[0].Call.Run}}}
 	b.report(0, running)
 	require.NotNil(t, b.jobs[testJob].steps[0].tasks[0].worker, "its clock has gone on, it is the same one")
-	require.Equal(t, bornFirst, b.Worker(b.ids[0]).Born)
+	require.Equal(t, firstStartTime, b.Worker(b.ids[0]).Born)
 	roster := b.TakeChanges(10, b.now).Roster
 	require.NotNil(t, roster)
-	require.Equal(t, bornFirst, roster.Workers[0].Born, "a successor knows it too")
+	require.Equal(t, firstStartTime, roster.Workers[0].Born, "a successor knows it too")
 
 	b = newBench(t, 1)
 	b.report(0, jobs.Report{})
 	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
 	starts = b.storedStarts()
 	b.Started(starts[0], Result{Outcome: OutcomeDone}, b.now)
-	b.list(bornSecond)
-	b.restarted(bornSecond, 20, jobs.Report{})
+	b.list(secondStartTime)
+	b.reportIncarnation(secondStartTime, 20, jobs.Report{})
 	require.Nil(t, b.jobs[testJob].steps[0].tasks[0].worker, "its clock has begun anew")
 }
 
 // TestFormerOwnersRunIsLostWithItsIncarnation guards against a takeover that takes the answer of the
 // next incarnation for that of the one in the roster.
 func TestFormerOwnersRunIsLostWithItsIncarnation(t *testing.T) {
-	for _, listed := range []models.UnixMilli{bornFirst, bornSecond} {
+	for _, listed := range []models.UnixMilli{firstStartTime, secondStartTime} {
 		b := newBench(t, 0)
-		info := jobs.Worker{ID: "w0", Pool: testPool, Address: "w0", Capacity: models.Resources{CPU: 4000, Memory: 8000}, Born: bornFirst}
+		info := jobs.Worker{ID: "w0", Pool: testPool, Address: "w0", Capacity: models.Resources{CPU: 4000, Memory: 8000}, Born: firstStartTime}
 		b.ids = []jobs.WorkerID{info.ID}
-		open := &jobs.OpenRun{LostRun: jobs.LostRun{Run: 3, Ran: 300, Doubt: 2, Weight: 2}, Worker: info.ID, Born: bornFirst}
+		open := &jobs.OpenRun{LostRun: jobs.LostRun{Run: 3, Ran: 300, Doubt: 2, Weight: 2}, Worker: info.ID, Born: firstStartTime}
 		b.Enrol(jobs.Roster{Workers: []jobs.Worker{info}}, b.now)
 		b.AddJob(b.job(one), jobs.Progress{Suspected: jobs.Suspicions{0: {0: {Open: open}}}}, false, b.now)
 		info.Born = listed
 		b.SetWorkers([]jobs.Worker{info}, b.now)
-		b.restarted(bornSecond, 30, jobs.Report{})
+		b.reportIncarnation(secondStartTime, 30, jobs.Report{})
 		task := &b.jobs[testJob].steps[0].tasks[0]
 		require.Nil(t, task.suspicion.Open)
 		require.Len(t, task.suspicion.Lost, 1)
-		require.Equal(t, bornSecond, b.Worker(info.ID).Born)
+		require.Equal(t, secondStartTime, b.Worker(info.ID).Born)
 	}
 }
 
 // TestIncarnationThatWasReplacedMayComeAgainUnderItsID guards against ids that are barred for good.
 func TestIncarnationThatWasReplacedMayComeAgainUnderItsID(t *testing.T) {
-	b, _ := newBornBench(t)
+	b, _ := newIncarnationBench(t)
 	entry := b.Worker(b.ids[0])
 	b.Replaced(b.ids[0], b.now)
 	b.SetWorkers([]jobs.Worker{entry}, b.now)
 	require.NotContains(t, b.workers, b.ids[0])
-	entry.Born = bornSecond
+	entry.Born = secondStartTime
 	b.SetWorkers([]jobs.Worker{entry}, b.now)
-	require.Equal(t, bornSecond, b.Worker(b.ids[0]).Born)
+	require.Equal(t, secondStartTime, b.Worker(b.ids[0]).Born)
 }
 
 // TestRosterOfTheFormerIncarnationEnrolsNoOther guards against a roster that was being stored when the
 // worker started again: it names the former incarnation, and a successor would find this one without
 // what had been started on it.
 func TestRosterOfTheFormerIncarnationEnrolsNoOther(t *testing.T) {
-	b, _ := newBornBench(t)
+	b, _ := newIncarnationBench(t)
 	fresh := b.job(one)
 	fresh.Spec.ID = "00000000000000bb" // it has lost no run, which would have to be stored first
 	b.AddJob(fresh, jobs.Progress{}, true, b.now)
 	b.rosterChanged = true
 	beingStored := b.TakeChanges(10, b.now)
 	require.NotNil(t, beingStored.Roster)
-	b.restarted(bornSecond, 30, jobs.Report{})
-	b.list(bornSecond)
-	b.restarted(bornSecond, 60, jobs.Report{})
+	b.reportIncarnation(secondStartTime, 30, jobs.Report{})
+	b.list(secondStartTime)
+	b.reportIncarnation(secondStartTime, 60, jobs.Report{})
 	b.Stored(beingStored, b.now)
 	require.Empty(t, b.starts())
 	require.Len(t, b.storedStarts(), 1, "the next roster names it")
@@ -213,14 +213,14 @@
 	b.ids = []jobs.WorkerID{"w0"}
 	var list []jobs.Worker
 	for _, id := range []jobs.WorkerID{"w0", "w1", "w2"} {
-		list = append(list, jobs.Worker{ID: id, Pool: testPool, Address: string(id), Born: bornFirst})
+		list = append(list, jobs.Worker{ID: id, Pool: testPool, Address: string(id), Born: firstStartTime})
 	}
 	b.SetWorkers(list, b.now)
-	b.restarted(bornFirst, 10, jobs.Report{})
-	b.restarted(bornSecond, 20, jobs.Report{})
+	b.reportIncarnation(firstStartTime, 10, jobs.Report{})
+	b.reportIncarnation(secondStartTime, 20, jobs.Report{})
 	require.True(t, b.fenced.IsZero(), "one of three has")
 	b.ids = []jobs.WorkerID{"w1"}
-	b.restarted(bornFirst, 10, jobs.Report{})
+	b.reportIncarnation(firstStartTime, 10, jobs.Report{})
 	require.False(t, b.fenced.IsZero())
 }
 
@@ -228,20 +228,20 @@
 // as lapsed by its own grants alone: the entry may have named an incarnation that has ended.
 func TestFormerOwnersLeaseHoldsForTheIncarnationThatAnswers(t *testing.T) {
 	b := newBench(t, 0)
-	info := jobs.Worker{ID: "w0", Pool: testPool, Address: "w0", Born: bornSecond}
+	info := jobs.Worker{ID: "w0", Pool: testPool, Address: "w0", Born: secondStartTime}
 	b.ids = []jobs.WorkerID{info.ID}
 	b.SetWorkers([]jobs.Worker{info}, b.now)
-	info.Born = bornFirst
+	info.Born = firstStartTime
 	b.Enrol(jobs.Roster{Workers: []jobs.Worker{info}, Lease: 8000}, b.now)
-	b.restarted(bornFirst, 100, jobs.Report{})
+	b.reportIncarnation(firstStartTime, 100, jobs.Report{})
 	require.GreaterOrEqual(t, b.workers[info.ID].granted, models.Milli(100+8000))
 }
 
 // TestFenceOfAFormerIncarnationIsNoLaterOwner guards against an owner that gives up its cell because a
 // worker has refused what was sent to its former incarnation.
 func TestFenceOfAFormerIncarnationIsNoLaterOwner(t *testing.T) {
-	b, start := newBornBench(t)
-	b.restarted(bornSecond, 30, jobs.Report{})
+	b, start := newIncarnationBench(t)
+	b.reportIncarnation(secondStartTime, 30, jobs.Report{})
 	refused := Result{Outcome: OutcomeRefused, Refusal: jobs.RefusedFence}
 	b.Started(start, refused, b.now)
 	require.False(t, b.Superseded())
@@ -254,19 +254,19 @@
 // TestStartWithoutAnswerIsBarredAtTheNextIncarnation guards against a start that is carried out late, while
 // its task runs elsewhere.
 func TestStartWithoutAnswerIsBarredAtTheNextIncarnation(t *testing.T) {
-	b, start := newBornStart(t, 1)
-	b.restarted(bornSecond, 30, jobs.Report{})
+	b, start := newIncarnationStart(t, 1)
+	b.reportIncarnation(secondStartTime, 30, jobs.Report{})
 	orders := b.Decide(b.now)
 	require.Len(t, orders, 1)
 	stop, ok := orders[0].(StopOrder)
 	require.True(t, ok, "%T", orders[0])
 	require.Equal(t, start.Call.Run, stop.Call.Run)
-	require.Equal(t, bornSecond, stop.Worker.Born)
+	require.Equal(t, secondStartTime, stop.Worker.Born)
 	require.Greater(t, stop.Call.Fence, start.Call.Fence)
-	b.list(bornSecond)
+	b.list(secondStartTime)
 	require.Empty(t, b.storedStarts(), "it is not barred yet")
 	b.Stopped(stop, Result{Outcome: OutcomeDone}, b.now)
-	b.restarted(bornSecond, 300, jobs.Report{})
+	b.reportIncarnation(secondStartTime, 300, jobs.Report{})
 	require.Len(t, b.storedStarts(), 1)
 }
 
@@ -285,9 +285,9 @@
 		"barred":     {barred: true, freeMin: 0, freeMax: silentAfter + 2*time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, _ := newBornStart(t, 1)
+			b, _ := newIncarnationStart(t, 1)
 			began := b.now
-			b.restarted(bornSecond, 30, jobs.Report{})
+			b.reportIncarnation(secondStartTime, 30, jobs.Report{})
 			stop := b.Decide(b.now)[0].(StopOrder)
 			if c.barred {
 				b.Stopped(stop, Result{Outcome: OutcomeDone}, b.now)
@@ -322,14 +322,14 @@
 // TestOpenRunOfAFormerIncarnationIsLost guards against a successor whose roster names the next incarnation
 // already: it shows what runs there, and nothing of the run that was open on the former one.
 func TestOpenRunOfAFormerIncarnationIsLost(t *testing.T) {
-	for born, lost := range map[models.UnixMilli]int{bornFirst: 1, bornSecond: 0, 0: 0} {
+	for born, lost := range map[models.UnixMilli]int{firstStartTime: 1, secondStartTime: 0, 0: 0} {
 		b := newBench(t, 0)
-		info := jobs.Worker{ID: "w0", Pool: testPool, Address: "w0", Born: bornSecond}
+		info := jobs.Worker{ID: "w0", Pool: testPool, Address: "w0", Born: secondStartTime}
 		b.ids = []jobs.WorkerID{info.ID}
 		open := &jobs.OpenRun{LostRun: jobs.LostRun{Run: 3, Ran: 300, Doubt: 2, Weight: 2}, Worker: info.ID, Born: born}
 		b.Enrol(jobs.Roster{Workers: []jobs.Worker{info}}, b.now)
 		b.AddJob(b.job(one), jobs.Progress{Suspected: jobs.Suspicions{0: {0: {Open: open}}}}, false, b.now)
-		b.restarted(bornSecond, 30, jobs.Report{})
+		b.reportIncarnation(secondStartTime, 30, jobs.Report{})
 		task := &b.jobs[testJob].steps[0].tasks[0]
 		require.Nil(t, task.suspicion.Open)
 		require.Len(t, task.suspicion.Lost, lost, "open on the one that started at %d", born)
@@ -339,12 +339,12 @@
 // TestNextIncarnationDoesNotDrainForTheFormerOne guards against a worker that is left alone, and whose loss
 // counts as announced, because the one before had said that it would leave.
 func TestNextIncarnationDoesNotDrainForTheFormerOne(t *testing.T) {
-	b, _ := newBornBench(t)
+	b, _ := newIncarnationBench(t)
 	entry := b.Worker(b.ids[0])
 	entry.Draining, entry.Remaining = true, 3*time.Second
 	b.SetWorkers([]jobs.Worker{entry}, b.now)
 	require.False(t, b.workers[b.ids[0]].leaves.IsZero())
-	b.restarted(bornSecond, 30, jobs.Report{})
+	b.reportIncarnation(secondStartTime, 30, jobs.Report{})
 	require.True(t, b.workers[b.ids[0]].leaves.IsZero())
 	require.Zero(t, b.Worker(b.ids[0]).Leaves, "the roster says so too")
 	require.False(t, b.Worker(b.ids[0]).Draining)
@@ -354,8 +354,8 @@
 // on the incarnation that is being asked to bar it.
 func TestAnswerToAStartOfAFormerIncarnationSaysNothing(t *testing.T) {
 	for _, result := range []Result{{Outcome: OutcomeUnknown}, {Outcome: OutcomeRefused, Refusal: jobs.RefusedRoom}} {
-		b, start := newBornStart(t, 1)
-		b.restarted(bornSecond, 30, jobs.Report{Running: []jobs.Run{{Task: start.Call.Task, Run: start.Call.Run}}})
+		b, start := newIncarnationStart(t, 1)
+		b.reportIncarnation(secondStartTime, 30, jobs.Report{Running: []jobs.Run{{Task: start.Call.Task, Run: start.Call.Run}}})
 		task := &b.jobs[testJob].steps[0].tasks[0]
 		state := task.state
 		require.NotNil(t, task.worker)
@@ -368,19 +368,19 @@
 // TestStartThatMetAnotherIncarnationWasNeverLost guards against a run that counts as one which ended its worker
 // right after its start: the call met the next incarnation, which has done nothing of it.
 func TestStartThatMetAnotherIncarnationWasNeverLost(t *testing.T) {
-	met := Result{Outcome: OutcomeIncarnation, Born: bornSecond}
+	met := Result{Outcome: OutcomeIncarnation, Born: secondStartTime}
 	for name, reportFirst := range map[string]bool{"its answer tells of it": false, "a report told of it before": true} {
 		t.Run(name, func(t *testing.T) {
-			b, start := newBornStart(t, 1)
+			b, start := newIncarnationStart(t, 1)
 			if reportFirst {
-				b.restarted(bornSecond, 30, jobs.Report{})
+				b.reportIncarnation(secondStartTime, 30, jobs.Report{})
 			}
 			b.Started(start, met, b.now)
 			task := &b.jobs[testJob].steps[0].tasks[0]
 			require.Zero(t, task.losses())
 			require.Empty(t, task.byChance)
 			require.Equal(t, taskWaiting, task.state, "nothing has to be barred")
-			require.Equal(t, bornSecond, b.Worker(b.ids[0]).Born)
+			require.Equal(t, secondStartTime, b.Worker(b.ids[0]).Born)
 		})
 	}
 }
--- a/services/dispatch/proof.go
+++ b/services/dispatch/proof.go
@@ -16,35 +16,35 @@
 // on recent proof that it is the owner:
 //
 //   - for any order: a transaction of its own, which requires its key, or the answers of two
-//     thirds of its workers. A successor counts former runs as lapsed formerMargin after most
+//     thirds of its workers. A successor counts former runs as lapsed previousOwnerMargin after most
 //     workers have answered it, and two thirds that obey this owner leave no such majority.
 //   - to start what ran on a silent worker elsewhere: a transaction after the worker's lease
 //     had run out. Only then has no successor prolonged it.
 
-// provedFor is for how long after a proof orders are given; with the time limit of a call it
-// stays below formerMargin.
-const provedFor = 2 * time.Second
+// proofValidity is for how long after a proof orders are given; with the time limit of a call it
+// stays below previousOwnerMargin.
+const proofValidity = 2 * time.Second
 
-// proofWanted is how old a proof gets before a transaction is made for that reason alone.
-const proofWanted = time.Second
+// proofRefreshAge is how old a proof gets before a transaction is made for that reason alone.
+const proofRefreshAge = time.Second
 
-// lookEvery is how often the workers' answers are counted.
-const lookEvery = 100 * time.Millisecond
+// answerCountInterval is how often the workers' answers are counted.
+const answerCountInterval = 100 * time.Millisecond
 
 // mayOrder tells whether there is recent proof that this core still is the cell's owner.
 func (c *Core) mayOrder(now time.Time) bool {
-	if now.Sub(c.countedAt) >= lookEvery {
+	if now.Sub(c.countedAt) >= answerCountInterval {
 		c.countedAt = now
-		c.obeyed = c.obeyedSince()
+		c.obeyed = c.twoThirdsAnsweredSince()
 	}
 	age := now.Sub(latest(c.proved, c.obeyed))
-	c.wantsProof = age > proofWanted
-	c.noteIdle(age > provedFor, age)
+	c.wantsProof = age > proofRefreshAge
+	c.setIdle(age > proofValidity, age)
 	return !c.idle
 }
 
-// noteIdle logs when orders begin to wait for a proof, and when they go on.
-func (c *Core) noteIdle(idle bool, age time.Duration) {
+// setIdle logs when orders begin to wait for a proof, and when they go on.
+func (c *Core) setIdle(idle bool, age time.Duration) {
 	if idle == c.idle {
 		return
 	}
@@ -56,9 +56,9 @@
 	c.config.Logger.Info(message, zap.Duration("proof_age", age), zap.Int("workers", len(c.order)))
 }
 
-// obeyedSince is when the calls were sent, at the latest, that two thirds of the workers have
+// twoThirdsAnsweredSince is when the calls were sent, at the latest, that two thirds of the workers have
 // answered.
-func (c *Core) obeyedSince() time.Time {
+func (c *Core) twoThirdsAnsweredSince() time.Time {
 	if len(c.order) == 0 {
 		return time.Time{}
 	}
--- a/services/dispatch/proof_test.go
+++ b/services/dispatch/proof_test.go
@@ -20,7 +20,7 @@
 		"most workers": func(b *bench) {
 			b.report(1, jobs.Report{})
 			b.report(2, jobs.Report{})
-			b.now = b.now.Add(lookEvery)
+			b.now = b.now.Add(answerCountInterval)
 		},
 	}
 	for name, proof := range prove {
--- a/services/dispatch/recent.go
+++ b/services/dispatch/recent.go
@@ -13,31 +13,31 @@
 // A worker that starts again under its id is known to have ended at once, before it is known which others went
 // at the same moment. So a loss that is younger than that is weighed again, and nobody is given up on it before.
 
-// othersKnown is how long after a loss those of other workers are known that went with it: calls to them break,
+// simultaneousLossesKnownAfter is how long after a loss those of other workers are known that went with it: calls to them break,
 // or run into their time limit.
-const othersKnown = 500 * time.Millisecond
+const simultaneousLossesKnownAfter = 500 * time.Millisecond
 
 // recentLoss is the loss of a worker that is to be weighed again.
 type recentLoss struct {
-	of   jobs.Incarnation
-	at   time.Time
-	runs []weighedRun
+	incarnation jobs.Incarnation
+	at          time.Time
+	runs        []weighedRun
 }
 
 // weighedRun is a run that was lost, with what its weight was drawn from.
 type weighedRun struct {
 	task *task
 	run  jobs.RunID
-	circumstances
+	lossContext
 }
 
-// weighLater lets a loss be weighed again if it is recent.
-func (c *Core) weighLater(recent recentLoss, now time.Time) {
-	if now.Sub(recent.at) >= othersKnown {
+// scheduleReevaluation lets a loss be weighed again if it is recent.
+func (c *Core) scheduleReevaluation(recent recentLoss, now time.Time) {
+	if now.Sub(recent.at) >= simultaneousLossesKnownAfter {
 		return
 	}
 	for _, r := range recent.runs {
-		r.task.weighedAt = recent.at.Add(othersKnown)
+		r.task.weighedAt = recent.at.Add(simultaneousLossesKnownAfter)
 	}
 	c.recent = append(c.recent, recent)
 }
@@ -45,16 +45,16 @@
 // weighAgain weighs losses anew once others are known that came with them.
 func (c *Core) weighAgain(now time.Time) {
 	c.recent = slices.DeleteFunc(c.recent, func(recent recentLoss) bool {
-		if now.Sub(recent.at) < othersKnown {
+		if now.Sub(recent.at) < simultaneousLossesKnownAfter {
 			return false
 		}
-		chance := c.chanceAt(recent.of, recent.at, now)
+		chance := c.chanceRateAt(recent.incarnation, recent.at, now)
 		for _, r := range recent.runs {
-			if chance > r.chance {
-				r.chance = chance
+			if chance > r.chanceRate {
+				r.chanceRate = chance
 				c.setWeight(r)
 			}
-			c.judgeLater(r.task)
+			c.queueVerdict(r.task)
 		}
 		return true
 	})
@@ -62,14 +62,14 @@
 
 // setWeight puts a lost run's new weight in the place of the former one.
 func (c *Core) setWeight(r weighedRun) {
-	doubt, weight := r.weigh()
+	doubt, weight := r.evidence()
 	of := func(lost jobs.LostRun) bool { return lost.Run == r.run }
 	if at := slices.IndexFunc(r.task.byChance, of); at >= 0 {
-		r.task.byChance = lowered(r.task.byChance, at, hundredths(doubt), hundredths(weight))
+		r.task.byChance = withLoweredEvidence(r.task.byChance, at, roundToHundredths(doubt), roundToHundredths(weight))
 	}
 	suspicion := &r.task.suspicion
 	if at := slices.IndexFunc(suspicion.Lost, of); at >= 0 {
-		suspicion.Lost = lowered(suspicion.Lost, at, hundredths(doubt), hundredths(weight))
+		suspicion.Lost = withLoweredEvidence(suspicion.Lost, at, roundToHundredths(doubt), roundToHundredths(weight))
 		c.change(r.task.step.job)
 	}
 }
--- a/services/dispatch/recent_test.go
+++ b/services/dispatch/recent_test.go
@@ -20,11 +20,11 @@
 	b := newBench(t, 4)
 	list := b.Workers()
 	for n := range list {
-		list[n].Born = bornFirst
+		list[n].Born = firstStartTime
 	}
 	b.SetWorkers(list, b.now)
 	for n := range b.ids {
-		b.report(n, jobs.Report{Born: bornFirst})
+		b.report(n, jobs.Report{Born: firstStartTime})
 	}
 	known := jobs.Suspicions{0: {0: {Lost: []jobs.LostRun{{Run: 1, Ran: 70, Doubt: 6, Weight: 6}}}}}
 	b.AddJob(b.job(one), jobs.Progress{Suspected: known}, true, b.now)
@@ -40,7 +40,7 @@
 
 // restart lets a worker's next incarnation report.
 func (b *bench) restart(id jobs.WorkerID) {
-	b.Reported(id, b.now, jobs.Report{Born: bornSecond, Clock: models.Milli(10)}, b.now)
+	b.Reported(id, b.now, jobs.Report{Born: secondStartTime, Clock: models.Milli(10)}, b.now)
 }
 
 // TestNobodyIsGivenUpBeforeItIsKnownWhichOthersWent guards against a job that is given up for a restart of all
@@ -53,7 +53,7 @@
 		b.now = b.now.Add(10 * time.Millisecond)
 		b.restart(id)
 	}
-	b.now = b.now.Add(othersKnown)
+	b.now = b.now.Add(simultaneousLossesKnownAfter)
 	b.Decide(b.now)
 	require.Empty(t, b.jobs[testJob].end)
 	require.Less(t, b.jobs[testJob].steps[0].tasks[0].suspicion.Lost[1].Weight, lost[1].Weight-3)
@@ -62,7 +62,7 @@
 // TestTaskIsGivenUpOnceNoOthersWent: it waits for no longer than that.
 func TestTaskIsGivenUpOnceNoOthersWent(t *testing.T) {
 	b := newRecentBench(t)
-	b.now = b.now.Add(othersKnown)
+	b.now = b.now.Add(simultaneousLossesKnownAfter)
 	b.Decide(b.now)
 	require.Equal(t, jobs.StateFailed, b.jobs[testJob].end)
 }
--- a/services/dispatch/repeats_test.go
+++ b/services/dispatch/repeats_test.go
@@ -86,12 +86,12 @@
 func TestRepetitionsArePaidForByAnswers(t *testing.T) {
 	r := newRepeats()
 	taken := 0
-	for range 10 * mostRepeats {
+	for range 10 * maxRetryTokens {
 		if r.take() {
 			taken++
 		}
 	}
-	require.Equal(t, mostRepeats, taken)
+	require.Equal(t, maxRetryTokens, taken)
 	r = newRepeats()
 	for range 1000 { // of four starts two have no answer, nor has one of their repetitions
 		r.earn()
@@ -109,9 +109,9 @@
 	for n := range 4 {
 		b.report(n, jobs.Report{})
 	}
-	b.AddJob(b.job(smallStep(3*mostRepeats)), jobs.Progress{}, true, b.now)
+	b.AddJob(b.job(smallStep(3*maxRetryTokens)), jobs.Progress{}, true, b.now)
 	starts := b.starts()
-	require.Len(t, starts, 3*mostRepeats)
+	require.Len(t, starts, 3*maxRetryTokens)
 	b.now = b.now.Add(400 * time.Millisecond)
 	b.AllowStarts(0)
 	for _, start := range starts {
@@ -126,6 +126,6 @@
 			barred++
 		}
 	}
-	require.Equal(t, mostRepeats, repeated)
-	require.Equal(t, 2*mostRepeats, barred)
+	require.Equal(t, maxRetryTokens, repeated)
+	require.Equal(t, 2*maxRetryTokens, barred)
 }
--- a/services/dispatch/saved.go
+++ b/services/dispatch/saved.go
@@ -32,12 +32,12 @@
 type textFate string
 
 const (
-	textTaken      textFate = "taken"
-	textNotAskedOf textFate = "its step doesn't checkpoint"
-	textOlder      textFate = "a later run has saved"
-	textPassed     textFate = "its run's end is known"
-	textUnordered  textFate = "no owner has ordered its run"
-	textFailed     textFate = "its run has failed"
+	checkpointTaken          textFate = "taken"
+	checkpointNotRequested   textFate = "its step doesn't checkpoint"
+	checkpointOutdated       textFate = "a later run has saved"
+	checkpointOvertakenByEnd textFate = "its run's end is known"
+	checkpointOfUnorderedRun textFate = "no owner has ordered its run"
+	checkpointOfFailedRun    textFate = "its run has failed"
 )
 
 // textDigest shows in logs which text is meant, never the text: it is the caller's data. It is
@@ -53,50 +53,50 @@
 
 // keepText takes the text of a row for the task's next run.
 func (c *Core) keepText(t *task, shown saved) textFate {
-	fate := c.fateOf(t, shown)
+	fate := c.checkpointFateOf(t, shown)
 	switch fate {
-	case textTaken:
+	case checkpointTaken:
 		if t.saved == nil {
 			t.saved = &saved{}
 		}
 		*t.saved = shown
-	case textNotAskedOf:
+	case checkpointNotRequested:
 		c.counts.TextsNotAskedOf++
-	case textOlder, textPassed:
+	case checkpointOutdated, checkpointOvertakenByEnd:
 		c.counts.TextsOlder++
-	case textUnordered:
+	case checkpointOfUnorderedRun:
 		c.counts.TextsUnordered++
-	case textFailed:
+	case checkpointOfFailedRun:
 		c.counts.TextsFailed++
 	}
 	return fate
 }
 
-// fateOf says whether a text is to be taken. Reports come in any order, above all after a takeover,
+// checkpointFateOf says whether a text is to be taken. Reports come in any order, above all after a takeover,
 // and workers that come back list their ends again; which text is the newest only the runs'
 // numbers tell, for they rise over all owners. Without it a task went on from an older run's
 // text, and did again what a later run had saved.
-func (c *Core) fateOf(t *task, shown saved) textFate {
+func (c *Core) checkpointFateOf(t *task, shown saved) textFate {
 	switch {
 	case !t.step.spec.Checkpoints:
-		return textNotAskedOf
-	case !c.mayBeOrdered(t, shown.run):
-		return textUnordered
+		return checkpointNotRequested
+	case !c.mayHaveBeenOrdered(t, shown.run):
+		return checkpointOfUnorderedRun
 	case shown.row == savedRow(jobs.EndFailed):
-		return textFailed // what was saved just before may be why, or a failing worker's making
+		return checkpointOfFailedRun // what was saved just before may be why, or a failing worker's making
 	case t.saved != nil && shown.run < t.saved.run:
-		return textOlder
+		return checkpointOutdated
 	case t.saved != nil && shown.run == t.saved.run && shown.row == rowRunning && t.saved.row != rowRunning:
-		return textPassed // answers pass each other, and an end is a run's last word
+		return checkpointOvertakenByEnd // answers pass each other, and an end is a run's last word
 	default:
-		return textTaken
+		return checkpointTaken
 	}
 }
 
-// mayBeOrdered tells whether this owner has ordered a run, or a former one may have: no number
+// mayHaveBeenOrdered tells whether this owner has ordered a run, or a former one may have: no number
 // above those of this epoch has been given. It keeps a worker that invents runs from having its
 // text go before all others for good.
-func (c *Core) mayBeOrdered(t *task, run jobs.RunID) bool {
+func (c *Core) mayHaveBeenOrdered(t *task, run jobs.RunID) bool {
 	return t.ordered && run == t.run || run < c.firstRun(t.step.job)+runsPerEpoch
 }
 
--- a/services/dispatch/saved_fault_test.go
+++ b/services/dispatch/saved_fault_test.go
@@ -17,15 +17,15 @@
 // TestStartsBringTheNewestTextOfTheirTask, or by reading; the text is always the task's own, so
 // that none of them alone explains what was seen.
 
-// runsOf are three runs of former owners, the latest last.
-var runsOf = []jobs.RunID{4097, 4098, 8193}
+// previousRuns are three runs of former owners, the latest last.
+var previousRuns = []jobs.RunID{4097, 4098, 8193}
 
-// takenOver is an owner that has just taken a cell with one task that saves its work.
-func takenOver(t *testing.T, workers int) *bench {
+// newTakeoverBench is an owner that has just taken a cell with one task that saves its work.
+func newTakeoverBench(t *testing.T, workers int) *bench {
 	t.Helper()
 	b := newBench(t, workers)
 	b.Enrol(jobs.Roster{Workers: b.Workers()}, b.now)
-	b.AddJob(b.job(savingStep), jobs.Progress{}, false, b.now)
+	b.AddJob(b.job(checkpointStep), jobs.Progress{}, false, b.now)
 	return b
 }
 
@@ -33,9 +33,9 @@
 // and each lists what has ended there. The run that started next went on from the text of
 // whichever answered last, and what a newer run had saved was done again.
 func TestEndOfAnOlderRunDoesNotReplaceANewerText(t *testing.T) {
-	b := takenOver(t, 2)
-	b.report(0, endOf(1, runsOf[1], jobs.EndStopped, "newer"))
-	b.report(1, endOf(1, runsOf[0], jobs.EndStopped, "older"))
+	b := newTakeoverBench(t, 2)
+	b.report(0, endOf(1, previousRuns[1], jobs.EndStopped, "newer"))
+	b.report(1, endOf(1, previousRuns[0], jobs.EndStopped, "older"))
 	starts := b.starts()
 	require.Len(t, starts, 1)
 	require.EqualValues(t, "newer", starts[0].Call.Checkpoint)
@@ -45,7 +45,7 @@
 // is new to the owner and lists its ends again, while a later run has saved more.
 func TestEndThatIsListedAgainDoesNotReplaceANewerText(t *testing.T) {
 	b := newBench(t, 2)
-	b.AddJob(b.job(savingStep), jobs.Progress{}, true, b.now)
+	b.AddJob(b.job(checkpointStep), jobs.Progress{}, true, b.now)
 	b.report(0, jobs.Report{})
 	first := b.starts()[0].Call
 	old := endOf(1, first.Run, jobs.EndStopped, "older")
@@ -60,9 +60,9 @@
 // TestOldRunThatIsTakenOverDoesNotReplaceANewerText: a run that still is on a worker when a
 // newer one has ended elsewhere goes on, but what is saved is the newer one's.
 func TestOldRunThatIsTakenOverDoesNotReplaceANewerText(t *testing.T) {
-	b := takenOver(t, 2)
-	b.report(0, endOf(1, runsOf[1], jobs.EndStopped, "newer"))
-	b.report(1, running(runsOf[0], "older"))
+	b := newTakeoverBench(t, 2)
+	b.report(0, endOf(1, previousRuns[1], jobs.EndStopped, "newer"))
+	b.report(1, running(previousRuns[0], "older"))
 	b.report(1, jobs.Report{})
 	starts := b.starts()
 	require.Len(t, starts, 1)
@@ -73,7 +73,7 @@
 // each other, and two of the same millisecond can't be told apart by the worker's clock. The
 // end is a run's last word, a row that shows it running is older.
 func TestReportThatAnEndHasPassedDoesNotReplaceItsText(t *testing.T) {
-	b := takenOver(t, 1)
+	b := newTakeoverBench(t, 1)
 	b.report(0, jobs.Report{})
 	run := b.starts()[0].Call.Run
 	b.report(0, endOf(1, run, jobs.EndStopped, "at the stop"))
@@ -92,8 +92,8 @@
 	for _, invented := range []jobs.Report{
 		running(1<<40, "invented"), endOf(1, 1<<40, jobs.EndStopped, "invented"),
 	} {
-		b := takenOver(t, 2)
-		b.report(0, endOf(1, runsOf[2], jobs.EndStopped, "saved"))
+		b := newTakeoverBench(t, 2)
+		b.report(0, endOf(1, previousRuns[2], jobs.EndStopped, "saved"))
 		b.report(1, invented)
 		b.report(1, jobs.Report{})
 		starts := b.starts()
@@ -111,7 +111,7 @@
 // has been seen; it is a precaution, weighed in docs/design/platform.md.
 func TestTextThatOnlyAFailedEndShowsIsNotTaken(t *testing.T) {
 	b := newBench(t, 1)
-	b.AddJob(b.job(savingStep), jobs.Progress{}, true, b.now)
+	b.AddJob(b.job(checkpointStep), jobs.Progress{}, true, b.now)
 	b.report(0, jobs.Report{})
 	first := b.starts()[0].Call.Run
 	b.report(0, running(first, "while it ran"))
@@ -127,7 +127,7 @@
 // their latest run there. When that was above the numbers of this cell's epochs, two owners of
 // this cell in turn gave the same numbers, so that a run's number did not tell which was newer.
 func TestNumbersOfRunsRiseOverOwnersAfterAMove(t *testing.T) {
-	lasting := savingStep
+	lasting := checkpointStep
 	lasting.Lasts = true
 	var before jobs.RunID
 	for _, epoch := range []jobs.Epoch{5, 6, 70} {
--- a/services/dispatch/saved_test.go
+++ b/services/dispatch/saved_test.go
@@ -14,8 +14,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// savingStep is a step whose runs save their work.
-var savingStep = jobs.Step{Count: 1, Size: models.Resources{CPU: 1000, Memory: 100}, Estimate: 5000, Checkpoints: true}
+// checkpointStep is a step whose runs save their work.
+var checkpointStep = jobs.Step{Count: 1, Size: models.Resources{CPU: 1000, Memory: 100}, Estimate: 5000, Checkpoints: true}
 
 // running is a row of a run that has saved a text.
 func running(run jobs.RunID, text jobs.Text) jobs.Report {
@@ -34,7 +34,7 @@
 	b := newBench(t, 1)
 	core, logs := observer.New(zap.InfoLevel)
 	b.config.Logger = zap.New(core)
-	b.AddJob(b.job(savingStep), jobs.Progress{}, true, b.now)
+	b.AddJob(b.job(checkpointStep), jobs.Progress{}, true, b.now)
 	b.report(0, jobs.Report{})
 	first := b.starts()[0].Call
 	b.report(0, endOf(1, first.Run, jobs.EndStopped, secret))
--- a/services/dispatch/shared.go
+++ b/services/dispatch/shared.go
@@ -23,17 +23,17 @@
 //   - where several wait for each other, the one that has lost the fewest runs is tried first;
 //   - once a task is given up, what it has caused speaks no more against those beside it.
 
-// sharedMost is for how long a task waits for what becomes of others: two workers that go one after the
+// maxSharedLossWait is for how long a task waits for what becomes of others: two workers that go one after the
 // other, and come back.
-const sharedMost = 8 * time.Second
+const maxSharedLossWait = 8 * time.Second
 
 // verdict is what is known of a task that has lost runs.
 type verdict uint8
 
 const (
-	verdictOpen    verdict = iota // too little is known
-	verdictWaits                  // enough, unless another task was the cause of a loss that both share
-	verdictCrashes                // it ends its workers
+	verdictOpen      verdict = iota // too little is known
+	verdictContested                // enough, unless another task was the cause of a loss that both share
+	verdictCrashes                  // it ends its workers
 )
 
 // noteLosses remembers a task that has lost runs.
@@ -48,8 +48,8 @@
 	maps.DeleteFunc(c.withLosses, func(t *task, _ struct{}) bool { return !t.mayBeCause() })
 }
 
-// judgeLater lets a task be judged once all that its worker's loss says has been counted.
-func (c *Core) judgeLater(t *task) { c.toJudge = append(c.toJudge, t) }
+// queueVerdict lets a task be judged once all that its worker's loss says has been counted.
+func (c *Core) queueVerdict(t *task) { c.toJudge = append(c.toJudge, t) }
 
 // judge gives up the tasks against which enough has been counted.
 func (c *Core) judge(now time.Time) {
@@ -57,7 +57,7 @@
 	c.toJudge = nil
 	for _, t := range tasks {
 		if !t.isOver() && c.verdictOn(t, now) == verdictCrashes {
-			c.giveUp(t)
+			c.abandonJobOf(t)
 		}
 	}
 }
@@ -68,29 +68,29 @@
 		return verdictOpen
 	}
 	if now.Before(t.weighedAt) {
-		return verdictWaits
+		return verdictContested
 	}
-	others := c.openSharers(t, now)
+	others := c.undecidedSharers(t, now)
 	if len(others) == 0 || t.crashesWithout(others) {
 		return verdictCrashes
 	}
-	waited := t.state == taskWaiting && !t.waits.IsZero() && now.Sub(t.waits) >= sharedMost
+	waited := t.state == taskWaiting && !t.waits.IsZero() && now.Sub(t.waits) >= maxSharedLossWait
 	switch {
-	case t.losses() < mostLosses && (waited || t.goesBefore(others)):
+	case t.losses() < maxLosses && (waited || t.isTriedBefore(others)):
 		return verdictOpen // its next run tells
 	case waited:
 		return verdictCrashes
 	default:
-		return verdictWaits
+		return verdictContested
 	}
 }
 
-// openSharers are the other tasks that share a loss with the task, of which it is not known yet whether
+// undecidedSharers are the other tasks that share a loss with the task, of which it is not known yet whether
 // they end their workers.
-func (c *Core) openSharers(t *task, now time.Time) []*task {
+func (c *Core) undecidedSharers(t *task, now time.Time) []*task {
 	var sharers []*task
 	for other := range c.withLosses {
-		if other.step.job != t.step.job && other.mayBeCause() && t.sharesLoss(other) && !other.hasOutlived(now) {
+		if other.step.job != t.step.job && other.mayBeCause() && t.sharesLoss(other) && !other.hasOutlivedTrial(now) {
 			sharers = append(sharers, other)
 		}
 	}
@@ -108,19 +108,19 @@
 	return t.state == taskDone || j.end != "" || j.cancelled
 }
 
-// hasOutlived tells whether the task's run goes on for longer than those that were lost, on a worker that is
+// hasOutlivedTrial tells whether the task's run goes on for longer than those that were lost, on a worker that is
 // there.
-func (t *task) hasOutlived(now time.Time) bool {
+func (t *task) hasOutlivedTrial(now time.Time) bool {
 	return t.state == taskRunning && t.worker.failed.IsZero() && now.Sub(t.began) >= t.trialTime()
 }
 
 // sharesLoss tells whether both have lost a run in the same loss of a worker.
 func (t *task) sharesLoss(other *task) bool {
-	return slices.ContainsFunc(t.suspicion.Lost, func(lost jobs.LostRun) bool { return other.lostWith(lost.With) >= 0 })
+	return slices.ContainsFunc(t.suspicion.Lost, func(lost jobs.LostRun) bool { return other.lossIndex(lost.With) >= 0 })
 }
 
-// lostWith is the index of the task's part in the loss of a worker; below zero: it has none.
-func (t *task) lostWith(with jobs.WorkerLoss) int {
+// lossIndex is the index of the task's part in the loss of a worker; below zero: it has none.
+func (t *task) lossIndex(with jobs.WorkerLoss) int {
 	if with == 0 {
 		return -1
 	}
@@ -131,52 +131,52 @@
 func (t *task) crashesWithout(others []*task) bool {
 	weight := 0.0
 	for _, lost := range t.suspicion.Lost {
-		if !slices.ContainsFunc(others, func(other *task) bool { return other.lostWith(lost.With) >= 0 }) {
+		if !slices.ContainsFunc(others, func(other *task) bool { return other.lossIndex(lost.With) >= 0 }) {
 			weight += lost.Weight
 		}
 	}
-	return weight >= t.enoughWeight()
+	return weight >= t.abandonWeight()
 }
 
-// goesBefore tells whether the task is tried before those of the others that wait too.
-func (t *task) goesBefore(others []*task) bool {
-	return !slices.ContainsFunc(others, func(other *task) bool { return other.trialOrder(t) < 0 })
+// isTriedBefore tells whether the task is tried before those of the others that wait too.
+func (t *task) isTriedBefore(others []*task) bool {
+	return !slices.ContainsFunc(others, func(other *task) bool { return other.compareTrialOrder(t) < 0 })
 }
 
-// trialOrder compares which of two tasks is tried first: the one that has lost fewer runs.
-func (t *task) trialOrder(other *task) int {
+// compareTrialOrder compares which of two tasks is tried first: the one that has lost fewer runs.
+func (t *task) compareTrialOrder(other *task) int {
 	return cmp.Or(cmp.Compare(t.losses(), other.losses()), cmp.Compare(t.id().String(), other.id().String()))
 }
 
-// explainLosses takes what a task has caused off those that have shared its losses: with it as a cause that is
+// explainSharedLosses takes what a task has caused off those that have shared its losses: with it as a cause that is
 // known, a loss says of another task how much likelier that one was to cause it.
-func (c *Core) explainLosses(t *task) {
+func (c *Core) explainSharedLosses(t *task) {
 	for other := range c.withLosses {
 		if other.step.job == t.step.job || !other.mayBeCause() {
 			continue
 		}
 		for _, lost := range t.suspicion.Lost {
-			c.explain(other, lost)
+			c.explainLoss(other, lost)
 		}
 	}
 }
 
-// explain weighs a task's share of a loss anew whose cause is known.
-func (c *Core) explain(t *task, cause jobs.LostRun) {
-	at := t.lostWith(cause.With)
+// explainLoss weighs a task's share of a loss anew whose cause is known.
+func (c *Core) explainLoss(t *task, cause jobs.LostRun) {
+	at := t.lossIndex(cause.With)
 	if at < 0 {
 		return
 	}
 	lost := t.suspicion.Lost[at]
-	left := hundredths(-math.Log(math.Exp(-lost.Doubt) + math.Exp(cause.Doubt-lost.Doubt)))
-	t.suspicion.Lost = lowered(t.suspicion.Lost, at, left, left)
+	left := roundToHundredths(-math.Log(math.Exp(-lost.Doubt) + math.Exp(cause.Doubt-lost.Doubt)))
+	t.suspicion.Lost = withLoweredEvidence(t.suspicion.Lost, at, left, left)
 	c.changeSoon(t.step.job)
 	c.config.Logger.Info("loss is explained by another task", zap.Stringer("task", t.id()), zap.Uint64("run", uint64(lost.Run)),
 		zap.Float64("weight", t.suspicion.Lost[at].Weight))
 }
 
-// lowered gives losses of which one says no more than this.
-func lowered(losses []jobs.LostRun, at int, doubt, weight float64) []jobs.LostRun {
+// withLoweredEvidence gives losses of which one says no more than this.
+func withLoweredEvidence(losses []jobs.LostRun, at int, doubt, weight float64) []jobs.LostRun {
 	losses = slices.Clone(losses)
 	losses[at].Doubt, losses[at].Weight = min(losses[at].Doubt, doubt), min(losses[at].Weight, weight)
 	return losses
--- a/services/dispatch/shared_test.go
+++ b/services/dispatch/shared_test.go
@@ -21,7 +21,7 @@
 	lossThird  jobs.WorkerLoss = 9
 )
 
-func lostIn(loss jobs.WorkerLoss, run jobs.RunID, doubt, weight float64) jobs.LostRun {
+func lostRunWith(loss jobs.WorkerLoss, run jobs.RunID, doubt, weight float64) jobs.LostRun {
 	return jobs.LostRun{Run: run, Ran: 70, Doubt: doubt, Weight: weight, With: loss}
 }
 
@@ -63,8 +63,8 @@
 // start meanwhile, or it would be started once too often if it ends its workers.
 func TestTaskIsNotGivenUpWhileAnotherMayBeTheCause(t *testing.T) {
 	b := newSharedBench(t,
-		[]jobs.LostRun{lostIn(lossShared, 1, 7, 6), lostIn(lossAlone, 2, 9, 9)},
-		[]jobs.LostRun{lostIn(lossShared, 1, 7, 6)})
+		[]jobs.LostRun{lostRunWith(lossShared, 1, 7, 6), lostRunWith(lossAlone, 2, 9, 9)},
+		[]jobs.LostRun{lostRunWith(lossShared, 1, 7, 6)})
 	b.lose(t, otherJob)
 	require.Empty(t, b.jobs[testJob].end)
 	require.Empty(t, b.jobs[otherJob].end, "of two that have lost as many runs, one is tried first")
@@ -73,7 +73,7 @@
 	require.Len(t, starts, 1)
 	require.Equal(t, testJob, starts[0].Call.Task.Job)
 	b.Started(starts[0], Result{Outcome: OutcomeDone}, b.now)
-	for until := b.now.Add(trialLeast + 200*time.Millisecond); b.now.Before(until); {
+	for until := b.now.Add(minTrialTime + 200*time.Millisecond); b.now.Before(until); {
 		for n, id := range b.ids {
 			if id == starts[0].Worker.ID {
 				b.report(n, jobs.Report{Running: []jobs.Run{{Task: starts[0].Call.Task, Run: starts[0].Call.Run}}})
@@ -89,8 +89,8 @@
 // the one that has caused them.
 func TestLossThatIsExplainedSpeaksAgainstNoOtherTask(t *testing.T) {
 	b := newSharedBench(t,
-		[]jobs.LostRun{lostIn(lossShared, 1, 7, 6), lostIn(lossAlone, 2, 9, 9)},
-		[]jobs.LostRun{lostIn(lossShared, 1, 7, 6), lostIn(lossThird, 2, 9, 9)})
+		[]jobs.LostRun{lostRunWith(lossShared, 1, 7, 6), lostRunWith(lossAlone, 2, 9, 9)},
+		[]jobs.LostRun{lostRunWith(lossShared, 1, 7, 6), lostRunWith(lossThird, 2, 9, 9)})
 	b.taskOf(testJob).suspicion.Unseen = 1 // so that the other one is tried first
 	b.lose(t, otherJob)
 	require.Equal(t, jobs.StateFailed, b.jobs[otherJob].end, "without the loss that both share")
@@ -105,13 +105,13 @@
 // TestTaskWaitsForOthersForSomeTimeOnly guards against tasks that wait for ever for one that finds no place.
 func TestTaskWaitsForOthersForSomeTimeOnly(t *testing.T) {
 	b := newSharedBench(t,
-		[]jobs.LostRun{lostIn(lossShared, 1, 7, 6), lostIn(lossAlone, 2, 9, 9)},
-		[]jobs.LostRun{lostIn(lossShared, 1, 7, 6)})
+		[]jobs.LostRun{lostRunWith(lossShared, 1, 7, 6), lostRunWith(lossAlone, 2, 9, 9)},
+		[]jobs.LostRun{lostRunWith(lossShared, 1, 7, 6)})
 	b.taskOf(otherJob).state = taskMoving
 	b.taskOf(testJob).waits = b.now
 	require.Empty(t, b.starts())
 	for range 100 {
-		b.now = b.now.Add(sharedMost / 100)
+		b.now = b.now.Add(maxSharedLossWait / 100)
 		for n := range b.ids {
 			b.report(n, jobs.Report{})
 		}
@@ -128,7 +128,7 @@
 	b.report(0, jobs.Report{})
 	b.report(1, jobs.Report{})
 	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
-	start := b.crashed(t)
+	start := b.crashWorkerOfOnlyStart(t)
 	lost := b.store().Jobs[0].Progress.Suspected[0][0].Lost
 	require.Len(t, lost, 1)
 	require.Equal(t, start.Worker.Incarnation().Loss(), lost[0].With)
@@ -137,7 +137,7 @@
 // TestTasksThatWereLostTogetherAreTriedApart guards against trials that say nothing: two suspects of one loss
 // were tried on the same worker, and lost again together.
 func TestTasksThatWereLostTogetherAreTriedApart(t *testing.T) {
-	lost := []jobs.LostRun{lostIn(lossShared, 1, 6, 0)}
+	lost := []jobs.LostRun{lostRunWith(lossShared, 1, 6, 0)}
 	b := newSharedBench(t, lost, lost)
 	for _, id := range b.ids[1:] {
 		b.Unreached(id, true, b.now)
@@ -148,7 +148,7 @@
 	}
 	b.store()
 	require.Len(t, b.starts(), 1, "one worker is left")
-	b.now = b.now.Add(apartMost)
+	b.now = b.now.Add(maxApartWait)
 	b.report(0, jobs.Report{})
 	require.Len(t, b.starts(), 1, "it does not wait for ever")
 }
--- a/services/dispatch/suspicion.go
+++ b/services/dispatch/suspicion.go
@@ -26,24 +26,24 @@
 //
 // What is known outlives the owner: see suspicion_store.go.
 
-// enoughWeight is the weight at which a task is given up, by the number of its losses, those that
+// abandonWeight is the weight at which a task is given up, by the number of its losses, those that
 // nobody saw included. It is a logarithm of odds: a task that crashes nothing gets to x with a probability of at
 // most e to the minus x. Users allow five starts of a task that ends every worker, so less is enough once
 // five may have been lost. Two may coincide with what goes on around them more easily than independent ones: what
 // is lost starts again at once.
-var enoughWeight = [...]float64{2: 12, 3: 10, 4: 10, mostLosses: 5}
+var abandonWeights = [...]float64{2: 12, 3: 10, 4: 10, maxLosses: 5}
 
-// mostLosses is how many runs a task may lose at most: the users' bound on its starts.
-const mostLosses = 5
+// maxLosses is how many runs a task may lose at most: the users' bound on its starts.
+const maxLosses = 5
 
-// leastLosses is how many workers must have been lost under a task before it is given up: the
+// minLosses is how many workers must have been lost under a task before it is given up: the
 // users' condition for a job to fail for it.
-const leastLosses = 2
+const minLosses = 2
 
-// suspectFrom is the doubt from which a task is suspected: if nothing else had run there, it
+// suspectDoubt is the doubt from which a task is suspected: if nothing else had run there, it
 // would be as likely as not to be the cause. The tasks of a step that start together and are lost
 // together have little against each one, but all of them are to be tried.
-var suspectFrom = math.Log(1 / crasherShare)
+var suspectDoubt = math.Log(1 / crasherPrior)
 
 // suspectLosses is how many losses make a suspect whatever they say: several tasks that crash
 // workers and are started at the same moments are lost at the same moments, as if by one cause.
@@ -54,35 +54,35 @@
 	if len(t.suspicion.Lost) == 0 {
 		return false
 	}
-	return t.losses() >= suspectLosses || t.suspicion.Doubt() >= suspectFrom
+	return t.losses() >= suspectLosses || t.suspicion.Doubt() >= suspectDoubt
 }
 
 // losses is how many runs of the task may have been lost with their workers.
-func (t *task) losses() int { return t.seenLosses() + t.unseenLosses() }
+func (t *task) losses() int { return t.observedLosses() + t.unobservedLosses() }
 
-// seenLosses is how many of them were seen and may be the task's doing: those that say more against it
+// observedLosses is how many of them were seen and may be the task's doing: those that say more against it
 // than for chance, and those of young runs, however little they say.
-func (t *task) seenLosses() int {
+func (t *task) observedLosses() int {
 	seen := 0
 	for _, lost := range t.suspicion.Lost {
-		if lost.Doubt > 0 || lost.Ran.Duration() < youngWithin {
+		if lost.Doubt > 0 || lost.Ran.Duration() < youngRunLimit {
 			seen++
 		}
 	}
 	return seen
 }
 
-// unseenLosses is how many of them nobody saw.
-func (t *task) unseenLosses() int { return t.suspicion.Unseen + t.unseen }
+// unobservedLosses is how many of them nobody saw.
+func (t *task) unobservedLosses() int { return t.suspicion.Unseen + t.unseen }
 
-// workerLost counts the runs that were lost with a worker against their tasks, and logs them. One
+// countWorkerLoss counts the runs that were lost with a worker against their tasks, and logs them. One
 // that left when it had said says nothing against them, but may have crashed all the same.
-func (c *Core) workerLost(w *worker, now time.Time) {
+func (c *Core) countWorkerLoss(w *worker, now time.Time) {
 	switch {
 	case w.leaves.IsZero() || w.leftEarly(now):
 		c.weighLoss(w, now)
 	default:
-		c.countLeftRuns(w, now)
+		c.countRunsOnLeftWorker(w, now)
 	}
 	for _, t := range c.openRuns[w.info.ID] {
 		c.countOpenRun(t)
@@ -93,38 +93,38 @@
 // weighLoss weighs a loss for all tasks on the worker before it is counted for any of them. One with no task
 // says most of how often workers go by chance.
 func (c *Core) weighLoss(w *worker, now time.Time) {
-	c.noteLoss(w, now)
+	c.recordWorkerLoss(w, now)
 	if len(w.tasks) == 0 {
 		return
 	}
 	c.counts.WorkersLost++
-	chance := c.chanceOf(w, now)
+	chance := c.chanceRate(w, now)
 	losses := map[*task]jobs.LostRun{}
-	recent := recentLoss{of: w.info.Incarnation(), at: w.lastAlive(now)}
+	recent := recentLoss{incarnation: w.info.Incarnation(), at: w.lastAlive(now)}
 	for _, t := range w.tasks {
-		if ran, known := c.ranOn(w, t, now); known && ran < mostRan {
-			e := c.circumstancesOf(w, t, ran, chance, now)
-			losses[t] = e.lossOf(w, t)
-			recent.runs = append(recent.runs, weighedRun{task: t, run: t.run, circumstances: e})
+		if ran, known := c.runtimeAtLoss(w, t, now); known && ran < maxTimeToCrash {
+			e := c.lossContextOf(w, t, ran, chance, now)
+			losses[t] = e.lostRun(w, t)
+			recent.runs = append(recent.runs, weighedRun{task: t, run: t.run, lossContext: e})
 		}
 	}
-	c.weighLater(recent, now)
+	c.scheduleReevaluation(recent, now)
 	for _, t := range w.tasks {
 		loss, weighed := losses[t]
-		c.logLost(w, t, loss, chance)
+		c.logLostRun(w, t, loss, chance)
 		switch {
 		case weighed && (loss.Doubt > 0 || len(t.suspicion.Lost) > 0):
 			c.countLoss(t, loss)
 		case weighed:
 			t.byChance = append(t.byChance, loss)
-		case !weighed && c.beganUnseen(w, t, now):
-			c.countUnseenRun(t, t.run)
+		case !weighed && c.startUnobserved(w, t, now):
+			c.countUnobservedRun(t, t.run)
 		}
 	}
 }
 
-// logLost logs a run that ended with its worker, and what that says against its task.
-func (c *Core) logLost(w *worker, t *task, loss jobs.LostRun, chance float64) {
+// logLostRun logs a run that ended with its worker, and what that says against its task.
+func (c *Core) logLostRun(w *worker, t *task, loss jobs.LostRun, chance float64) {
 	c.config.Logger.Info("run is lost with its worker", zap.Stringer("task", t.id()), zap.Uint64("run", uint64(t.run)),
 		zap.String("worker", string(w.info.ID)), zap.Int64("ran_ms", int64(loss.Ran)), zap.Int("beside", len(w.tasks)-1),
 		zap.Float64("chance", chance), zap.Float64("doubt", loss.Doubt), zap.Float64("weight", loss.Weight),
@@ -139,24 +139,24 @@
 	t.suspicion.Lost = append(append(t.suspicion.Lost, t.byChance...), loss)
 	t.byChance = nil
 	c.noteLosses(t)
-	c.noteCounted(t)
-	c.judgeLater(t)
+	c.storeBeforeNextStart(t)
+	c.queueVerdict(t)
 }
 
-// giveUp ends the job of a task that ends its workers.
-func (c *Core) giveUp(t *task) {
+// abandonJobOf ends the job of a task that ends its workers.
+func (c *Core) abandonJobOf(t *task) {
 	j := t.step.job
-	c.explainLosses(t)
+	c.explainSharedLosses(t)
 	c.counts.GivenUp++
 	c.config.Logger.Warn("job is given up, a task of it ends its workers", zap.String("job", string(j.spec.ID)),
-		zap.Stringer("task", t.id()), zap.Int("workers_lost", len(t.suspicion.Lost)), zap.Int("unseen", t.unseenLosses()), zap.Float64("weight", t.suspicion.Weight()))
+		zap.Stringer("task", t.id()), zap.Int("workers_lost", len(t.suspicion.Lost)), zap.Int("unseen", t.unobservedLosses()), zap.Float64("weight", t.suspicion.Weight()))
 	c.end(j, jobs.StateFailed)
 	c.stopAll(j, "its job has failed")
 }
 
-// noteCounted lets what has been counted against a task be stored before it starts again, together with
+// storeBeforeNextStart lets what has been counted against a task be stored before it starts again, together with
 // the takeovers that are counted by now: a successor would count them anew, also where the loss was seen.
-func (c *Core) noteCounted(t *task) {
+func (c *Core) storeBeforeNextStart(t *task) {
 	t.suspicion.Unseen += t.unseen
 	t.suspicion.Counted, t.unseen = c.config.Epoch, 0
 	j := t.step.job
@@ -166,17 +166,17 @@
 
 // crashesWorkers tells whether the task is as good as certain to end its workers.
 func (t *task) crashesWorkers() bool {
-	return t.seenLosses() >= leastLosses && t.suspicion.Weight() >= t.enoughWeight()
+	return t.observedLosses() >= minLosses && t.suspicion.Weight() >= t.abandonWeight()
 }
 
-// enoughWeight is the weight at which the task is given up.
-func (t *task) enoughWeight() float64 { return enoughWeight[min(t.losses(), mostLosses)] }
+// abandonWeight is the weight at which the task is given up.
+func (t *task) abandonWeight() float64 { return abandonWeights[min(t.losses(), maxLosses)] }
 
 // noteSurvival clears a task whose run has gone on for long enough, and lets others start beside one
 // that has outlived its trial.
 func (c *Core) noteSurvival(w *worker, t *task, now time.Time) {
 	ran := now.Sub(t.began)
-	if ran >= mostRan {
+	if ran >= maxTimeToCrash {
 		t.byChance = nil
 	}
 	if t.suspicion.Clean() && t.unseen == 0 {
@@ -186,7 +186,7 @@
 		w.endTrial(t)
 		c.closeRun(t)
 	}
-	if ran < mostRan {
+	if ran < maxTimeToCrash {
 		return
 	}
 	c.config.Logger.Info("task is suspected no more", zap.Stringer("task", t.id()), zap.Int("lost_before", len(t.suspicion.Lost)))
--- a/services/dispatch/suspicion_store.go
+++ b/services/dispatch/suspicion_store.go
@@ -18,41 +18,41 @@
 // of suspects, beside their start, and young ones on a worker that refuses connections.
 
 const (
-	// youngWithin is how young a run is whose task may well have ended its worker: it is stored when the
+	// youngRunLimit is how young a run is whose task may well have ended its worker: it is stored when the
 	// worker refuses connections, and its loss counts whatever it says.
-	youngWithin = 2 * time.Second
-	// unseenRan is taken for the time of a suspect's run that is lost unseen between two owners.
-	unseenRan = time.Second
-	// leastUnseen is how long ago a run began at least that was lost between two owners, whatever
+	youngRunLimit = 2 * time.Second
+	// assumedUnobservedRuntime is taken for the time of a suspect's run that is lost unseen between two owners.
+	assumedUnobservedRuntime = time.Second
+	// minUnobservedAge is how long ago a run began at least that was lost between two owners, whatever
 	// their clocks show: an owner's lease.
-	leastUnseen = 2 * time.Second
+	minUnobservedAge = 2 * time.Second
 )
 
-// openRun stores that the task's run counts as lost if its worker is gone, for a successor.
-func (c *Core) openRun(t *task, loss jobs.LostRun) {
+// storeOpenRun stores that the task's run counts as lost if its worker is gone, for a successor.
+func (c *Core) storeOpenRun(t *task, loss jobs.LostRun) {
 	t.suspicion.Open = &jobs.OpenRun{LostRun: loss, Worker: t.worker.info.ID, Born: t.worker.info.Born}
 	c.changeSoon(t.step.job)
 }
 
-// openTrial stores that a suspect has just been started, for a successor that doesn't see its end.
-func (c *Core) openTrial(t *task, now time.Time) {
-	c.openRun(t, jobs.LostRun{Run: t.run})
+// storeOpenTrial stores that a suspect has just been started, for a successor that doesn't see its end.
+func (c *Core) storeOpenTrial(t *task, now time.Time) {
+	c.storeOpenRun(t, jobs.LostRun{Run: t.run})
 	open := t.suspicion.Open
 	open.Began = c.timeOfDay(now)
-	open.Chance = thousandths(c.chanceOf(t.worker, now))
-	open.Beside = thousandths(crashRate(c.neighboursOf(t.worker, t, now)))
+	open.Chance = roundToThousandths(c.chanceRate(t.worker, now))
+	open.Beside = roundToThousandths(crashRate(c.neighboursOf(t.worker, t, now)))
 }
 
-// lostOf is what an open run of a former owner says now that its worker is gone.
-func (c *Core) lostOf(open *jobs.OpenRun) jobs.LostRun {
+// lostRunOf is what an open run of a former owner says now that its worker is gone.
+func (c *Core) lostRunOf(open *jobs.OpenRun) jobs.LostRun {
 	if open.Began == 0 {
 		return open.LostRun
 	}
 	ago := c.now.Sub(c.timeAt(open.Began, c.now))
-	return weighUnseen(open, max(ago, leastUnseen))
+	return weighUnobserved(open, max(ago, minUnobservedAge))
 }
 
-// closeRun takes openRun back: the run goes on, has ended, or is counted as lost.
+// closeRun takes storeOpenRun back: the run goes on, has ended, or is counted as lost.
 func (c *Core) closeRun(t *task) {
 	if t.suspicion.Open != nil {
 		t.suspicion.Open = nil
@@ -67,10 +67,10 @@
 		return
 	}
 	w.youngStored = true
-	chance := c.chanceOf(w, now)
+	chance := c.chanceRate(w, now)
 	for _, t := range w.tasks {
-		if ran, known := c.ranOn(w, t, now); known && ran < youngWithin && t.suspicion.Open == nil {
-			c.openRun(t, c.circumstancesOf(w, t, ran, chance, now).lossOf(w, t))
+		if ran, known := c.runtimeAtLoss(w, t, now); known && ran < youngRunLimit && t.suspicion.Open == nil {
+			c.storeOpenRun(t, c.lossContextOf(w, t, ran, chance, now).lostRun(w, t))
 		}
 	}
 }
@@ -133,10 +133,10 @@
 	}
 	c.closeRun(t)
 	if open.Unseen {
-		c.countUnseenRun(t, open.Run)
+		c.countUnobservedRun(t, open.Run)
 		return
 	}
-	lost := c.lostOf(open)
+	lost := c.lostRunOf(open)
 	lost.With = jobs.Incarnation{ID: open.Worker, Born: open.Born}.Loss()
 	c.config.Logger.Info("run of a former owner is lost with its worker", zap.Stringer("task", t.id()),
 		zap.Uint64("run", uint64(open.Run)), zap.String("worker", string(open.Worker)), zap.Float64("weight", lost.Weight))
--- a/services/dispatch/suspicion_test.go
+++ b/services/dispatch/suspicion_test.go
@@ -13,8 +13,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// crashed lets a worker that has just started a task go, and another one come in its place.
-func (b *bench) crashed(t *testing.T) StartOrder {
+// crashWorkerOfOnlyStart lets a worker that has just started a task go, and another one come in its place.
+func (b *bench) crashWorkerOfOnlyStart(t *testing.T) StartOrder {
 	t.Helper()
 	starts := b.storedStarts()
 	require.Len(t, starts, 1)
@@ -48,7 +48,7 @@
 	b.report(0, jobs.Report{})
 	b.report(1, jobs.Report{})
 	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
-	first := b.crashed(t)
+	first := b.crashWorkerOfOnlyStart(t)
 	second := b.storedStarts()
 	require.Len(t, second, 1)
 	require.NotEqual(t, first.Worker.ID, second[0].Worker.ID)
@@ -127,7 +127,7 @@
 	b.report(0, jobs.Report{})
 	b.report(1, jobs.Report{})
 	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
-	b.crashed(t)
+	b.crashWorkerOfOnlyStart(t)
 	suspicion := b.jobs[testJob].steps[0].tasks[0].suspicion
 	require.Len(t, suspicion.Lost, 1)
 	data, err := json.Marshal(suspicion.Lost[0])
--- a/services/dispatch/takeover.go
+++ b/services/dispatch/takeover.go
@@ -48,21 +48,21 @@
 	return roster
 }
 
-// formerMargin is how long a former owner may go on after the takeover: it calls all
+// previousOwnerMargin is how long a former owner may go on after the takeover: it calls all
 // workers within 2 s or so and sees the new epoch at the first that has it.
-const formerMargin = 3 * time.Second
+const previousOwnerMargin = 3 * time.Second
 
-// blindMost ends the time after a takeover in which tasks may run unseen also when most
+// maxBlindTime ends the time after a takeover in which tasks may run unseen also when most
 // workers never answer, as in an outage of most of a fleet.
-const blindMost = 30 * time.Second
+const maxBlindTime = 30 * time.Second
 
 // formerLapsed tells when everything that former owners started on workers that don't
 // answer has certainly ended.
 func (c *Core) formerLapsed() time.Time {
 	if c.fenced.IsZero() {
-		return c.config.Taken.Add(blindMost)
+		return c.config.Taken.Add(maxBlindTime)
 	}
-	return c.fenced.Add(time.Duration(float64(c.formerLease)*slowClock) + formerMargin)
+	return c.fenced.Add(time.Duration(float64(c.formerLease)*slowClock) + previousOwnerMargin)
 }
 
 // noteAnswered notes a worker's first report in this epoch. One that has started again since has not seen
@@ -95,22 +95,22 @@
 	}
 	c.blind = false
 	c.countOpenRuns()
-	c.noteUnseen()
+	c.recordTakeoverLosses()
 	waiting := 0
 	for _, j := range c.jobs {
-		waiting += c.recover(j)
+		waiting += c.recoverJob(j)
 	}
 	c.config.Logger.Info("cell is recovered", zap.Int("workers", len(c.order)), zap.Int("jobs", len(c.jobs)),
 		zap.Int("tasks_not_running", waiting), zap.Duration("after", now.Sub(c.config.Taken)))
 }
 
-// recover lets the tasks of a job wait that no worker has shown, and counts them.
-func (c *Core) recover(j *job) int {
+// recoverJob lets the tasks of a job wait that no worker has shown, and counts them.
+func (c *Core) recoverJob(j *job) int {
 	waiting := 0
 	for _, s := range j.steps {
 		for i := range s.tasks {
 			if s.tasks[i].state == taskUnknown {
-				c.countUnseen(&s.tasks[i])
+				c.countTakeoverLoss(&s.tasks[i])
 				s.tasks[i].state = taskWaiting
 				s.waiting++
 				waiting++
--- a/services/dispatch/takeover_test.go
+++ b/services/dispatch/takeover_test.go
@@ -48,7 +48,7 @@
 	b.Unreached(gone.ID, true, b.now)
 	require.Empty(t, look(), "it may be cut off, and come back into the list")
 	began := b.now
-	for b.now.Sub(began) <= returnsWithin {
+	for b.now.Sub(began) <= maxRelistDelay {
 		b.Unreached(gone.ID, false, b.now)
 		require.Empty(t, look(), "a connection that doesn't come about proves nothing")
 	}
@@ -152,7 +152,7 @@
 	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
 	b.Decide(b.now)
 	require.Empty(t, b.Movable(10, b.now), "what former owners have started may run yet")
-	b.now = b.now.Add(blindMost + time.Second)
+	b.now = b.now.Add(maxBlindTime + time.Second)
 	b.Decide(b.now)
 	b.now = b.now.Add(offerAfter)
 	b.Decide(b.now)
--- a/services/dispatch/trial.go
+++ b/services/dispatch/trial.go
@@ -18,17 +18,17 @@
 // until a worker is its own: a loss beside others would say nothing, and few are left to be had.
 
 const (
-	// trialLeast is for how long a suspect has its worker for itself at least: some calls of
+	// minTrialTime is for how long a suspect has its worker for itself at least: some calls of
 	// the owner, which tell whether the worker is still there.
-	trialLeast = 300 * time.Millisecond
-	// trialMost bounds it: others of the same size wait for the room meanwhile.
-	trialMost = 3 * time.Second
-	// keptFor is for how long nothing else starts on a worker that a suspect waits for; it is
+	minTrialTime = 300 * time.Millisecond
+	// maxTrialTime bounds it: others of the same size wait for the room meanwhile.
+	maxTrialTime = 3 * time.Second
+	// trialReservation is for how long nothing else starts on a worker that a suspect waits for; it is
 	// prolonged with each look at the suspect, which come some scanPause apart.
-	keptFor = 100 * time.Millisecond
-	// apartMost is for how long a suspect waits not to be tried beside one that was lost with it: a trial of
+	trialReservation = 100 * time.Millisecond
+	// maxApartWait is for how long a suspect waits not to be tried beside one that was lost with it: a trial of
 	// the shortest length. Most tasks that are lost have nothing to do with it, and those that last must run again soon.
-	apartMost = trialLeast
+	maxApartWait = minTrialTime
 	// trialWait is how long a report may wait for an end while a suspect is on trial.
 	trialWait = 100 * time.Millisecond
 )
@@ -39,11 +39,11 @@
 	for _, lost := range t.suspicion.Lost {
 		ran := lost.Ran.Duration()
 		if ran == 0 {
-			ran = unseenRan
+			ran = assumedUnobservedRuntime
 		}
 		longest = max(longest, ran)
 	}
-	return min(max(trialLeast, 2*longest), trialMost)
+	return min(max(minTrialTime, 2*longest), maxTrialTime)
 }
 
 // placeSuspects gives the step's suspects their places.
@@ -55,12 +55,12 @@
 		}
 		switch c.verdictOn(t, now) {
 		case verdictCrashes: // with what former owners, or other cells, have lost
-			c.giveUp(t)
+			c.abandonJobOf(t)
 			return
-		case verdictWaits:
+		case verdictContested:
 			continue
 		}
-		w := c.trialPlace(t, now)
+		w := c.trialWorker(t, now)
 		if w == nil {
 			s.findNone(now)
 			return
@@ -78,68 +78,68 @@
 // unknown to a successor at any time, and that one it counts as unseen.
 func (t *task) countIsStored() bool { return t.step.job.stored >= t.counted }
 
-// trialPlace is the worker for a suspect; nil when there is none now. Where something has just
+// trialWorker is the worker for a suspect; nil when there is none now. Where something has just
 // been started everywhere, nothing else starts on one of the workers until it is ready.
-func (c *Core) trialPlace(t *task, now time.Time) *worker {
+func (c *Core) trialWorker(t *task, now time.Time) *worker {
 	var ready, busy, shared *worker
 	for _, w := range c.order {
 		switch {
-		case !c.mayTry(w, t.step, now) || w.isKeptFromSuspect(t, now) || w.hasSharer(t, now):
-		case w.lossesOfSuspects() >= leastLosses: // another one's trial is not to be spoiled
-		case w.lossesOfSuspects() > 0:
-			shared = emptier(shared, w)
+		case !c.mayTry(w, t.step, now) || w.isReservedForOther(t, now) || w.hasUndecidedSharer(t, now):
+		case w.maxSuspectLosses() >= minLosses: // another one's trial is not to be spoiled
+		case w.maxSuspectLosses() > 0:
+			shared = withFewerTasks(shared, w)
 		case w.hasYoungRun(now):
-			busy = emptier(busy, w)
+			busy = withFewerTasks(busy, w)
 		default:
-			ready = emptier(ready, w)
+			ready = withFewerTasks(ready, w)
 		}
 	}
 	switch {
 	case ready != nil:
 		return ready
-	case t.losses() < leastLosses:
+	case t.losses() < minLosses:
 		return cmp.Or(shared, busy)
 	case shared != nil && shared.trials == 0 && !shared.hasYoungRun(now):
 		return shared // its suspects have outlived their trials
 	}
 	if next := cmp.Or(busy, shared); next != nil {
-		next.keepFor(t, now)
+		next.reserveForTrial(t, now)
 	}
 	return nil
 }
 
-// hasSharer tells whether a task on the worker was lost with the suspect before and has not outlived that yet: with
+// hasUndecidedSharer tells whether a task on the worker was lost with the suspect before and has not outlived that yet: with
 // both lost once more, nobody would know more than before.
-func (w *worker) hasSharer(t *task, now time.Time) bool {
-	if now.Sub(t.waits) >= apartMost {
+func (w *worker) hasUndecidedSharer(t *task, now time.Time) bool {
+	if now.Sub(t.waits) >= maxApartWait {
 		return false
 	}
-	return slices.ContainsFunc(w.tasks, func(other *task) bool { return t.sharesLoss(other) && !other.hasOutlived(now) })
+	return slices.ContainsFunc(w.tasks, func(other *task) bool { return t.sharesLoss(other) && !other.hasOutlivedTrial(now) })
 }
 
-// keepFor keeps a worker for a suspect for a short time.
-func (w *worker) keepFor(t *task, now time.Time) {
-	w.keptUntil = now.Add(keptFor)
+// reserveForTrial keeps a worker for a suspect for a short time.
+func (w *worker) reserveForTrial(t *task, now time.Time) {
+	w.keptUntil = now.Add(trialReservation)
 	w.keptFor = t
 }
 
-// isKeptFromSuspect tells whether the worker is kept for another suspect: whichever has waited there
+// isReservedForOther tells whether the worker is kept for another suspect: whichever has waited there
 // goes first, or those that lost one run would go before those that lost several for ever.
-func (w *worker) isKeptFromSuspect(t *task, now time.Time) bool {
+func (w *worker) isReservedForOther(t *task, now time.Time) bool {
 	return w.keptFor != t && !now.After(w.keptUntil)
 }
 
-// emptier is the worker with fewer tasks.
-func emptier(best, w *worker) *worker {
+// withFewerTasks is the worker with fewer tasks.
+func withFewerTasks(best, w *worker) *worker {
 	if best == nil || len(w.tasks) < len(best.tasks) {
 		return w
 	}
 	return best
 }
 
-// lossesOfSuspects is the most losses that a suspect on the worker has seen, whether it is on
+// maxSuspectLosses is the most losses that a suspect on the worker has seen, whether it is on
 // trial or has outlived that; zero: none is there.
-func (w *worker) lossesOfSuspects() int {
+func (w *worker) maxSuspectLosses() int {
 	most := 0
 	for _, t := range w.tasks {
 		if t.suspected() {
@@ -152,7 +152,7 @@
 // hasYoungRun tells whether something has just been started on the worker.
 func (w *worker) hasYoungRun(now time.Time) bool {
 	for _, t := range w.tasks {
-		if t.state == taskStarting || now.Sub(t.began) < trialLeast {
+		if t.state == taskStarting || now.Sub(t.began) < minTrialTime {
 			return true
 		}
 	}
@@ -164,7 +164,7 @@
 	c.start(t, w, now)
 	w.beginTrial(t)
 	c.counts.Trials++
-	c.openTrial(t, now)
+	c.storeOpenTrial(t, now)
 	c.config.Logger.Info("suspect is tried alone", zap.Stringer("task", t.id()), zap.Uint64("run", uint64(t.run)),
 		zap.String("worker", string(w.info.ID)), zap.Int("beside", len(w.tasks)-1), zap.Int("lost_before", len(t.suspicion.Lost)),
 		zap.Float64("doubt", t.suspicion.Doubt()), zap.Float64("weight", t.suspicion.Weight()), zap.Duration("for", t.trialTime()))
--- a/services/dispatch/trial_test.go
+++ b/services/dispatch/trial_test.go
@@ -36,6 +36,6 @@
 		}
 	}
 	require.Equal(t, testJob, starts[0].Call.Task.Job, "the worker is kept for it")
-	require.GreaterOrEqual(t, b.now.Sub(began), trialLeast)
+	require.GreaterOrEqual(t, b.now.Sub(began), minTrialTime)
 	require.Len(t, starts, 1)
 }
--- a/services/dispatch/unseen.go
+++ b/services/dispatch/unseen.go
@@ -26,54 +26,54 @@
 // Such losses say nothing against a task by themselves. They count where those that were seen are
 // weighed: the more runs may have been lost, the less is needed to give the task up.
 
-// unseenKept is how many epochs with unseen losses the roster names. With more there would be as
+// maxUnobservedEpochs is how many epochs with unseen losses the roster names. With more there would be as
 // many as a task may lose runs at all.
-const unseenKept = 4
+const maxUnobservedEpochs = 4
 
 // takeoverLosses are the takeovers at which runs may have been lost unseen.
 type takeoverLosses struct {
-	epochs []jobs.Epoch // of this owner and former ones, as the roster names them
-	gone   bool         // a worker of a former owner has gone without an answer
-	open   bool         // that this owner's epoch is one of them is not stored yet
+	epochs     []jobs.Epoch // of this owner and former ones, as the roster names them
+	workerLost bool         // a worker of a former owner has gone without an answer
+	unstored   bool         // that this owner's epoch is one of them is not stored yet
 }
 
 // bars tells whether tasks of the job have to wait until the store knows of this takeover. Those of
 // a job that was accepted since were never on a former owner's worker.
-func (l *takeoverLosses) bars(j *job) bool { return l.open && !j.fresh }
+func (l *takeoverLosses) bars(j *job) bool { return l.unstored && !j.fresh }
 
 // stored says that a roster is stored.
 func (l *takeoverLosses) stored(roster *jobs.Roster) {
 	if slices.Equal(roster.Unseen, l.epochs) {
-		l.open = false
+		l.unstored = false
 	}
 }
 
-// noteGone notes that a worker is gone. One that said before that it would leave says nothing.
-func (c *Core) noteGone(w *worker) {
+// recordUnheardLoss notes that a worker is gone. One that said before that it would leave says nothing.
+func (c *Core) recordUnheardLoss(w *worker) {
 	if w.former && !w.answered && w.leaves.IsZero() {
-		c.takeovers.gone = true
+		c.takeovers.workerLost = true
 	}
 }
 
-// noteUnseen ends the time after a takeover: if a worker has gone unheard, this epoch is one with
+// recordTakeoverLosses ends the time after a takeover: if a worker has gone unheard, this epoch is one with
 // unseen losses.
-func (c *Core) noteUnseen() {
+func (c *Core) recordTakeoverLosses() {
 	for _, w := range c.order {
-		c.noteGone(w)
+		c.recordUnheardLoss(w)
 	}
-	if !c.takeovers.gone {
+	if !c.takeovers.workerLost {
 		return
 	}
 	epochs := append(slices.Clone(c.takeovers.epochs), c.config.Epoch)
-	c.takeovers.epochs = epochs[max(0, len(epochs)-unseenKept):]
-	c.takeovers.open = true
+	c.takeovers.epochs = epochs[max(0, len(epochs)-maxUnobservedEpochs):]
+	c.takeovers.unstored = true
 	c.rosterChanged = true
 }
 
-// countUnseen counts a run against a task that no worker has shown since the takeover. One that was
+// countTakeoverLoss counts a run against a task that no worker has shown since the takeover. One that was
 // stored as open is counted already, and one that has lapsed was not lost with its worker.
-func (c *Core) countUnseen(t *task) {
-	if c.takeovers.gone && t.counted == 0 && t.lapsed == 0 {
+func (c *Core) countTakeoverLoss(t *task) {
+	if c.takeovers.workerLost && t.counted == 0 && t.lapsed == 0 {
 		t.unseen++
 	}
 }
@@ -87,20 +87,20 @@
 	t.suspicion = t.suspicion.Without(run)
 	c.change(t.step.job)
 	c.config.Logger.Info("run was not lost with its worker", zap.Stringer("task", t.id()), zap.Uint64("run", uint64(run)),
-		zap.Int("lost_before", len(t.suspicion.Lost)), zap.Int("unseen", t.unseenLosses()))
+		zap.Int("lost_before", len(t.suspicion.Lost)), zap.Int("unseen", t.unobservedLosses()))
 }
 
 // noteLapsed notes before the cell is recovered that a run has lapsed, on a worker that is there: if it is the
 // task's latest, none was lost at the takeover. A later one that is not known is possible only if a former owner
 // has heard of this end, which would then hardly come again.
 func (c *Core) noteLapsed(t *task, run jobs.RunID) {
-	if c.blind && run >= t.latestKnown() {
+	if c.blind && run >= t.latestKnownRun() {
 		t.lapsed = run
 	}
 }
 
-// latestKnown is the highest number of a run of the task that is known.
-func (t *task) latestKnown() jobs.RunID {
+// latestKnownRun is the highest number of a run of the task that is known.
+func (t *task) latestKnownRun() jobs.RunID {
 	latest := t.run
 	for _, lost := range t.suspicion.Lost {
 		latest = max(latest, lost.Run)
@@ -146,9 +146,9 @@
 // successor that finds no trace of it.
 func (c *Core) storeSilentRuns(w *worker, now time.Time) {
 	for _, t := range w.tasks {
-		if c.isYoung(w, t, now) && t.suspicion.Open == nil {
+		if c.mayHaveCrashedWorker(w, t, now) && t.suspicion.Open == nil {
 			t.suspicion.Open = &jobs.OpenRun{LostRun: jobs.LostRun{Run: t.run}, Worker: w.info.ID, Born: w.info.Born, Unseen: true}
-			c.noteCounted(t)
+			c.storeBeforeNextStart(t)
 		}
 	}
 }
@@ -156,8 +156,8 @@
 // countSilentRuns counts the young runs on a worker whose lease is over: it may have crashed.
 func (c *Core) countSilentRuns(w *worker, now time.Time) {
 	for _, t := range w.tasks {
-		if c.isYoung(w, t, now) {
-			c.countUnseenRun(t, t.run)
+		if c.mayHaveCrashedWorker(w, t, now) {
+			c.countUnobservedRun(t, t.run)
 		}
 	}
 }
@@ -167,45 +167,45 @@
 	return w.lastAlive(now).Before(w.leaves.Add(-leaveMargin))
 }
 
-// countLeftRuns counts runs on a worker that has drained and left, if they are of tasks that have lost
+// countRunsOnLeftWorker counts runs on a worker that has drained and left, if they are of tasks that have lost
 // others, or very young: it went about when it had said, whatever ran there.
-func (c *Core) countLeftRuns(w *worker, now time.Time) {
+func (c *Core) countRunsOnLeftWorker(w *worker, now time.Time) {
 	for _, t := range w.tasks {
-		if ran, known := c.ranOn(w, t, now); known && (ran < youngWithin || ran < mostRan && t.losses() > 0) {
-			c.countUnseenRun(t, t.run)
+		if ran, known := c.runtimeAtLoss(w, t, now); known && (ran < youngRunLimit || ran < maxTimeToCrash && t.losses() > 0) {
+			c.countUnobservedRun(t, t.run)
 		}
 	}
 }
 
-// beganUnseen tells whether nobody knows when a run began that was lost with its worker, while it may
+// startUnobserved tells whether nobody knows when a run began that was lost with its worker, while it may
 // have been shortly before: it was taken over from a former owner, or ordered without an answer
 // when the worker did not answer other calls.
-func (c *Core) beganUnseen(w *worker, t *task, now time.Time) bool {
+func (c *Core) startUnobserved(w *worker, t *task, now time.Time) bool {
 	ran := w.lastAlive(now).Sub(t.began)
-	return ran < 0 || !t.ordered && ran < mostRan
+	return ran < 0 || !t.ordered && ran < maxTimeToCrash
 }
 
-// isYoung tells whether a run had begun so shortly before its worker was last known to be alive that
+// mayHaveCrashedWorker tells whether a run had begun so shortly before its worker was last known to be alive that
 // its task may have ended the worker.
-func (c *Core) isYoung(w *worker, t *task, now time.Time) bool {
-	ran, known := c.ranOn(w, t, now)
-	return known && ran < mostRan
+func (c *Core) mayHaveCrashedWorker(w *worker, t *task, now time.Time) bool {
+	ran, known := c.runtimeAtLoss(w, t, now)
+	return known && ran < maxTimeToCrash
 }
 
 // mayRunTwice tells whether the run may have been lost with its worker's former incarnation and be carried out by this
 // one as well: its start was repeated, and either call may have been done.
 func (t *task) mayRunTwice() bool { return t.barred && t.retried }
 
-// countUnseenRun counts a run against its task that may have been lost, once.
-func (c *Core) countUnseenRun(t *task, run jobs.RunID) {
+// countUnobservedRun counts a run against its task that may have been lost, once.
+func (c *Core) countUnobservedRun(t *task, run jobs.RunID) {
 	if t.isOver() || t.suspicion.Has(run) && !t.mayRunTwice() {
 		return
 	}
 	t.suspicion.Unseen++
 	t.suspicion.UnseenRuns = append(t.suspicion.UnseenRuns, run)
 	c.counts.LostUnseen++
-	c.noteCounted(t)
+	c.storeBeforeNextStart(t)
 	c.config.Logger.Info("run may be lost with its worker", zap.Stringer("task", t.id()), zap.Uint64("run", uint64(run)),
-		zap.Int("lost_before", len(t.suspicion.Lost)), zap.Int("unseen", t.unseenLosses()))
-	c.judgeLater(t)
+		zap.Int("lost_before", len(t.suspicion.Lost)), zap.Int("unseen", t.unobservedLosses()))
+	c.queueVerdict(t)
 }
--- a/services/dispatch/unseen_test.go
+++ b/services/dispatch/unseen_test.go
@@ -22,8 +22,8 @@
 	return starts[0]
 }
 
-// newRunning makes a bench of two workers, of which the first has just started a task.
-func newRunning(t *testing.T) *bench {
+// newRunningBench makes a bench of two workers, of which the first has just started a task.
+func newRunningBench(t *testing.T) *bench {
 	t.Helper()
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
@@ -32,8 +32,8 @@
 	return b
 }
 
-// drains lets the first worker say for how long it stays.
-func (b *bench) drains(remaining time.Duration) {
+// drainFirst lets the first worker say for how long it stays.
+func (b *bench) drainFirst(remaining time.Duration) {
 	list := b.Workers()
 	list[0].Draining, list[0].Remaining = true, remaining
 	b.SetWorkers(list, b.now)
@@ -53,7 +53,7 @@
 	b.report(0, jobs.Report{})
 	b.report(1, jobs.Report{})
 	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
-	b.crashed(t)
+	b.crashWorkerOfOnlyStart(t)
 	require.Empty(t, b.starts(), "what is known isn't stored yet")
 	changes := b.store()
 	require.Len(t, changes.Jobs[0].Progress.Suspected[0][0].Lost, 1)
@@ -140,7 +140,7 @@
 	require.Equal(t, 2, b.jobs[testJob].steps[0].tasks[0].losses())
 
 	b = newSuccessor(t, jobs.Progress{}, 1, 2, 3, 4)
-	require.Len(t, b.store().Roster.Unseen, unseenKept)
+	require.Len(t, b.store().Roster.Unseen, maxUnobservedEpochs)
 }
 
 // TestLongRunIsRememberedByTheNextOwner: what may have been lost before it doesn't count any more.
@@ -149,7 +149,7 @@
 	b.store()
 	start := b.startOne(t)
 	at := slices.Index(b.ids, start.Worker.ID)
-	for end := b.now.Add(mostRan + time.Second); b.now.Before(end); {
+	for end := b.now.Add(maxTimeToCrash + time.Second); b.now.Before(end); {
 		b.report(at, jobs.Report{Running: []jobs.Run{{Task: start.Call.Task, Run: start.Call.Run}}})
 	}
 	changes := b.store()
@@ -171,8 +171,8 @@
 // TestRunOnAWorkerThatDrainsMayHaveEndedIt: a worker that had said that it leaves said nothing of
 // what ran there, and a task that ended such workers was started once more for each.
 func TestRunOnAWorkerThatDrainsMayHaveEndedIt(t *testing.T) {
-	b := newRunning(t)
-	b.drains(100 * time.Millisecond)
+	b := newRunningBench(t)
+	b.drainFirst(100 * time.Millisecond)
 	b.now = b.now.Add(200 * time.Millisecond)
 	b.Unreached(b.ids[0], true, b.now)
 	b.report(1, jobs.Report{})
@@ -183,8 +183,8 @@
 
 // TestDrainingWorkerThatGoesEarlyHasCrashed: it had said that it would stay for seconds.
 func TestDrainingWorkerThatGoesEarlyHasCrashed(t *testing.T) {
-	b := newRunning(t)
-	b.drains(3 * time.Second)
+	b := newRunningBench(t)
+	b.drainFirst(3 * time.Second)
 	b.now = b.now.Add(50 * time.Millisecond)
 	b.Unreached(b.ids[0], true, b.now)
 	b.Replaced(b.ids[0], b.now)
@@ -193,7 +193,7 @@
 
 // TestRunOnASilentWorkerMayHaveEndedIt: its lease runs out, and nobody hears why it was silent.
 func TestRunOnASilentWorkerMayHaveEndedIt(t *testing.T) {
-	b := newRunning(t)
+	b := newRunningBench(t)
 	b.Overdue(b.ids[0], b.now)
 	open := false
 	for end := b.now.Add(10 * time.Second); b.now.Before(end); {
@@ -238,13 +238,13 @@
 // was lost by chance.
 func TestOpenRunSaysLessTheLaterItsWorkerIsMissed(t *testing.T) {
 	open := &jobs.OpenRun{LostRun: jobs.LostRun{Run: 3}, Began: 1, Chance: 0.02}
-	soon := weighUnseen(open, 3*time.Second)
-	late := weighUnseen(open, time.Minute)
+	soon := weighUnobserved(open, 3*time.Second)
+	late := weighUnobserved(open, time.Minute)
 	require.Greater(t, soon.Weight, 2.0)
 	require.Less(t, late.Weight, soon.Weight)
 	require.Less(t, late.Weight, 0.2)
 	open.Beside = 1
-	require.Less(t, weighUnseen(open, 3*time.Second).Weight, 0.0, "another suspect was there")
+	require.Less(t, weighUnobserved(open, 3*time.Second).Weight, 0.0, "another suspect was there")
 }
 
 // TestRunWithoutAnswerMayHaveEndedItsWorker: the start had no answer, and calls to the worker had failed
@@ -266,8 +266,8 @@
 // TestTimeThatNobodySawIsNoTime: 1 s had stood for it, and a loss after 1 s was taken for one.
 func TestTimeThatNobodySawIsNoTime(t *testing.T) {
 	suspect := &task{suspicion: jobs.Suspicion{Lost: []jobs.LostRun{{Run: 1, Ran: 1000}, {Run: 2}}}}
-	require.Equal(t, []time.Duration{time.Second}, suspect.lostAfter())
-	require.Equal(t, 2*unseenRan, suspect.trialTime())
+	require.Equal(t, []time.Duration{time.Second}, suspect.lostRuntimes())
+	require.Equal(t, 2*assumedUnobservedRuntime, suspect.trialTime())
 }
 
 // TestLossThatWasSeenIsNoUnseenOneOfItsTakeover guards against a run that counts twice: among the losses that
@@ -288,7 +288,7 @@
 // TestSilentWorkerThatComesBackHasNotCrashed guards against losses that stay counted when the worker shows the
 // run: it was cut off, and the run has lapsed.
 func TestSilentWorkerThatComesBackHasNotCrashed(t *testing.T) {
-	b := newRunning(t)
+	b := newRunningBench(t)
 	run := b.jobs[testJob].steps[0].tasks[0].run
 	b.Overdue(b.ids[0], b.now)
 	for end := b.now.Add(10 * time.Second); b.now.Before(end); {
