--- a/services/dispatch/burst.go
+++ b/services/dispatch/burst.go
@@ -8,26 +8,28 @@
 	"time"
 )
 
-// Workers that one cause takes along, like a rack's, a restart of all or a cut, go at the same moment. How
-// often that happens says little of a worker that goes by itself, as one does that a task has ended.
+// Workers that fail for a common cause, such as the loss of a rack, a restart of all of them or a network partition,
+// are lost at the same moment. How often that happens says little about a worker that is lost by itself, as one is
+// whose process a task has ended.
 
 const (
-	// minBurstWorkers is how many workers go in a burst at least. Two may be lost at the same moment to two tasks that
-	// were started together.
+	// minBurstWorkers is the least number of workers that are lost in a burst. Two may be lost at the same moment to
+	// two tasks that were started together.
 	minBurstWorkers = 3
-	// burstDetectionDelay is how long after the others a worker of a burst may be noticed: at the next call to it.
+	// burstDetectionDelay is how much later than the others the loss of a worker in a burst may be detected: with
+	// the next call to the worker.
 	burstDetectionDelay = 400 * time.Millisecond
-	// burstLossCount is what a worker of a burst counts for where one goes by itself: where some go together,
-	// others go one by one more often than elsewhere.
+	// burstLossCount is what a loss in a burst counts for where a single loss counts 1: where several workers are
+	// lost together, workers are also lost one by one more often than elsewhere.
 	burstLossCount = 0.1
 )
 
-// burst is a time in which several workers went together.
+// burst is a period in which several workers were lost together.
 type burst struct{ from, to time.Time }
 
 type bursts []burst
 
-// findBursts finds the bursts among the times at which workers went.
+// findBursts finds the bursts among the times at which workers were lost.
 func findBursts(times []time.Time) bursts {
 	slices.SortFunc(times, time.Time.Compare)
 	var found bursts
@@ -44,12 +46,12 @@
 	return found
 }
 
-// contains tells whether a time is in one of the bursts.
+// contains reports whether a time lies within one of the bursts.
 func (b bursts) contains(at time.Time) bool {
 	return slices.ContainsFunc(b, func(each burst) bool { return !at.Before(each.from) && !at.After(each.to) })
 }
 
-// discountBursts lets workers that went in bursts count for less, if the one that was lost then went by itself.
+// discountBursts lets losses in bursts count for less if the loss at the given time is not part of a burst.
 func discountBursts(losses []workerLoss, at time.Time) {
 	times := []time.Time{at}
 	for _, l := range losses {
--- a/services/dispatch/evidence.go
+++ b/services/dispatch/evidence.go
@@ -12,75 +12,78 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// What the loss of a worker says against a task that ran there. A task that crashes workers may
-// do so at any time after its start, at short times as likely as at long ones on a scale of
-// magnitudes; so the shorter it had run, the likelier it is the cause. Without it the worker would
-// have been lost by chance, or by one of the tasks beside it. What a loss says is the logarithm of
-// the likelihood with the task as the cause over that without: below zero it speaks for the task.
-// Losses add up, for each is of another run, on another worker. A task that crashes nothing gets
-// to a sum of x with a probability of at most e to the minus x, however many losses it sees.
+// The evidence that the loss of a worker gives against a task that ran there. A task that crashes workers may do so
+// at any time after its start, with the same probability in each order of magnitude of the runtime; so the shorter
+// the run, the likelier the task is the cause. Without this task the worker would have been lost by chance or by one
+// of its neighbours on the worker. The evidence of a loss is the logarithm of the ratio of the likelihoods with and
+// without the task as the cause; below zero it speaks for the task. Losses add up, because each is of another run on
+// another worker. A task that crashes nothing reaches a sum of x with a probability of at most e to the minus x,
+// however many losses it has.
 
 const (
-	// meanTimeBetweenLosses is how long a worker runs between two losses by chance. On the worst days of
-	// the users' fleets 15 % of the workers go within half a minute.
+	// meanTimeBetweenLosses is how long a worker runs on average between two losses by chance. On the worst days of
+	// the users' fleets 15 % of the workers are lost within half a minute.
 	meanTimeBetweenLosses = 200 * time.Second
-	// crasherPrior is how many of the tasks that nothing is known of are taken to crash workers:
-	// one task in each tenth job, of ten tasks or so.
+	// crasherPrior is the share of tasks assumed to crash workers when nothing is known about them: one task in
+	// every tenth job, with about ten tasks per job.
 	crasherPrior = 0.01
-	// minRuntime is the shortest time that a run is taken to have had: the owner's calls tell the
-	// end of a worker no better.
+	// minRuntime is the shortest runtime that is assumed for a run: the owner's calls do not tell the end of a
+	// worker more precisely.
 	minRuntime = 10 * time.Millisecond
-	// maxTimeToCrash is the longest that a task which crashes workers runs before it does.
+	// maxTimeToCrash is the longest time for which a task that crashes workers runs before it does.
 	maxTimeToCrash = 10 * time.Second
 )
 
 // neighbour is another task on a worker that was lost.
 type neighbour struct {
 	runtime            time.Duration
-	earlierRuntimes    []time.Duration // see circumstances
-	crasherProbability float64         // how likely it is one that crashes workers
+	earlierRuntimes    []time.Duration // see lossContext
+	crasherProbability float64         // probability that the task crashes workers
 }
 
-// logRuntimeRange is what the density of a crash's time is divided by, so that it sums up to one.
+// logRuntimeRange divides the density of the time to a crash so that it integrates to one.
 var logRuntimeRange = math.Log(float64(maxTimeToCrash) / float64(minRuntime))
 
-// crashDensity is how likely a second it is for a task that crashes workers to do so now.
+// crashDensity is the probability per second that a task which crashes workers does so after this runtime.
 func crashDensity(ran time.Duration) float64 {
 	return 1 / (max(ran, minRuntime).Seconds() * logRuntimeRange)
 }
 
-// A task that crashes its workers mostly does so at the same place of its work, that is as long
-// after each start; with this it is told from one that was lost beside others, at any times: a
-// second loss after as long says more against it, one after ten times as long less.
+// A task that crashes its workers mostly does so at the same point of its work, that is as long after each start.
+// This tells it from a task that was lost beside others, at arbitrary times: a second loss after the same runtime is
+// stronger evidence against the task, one after ten times the runtime is weaker.
 const (
-	// recurringShare is the share of such tasks that does.
+	// recurringShare is the share of such tasks that crash at the same point each time.
 	recurringShare = 0.8
-	// recurringTolerance is how far apart two such times are at most, as a part of the earlier one, and
-	// minRecurringTolerance the same for short ones: where nothing listens any more, calls tell the end of a worker no better.
+	// recurringTolerance is how far apart two such runtimes are at most, as a fraction of the earlier one, and
+	// minRecurringTolerance is the least difference allowed, for short runtimes: where nothing listens on the port
+	// any more, calls do not tell the end of a worker more precisely.
 	recurringTolerance    = 0.3
 	minRecurringTolerance = 100 * time.Millisecond
-	// preciseShare is the share of those whose times are as close as connections tell that break at the end of a
-	// worker; preciseTolerance and minPreciseTolerance are for them what recurringTolerance and minRecurringTolerance are for all.
+	// preciseShare is the share of recurring crashes whose runtimes agree as closely as a connection can tell that
+	// breaks at the end of the worker; preciseTolerance and minPreciseTolerance are to these what recurringTolerance
+	// and minRecurringTolerance are to all recurring crashes.
 	preciseShare        = 0.5
 	preciseTolerance    = 0.03
 	minPreciseTolerance = 20 * time.Millisecond
 )
 
-// crashDensityAfter is the density for a task whose earlier runs were lost after these times.
-func crashDensityAfter(ran time.Duration, before []time.Duration) float64 {
+// crashDensityAfter is crashDensity for a task whose earlier runs were lost after the given runtimes.
+func crashDensityAfter(ran time.Duration, earlierRuntimes []time.Duration) float64 {
 	anyTime := crashDensity(ran)
-	if len(before) == 0 {
+	if len(earlierRuntimes) == 0 {
 		return anyTime
 	}
 	near := 0.0
-	for _, earlier := range before {
+	for _, earlier := range earlierRuntimes {
 		near += (1 - preciseShare) * uniformDensityAround(earlier, ran, max(minRecurringTolerance, time.Duration(recurringTolerance*float64(earlier))))
 		near += preciseShare * uniformDensityAround(earlier, ran, max(minPreciseTolerance, time.Duration(preciseTolerance*float64(earlier))))
 	}
-	return (1-recurringShare)*anyTime + recurringShare*near/float64(len(before))
+	return (1-recurringShare)*anyTime + recurringShare*near/float64(len(earlierRuntimes))
 }
 
-// uniformDensityAround is the density at a time of those that are at most so far from an earlier one, none of which is below zero.
+// uniformDensityAround is the density at a runtime that is uniformly distributed around an earlier one, at most so
+// far from it and not below zero.
 func uniformDensityAround(earlier, ran, within time.Duration) float64 {
 	if (ran - earlier).Abs() > within {
 		return 0
@@ -88,20 +91,20 @@
 	return 1 / (min(within, earlier) + within).Seconds()
 }
 
-// crashProbabilityBy is how likely a task that crashes workers has done so by that time, when its earlier runs were
-// lost after these.
-func crashProbabilityBy(ran time.Duration, before []time.Duration) float64 {
+// crashProbabilityBy is the probability that a task which crashes workers has done so by this runtime, when its
+// earlier runs were lost after the given runtimes.
+func crashProbabilityBy(ran time.Duration, earlierRuntimes []time.Duration) float64 {
 	anyTime := math.Log(float64(ran)/float64(minRuntime)) / logRuntimeRange
 	earlier := 0
-	for _, each := range before {
+	for _, each := range earlierRuntimes {
 		if each <= ran {
 			earlier++
 		}
 	}
-	return (1-recurringShare)*anyTime + recurringShare*float64(earlier)/float64(len(before))
+	return (1-recurringShare)*anyTime + recurringShare*float64(earlier)/float64(len(earlierRuntimes))
 }
 
-// crashRate is how likely a second it is for one of the tasks on a worker to crash it now.
+// crashRate is the probability per second that one of the tasks on a worker crashes it now.
 func crashRate(tasks []neighbour) float64 {
 	sum := 0.0
 	for _, t := range tasks {
@@ -110,18 +113,19 @@
 	return sum
 }
 
-// lossContext are those in which a run was lost with its worker.
+// lossContext describes the circumstances in which a run was lost with its worker.
 type lossContext struct {
 	runtime         time.Duration
 	earlierRuntimes []time.Duration // after which earlier runs of the task were lost
 	neighbours      []neighbour
-	chanceRate      float64 // losses of a worker by chance a second, at that time
-	// runtimeIsUpperBound says that the run was lost at some time up to ran: calls to its worker were not answered.
+	chanceRate      float64 // losses of a worker by chance per second, at that time
+	// runtimeIsUpperBound is set when the run was lost at an unknown time up to runtime, because calls to its worker
+	// timed out.
 	runtimeIsUpperBound bool
 }
 
-// evidence gives what the loss says against the task: doubt, compared with chance alone, and weight,
-// compared with the tasks beside it as well.
+// evidence returns the evidence of the loss against the task: doubt compares the task with chance alone, weight also
+// with its neighbours on the worker.
 func (e lossContext) evidence() (doubt, weight float64) {
 	byTask := crashDensityAfter(e.runtime, e.earlierRuntimes)
 	if e.runtimeIsUpperBound && len(e.earlierRuntimes) > 0 {
@@ -130,9 +134,9 @@
 	return math.Log(byTask / e.chanceRate), math.Log(byTask / (e.chanceRate + crashRate(e.neighbours)))
 }
 
-// crasherProbability is how likely the task is one that crashes workers, for those beside it. A suspect is
-// taken to be: if it is not, then one that was lost with it is. Of others what their losses say
-// counts: they may have been lost to the same cause, and start beside others without a trial.
+// crasherProbability is the probability that the task crashes workers, as used for its neighbours. A suspect is
+// assumed to do so: if it does not, then a task that was lost with it does. For other tasks their own losses count:
+// they may have been lost to the same cause, and they start beside others without a trial.
 func (t *task) crasherProbability() float64 {
 	if t.suspected() {
 		return 1
@@ -141,25 +145,25 @@
 	return odds / (1 + odds)
 }
 
-// minTimeoutDetectionDelay is how long after the end of a worker its owner notices it at the earliest, if calls are
-// not answered: after their time limit. A connection that breaks, or is refused, tells at once.
+// minTimeoutDetectionDelay is how long after the end of a worker its owner detects the loss at the earliest if calls
+// time out. A connection that breaks or is refused shows the loss at once.
 const minTimeoutDetectionDelay = 500 * time.Millisecond
 
-// endTimeUnknown tells whether a worker that is lost may have ended at any time since the run began:
-// it has not reported since, and calls to it ran into their time limit.
+// endTimeUnknown reports whether a lost worker may have ended at any time since the run began: the worker has not
+// reported since then, and calls to it timed out.
 func (w *worker) endTimeUnknown(t *task) bool {
 	return !w.refused && w.heard.Before(t.began) && w.failed.Sub(t.began) >= minTimeoutDetectionDelay
 }
 
-// runtimeAtLoss is for how long a run had run at most when its worker was lost; false when that isn't
-// known to be short enough to say anything: it was started by a former owner, or when the worker
-// had stopped answering already.
+// runtimeAtLoss returns an upper bound of a run's runtime when its worker was lost. It returns false when the bound
+// is not known to be short enough to be evidence: a previous owner started the run, or the worker had stopped
+// answering before the start.
 func (c *Core) runtimeAtLoss(w *worker, t *task, now time.Time) (time.Duration, bool) {
 	ran := w.lastAlive(now).Sub(t.began)
 	return ran, ran >= 0 && (t.ordered || t.suspected())
 }
 
-// neighboursOf are the other tasks on a worker that was lost.
+// neighboursOf returns the other tasks on a worker that was lost.
 func (c *Core) neighboursOf(w *worker, t *task, now time.Time) []neighbour {
 	var beside []neighbour
 	for _, other := range w.tasks {
@@ -172,7 +176,7 @@
 	return beside
 }
 
-// lostRuntimes is after which times runs of the task were lost, as far as that was seen.
+// lostRuntimes returns the runtimes after which runs of the task were lost, as far as they were observed.
 func (t *task) lostRuntimes() []time.Duration {
 	var times []time.Duration
 	for _, lost := range slices.Concat(t.suspicion.Lost, t.byChance) {
@@ -183,14 +187,14 @@
 	return times
 }
 
-// lossContextOf are those in which a task's run is lost with a worker.
+// lossContextOf describes the circumstances in which a task's run is lost with a worker.
 func (c *Core) lossContextOf(w *worker, t *task, ran time.Duration, chance float64, now time.Time) lossContext {
 	return lossContext{
 		runtime: ran, earlierRuntimes: t.lostRuntimes(), neighbours: c.neighboursOf(w, t, now), chanceRate: chance, runtimeIsUpperBound: w.endTimeUnknown(t),
 	}
 }
 
-// lostRun is what the loss of a worker says against a task.
+// lostRun returns what is recorded against a task for the loss of a worker.
 func (e lossContext) lostRun(w *worker, t *task) jobs.LostRun {
 	doubt, weight := e.evidence()
 	return jobs.LostRun{
@@ -199,8 +203,8 @@
 	}
 }
 
-// weighUnobserved gives what the loss of a run says that began so long ago, when nobody has seen how long
-// it ran. With the task as the cause it was lost early.
+// weighUnobserved returns the evidence of a lost run that began the given time ago, when no owner observed its
+// runtime. If the task was the cause, the worker was lost early in that time.
 func weighUnobserved(open *jobs.OpenRun, ago time.Duration) jobs.LostRun {
 	lost := open.LostRun
 	lost.Doubt = roundToHundredths(math.Log(recurringShare / lossProbabilityWithin(open.Chance, ago)))
@@ -208,13 +212,13 @@
 	return lost
 }
 
-// lossProbabilityWithin is how likely a worker is lost within a time, at so many losses a second.
+// lossProbabilityWithin is the probability that a worker is lost within a time, at the given losses per second.
 func lossProbabilityWithin(rate float64, within time.Duration) float64 {
 	return 1 - math.Exp(-max(rate, baselineLossRate)*within.Seconds())
 }
 
-// roundToHundredths rounds what is stored: more digits say nothing.
+// roundToHundredths rounds evidence for storage: more digits carry no information.
 func roundToHundredths(x float64) float64 { return math.Round(100*x) / 100 }
 
-// roundToThousandths does the same with rates, most of which are below a tenth.
+// roundToThousandths does the same for rates, most of which are below a tenth.
 func roundToThousandths(x float64) float64 { return math.Round(1000*x) / 1000 }
--- a/services/dispatch/gone.go
+++ b/services/dispatch/gone.go
@@ -12,9 +12,9 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// expireWorkers takes silent workers out of the roster once their leases are over. When that
-// is stored, nobody else has prolonged them: what ran there may start elsewhere, and those
-// that are not listed any more are dropped.
+// expireWorkers takes silent workers out of the roster once their leases are over. When the new roster is stored, no
+// other owner has renewed the leases: the workers' tasks may start elsewhere, and workers that are no longer listed
+// are removed.
 func (c *Core) expireWorkers(now time.Time) {
 	for _, w := range slices.Clone(c.order) {
 		if now.Sub(w.heard) <= silentAfter || now.Before(c.lapsed(w)) {
@@ -26,7 +26,7 @@
 			c.setRetired(w, true)
 		case !c.hasLapsed(w):
 		case !w.listed:
-			c.removeWorker(w, "gone and lapsed", now)
+			c.removeWorker(w, "it is no longer listed, and its leases are over", now)
 		case len(w.tasks) > 0:
 			c.config.Logger.Warn("silent worker's tasks have lapsed", zap.String("worker", string(w.info.ID)), zap.Int("tasks", len(w.tasks)))
 			c.countSilentRuns(w, now)
@@ -37,58 +37,55 @@
 	c.checkBlind(now)
 }
 
-// hasLapsed tells whether everything on the worker has certainly been ended by its own
-// clock: the lease that was granted is over, and at a later time no other owner had granted
-// another.
+// hasLapsed reports whether the worker has certainly ended all its runs by its own clock: the lease that was granted
+// is over, and a proof of ownership since then shows that no other owner had granted another one.
 func (c *Core) hasLapsed(w *worker) bool { return c.proved.After(c.lapsed(w)) }
 
-// setRetired leaves a silent worker that certainly runs nothing out of the roster, so that
-// the next owner needn't wait for it, or takes one that has answered into it again. Either
-// way it gets no starts until a roster is stored that names it: one that is being stored now
-// may be older.
+// setRetired takes a silent worker that certainly runs nothing out of the roster, so that the next owner does not
+// wait for it, or puts a worker that has answered back into it. Either way the worker gets no starts until a roster
+// that names it is stored: a roster that is being stored now may be older.
 func (c *Core) setRetired(w *worker, retired bool) {
 	w.retired = retired
 	w.enrolled = false
 	c.rosterChanged = true
 }
 
-// leaveMargin is how much earlier than said a draining worker counts as gone, when it is
-// neither in the list nor reached.
+// leaveMargin is how much earlier than announced a draining worker counts as having left, when it is neither in the
+// list nor reachable.
 const leaveMargin = 300 * time.Millisecond
 
-// maxRelistDelay is when a worker that lives is back in the list after an outage of the
-// store, as the users' platform says, with the time between two looks at the list.
+// maxRelistDelay is how long after an outage of the store a live worker is back in the list at the latest, as the
+// users' platform specifies it, including the interval between two reads of the list.
 const maxRelistDelay = 3 * time.Second
 
-// Unreached says that no connection to a worker came about. One that was to leave by now
-// has left, with all that ran there, if it is not in the list any more or if nobody listens
-// at its address: an entry stays while the store is down. So has one that is missing in the
-// list for so long that it would be back, if nobody listens at its address: either of the
-// two alone can be a cut.
-func (c *Core) Unreached(id jobs.WorkerID, nobodyListens bool, now time.Time) {
+// Unreached records that no connection to a worker was established. A draining worker whose time has come has left,
+// with all its runs, if it is no longer in the list or if its address refuses connections: while the store is down
+// its entry stays. A worker has also left if it has been missing from the list for longer than maxRelistDelay and
+// its address refuses connections: either sign alone may be due to a network partition.
+func (c *Core) Unreached(id jobs.WorkerID, refused bool, now time.Time) {
 	w, ok := c.workers[id]
 	if !ok {
 		return
 	}
-	w.noteFailed(nobodyListens, now)
-	if nobodyListens {
+	w.noteFailed(refused, now)
+	if refused {
 		c.storeYoungRuns(w, now)
 	}
 	switch {
-	case !w.leaves.IsZero() && now.After(w.leaves.Add(-leaveMargin)) && (nobodyListens || !w.listed):
+	case !w.leaves.IsZero() && now.After(w.leaves.Add(-leaveMargin)) && (refused || !w.listed):
 		c.removeWorker(w, "it has drained and left", now)
 	case w.listed:
-	case nobodyListens && !w.missing.IsZero() && now.Sub(w.missing) > maxRelistDelay:
-		c.removeWorker(w, "it is not in the list any more, and nobody listens at its address", now)
+	case refused && !w.missing.IsZero() && now.Sub(w.missing) > maxRelistDelay:
+		c.removeWorker(w, "it is no longer listed, and its address refuses connections", now)
 	}
 }
 
-// evacuateBefore is how long before a draining worker may leave its tasks are stopped that
-// will not end by themselves: a stop takes less than a second, and a report as long.
+// evacuateBefore is how long before a draining worker may leave its long-running and checkpointing tasks are
+// stopped: a stop takes less than a second, and a report as long.
 const evacuateBefore = 2200 * time.Millisecond
 
-// evacuate stops what would be lost when its worker leaves: tasks that last, and those
-// that can go on elsewhere from a checkpoint.
+// evacuate stops the runs that would be lost when their worker leaves: long-running tasks, and tasks that can resume
+// elsewhere from a checkpoint.
 func (c *Core) evacuate(now time.Time) {
 	for _, w := range c.order {
 		if w.leaves.IsZero() || now.Before(w.leaves.Add(-evacuateBefore)) {
@@ -102,9 +99,9 @@
 	}
 }
 
-// Replaced says that a worker with another id answers at a worker's address: nothing of the
-// former one runs any more. Its entry may stay in the list for seconds; it is passed over, or
-// it would join and be dropped again with each look at the list, a call and a write each time.
+// Replaced records that a worker with another id answers at a worker's address: none of the previous worker's runs
+// exists any more. Its entry may stay in the list for seconds and is ignored; otherwise the worker would join and be
+// removed again with each read of the list, at the cost of a call and a write each time.
 func (c *Core) Replaced(id jobs.WorkerID, now time.Time) {
 	if w, ok := c.workers[id]; ok {
 		c.replaced[w.info.Incarnation()] = struct{}{}
@@ -125,7 +122,7 @@
 	c.rosterChanged = c.rosterChanged || w.enrolled
 }
 
-// requeueTasks lets the tasks of a worker that certainly runs nothing wait again.
+// requeueTasks lets the tasks of a worker that certainly runs nothing wait for placement again.
 func (c *Core) requeueTasks(w *worker) {
 	for _, t := range slices.Clone(w.tasks) {
 		c.counts.Lapsed++
--- a/services/dispatch/incarnation.go
+++ b/services/dispatch/incarnation.go
@@ -12,18 +12,18 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// A worker may start again under the id that it had. What is kept of a worker is kept of one
-// incarnation, so the next one is a worker of its own here, in the place of the former. Which one is
-// there is told by who answers, never by the list, whose entries may be late, and never by comparing
-// the times at which they say that they started, for times of day step. Calls that ask for reports are
-// made one after the other, so whoever answers the later one is the later incarnation.
+// A worker may start again under its previous id. All state of a worker belongs to one incarnation, so the next
+// incarnation is a separate worker here that takes the place of the previous one. Which incarnation is present is
+// decided by who answers: never by the list, whose entries may be late, and never by comparing the incarnations'
+// start times, because the time of day may be set back. Calls that ask for reports are made one after the other, so
+// whoever answers the later call is the later incarnation.
 
-// OtherAnswers says that a call that was meant for one incarnation met another one, which has done
-// nothing of it; born is its start, 0 when that isn't known.
+// OtherAnswers records that a call meant for one incarnation reached another one, which did not carry it out; born
+// is that incarnation's start time, 0 when it is not known.
 func (c *Core) OtherAnswers(meant jobs.Incarnation, born models.UnixMilli, now time.Time) {
 	w, ok := c.workers[meant.ID]
 	switch {
-	case !ok || w.info.Born != meant.Born: // it is known already
+	case !ok || w.info.Born != meant.Born: // already known
 	case born == 0 || born == meant.Born:
 		c.Replaced(meant.ID, now)
 	default:
@@ -32,7 +32,7 @@
 	}
 }
 
-// reporting gives the incarnation that a report is of, and whether none that is later has come.
+// reporting returns the incarnation that a report is of, and whether no later report has been taken.
 func (c *Core) reporting(w *worker, sent time.Time, report jobs.Report, now time.Time) (reports *worker, later bool) {
 	c.logUnreadableStartTime(w, report)
 	switch {
@@ -47,8 +47,8 @@
 	}
 }
 
-// isOtherIncarnation tells whether the report is of another incarnation. One that begins to say when it started
-// may be that: then its clock has begun anew.
+// isOtherIncarnation reports whether the report is of another incarnation. A worker that begins to report its start
+// time is another incarnation if its clock has begun anew.
 func (w *worker) isOtherIncarnation(report jobs.Report) bool {
 	switch {
 	case report.Born == 0:
@@ -60,7 +60,7 @@
 	}
 }
 
-// learnStartTime takes the start that a report names, if it is not known yet; the roster has to name it.
+// learnStartTime takes the start time from a report if it is not known yet; the roster has to name it.
 func (c *Core) learnStartTime(w *worker, report jobs.Report) {
 	if w.info.Born == 0 && report.Born != 0 {
 		w.info.Born = report.Born
@@ -68,16 +68,16 @@
 	}
 }
 
-// logUnreadableStartTime logs once that the start in a worker's reports makes no sense.
+// logUnreadableStartTime logs once that the start time in a worker's reports is not valid.
 func (c *Core) logUnreadableStartTime(w *worker, report jobs.Report) {
 	if report.BornUnreadable && !w.bornTold {
 		w.bornTold = true
-		c.config.Logger.Warn("worker's reports don't say when it started", zap.String("worker", string(w.info.ID)))
+		c.config.Logger.Warn("worker's reports have no valid start time", zap.String("worker", string(w.info.ID)))
 	}
 }
 
-// noteEntry notes what the list says of another incarnation. It may be one that has ended or one that
-// has not answered yet: when the entry is a new one, the next report is asked for at once.
+// noteEntry records the list's entry for another incarnation. That incarnation may have ended, or may not have
+// answered yet; a new entry makes the owner ask for the next report at once.
 func (c *Core) noteEntry(w *worker, entry jobs.Worker) {
 	w.entry = &entry
 	if w.hurriedFor == entry.Born {
@@ -87,17 +87,17 @@
 	c.hurry = append(c.hurry, w.info.ID)
 }
 
-// TakeHurried gives the workers whose reports should not be waited for: the list names another
-// incarnation, and a call to one that has ended may wait in vain.
+// TakeHurried returns the workers whose outstanding report should not be waited for: the list names another
+// incarnation, and a call to one that has ended may stay unanswered.
 func (c *Core) TakeHurried() []jobs.WorkerID {
 	hurry := c.hurry
 	c.hurry = nil
 	return hurry
 }
 
-// replaceIncarnation puts another incarnation in the place of a worker that has ended. What ran there is lost; the
-// new one is called at once, and gets starts when the roster and the list name it. Calls that were sent
-// before since were not meant for it.
+// replaceIncarnation puts another incarnation in the place of a worker that has ended, whose runs are lost. The new
+// incarnation is called at once, and gets starts when the roster and the list name it. Calls that were sent before
+// since were not meant for it.
 func (c *Core) replaceIncarnation(w *worker, born models.UnixMilli, since, now time.Time) *worker {
 	c.config.Logger.Info("worker has started again under its id", zap.String("worker", string(w.info.ID)),
 		zap.Int64("before", int64(w.info.Born)), zap.Int64("born", int64(born)), zap.Bool("listed", w.entry != nil && w.entry.Born == born))
@@ -120,7 +120,7 @@
 	return next
 }
 
-// unansweredStarts are the tasks on the worker with a start that may be carried out yet.
+// unansweredStarts returns the tasks on the worker whose start is not answered and may still be carried out.
 func (w *worker) unansweredStarts() []*task {
 	var open []*task
 	for _, t := range w.tasks {
@@ -131,8 +131,8 @@
 	return open
 }
 
-// barStarts keeps tasks from starting elsewhere until a worker's new incarnation has barred their runs,
-// or shown that they run there: a start that was meant for the former one may be carried out by it.
+// barStarts keeps tasks from starting elsewhere until a worker's new incarnation has barred their runs or shown that
+// they run there: the new incarnation may carry out a start that was meant for the previous one.
 func (c *Core) barStarts(w *worker, open []*task) {
 	for _, t := range open {
 		if t.state != taskWaiting {
@@ -143,6 +143,6 @@
 		t.state = taskRunning
 		t.barred = true
 		w.add(t)
-		c.stop(t, "its start may be carried out by the next incarnation of its worker")
+		c.stop(t, "its worker's next incarnation may carry out its start")
 	}
 }
--- a/services/dispatch/proof.go
+++ b/services/dispatch/proof.go
@@ -10,28 +10,27 @@
 	"go.uber.org/zap"
 )
 
-// An owner that stood still, or is cut off from the store, may have a successor without
-// knowing it. Workers refuse its orders once the successor has called them, but calls get
-// lost, and a worker that the successor hasn't reached yet would obey. So an owner acts only
-// on recent proof that it is the owner:
+// An owner that was suspended, or is cut off from the store, may have a successor without knowing it. Workers refuse
+// its orders once the successor has called them, but calls get lost, and a worker that the successor has not reached
+// yet would obey. So an owner acts only on recent proof that it still is the owner:
 //
-//   - for any order: a transaction of its own, which requires its key, or the answers of two
-//     thirds of its workers. A successor counts former runs as lapsed previousOwnerMargin after most
-//     workers have answered it, and two thirds that obey this owner leave no such majority.
-//   - to start what ran on a silent worker elsewhere: a transaction after the worker's lease
-//     had run out. Only then has no successor prolonged it.
+//   - for any order: a transaction of its own, which requires its key, or the answers of two thirds of its
+//     workers. A successor counts the previous owner's runs as lapsed previousOwnerMargin after most workers have
+//     answered it, and two thirds that obey this owner leave no such majority.
+//   - to start the tasks of a silent worker elsewhere: a transaction after the worker's lease had run out. Only
+//     then has no successor renewed the lease.
 
-// proofValidity is for how long after a proof orders are given; with the time limit of a call it
-// stays below previousOwnerMargin.
+// proofValidity is how long orders are given after a proof; together with the timeout of a call it stays below
+// previousOwnerMargin.
 const proofValidity = 2 * time.Second
 
-// proofRefreshAge is how old a proof gets before a transaction is made for that reason alone.
+// proofRefreshAge is the age of a proof from which a transaction is made for the sake of the proof alone.
 const proofRefreshAge = time.Second
 
 // answerCountInterval is how often the workers' answers are counted.
 const answerCountInterval = 100 * time.Millisecond
 
-// mayOrder tells whether there is recent proof that this core still is the cell's owner.
+// mayOrder reports whether there is recent proof that this core still is the cell's owner.
 func (c *Core) mayOrder(now time.Time) bool {
 	if now.Sub(c.countedAt) >= answerCountInterval {
 		c.countedAt = now
@@ -43,21 +42,21 @@
 	return !c.idle
 }
 
-// setIdle logs when orders begin to wait for a proof, and when they go on.
+// setIdle records whether orders wait for a proof, and logs each change.
 func (c *Core) setIdle(idle bool, age time.Duration) {
 	if idle == c.idle {
 		return
 	}
 	c.idle = idle
-	message := "orders go on"
+	message := "orders resume"
 	if idle {
-		message = "orders wait for a proof that this is still the owner"
+		message = "orders wait for a recent proof of ownership"
 	}
 	c.config.Logger.Info(message, zap.Duration("proof_age", age), zap.Int("workers", len(c.order)))
 }
 
-// twoThirdsAnsweredSince is when the calls were sent, at the latest, that two thirds of the workers have
-// answered.
+// twoThirdsAnsweredSince returns the latest time for which two thirds of the workers have answered calls that were
+// sent then or later.
 func (c *Core) twoThirdsAnsweredSince() time.Time {
 	if len(c.order) == 0 {
 		return time.Time{}
@@ -70,7 +69,6 @@
 	return sent[len(sent)/3]
 }
 
-// latest is the later of two times.
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/services/dispatch/recent.go
+++ b/services/dispatch/recent.go
@@ -10,28 +10,29 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// A worker that starts again under its id is known to have ended at once, before it is known which others went
-// at the same moment. So a loss that is younger than that is weighed again, and nobody is given up on it before.
+// The end of a worker that starts again under its id is known at once, before it is known which other workers were
+// lost at the same moment. So a loss that is too recent for this is evaluated again later, and no task is abandoned
+// for it before.
 
-// simultaneousLossesKnownAfter is how long after a loss those of other workers are known that went with it: calls to them break,
-// or run into their time limit.
+// simultaneousLossesKnownAfter is how long after a loss the losses of other workers at the same moment are known:
+// calls to them break or time out.
 const simultaneousLossesKnownAfter = 500 * time.Millisecond
 
-// recentLoss is the loss of a worker that is to be weighed again.
+// recentLoss is the loss of a worker whose evidence is evaluated again later.
 type recentLoss struct {
 	incarnation jobs.Incarnation
 	at          time.Time
 	runs        []weighedRun
 }
 
-// weighedRun is a run that was lost, with what its weight was drawn from.
+// weighedRun is a lost run with the circumstances that its evidence was computed from.
 type weighedRun struct {
 	task *task
 	run  jobs.RunID
 	lossContext
 }
 
-// scheduleReevaluation lets a loss be weighed again if it is recent.
+// scheduleReevaluation lets a recent loss be evaluated again.
 func (c *Core) scheduleReevaluation(recent recentLoss, now time.Time) {
 	if now.Sub(recent.at) >= simultaneousLossesKnownAfter {
 		return
@@ -42,7 +43,7 @@
 	c.recent = append(c.recent, recent)
 }
 
-// weighAgain weighs losses anew once others are known that came with them.
+// weighAgain evaluates recent losses again once simultaneous losses of other workers are known.
 func (c *Core) weighAgain(now time.Time) {
 	c.recent = slices.DeleteFunc(c.recent, func(recent recentLoss) bool {
 		if now.Sub(recent.at) < simultaneousLossesKnownAfter {
@@ -60,7 +61,7 @@
 	})
 }
 
-// setWeight puts a lost run's new weight in the place of the former one.
+// setWeight replaces the evidence of a lost run.
 func (c *Core) setWeight(r weighedRun) {
 	doubt, weight := r.evidence()
 	of := func(lost jobs.LostRun) bool { return lost.Run == r.run }
--- a/services/dispatch/repeats.go
+++ b/services/dispatch/repeats.go
@@ -3,25 +3,25 @@
 
 package dispatch
 
-// repeats is a budget of starts that are sent again, earned by starts that are answered: when
-// answers get lost one by one each start may be repeated, when hardly any comes repeating
-// would double what the owner or its link can't carry already.
+// repeats is a budget for repeated starts that is earned by answered starts. When answers are lost one by one, each
+// start may be repeated; when hardly any answer arrives, repeating would double a load that the owner or its link
+// cannot carry already.
 type repeats struct{ tokens float64 }
 
 const (
-	// retriesPerAnswer is how many repetitions an answered start pays for: enough where half of all answers
-	// are lost one by one, for half of the first tries are repeated for two thirds as many answers.
+	// retriesPerAnswer is how many repetitions an answered start pays for. With half of all answers lost one by one,
+	// four starts need two repetitions and yield three answers, so two thirds are enough.
 	retriesPerAnswer = 0.7
-	// maxRetryTokens bounds what is saved up: a burst of lost answers, not an outage.
+	// maxRetryTokens bounds the saved budget: it covers a burst of lost answers, not an outage.
 	maxRetryTokens = 50
 )
 
 func newRepeats() repeats { return repeats{tokens: maxRetryTokens} }
 
-// earn notes a start that was answered.
+// earn credits an answered start.
 func (r *repeats) earn() { r.tokens = min(maxRetryTokens, r.tokens+retriesPerAnswer) }
 
-// take tells whether a start may be repeated, and pays for it.
+// take reports whether a start may be repeated, and debits the budget for it.
 func (r *repeats) take() bool {
 	if r.tokens < 1 {
 		return false
--- a/services/dispatch/shared.go
+++ b/services/dispatch/shared.go
@@ -15,43 +15,43 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// A worker's loss has one cause, but speaks against all tasks that ran there. So losses that several tasks
-// share are judged together:
+// The loss of a worker has one cause, but is evidence against every task that ran there. So losses that several
+// tasks share are judged together:
 //
-//   - a task is not given up on shared losses, nor started again, while another task that shares one may
-//     still turn out to be the cause: it is to be tried, on trial, or on a worker that is silent;
-//   - where several wait for each other, the one that has lost the fewest runs is tried first;
-//   - once a task is given up, what it has caused speaks no more against those beside it.
+//   - A task is neither abandoned on shared losses nor started again while another task that shares one may still
+//     turn out to be the cause: that task is yet to be tried, on trial, or on a silent worker.
+//   - Where several tasks wait for each other, the one with the fewest lost runs is tried first.
+//   - Once a task is abandoned, the losses that it caused no longer count against its neighbours.
 
-// maxSharedLossWait is for how long a task waits for what becomes of others: two workers that go one after the
-// other, and come back.
+// maxSharedLossWait is how long a task waits for the outcome of others: as long as two workers take that are lost
+// one after the other and come back.
 const maxSharedLossWait = 8 * time.Second
 
-// verdict is what is known of a task that has lost runs.
+// verdict is what is concluded about a task that has lost runs.
 type verdict uint8
 
 const (
-	verdictOpen      verdict = iota // too little is known
-	verdictContested                // enough, unless another task was the cause of a loss that both share
-	verdictCrashes                  // it ends its workers
+	verdictOpen      verdict = iota // too little evidence
+	verdictContested                // enough evidence, unless another task was the cause of a loss that both share
+	verdictCrashes                  // the task crashes its workers
 )
 
-// noteLosses remembers a task that has lost runs.
+// noteLosses adds a task that has lost runs to withLosses.
 func (c *Core) noteLosses(t *task) {
 	if len(t.suspicion.Lost) > 0 {
 		c.withLosses[t] = struct{}{}
 	}
 }
 
-// forgetLosses forgets those that can't end workers any more.
+// forgetLosses drops the tasks that can no longer crash workers from withLosses.
 func (c *Core) forgetLosses() {
 	maps.DeleteFunc(c.withLosses, func(t *task, _ struct{}) bool { return !t.mayBeCause() })
 }
 
-// queueVerdict lets a task be judged once all that its worker's loss says has been counted.
+// queueVerdict lets a task be judged once all evidence of its worker's loss has been counted.
 func (c *Core) queueVerdict(t *task) { c.toJudge = append(c.toJudge, t) }
 
-// judge gives up the tasks against which enough has been counted.
+// judge abandons the queued tasks whose evidence is sufficient.
 func (c *Core) judge(now time.Time) {
 	tasks := c.toJudge
 	c.toJudge = nil
@@ -62,7 +62,7 @@
 	}
 }
 
-// verdictOn judges a task by its own losses, and by those that it shares if no other task may be their cause.
+// verdictOn judges a task by its own losses, and also by its shared losses if no other task may be their cause.
 func (c *Core) verdictOn(t *task, now time.Time) verdict {
 	if !t.crashesWorkers() {
 		return verdictOpen
@@ -77,7 +77,7 @@
 	waited := t.state == taskWaiting && !t.waits.IsZero() && now.Sub(t.waits) >= maxSharedLossWait
 	switch {
 	case t.losses() < maxLosses && (waited || t.isTriedBefore(others)):
-		return verdictOpen // its next run tells
+		return verdictOpen // the next run decides
 	case waited:
 		return verdictCrashes
 	default:
@@ -85,8 +85,8 @@
 	}
 }
 
-// undecidedSharers are the other tasks that share a loss with the task, of which it is not known yet whether
-// they end their workers.
+// undecidedSharers returns the other tasks that share a loss with the task and that may or may not crash their
+// workers.
 func (c *Core) undecidedSharers(t *task, now time.Time) []*task {
 	var sharers []*task
 	for other := range c.withLosses {
@@ -97,29 +97,29 @@
 	return sharers
 }
 
-// mayBeCause tells whether the task may still end workers, or have to be told from those that do.
+// mayBeCause reports whether the task may still crash workers, or has to be told from tasks that do.
 func (t *task) mayBeCause() bool {
 	return len(t.suspicion.Lost) > 0 && t.state != taskElsewhere && !t.isOver()
 }
 
-// isOver tells whether the task is done, or its job has ended or is cancelled.
+// isOver reports whether the task is done, or its job has ended or is cancelled.
 func (t *task) isOver() bool {
 	j := t.step.job
 	return t.state == taskDone || j.end != "" || j.cancelled
 }
 
-// hasOutlivedTrial tells whether the task's run goes on for longer than those that were lost, on a worker that is
-// there.
+// hasOutlivedTrial reports whether the task runs on a worker that answers, and has done so for longer than the runs
+// that were lost.
 func (t *task) hasOutlivedTrial(now time.Time) bool {
 	return t.state == taskRunning && t.worker.failed.IsZero() && now.Sub(t.began) >= t.trialTime()
 }
 
-// sharesLoss tells whether both have lost a run in the same loss of a worker.
+// sharesLoss reports whether both tasks have lost a run in the same loss of a worker.
 func (t *task) sharesLoss(other *task) bool {
 	return slices.ContainsFunc(t.suspicion.Lost, func(lost jobs.LostRun) bool { return other.lossIndex(lost.With) >= 0 })
 }
 
-// lossIndex is the index of the task's part in the loss of a worker; below zero: it has none.
+// lossIndex returns the index of the task's run that was lost with the given loss of a worker, or -1.
 func (t *task) lossIndex(with jobs.WorkerLoss) int {
 	if with == 0 {
 		return -1
@@ -127,7 +127,7 @@
 	return slices.IndexFunc(t.suspicion.Lost, func(lost jobs.LostRun) bool { return lost.With == with })
 }
 
-// crashesWithout tells whether the task's losses are enough without those that it shares with others.
+// crashesWithout reports whether the task's losses suffice without those that it shares with the others.
 func (t *task) crashesWithout(others []*task) bool {
 	weight := 0.0
 	for _, lost := range t.suspicion.Lost {
@@ -138,18 +138,18 @@
 	return weight >= t.abandonWeight()
 }
 
-// isTriedBefore tells whether the task is tried before those of the others that wait too.
+// isTriedBefore reports whether the task is tried before those of the others that wait too.
 func (t *task) isTriedBefore(others []*task) bool {
 	return !slices.ContainsFunc(others, func(other *task) bool { return other.compareTrialOrder(t) < 0 })
 }
 
-// compareTrialOrder compares which of two tasks is tried first: the one that has lost fewer runs.
+// compareTrialOrder compares two tasks by the order of their trials: the one that has lost fewer runs comes first.
 func (t *task) compareTrialOrder(other *task) int {
 	return cmp.Or(cmp.Compare(t.losses(), other.losses()), cmp.Compare(t.id().String(), other.id().String()))
 }
 
-// explainSharedLosses takes what a task has caused off those that have shared its losses: with it as a cause that is
-// known, a loss says of another task how much likelier that one was to cause it.
+// explainSharedLosses lowers the evidence of the losses that a task has caused for the tasks that share them: with a
+// known cause, the evidence against another task is how much likelier that task was to cause the loss.
 func (c *Core) explainSharedLosses(t *task) {
 	for other := range c.withLosses {
 		if other.step.job == t.step.job || !other.mayBeCause() {
@@ -161,7 +161,7 @@
 	}
 }
 
-// explainLoss weighs a task's share of a loss anew whose cause is known.
+// explainLoss lowers the evidence of a task's share of a loss whose cause is known.
 func (c *Core) explainLoss(t *task, cause jobs.LostRun) {
 	at := t.lossIndex(cause.With)
 	if at < 0 {
@@ -175,7 +175,7 @@
 		zap.Float64("weight", t.suspicion.Lost[at].Weight))
 }
 
-// withLoweredEvidence gives losses of which one says no more than this.
+// withLoweredEvidence returns a copy of the losses, in which the evidence of one is at most the given.
 func withLoweredEvidence(losses []jobs.LostRun, at int, doubt, weight float64) []jobs.LostRun {
 	losses = slices.Clone(losses)
 	losses[at].Doubt, losses[at].Weight = min(losses[at].Doubt, doubt), min(losses[at].Weight, weight)
--- a/services/dispatch/suspicion.go
+++ b/services/dispatch/suspicion.go
@@ -12,44 +12,43 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// A task may end the process of every worker that starts it, and takes all that runs beside it
-// along. Runs that are lost with their workers are therefore counted, as failed ones are, but a
-// loss proves little: most tasks on a lost worker have nothing to do with it, and workers are
-// lost for other reasons. So
+// A task may crash the process of every worker that starts it, and with it all other runs there. Runs that are lost
+// with their workers are therefore counted, as failed ones are, but a loss proves little: most tasks on a lost
+// worker have nothing to do with the loss, and workers are lost for other reasons. So:
 //
-//   - each loss is weighed (evidence.go): a task that had just been started, with nothing beside
-//     it that had, is likely to be the cause; one that had run for long is not;
-//   - a task with something against it starts where nothing else starts meanwhile (trial.go), so
-//     that the next loss says whether it was the cause, and costs others least;
-//   - a task is given up, and its job with it, once that is as good as certain. A run that goes
-//     on for long enough clears it.
+//   - Each loss is weighed (evidence.go): a task that had just been started, with no other recent start on the
+//     worker, is likely to be the cause; a task that had run for long is not.
+//   - A task with evidence against it starts where nothing else starts meanwhile (trial.go), so that the next loss
+//     shows whether the task was the cause, and costs other tasks least.
+//   - A task is abandoned, and its job fails, once the task is as good as certain to crash workers. A run that
+//     goes on for long enough clears the task.
 //
-// What is known outlives the owner: see suspicion_store.go.
+// Suspicions outlive the owner: see suspicion_store.go.
 
-// abandonWeight is the weight at which a task is given up, by the number of its losses, those that
-// nobody saw included. It is a logarithm of odds: a task that crashes nothing gets to x with a probability of at
-// most e to the minus x. Users allow five starts of a task that ends every worker, so less is enough once
-// five may have been lost. Two may coincide with what goes on around them more easily than independent ones: what
-// is lost starts again at once.
+// abandonWeights are the weights at which a task is abandoned, by the number of its losses, including those that no
+// owner observed. A weight is a logarithm of odds: a task that crashes nothing reaches x with a probability of at
+// most e to the minus x. Users allow five starts of a task that crashes every worker, so less weight is enough once
+// five runs may have been lost. Two losses need more weight, because they coincide with other events more easily
+// than independent ones would: a lost task starts again at once.
 var abandonWeights = [...]float64{2: 12, 3: 10, 4: 10, maxLosses: 5}
 
-// maxLosses is how many runs a task may lose at most: the users' bound on its starts.
+// maxLosses is how many runs a task may lose: the users' bound on its starts.
 const maxLosses = 5
 
-// minLosses is how many workers must have been lost under a task before it is given up: the
-// users' condition for a job to fail for it.
+// minLosses is how many workers a task must have lost before it is abandoned: the users' condition for its job to
+// fail for that reason.
 const minLosses = 2
 
-// suspectDoubt is the doubt from which a task is suspected: if nothing else had run there, it
-// would be as likely as not to be the cause. The tasks of a step that start together and are lost
-// together have little against each one, but all of them are to be tried.
+// suspectDoubt is the doubt from which a task is suspected: with nothing else on the worker, the task would be as
+// likely as not to be the cause. Where tasks of a step start together and are lost together, there is little
+// evidence against each one, but all of them have to be tried.
 var suspectDoubt = math.Log(1 / crasherPrior)
 
-// suspectLosses is how many losses make a suspect whatever they say: several tasks that crash
-// workers and are started at the same moments are lost at the same moments, as if by one cause.
+// suspectLosses is the number of losses that makes a task a suspect, whatever their evidence: several tasks that
+// crash workers and start at the same moments are lost at the same moments, as if to a common cause.
 const suspectLosses = 2
 
-// suspected tells whether the task may be one that ends its workers.
+// suspected reports whether the task may be one that crashes its workers.
 func (t *task) suspected() bool {
 	if len(t.suspicion.Lost) == 0 {
 		return false
@@ -60,8 +59,8 @@
 // losses is how many runs of the task may have been lost with their workers.
 func (t *task) losses() int { return t.observedLosses() + t.unobservedLosses() }
 
-// observedLosses is how many of them were seen and may be the task's doing: those that say more against it
-// than for chance, and those of young runs, however little they say.
+// observedLosses is how many of these losses an owner observed that the task may have caused: those with more
+// evidence against the task than for chance, and those of young runs, however little their evidence.
 func (t *task) observedLosses() int {
 	seen := 0
 	for _, lost := range t.suspicion.Lost {
@@ -72,11 +71,11 @@
 	return seen
 }
 
-// unobservedLosses is how many of them nobody saw.
+// unobservedLosses is how many of these losses no owner observed.
 func (t *task) unobservedLosses() int { return t.suspicion.Unseen + t.unseen }
 
-// countWorkerLoss counts the runs that were lost with a worker against their tasks, and logs them. One
-// that left when it had said says nothing against them, but may have crashed all the same.
+// countWorkerLoss counts the runs that were lost with a worker against their tasks, and logs them. The loss of a
+// worker that left when it had announced is no evidence against its tasks, but may be a crash all the same.
 func (c *Core) countWorkerLoss(w *worker, now time.Time) {
 	switch {
 	case w.leaves.IsZero() || w.leftEarly(now):
@@ -90,8 +89,8 @@
 	delete(c.openRuns, w.info.ID)
 }
 
-// weighLoss weighs a loss for all tasks on the worker before it is counted for any of them. One with no task
-// says most of how often workers go by chance.
+// weighLoss computes the evidence of a loss for all tasks on the worker before it is counted for any of them. The
+// loss of a worker without tasks tells most about the rate of losses by chance.
 func (c *Core) weighLoss(w *worker, now time.Time) {
 	c.recordWorkerLoss(w, now)
 	if len(w.tasks) == 0 {
@@ -123,7 +122,7 @@
 	}
 }
 
-// logLostRun logs a run that ended with its worker, and what that says against its task.
+// logLostRun logs a run that was lost with its worker, and the evidence against its task.
 func (c *Core) logLostRun(w *worker, t *task, loss jobs.LostRun, chance float64) {
 	c.config.Logger.Info("run is lost with its worker", zap.Stringer("task", t.id()), zap.Uint64("run", uint64(t.run)),
 		zap.String("worker", string(w.info.ID)), zap.Int64("ran_ms", int64(loss.Ran)), zap.Int("beside", len(w.tasks)-1),
@@ -131,7 +130,7 @@
 		zap.Int("lost_before", len(t.suspicion.Lost)))
 }
 
-// countLoss counts a lost run against its task, and gives the task up when enough is known.
+// countLoss counts a lost run against its task, and lets the task be judged.
 func (c *Core) countLoss(t *task, loss jobs.LostRun) {
 	if t.suspicion.Has(loss.Run) || t.isOver() {
 		return
@@ -143,19 +142,19 @@
 	c.queueVerdict(t)
 }
 
-// abandonJobOf ends the job of a task that ends its workers.
+// abandonJobOf fails the job of a task that crashes its workers.
 func (c *Core) abandonJobOf(t *task) {
 	j := t.step.job
 	c.explainSharedLosses(t)
 	c.counts.GivenUp++
-	c.config.Logger.Warn("job is given up, a task of it ends its workers", zap.String("job", string(j.spec.ID)),
+	c.config.Logger.Warn("job failed: one of its tasks repeatedly crashed its workers", zap.String("job", string(j.spec.ID)),
 		zap.Stringer("task", t.id()), zap.Int("workers_lost", len(t.suspicion.Lost)), zap.Int("unseen", t.unobservedLosses()), zap.Float64("weight", t.suspicion.Weight()))
 	c.end(j, jobs.StateFailed)
 	c.stopAll(j, "its job has failed")
 }
 
-// storeBeforeNextStart lets what has been counted against a task be stored before it starts again, together with
-// the takeovers that are counted by now: a successor would count them anew, also where the loss was seen.
+// storeBeforeNextStart has the losses counted against a task stored before the task starts again, together with the
+// takeovers that are counted by now: a successor would count these again, also where the loss was observed.
 func (c *Core) storeBeforeNextStart(t *task) {
 	t.suspicion.Unseen += t.unseen
 	t.suspicion.Counted, t.unseen = c.config.Epoch, 0
@@ -164,16 +163,16 @@
 	t.counted, j.counted = j.version, j.version
 }
 
-// crashesWorkers tells whether the task is as good as certain to end its workers.
+// crashesWorkers reports whether the task is as good as certain to crash its workers.
 func (t *task) crashesWorkers() bool {
 	return t.observedLosses() >= minLosses && t.suspicion.Weight() >= t.abandonWeight()
 }
 
-// abandonWeight is the weight at which the task is given up.
+// abandonWeight is the weight at which the task is abandoned.
 func (t *task) abandonWeight() float64 { return abandonWeights[min(t.losses(), maxLosses)] }
 
-// noteSurvival clears a task whose run has gone on for long enough, and lets others start beside one
-// that has outlived its trial.
+// noteSurvival clears a task whose run has gone on for long enough, and lets others start beside a task that has
+// outlived its trial.
 func (c *Core) noteSurvival(w *worker, t *task, now time.Time) {
 	ran := now.Sub(t.began)
 	if ran >= maxTimeToCrash {
@@ -189,7 +188,7 @@
 	if ran < maxTimeToCrash {
 		return
 	}
-	c.config.Logger.Info("task is suspected no more", zap.Stringer("task", t.id()), zap.Int("lost_before", len(t.suspicion.Lost)))
+	c.config.Logger.Info("task is no longer suspected of crashing workers", zap.Stringer("task", t.id()), zap.Int("lost_before", len(t.suspicion.Lost)))
 	t.suspicion, t.unseen = jobs.Suspicion{Cleared: c.config.Epoch}, 0
 	c.counts.Cleared++
 	c.change(t.step.job)
--- a/services/dispatch/suspicion_store.go
+++ b/services/dispatch/suspicion_store.go
@@ -11,30 +11,31 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// What is known against tasks is stored with their jobs' progress, some 60 bytes a loss. The loss
-// of a worker is proved only when another incarnation answers at its address, seconds later, and
-// an owner that goes meanwhile can't tell its successor what ran there. So two kinds of runs are
-// stored while they are open, and count as lost if the successor finds their worker gone: those
-// of suspects, beside their start, and young ones on a worker that refuses connections.
+// The suspicions against tasks are stored with their jobs' progress, at some 60 bytes for each loss. The loss of a
+// worker is proved only when another incarnation answers at its address, seconds later, and an owner that is lost in
+// between cannot tell its successor what ran there. So two kinds of runs are stored while they are open, and count
+// as lost if the successor finds their worker lost: those of suspects, together with their start, and young runs on
+// a worker that refuses connections.
 
 const (
-	// youngRunLimit is how young a run is whose task may well have ended its worker: it is stored when the
-	// worker refuses connections, and its loss counts whatever it says.
+	// youngRunLimit is the age below which the task of a run may well have crashed its worker: such a run is stored
+	// when the worker refuses connections, and its loss counts whatever its evidence.
 	youngRunLimit = 2 * time.Second
-	// assumedUnobservedRuntime is taken for the time of a suspect's run that is lost unseen between two owners.
+	// assumedUnobservedRuntime is assumed as the runtime of a suspect's run that was lost unobserved between two
+	// owners.
 	assumedUnobservedRuntime = time.Second
-	// minUnobservedAge is how long ago a run began at least that was lost between two owners, whatever
-	// their clocks show: an owner's lease.
+	// minUnobservedAge is the least age assumed for a run that was lost between two owners, whatever their clocks
+	// show: the length of an owner's lease.
 	minUnobservedAge = 2 * time.Second
 )
 
-// storeOpenRun stores that the task's run counts as lost if its worker is gone, for a successor.
+// storeOpenRun stores, for a successor, that the task's run counts as lost if its worker is lost.
 func (c *Core) storeOpenRun(t *task, loss jobs.LostRun) {
 	t.suspicion.Open = &jobs.OpenRun{LostRun: loss, Worker: t.worker.info.ID, Born: t.worker.info.Born}
 	c.changeSoon(t.step.job)
 }
 
-// storeOpenTrial stores that a suspect has just been started, for a successor that doesn't see its end.
+// storeOpenTrial stores that a suspect has just been started, for a successor that does not observe its end.
 func (c *Core) storeOpenTrial(t *task, now time.Time) {
 	c.storeOpenRun(t, jobs.LostRun{Run: t.run})
 	open := t.suspicion.Open
@@ -43,7 +44,7 @@
 	open.Beside = roundToThousandths(crashRate(c.neighboursOf(t.worker, t, now)))
 }
 
-// lostRunOf is what an open run of a former owner says now that its worker is gone.
+// lostRunOf returns what an open run of a previous owner counts as now that its worker is lost.
 func (c *Core) lostRunOf(open *jobs.OpenRun) jobs.LostRun {
 	if open.Began == 0 {
 		return open.LostRun
@@ -52,7 +53,7 @@
 	return weighUnobserved(open, max(ago, minUnobservedAge))
 }
 
-// closeRun takes storeOpenRun back: the run goes on, has ended, or is counted as lost.
+// closeRun reverts storeOpenRun: the run goes on, has ended, or is counted as lost.
 func (c *Core) closeRun(t *task) {
 	if t.suspicion.Open != nil {
 		t.suspicion.Open = nil
@@ -60,8 +61,8 @@
 	}
 }
 
-// storeYoungRuns stores the young runs on a worker whose address refuses connections: it has probably
-// crashed, but that is known for certain only some seconds later, and to no successor.
+// storeYoungRuns stores the young runs on a worker whose address refuses connections: the worker has probably
+// crashed, but that is certain only some seconds later, and a successor would not learn of it.
 func (c *Core) storeYoungRuns(w *worker, now time.Time) {
 	if w.youngStored {
 		return
@@ -75,7 +76,7 @@
 	}
 }
 
-// suspicionsOf gathers what is known against a job's tasks.
+// suspicionsOf collects the suspicions against a job's tasks.
 func suspicionsOf(j *job) jobs.Suspicions {
 	all := jobs.Suspicions{}
 	for flat, s := range j.steps {
@@ -90,7 +91,7 @@
 	return all
 }
 
-// applySuspicions takes what is stored against a job's tasks.
+// applySuspicions takes the stored suspicions against a job's tasks.
 func (c *Core) applySuspicions(j *job, stored jobs.Suspicions) {
 	for flat, suspicions := range stored {
 		for index, suspicion := range suspicions {
@@ -101,8 +102,8 @@
 	}
 }
 
-// applySuspicion takes what is stored against a task. A run that was open then is lost if its
-// worker goes without having answered.
+// applySuspicion takes the stored suspicion against a task. A run that was open then is lost if its worker is lost
+// without having answered.
 func (c *Core) applySuspicion(t *task, suspicion jobs.Suspicion) {
 	t.suspicion = suspicion
 	c.noteLosses(t)
@@ -111,8 +112,8 @@
 	}
 }
 
-// countOpenRuns counts the open runs whose workers the former owner had proved to be gone without
-// having stored what follows.
+// countOpenRuns counts the open runs whose workers the previous owner had proved to be lost without having stored
+// the result.
 func (c *Core) countOpenRuns() {
 	for id, tasks := range c.openRuns {
 		if _, there := c.workers[id]; there {
@@ -125,11 +126,11 @@
 	}
 }
 
-// countOpenRun counts a run of a former owner that was lost unseen.
+// countOpenRun counts a run of a previous owner that was lost unobserved.
 func (c *Core) countOpenRun(t *task) {
 	open := t.suspicion.Open
 	if t.worker != nil || open == nil {
-		return // it runs, or is known to have ended
+		return // the task runs, or its run is known to have ended
 	}
 	c.closeRun(t)
 	if open.Unseen {
@@ -138,13 +139,13 @@
 	}
 	lost := c.lostRunOf(open)
 	lost.With = jobs.Incarnation{ID: open.Worker, Born: open.Born}.Loss()
-	c.config.Logger.Info("run of a former owner is lost with its worker", zap.Stringer("task", t.id()),
+	c.config.Logger.Info("run of a previous owner is lost with its worker", zap.Stringer("task", t.id()),
 		zap.Uint64("run", uint64(open.Run)), zap.String("worker", string(open.Worker)), zap.Float64("weight", lost.Weight))
 	c.countLoss(t, lost)
 }
 
-// closeOpenRuns closes the open runs of a worker that has answered: it has shown what runs. Those of
-// a former incarnation are lost.
+// closeOpenRuns closes the open runs of a worker that has answered, because its report shows what runs. Open runs of
+// a previous incarnation are lost.
 func (c *Core) closeOpenRuns(w *worker) {
 	for _, t := range c.openRuns[w.info.ID] {
 		open := t.suspicion.Open
--- a/services/dispatch/takeover.go
+++ b/services/dispatch/takeover.go
@@ -12,8 +12,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Enrol takes the stored roster: the workers on which former owners may have started
-// something, whether the platform's list names them now or not.
+// Enrol takes the stored roster: the workers on which previous owners may have started something, whether the
+// platform's list names them now or not.
 func (c *Core) Enrol(roster jobs.Roster, now time.Time) {
 	c.takeovers.epochs = roster.Unseen
 	switch {
@@ -25,7 +25,7 @@
 	for _, info := range roster.Workers {
 		w, known := c.workers[info.ID]
 		if !known {
-			// A longer lease than the roster says is given only once the roster says so.
+			// A lease longer than the roster's is granted only once the stored roster names it.
 			w = c.addWorker(info, now)
 			w.enrolled = c.formerLease >= c.config.Lease
 			if info.Leaves != 0 {
@@ -36,8 +36,8 @@
 	}
 }
 
-// roster is what has to be stored of the workers that may get starts: its lease never
-// becomes shorter, for former owners' leases may run on.
+// roster returns what has to be stored about the workers that may get starts. Its lease never becomes shorter,
+// because leases of previous owners may still be running.
 func (c *Core) roster() *jobs.Roster {
 	roster := &jobs.Roster{Lease: models.MilliOf(max(c.config.Lease, c.formerLease)), Unseen: c.takeovers.epochs}
 	for _, w := range c.order {
@@ -48,16 +48,16 @@
 	return roster
 }
 
-// previousOwnerMargin is how long a former owner may go on after the takeover: it calls all
-// workers within 2 s or so and sees the new epoch at the first that has it.
+// previousOwnerMargin is how long a previous owner may go on after the takeover: it calls all workers within about
+// 2 s, and learns of the new epoch from the first one that has it.
 const previousOwnerMargin = 3 * time.Second
 
-// maxBlindTime ends the time after a takeover in which tasks may run unseen also when most
-// workers never answer, as in an outage of most of a fleet.
+// maxBlindTime ends the time after a takeover in which unreported runs may exist also when most workers never
+// answer, as in an outage of most of a fleet.
 const maxBlindTime = 30 * time.Second
 
-// formerLapsed tells when everything that former owners started on workers that don't
-// answer has certainly ended.
+// formerLapsed returns when everything that previous owners started on workers that do not answer has certainly
+// ended.
 func (c *Core) formerLapsed() time.Time {
 	if c.fenced.IsZero() {
 		return c.config.Taken.Add(maxBlindTime)
@@ -65,8 +65,8 @@
 	return c.fenced.Add(time.Duration(float64(c.formerLease)*slowClock) + previousOwnerMargin)
 }
 
-// noteAnswered notes a worker's first report in this epoch. One that has started again since has not seen
-// the epoch.
+// noteAnswered records when most workers have sent their first report in this epoch. A worker that has started again
+// since its report has not seen the epoch.
 func (c *Core) noteAnswered(now time.Time) {
 	if !c.fenced.IsZero() {
 		return
@@ -82,8 +82,8 @@
 	}
 }
 
-// checkBlind ends the time after a takeover in which tasks may run unseen: every worker
-// that former owners may have used has reported or has certainly ended what they started.
+// checkBlind ends the time after a takeover in which unreported runs may exist: every worker that previous owners
+// may have used has reported, or has certainly ended its runs.
 func (c *Core) checkBlind(now time.Time) {
 	if !c.blind || len(c.order) == 0 && c.now.Before(c.formerLapsed()) {
 		return
@@ -104,7 +104,7 @@
 		zap.Int("tasks_not_running", waiting), zap.Duration("after", now.Sub(c.config.Taken)))
 }
 
-// recoverJob lets the tasks of a job wait that no worker has shown, and counts them.
+// recoverJob lets the tasks of a job wait for placement that no worker has reported, and counts them.
 func (c *Core) recoverJob(j *job) int {
 	waiting := 0
 	for _, s := range j.steps {
--- a/services/dispatch/trial.go
+++ b/services/dispatch/trial.go
@@ -11,29 +11,29 @@
 	"go.uber.org/zap"
 )
 
-// A suspect starts on the worker that has the fewest tasks, where nothing has just been started,
-// and nothing but suspects starts there until it has run for longer than before. So a loss speaks
-// against it alone, and costs the least work. One that crashes nothing does not wait long for
-// this: where room is short, suspects of a single loss are tried together. One of several waits
-// until a worker is its own: a loss beside others would say nothing, and few are left to be had.
+// A suspect starts on the worker with the fewest tasks, where nothing has just been started, and nothing but
+// suspects starts there until the suspect has run for longer than before. So a loss is evidence against the suspect
+// alone, and costs the least work. A suspect that crashes nothing does not wait long for this: where free capacity
+// is short, suspects with a single loss are tried together. A suspect with several losses waits until it has a
+// worker to itself: a loss beside others would be no evidence, and the task may lose few more runs.
 
 const (
-	// minTrialTime is for how long a suspect has its worker for itself at least: some calls of
-	// the owner, which tell whether the worker is still there.
+	// minTrialTime is how long a suspect has its worker to itself at least: the time of several calls by the owner,
+	// which tell whether the worker still answers.
 	minTrialTime = 300 * time.Millisecond
-	// maxTrialTime bounds it: others of the same size wait for the room meanwhile.
+	// maxTrialTime bounds the time of a trial: other tasks of the same size wait for the capacity meanwhile.
 	maxTrialTime = 3 * time.Second
-	// trialReservation is for how long nothing else starts on a worker that a suspect waits for; it is
-	// prolonged with each look at the suspect, which come some scanPause apart.
+	// trialReservation is how long nothing else starts on a worker that a suspect waits for; it is renewed each time
+	// the suspect is considered, about every scanPause.
 	trialReservation = 100 * time.Millisecond
-	// maxApartWait is for how long a suspect waits not to be tried beside one that was lost with it: a trial of
-	// the shortest length. Most tasks that are lost have nothing to do with it, and those that last must run again soon.
+	// maxApartWait is how long a suspect waits so as not to be tried beside a task that was lost with it: a trial of
+	// the shortest length. Most lost tasks did not cause the loss, and long-running tasks must run again soon.
 	maxApartWait = minTrialTime
 	// trialWait is how long a report may wait for an end while a suspect is on trial.
 	trialWait = 100 * time.Millisecond
 )
 
-// trialTime is for how long a suspect's run has its worker for itself.
+// trialTime is how long a suspect's run has its worker to itself.
 func (t *task) trialTime() time.Duration {
 	longest := time.Duration(0)
 	for _, lost := range t.suspicion.Lost {
@@ -46,7 +46,7 @@
 	return min(max(minTrialTime, 2*longest), maxTrialTime)
 }
 
-// placeSuspects gives the step's suspects their places.
+// placeSuspects assigns workers to the step's suspects.
 func (c *Core) placeSuspects(s *step, now time.Time) {
 	for i := range s.tasks {
 		t := &s.tasks[i]
@@ -54,7 +54,7 @@
 			continue
 		}
 		switch c.verdictOn(t, now) {
-		case verdictCrashes: // with what former owners, or other cells, have lost
+		case verdictCrashes: // with losses that previous owners or other cells have counted
 			c.abandonJobOf(t)
 			return
 		case verdictContested:
@@ -73,19 +73,19 @@
 	}
 }
 
-// countIsStored tells whether all that was counted of the task's lost runs is stored. It starts no
-// sooner: its owner may go, and what only that one knows with it. So at most one run of each task is
-// unknown to a successor at any time, and that one it counts as unseen.
+// countIsStored reports whether all counted losses of the task are stored. The task does not start before: if its
+// owner is lost, so is what only that owner knows. So at most one run of each task is unknown to a successor at any
+// time, and the successor counts that run as unobserved.
 func (t *task) countIsStored() bool { return t.step.job.stored >= t.counted }
 
-// trialWorker is the worker for a suspect; nil when there is none now. Where something has just
-// been started everywhere, nothing else starts on one of the workers until it is ready.
+// trialWorker returns the worker for a suspect, or nil when there is none now. Where something has just been started
+// on every worker, one of them is reserved until it is ready.
 func (c *Core) trialWorker(t *task, now time.Time) *worker {
 	var ready, busy, shared *worker
 	for _, w := range c.order {
 		switch {
 		case !c.mayTry(w, t.step, now) || w.isReservedForOther(t, now) || w.hasUndecidedSharer(t, now):
-		case w.maxSuspectLosses() >= minLosses: // another one's trial is not to be spoiled
+		case w.maxSuspectLosses() >= minLosses: // do not disturb the trial of a suspect with several losses
 		case w.maxSuspectLosses() > 0:
 			shared = withFewerTasks(shared, w)
 		case w.hasYoungRun(now):
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// hasUndecidedSharer tells whether a task on the worker was lost with the suspect before and has not outlived that yet: with
-// both lost once more, nobody would know more than before.
+// hasUndecidedSharer reports whether a task on the worker was lost together with the suspect before and has not
+// outlived its own trial yet: the loss of both once more would give no further evidence.
 func (w *worker) hasUndecidedSharer(t *task, now time.Time) bool {
 	if now.Sub(t.waits) >= maxApartWait {
 		return false
@@ -117,19 +117,19 @@
 	return slices.ContainsFunc(w.tasks, func(other *task) bool { return t.sharesLoss(other) && !other.hasOutlivedTrial(now) })
 }
 
-// reserveForTrial keeps a worker for a suspect for a short time.
+// reserveForTrial reserves a worker for a suspect for a short time.
 func (w *worker) reserveForTrial(t *task, now time.Time) {
 	w.keptUntil = now.Add(trialReservation)
 	w.keptFor = t
 }
 
-// isReservedForOther tells whether the worker is kept for another suspect: whichever has waited there
-// goes first, or those that lost one run would go before those that lost several for ever.
+// isReservedForOther reports whether the worker is reserved for another suspect. The suspect that has waited there
+// goes first; otherwise suspects with one loss would always go before those with several.
 func (w *worker) isReservedForOther(t *task, now time.Time) bool {
 	return w.keptFor != t && !now.After(w.keptUntil)
 }
 
-// withFewerTasks is the worker with fewer tasks.
+// withFewerTasks returns the worker with fewer tasks.
 func withFewerTasks(best, w *worker) *worker {
 	if best == nil || len(w.tasks) < len(best.tasks) {
 		return w
@@ -137,8 +137,8 @@
 	return best
 }
 
-// maxSuspectLosses is the most losses that a suspect on the worker has seen, whether it is on
-// trial or has outlived that; zero: none is there.
+// maxSuspectLosses is the highest number of losses of a suspect on the worker, whether the suspect is on trial or
+// has outlived its trial; 0 when there is none.
 func (w *worker) maxSuspectLosses() int {
 	most := 0
 	for _, t := range w.tasks {
@@ -149,7 +149,7 @@
 	return most
 }
 
-// hasYoungRun tells whether something has just been started on the worker.
+// hasYoungRun reports whether something has just been started on the worker.
 func (w *worker) hasYoungRun(now time.Time) bool {
 	for _, t := range w.tasks {
 		if t.state == taskStarting || now.Sub(t.began) < minTrialTime {
@@ -159,7 +159,7 @@
 	return false
 }
 
-// startTrial starts a suspect. That it runs there is stored beside the start, for a successor.
+// startTrial starts a suspect, and stores its open run together with the start, for a successor.
 func (c *Core) startTrial(t *task, w *worker, now time.Time) {
 	c.start(t, w, now)
 	w.beginTrial(t)
@@ -170,13 +170,13 @@
 		zap.Float64("doubt", t.suspicion.Doubt()), zap.Float64("weight", t.suspicion.Weight()), zap.Duration("for", t.trialTime()))
 }
 
-// beginTrial keeps others from starting beside a suspect.
+// beginTrial keeps other tasks from starting beside a suspect.
 func (w *worker) beginTrial(t *task) {
 	t.onTrial = true
 	w.trials++
 }
 
-// endTrial lets others start there again.
+// endTrial lets other tasks start on the worker again.
 func (w *worker) endTrial(t *task) {
 	if t.onTrial {
 		t.onTrial = false
--- a/services/dispatch/unseen.go
+++ b/services/dispatch/unseen.go
@@ -12,51 +12,51 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// A task that ends its workers may do so while nobody sees it: its owner goes before it has stored
-// the start, or is cut off from the worker. Nothing is stored before most starts, but before a start
-// that follows one whose outcome is not known. So of each task at most one run is unknown to a
-// successor, and it counts as lost, without weight,
+// A task may crash its worker unobserved: its owner is lost before it has stored the start, or is cut off from the
+// worker. Nothing is stored before most starts, but it is before a start that follows a run with an unknown outcome.
+// So at most one run of each task is unknown to a successor, and that run counts as lost, without weight:
 //
-//   - for all tasks that no worker shows after a takeover, when a worker that a former owner used
-//     has gone without an answer: one write of the roster for the whole cell, before any of them
-//     starts;
-//   - for a run whose begin nobody has seen, taken over from a former owner or ordered without answer;
+//   - for all tasks that no worker reports after a takeover, when a worker that a previous owner used is lost
+//     without an answer: one write of the roster for the whole cell, before any of these tasks starts;
+//   - for a run whose start nobody observed, because it was taken over from a previous owner or ordered without an
+//     answer;
 //   - for a young run on a worker that was silent until its lease was over, or that has drained.
 //
-// Such losses say nothing against a task by themselves. They count where those that were seen are
-// weighed: the more runs may have been lost, the less is needed to give the task up.
+// Such losses are no evidence against a task by themselves. They count where the observed losses are weighed: the
+// more runs may have been lost, the less evidence is needed to abandon the task.
 
-// maxUnobservedEpochs is how many epochs with unseen losses the roster names. With more there would be as
-// many as a task may lose runs at all.
+// maxUnobservedEpochs is how many epochs with unobserved losses the roster names. More of them would reach the
+// number of runs that a task may lose at all.
 const maxUnobservedEpochs = 4
 
-// takeoverLosses are the takeovers at which runs may have been lost unseen.
+// takeoverLosses are the takeovers at which runs may have been lost unobserved.
 type takeoverLosses struct {
-	epochs     []jobs.Epoch // of this owner and former ones, as the roster names them
-	workerLost bool         // a worker of a former owner has gone without an answer
-	unstored   bool         // that this owner's epoch is one of them is not stored yet
+	epochs     []jobs.Epoch // of this owner and previous ones, as the roster names them
+	workerLost bool         // a worker of a previous owner is lost without an answer
+	unstored   bool         // this owner's epoch is one of epochs, which is not stored yet
 }
 
-// bars tells whether tasks of the job have to wait until the store knows of this takeover. Those of
-// a job that was accepted since were never on a former owner's worker.
+// bars reports whether tasks of the job have to wait until the store knows of this takeover. Tasks of a job that was
+// accepted since then were never on a previous owner's worker.
 func (l *takeoverLosses) bars(j *job) bool { return l.unstored && !j.fresh }
 
-// stored says that a roster is stored.
+// stored records that a roster is stored.
 func (l *takeoverLosses) stored(roster *jobs.Roster) {
 	if slices.Equal(roster.Unseen, l.epochs) {
 		l.unstored = false
 	}
 }
 
-// recordUnheardLoss notes that a worker is gone. One that said before that it would leave says nothing.
+// recordUnheardLoss records the loss of a worker that has not answered since the takeover. If it had announced that
+// it would leave, its loss says nothing.
 func (c *Core) recordUnheardLoss(w *worker) {
 	if w.former && !w.answered && w.leaves.IsZero() {
 		c.takeovers.workerLost = true
 	}
 }
 
-// recordTakeoverLosses ends the time after a takeover: if a worker has gone unheard, this epoch is one with
-// unseen losses.
+// recordTakeoverLosses ends the time after a takeover: if a worker was lost without an answer, this epoch has
+// unobserved losses.
 func (c *Core) recordTakeoverLosses() {
 	for _, w := range c.order {
 		c.recordUnheardLoss(w)
@@ -70,16 +70,16 @@
 	c.rosterChanged = true
 }
 
-// countTakeoverLoss counts a run against a task that no worker has shown since the takeover. One that was
-// stored as open is counted already, and one that has lapsed was not lost with its worker.
+// countTakeoverLoss counts an unobserved loss against a task that no worker has reported since the takeover. A run
+// that was stored as open is counted already, and a run that has lapsed was not lost with its worker.
 func (c *Core) countTakeoverLoss(t *task) {
 	if c.takeovers.workerLost && t.counted == 0 && t.lapsed == 0 {
 		t.unseen++
 	}
 }
 
-// noteShown takes back what was counted for a run that a worker shows now, running or ended: it was not lost.
-// One whose start was repeated may be carried out a second time.
+// noteShown reverts the loss of a run that a worker reports now, running or ended: the run was not lost. A run whose
+// start was repeated may be carried out a second time.
 func (c *Core) noteShown(t *task, run jobs.RunID) {
 	if !t.suspicion.Has(run) || t.run == run && t.mayRunTwice() {
 		return
@@ -90,16 +90,16 @@
 		zap.Int("lost_before", len(t.suspicion.Lost)), zap.Int("unseen", t.unobservedLosses()))
 }
 
-// noteLapsed notes before the cell is recovered that a run has lapsed, on a worker that is there: if it is the
-// task's latest, none was lost at the takeover. A later one that is not known is possible only if a former owner
-// has heard of this end, which would then hardly come again.
+// noteLapsed records before the cell is recovered that a worker reports a run as lapsed: if that is the task's
+// latest run, none was lost at the takeover. A later run that is not known is possible only if a previous owner had
+// seen this end, and then it would hardly be reported again.
 func (c *Core) noteLapsed(t *task, run jobs.RunID) {
 	if c.blind && run >= t.latestKnownRun() {
 		t.lapsed = run
 	}
 }
 
-// latestKnownRun is the highest number of a run of the task that is known.
+// latestKnownRun is the highest known number of a run of the task.
 func (t *task) latestKnownRun() jobs.RunID {
 	latest := t.run
 	for _, lost := range t.suspicion.Lost {
@@ -114,7 +114,8 @@
 	return latest
 }
 
-// applyUnseen counts the takeovers of former owners that a job has been through.
+// applyUnseen counts for each task of a job the previous owners' takeovers with unobserved losses since the job was
+// recorded, or since the task's losses were last counted or cleared.
 func (c *Core) applyUnseen(j *job, record jobs.Record) {
 	for _, s := range j.steps {
 		for i := range s.tasks {
@@ -124,7 +125,7 @@
 	}
 }
 
-// countSince counts the epochs after one.
+// countSince counts the epochs after the given one.
 func (l *takeoverLosses) countSince(epoch jobs.Epoch) int {
 	count := 0
 	for _, each := range l.epochs {
@@ -135,15 +136,15 @@
 	return count
 }
 
-// knownElsewhere is what another cell is told of a task.
+// knownElsewhere is the suspicion that another cell is told with the task.
 func (t *task) knownElsewhere() jobs.Suspicion {
 	known := t.suspicion
 	known.Unseen += t.unseen
 	return known
 }
 
-// storeSilentRuns stores the young runs on a worker that the roster is about to leave out, for a
-// successor that finds no trace of it.
+// storeSilentRuns stores the young runs on a worker that the roster is about to leave out, for a successor that
+// finds no trace of the worker.
 func (c *Core) storeSilentRuns(w *worker, now time.Time) {
 	for _, t := range w.tasks {
 		if c.mayHaveCrashedWorker(w, t, now) && t.suspicion.Open == nil {
@@ -153,7 +154,7 @@
 	}
 }
 
-// countSilentRuns counts the young runs on a worker whose lease is over: it may have crashed.
+// countSilentRuns counts the young runs on a worker whose lease is over: the worker may have crashed.
 func (c *Core) countSilentRuns(w *worker, now time.Time) {
 	for _, t := range w.tasks {
 		if c.mayHaveCrashedWorker(w, t, now) {
@@ -162,13 +163,13 @@
 	}
 }
 
-// leftEarly tells whether a draining worker went before the time that it had said.
+// leftEarly reports whether a draining worker was lost before the time that it had announced.
 func (w *worker) leftEarly(now time.Time) bool {
 	return w.lastAlive(now).Before(w.leaves.Add(-leaveMargin))
 }
 
-// countRunsOnLeftWorker counts runs on a worker that has drained and left, if they are of tasks that have lost
-// others, or very young: it went about when it had said, whatever ran there.
+// countRunsOnLeftWorker counts runs on a worker that has drained and left, if their tasks have lost other runs or
+// the runs are very young: the worker left about when it had announced, whatever ran there.
 func (c *Core) countRunsOnLeftWorker(w *worker, now time.Time) {
 	for _, t := range w.tasks {
 		if ran, known := c.runtimeAtLoss(w, t, now); known && (ran < youngRunLimit || ran < maxTimeToCrash && t.losses() > 0) {
@@ -177,26 +178,26 @@
 	}
 }
 
-// startUnobserved tells whether nobody knows when a run began that was lost with its worker, while it may
-// have been shortly before: it was taken over from a former owner, or ordered without an answer
-// when the worker did not answer other calls.
+// startUnobserved reports whether nobody knows when a run began that was lost with its worker, while it may have
+// begun shortly before: the run was taken over from a previous owner, or ordered without an answer when the worker
+// did not answer other calls.
 func (c *Core) startUnobserved(w *worker, t *task, now time.Time) bool {
 	ran := w.lastAlive(now).Sub(t.began)
 	return ran < 0 || !t.ordered && ran < maxTimeToCrash
 }
 
-// mayHaveCrashedWorker tells whether a run had begun so shortly before its worker was last known to be alive that
-// its task may have ended the worker.
+// mayHaveCrashedWorker reports whether a run had begun so shortly before its worker was last known to be alive that
+// its task may have crashed the worker.
 func (c *Core) mayHaveCrashedWorker(w *worker, t *task, now time.Time) bool {
 	ran, known := c.runtimeAtLoss(w, t, now)
 	return known && ran < maxTimeToCrash
 }
 
-// mayRunTwice tells whether the run may have been lost with its worker's former incarnation and be carried out by this
-// one as well: its start was repeated, and either call may have been done.
+// mayRunTwice reports whether the run may have been lost with its worker's previous incarnation and also be carried
+// out by the present one: its start was repeated, and either call may have been carried out.
 func (t *task) mayRunTwice() bool { return t.barred && t.retried }
 
-// countUnobservedRun counts a run against its task that may have been lost, once.
+// countUnobservedRun counts a run that may have been lost against its task, once.
 func (c *Core) countUnobservedRun(t *task, run jobs.RunID) {
 	if t.isOver() || t.suspicion.Has(run) && !t.mayRunTwice() {
 		return
