--- a/services/dispatch/burst_test.go
+++ b/services/dispatch/burst_test.go
@@ -13,7 +13,7 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// lostRunAfter gives what the loss of a task's worker says when others without tasks have gone before it.
+// lostRunAfter returns the lost run of a task whose worker is lost after other workers without tasks have been.
 func lostRunAfter(t *testing.T, before func(b *bench)) jobs.LostRun {
 	t.Helper()
 	b := newBench(t, 4)
@@ -28,7 +28,7 @@
 	return lost[0]
 }
 
-// loseIdleWorkers loses workers without tasks, so long apart, and brings back others in their places.
+// loseIdleWorkers loses workers without tasks at the given interval, and puts other incarnations in their places.
 func (b *bench) loseIdleWorkers(count int, apart time.Duration) {
 	list := b.Workers()
 	for n := range count {
@@ -43,23 +43,23 @@
 	}
 }
 
-// TestWorkersWithNothingOnThemShowHowOftenWorkersGo guards against losses by chance that are not counted,
-// because no task was lost: of tasks that are lost beside them each seems to be the cause.
+// TestWorkersWithNothingOnThemShowHowOftenWorkersGo guards against losses by chance that are not counted because no
+// task was lost: then each task that is lost at the same time seems to be the cause.
 func TestWorkersWithNothingOnThemShowHowOftenWorkersGo(t *testing.T) {
 	quiet := lostRunAfter(t, func(*bench) {})
 	stormy := lostRunAfter(t, func(b *bench) { b.loseIdleWorkers(6, 1200*time.Millisecond) })
 	require.Less(t, stormy.Weight, quiet.Weight-2)
 }
 
-// TestBurstSaysLittleOfAWorkerThatGoesByItself guards against tasks that end their workers one by one where,
-// from time to time, many workers go together: each loss seemed to be by chance, and a sixth start followed.
+// TestBurstSaysLittleOfAWorkerThatGoesByItself guards against tasks that crash their workers one by one while, from
+// time to time, many workers are lost together: each loss seemed to be by chance, and a sixth start followed.
 func TestBurstSaysLittleOfAWorkerThatGoesByItself(t *testing.T) {
 	quiet := lostRunAfter(t, func(*bench) {})
 	after := lostRunAfter(t, func(b *bench) {
 		b.loseIdleWorkers(3, 10*time.Millisecond)
 		b.now = b.now.Add(2 * time.Second)
 	})
-	require.Greater(t, after.Weight, quiet.Weight-1, "a third of what it would lose if bursts counted in full")
+	require.Greater(t, after.Weight, quiet.Weight-1, "bursts that count in full would take three times as much")
 }
 
 func TestBurstsOfLosses(t *testing.T) {
@@ -71,14 +71,14 @@
 		return times
 	}
 	found := findBursts(at(9000, 1000, 1040, 5000, 1010, 5030, 9020, 9060))
-	require.Len(t, found, 2, "two workers are no burst")
+	require.Len(t, found, 2, "two lost workers are no burst")
 	for ms, in := range map[int]bool{999: false, 1000: true, 1040: true, 1300: true, 1500: false, 5000: false, 9000: true} {
 		require.Equal(t, in, found.contains(time.UnixMilli(int64(ms))), "%d ms", ms)
 	}
 }
 
-// TestLossThatChanceExplainsIsComparedWithLaterOnes guards against a task that ends each worker after the same
-// time, and is started a sixth time, for other workers went around each of its losses.
+// TestLossThatChanceExplainsIsComparedWithLaterOnes guards against a sixth start of a task that crashes each worker
+// after the same time, because other workers were lost around each of its losses.
 func TestLossThatChanceExplainsIsComparedWithLaterOnes(t *testing.T) {
 	b := newBench(t, 4)
 	for n := range b.ids {
@@ -102,14 +102,14 @@
 		b.Unreached(starts[0].Worker.ID, true, b.now)
 		b.replaceAllWorkers()
 		if losses == 1 {
-			require.Empty(t, task.suspicion.Lost, "chance explains it")
+			require.Empty(t, task.suspicion.Lost, "chance explains the loss better")
 		}
 	}
 	require.Len(t, task.suspicion.Lost, 2)
 	require.Greater(t, task.suspicion.Doubt(), 0.0)
 }
 
-// replaceAllWorkers brings other workers up in the places of all that are there.
+// replaceAllWorkers replaces every worker by another one.
 func (b *bench) replaceAllWorkers() {
 	b.now = b.now.Add(2 * time.Second)
 	list := b.Workers()
--- a/services/dispatch/checkpoint_model_test.go
+++ b/services/dispatch/checkpoint_model_test.go
@@ -11,40 +11,40 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// taskRun names a run of a task.
+// taskRun identifies a run of a task.
 type taskRun struct {
 	task jobs.TaskID
 	run  jobs.RunID
 }
 
-// checkpointOrigin is what a text is, as the one who made it knows.
+// checkpointOrigin is the true origin of a checkpoint, known to the model that made it.
 type checkpointOrigin struct {
 	task    jobs.TaskID
 	ordered bool // by a run that some owner had ordered
 }
 
-// shownCheckpoint is the newest text that an owner has been shown of a task.
+// shownCheckpoint is the newest checkpoint of a task that an owner has been shown.
 type shownCheckpoint struct {
 	run   jobs.RunID
 	text  jobs.Text
 	final bool // the run has ended with it
 }
 
-// checkpointModel knows of each text whose it is, and what the present owner has been shown.
+// checkpointModel knows the origin of each checkpoint, and what the present owner has been shown.
 type checkpointModel struct {
-	owner       jobs.Epoch
-	checkpoints map[jobs.Text]checkpointOrigin
-	ordered     map[taskRun]jobs.StartCall
-	runs        map[jobs.TaskID][]jobs.RunID    // those ordered
-	highest     map[jobs.TaskID]jobs.RunID      // of those ordered, made up and given elsewhere
-	least       map[jobs.ID]jobs.RunID          // that other cells had given to tasks that came back
-	shown       map[jobs.TaskID]shownCheckpoint // to this owner
+	owner            jobs.Epoch
+	checkpoints      map[jobs.Text]checkpointOrigin
+	ordered          map[taskRun]jobs.StartCall
+	runs             map[jobs.TaskID][]jobs.RunID    // ordered runs
+	highest          map[jobs.TaskID]jobs.RunID      // of the ordered, invented and elsewhere started runs
+	highestElsewhere map[jobs.ID]jobs.RunID          // highest number that other cells gave to tasks that came back
+	shown            map[jobs.TaskID]shownCheckpoint // to this owner
 }
 
 func newCheckpointModel() checkpointModel {
 	return checkpointModel{
 		checkpoints: map[jobs.Text]checkpointOrigin{}, ordered: map[taskRun]jobs.StartCall{}, runs: map[jobs.TaskID][]jobs.RunID{},
-		highest: map[jobs.TaskID]jobs.RunID{}, least: map[jobs.ID]jobs.RunID{}, shown: map[jobs.TaskID]shownCheckpoint{},
+		highest: map[jobs.TaskID]jobs.RunID{}, highestElsewhere: map[jobs.ID]jobs.RunID{}, shown: map[jobs.TaskID]shownCheckpoint{},
 	}
 }
 
@@ -54,24 +54,24 @@
 	clear(m.shown)
 }
 
-// minInventedRun is above all numbers that owners up to the present one can have given to runs of the
-// task, unless an invented one has driven them up.
+// minInventedRun is above all numbers that owners up to the present one can have given to runs of the task, unless
+// an invented run has raised them.
 func (m *checkpointModel) minInventedRun(task jobs.TaskID) jobs.RunID {
-	return m.least[task.Job] + jobs.RunID(m.owner+1)*runsPerEpoch
+	return m.highestElsewhere[task.Job] + jobs.RunID(m.owner+1)*runsPerEpoch
 }
 
-// inventedRunOffset is above the numbers of all owners of a play: an invented number that is just above
-// those of one owner may be one of its successor's.
+// inventedRunOffset is above the numbers of all owners of a simulation: an invented number just above those of one
+// owner may be one of its successor's.
 const inventedRunOffset = 1 << 40
 
-// inventRun makes up the number of a run that no owner can have ordered, nor can one to come.
+// inventRun returns the number of a run that no owner can have ordered, nor will a later one.
 func (m *checkpointModel) inventRun(task jobs.TaskID) jobs.RunID {
 	m.highest[task] = max(m.highest[task], m.minInventedRun(task)+inventedRunOffset) + 1
 	return m.highest[task]
 }
 
-// mayBeOrderedRun tells whether the owner can know that a run was ordered: it is its own present one, or
-// perhaps a former owner's.
+// mayBeOrderedRun reports whether the owner can take a run for an ordered one: it is the owner's own present run, or
+// may be a previous owner's.
 func (m *checkpointModel) mayBeOrderedRun(t *task, run jobs.RunID) bool {
 	own := t.run == run && m.ordered[taskRun{t.id(), run}].Fence.Epoch() == m.owner
 	return own || m.isOrdered(t.id(), run) && run < m.minInventedRun(t.id())
@@ -88,7 +88,7 @@
 	return ordered
 }
 
-// recordShown notes that a row of an ordered run has shown a text. A run's end is its last word.
+// recordShown records that a row of an ordered run has shown a checkpoint. A run's end is its final row.
 func (m *checkpointModel) recordShown(core *Core, task jobs.TaskID, shown shownCheckpoint) {
 	t := core.find(task)
 	if shown.text == "" || t == nil || !t.step.spec.Checkpoints || !m.mayBeOrderedRun(t, shown.run) {
@@ -103,7 +103,7 @@
 
 // reportBefore is what an owner knows of a worker before its report arrives.
 type reportBefore struct {
-	taken   bool // the report isn't overtaken by a later one
+	taken   bool // no later report has overtaken the report
 	lastEnd uint64
 }
 
@@ -115,8 +115,8 @@
 	return reportBefore{taken: true, lastEnd: w.lastEnd}
 }
 
-// endReport notes what the owner has been shown: running rows count of the run that it takes
-// for the task's, ends the first time that they are listed, but for those of runs that have failed.
+// endReport records what the owner has been shown: running rows of the run that the owner takes for the task's, and
+// ends the first time that they are listed, except those of failed runs.
 func (m *checkpointModel) endReport(core *Core, f flight, before reportBefore) {
 	if !before.taken {
 		return
@@ -134,14 +134,14 @@
 	}
 }
 
-// checkStart fails the test when a start brings anything but the newest text of its task's newest run
-// that has shown one. One that is repeated is the same message again.
+// checkStart fails the test when a start brings anything but the newest checkpoint of its task's newest run that has
+// shown one. A repeated start must be the same message again.
 func (m *checkpointModel) checkStart(t require.TestingT, start StartOrder) {
 	call := start.Call
 	key := taskRun{call.Task, call.Run}
 	if first, repeated := m.ordered[key]; repeated {
-		require.Equal(t, first.Fence, call.Fence, "the number of a former owner's run is given again")
-		require.Equal(t, first, call, "a start that is repeated")
+		require.Equal(t, first.Fence, call.Fence, "the number of a previous owner's run is given again")
+		require.Equal(t, first, call, "a repeated start differs from the first")
 		return
 	}
 	m.ordered[key] = call
@@ -149,9 +149,9 @@
 	m.highest[call.Task] = max(m.highest[call.Task], call.Run)
 	if call.Checkpoint != "" {
 		origin, known := m.checkpoints[call.Checkpoint]
-		require.True(t, known, "a text that nobody has made: %q", call.Checkpoint)
-		require.Equal(t, call.Task, origin.task, "a text of another task")
-		require.True(t, origin.ordered, "a text of a run that nobody has ordered")
+		require.True(t, known, "a checkpoint that no run has saved: %q", call.Checkpoint)
+		require.Equal(t, call.Task, origin.task, "a checkpoint of another task")
+		require.True(t, origin.ordered, "a checkpoint of a run that nobody has ordered")
 	}
-	require.Equal(t, m.shown[call.Task].text, call.Checkpoint, "not the newest text of the newest run that has shown one")
+	require.Equal(t, m.shown[call.Task].text, call.Checkpoint, "not the newest checkpoint of the newest run that has shown one")
 }
--- a/services/dispatch/checkpoint_random_test.go
+++ b/services/dispatch/checkpoint_random_test.go
@@ -16,8 +16,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// TestMain fixes the seed of the random tests, so that CI gives the same verdict each
-// time; "make long" asks for other seeds and more runs.
+// TestMain fixes the seed of the random tests, so that CI gives the same verdict each time; "make long" asks for
+// other seeds and more runs.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261203", "rapid.checks": "300", "rapid.shrinktime": "20s"} {
 		if err := flag.Set(name, value); err != nil {
@@ -28,8 +28,8 @@
 	os.Exit(m.Run())
 }
 
-// checkpointEvents are what happens around an owner whose tasks save their work; those that
-// stand more often happen more often.
+// checkpointEvents are the events around an owner whose tasks save checkpoints; an event that is listed several
+// times is drawn more often.
 var checkpointEvents = []string{
 	"settle", "settle", "settle", "settle", "settle", "settle", "submit", "submit lasting", "cancel",
 	"call", "call", "call", "deliver", "deliver", "decide", "decide", "carry", "carry", "carry", "store", "pass", "pass long",
@@ -39,13 +39,13 @@
 	"move away and back", "answers pass each other",
 }
 
-// maxJobs is how many jobs a play has at most: so few that their tasks run many times.
+// maxJobs is how many jobs a simulation has at most: so few that their tasks run many times.
 const maxJobs = 4
 
-// TestStartsBringTheNewestTextOfTheirTask plays an owner among workers that save, end, go and come
-// back, list ends late, again and in any order, and invent runs. It holds of every start that
-// isn't a repetition: it brings the newest text of the newest run of its own task that has
-// shown one to this owner, never one of a run that nobody ordered.
+// TestStartsBringTheNewestTextOfTheirTask simulates an owner among workers that save, end, are lost and come back,
+// list ends late, again and in any order, and invent runs. Every start that is not a repetition must bring the
+// newest checkpoint of the newest run of its own task that has shown one to this owner, and never a checkpoint of a
+// run that nobody ordered.
 func TestStartsBringTheNewestTextOfTheirTask(t *testing.T) {
 	starts, resumed := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -59,27 +59,24 @@
 		w.settle()
 		starts, resumed = starts+w.starts, resumed+w.resumed
 	})
-	t.Logf("%d starts, %d of them from a text", starts, resumed)
-	require.Greater(t, resumed, starts/10, "the test plays hardly any start that matters")
+	t.Logf("%d starts, %d of them with a checkpoint", starts, resumed)
+	require.Greater(t, resumed, starts/10, "hardly any start brings a checkpoint")
 }
 
-// drawWorker draws a worker.
 func (w *checkpointWorld) drawWorker() *checkpointWorker {
 	return w.workers[rapid.IntRange(0, len(w.workers)-1).Draw(w.T, "worker")]
 }
 
-// drawJob draws a job.
 func (w *checkpointWorld) drawJob() jobs.ID {
 	return jobID(rapid.IntRange(0, w.jobs-1).Draw(w.T, "job"))
 }
 
-// drawTask draws a task of a job's first step.
+// drawTask draws a task of the first step of a drawn job.
 func (w *checkpointWorld) drawTask() jobs.TaskID {
 	return jobs.TaskID{Job: w.drawJob(), Index: rapid.IntRange(0, 1).Draw(w.T, "index")}
 }
 
-// reorderAnswers lets a run end between two answers of one millisecond, the later one of which arrives
-// first.
+// reorderAnswers lets a run end between two answers with the same worker clock, the later of which arrives first.
 func (w *checkpointWorld) reorderAnswers(worker *checkpointWorker) {
 	before := len(w.flights)
 	w.call(worker)
@@ -90,7 +87,7 @@
 	}
 }
 
-// playEvent lets one thing happen.
+// playEvent carries out one event.
 func (w *checkpointWorld) playEvent(what string) {
 	switch what {
 	case "settle":
@@ -130,7 +127,7 @@
 	}
 }
 
-// playWorkerEvent lets one thing happen at a worker.
+// playWorkerEvent carries out one event at a worker.
 func (w *checkpointWorld) playWorkerEvent(worker *checkpointWorker, what string) {
 	switch what {
 	case "save", "succeed", "fail", "stop":
@@ -184,10 +181,10 @@
 	w.list()
 }
 
-// reportUnaccountedRun lets a worker report what no order of this cell accounts for: an older run of the task
-// that has ended, or runs there, or one that nobody ordered. Older ones have numbers that no invented
-// run has driven up: an owner believes those of the one run that it has ordered itself, where
-// it has ordered it.
+// reportUnaccountedRun lets a worker report a run that no order of this cell explains: an older run of the task that
+// has ended or runs there, or a run that nobody ordered. Older runs must have numbers that no invented run has
+// raised: of such numbers the owner accepts only that of the run that it ordered itself, at the worker where it
+// ordered the run.
 func (w *checkpointWorld) reportUnaccountedRun(worker *checkpointWorker, task jobs.TaskID, what string) {
 	if len(w.runs[task]) == 0 || worker.gone || worker.running[task] != nil {
 		return
@@ -206,7 +203,7 @@
 	worker.running[task] = run
 }
 
-// endRunOf lets the run of a task end, and its owner hear of it, so that the task waits.
+// endRunOf lets the run of a task end, and its owner learn of it, so that the task waits.
 func (w *checkpointWorld) endRunOf(task jobs.TaskID) {
 	for _, worker := range w.workers {
 		if run := worker.running[task]; run != nil {
@@ -221,8 +218,8 @@
 	}
 }
 
-// moveAwayAndBack hands a task to another cell and takes it back, with runs there in between. Numbers
-// that an invented run has driven up are not handed over: then they are as good as ordered.
+// moveAwayAndBack hands a task to another cell and takes it back, with runs there in between. Numbers that an
+// invented run has raised are not handed over: then they would count as ordered.
 func (w *checkpointWorld) moveAwayAndBack(task jobs.TaskID) {
 	record := w.records[task.Job]
 	if !record.Spec.Divisible() || record.Ended != "" {
@@ -240,8 +237,8 @@
 	w.core.Moved(move, w.version)
 	w.version++
 	there := t.run + rapid.SampledFrom([]jobs.RunID{3, 100 * runsPerEpoch}).Draw(w.T, "run there")
-	w.least[task.Job] = max(w.least[task.Job], there)
-	record.Version, record.Moved, record.LeastRun = w.version, true, w.least[task.Job]
+	w.highestElsewhere[task.Job] = max(w.highestElsewhere[task.Job], there)
+	record.Version, record.Moved, record.LeastRun = w.version, true, w.highestElsewhere[task.Job]
 	w.records[task.Job] = record
 	w.core.AddJob(record, jobs.Progress{}, false, w.now)
 }
--- a/services/dispatch/checkpoint_worker_test.go
+++ b/services/dispatch/checkpoint_worker_test.go
@@ -13,20 +13,20 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// checkpointRun is a run on a checkpointWorker with what it has saved last; empty: nothing.
+// checkpointRun is a run on a checkpointWorker with its latest checkpoint; empty: none.
 type checkpointRun struct {
 	task jobs.TaskID
 	run  jobs.RunID
 	text jobs.Text
 }
 
-// checkpointWorker is a worker whose runs save their work. It obeys as docs/design/platform.md says:
-// the newest epoch it has seen, no run that isn't above one ended or stopped here, no start
-// later than its lease, nothing that outlives the lease.
+// checkpointWorker is a worker whose runs save checkpoints. It obeys orders as docs/design/platform.md specifies:
+// only of the newest epoch that it has seen, no run that is not above one that has ended or was stopped here, no
+// start later than its lease, and no run outlives the lease.
 type checkpointWorker struct {
 	info    jobs.Worker
 	began   time.Time
-	until   time.Time // the end of its lease
+	until   time.Time // end of its lease
 	fence   jobs.Fence
 	running map[jobs.TaskID]*checkpointRun
 	barred  map[jobs.TaskID]jobs.RunID // the highest that was stopped or has ended
@@ -46,7 +46,7 @@
 
 func (w *checkpointWorker) clock(now time.Time) models.Milli { return models.MilliOf(now.Sub(w.began)) }
 
-// renewLease takes the end of a lease on the worker's own clock.
+// renewLease sets the end of the lease, given on the worker's own clock.
 func (w *checkpointWorker) renewLease(until models.Milli) {
 	if at := w.began.Add(until.Duration()); at.After(w.until) {
 		w.until = at
@@ -63,14 +63,14 @@
 	}
 }
 
-// runs are its runs in the order of their tasks.
+// runs returns the worker's runs in the order of their tasks.
 func (w *checkpointWorker) runs() []*checkpointRun {
 	return slices.SortedFunc(maps.Values(w.running), func(a, b *checkpointRun) int {
 		return strings.Compare(a.task.String(), b.task.String())
 	})
 }
 
-// end ends a run with what it has saved last.
+// end ends a run with its latest checkpoint.
 func (w *checkpointWorker) end(run *checkpointRun, how jobs.End) {
 	delete(w.running, run.task)
 	w.listEnd(run, how)
@@ -82,7 +82,7 @@
 	w.ends = append(w.ends, jobs.Ended{Number: w.lastEnd, Task: run.task, Run: run.run, How: how, Checkpoint: run.text})
 }
 
-// report is what the worker says now.
+// report returns the worker's present report.
 func (w *checkpointWorker) report(now time.Time) jobs.Report {
 	report := jobs.Report{Clock: w.clock(now), Ended: append([]jobs.Ended(nil), w.ends...)}
 	for _, run := range w.runs() {
@@ -91,7 +91,7 @@
 	return report
 }
 
-// forget forgets the ends that are acknowledged.
+// forget drops the ends that are acknowledged.
 func (w *checkpointWorker) forget(acknowledged uint64) {
 	for len(w.ends) > 0 && w.ends[0].Number <= acknowledged {
 		w.ends = w.ends[1:]
@@ -118,7 +118,7 @@
 	return Result{Outcome: OutcomeDone}
 }
 
-// stop obeys a stop, and gives the run that it stops before it has ended; nil: it bars one.
+// stop obeys a stop, and returns the run that it stops, which has not ended yet; nil: it bars one.
 func (w *checkpointWorker) stop(call jobs.StopCall) (*checkpointRun, Result) {
 	if call.Fence < w.fence {
 		return nil, Result{Outcome: OutcomeRefused, Refusal: jobs.RefusedFence}
--- a/services/dispatch/checkpoint_world_test.go
+++ b/services/dispatch/checkpoint_world_test.go
@@ -29,8 +29,8 @@
 	owner *Core
 }
 
-// checkpointWorld is a cell whose tasks save their work, with the store and the workers around
-// its owner, and the model of what each text is.
+// checkpointWorld is a cell whose tasks save checkpoints, with the store and the workers around its owner, and the
+// model of each checkpoint's origin.
 type checkpointWorld struct {
 	*rapid.T
 	core    *Core
@@ -64,7 +64,7 @@
 	return w
 }
 
-// takeOver puts a new owner in the place of the present one; all that it has is the store.
+// takeOver replaces the owner by a new one that has nothing but the store.
 func (w *checkpointWorld) takeOver() {
 	w.epoch++
 	w.core = New(Config{
@@ -83,7 +83,8 @@
 
 func jobID(n int) jobs.ID { return jobs.ID(fmt.Sprintf("%016x", n+1)) }
 
-// submit hands in a job of tasks that save their work and one that does not, or of tasks that last.
+// submit submits a job with two tasks that save checkpoints and one that does not, or with two long-running tasks
+// that save checkpoints.
 func (w *checkpointWorld) submit(lasting bool) {
 	size := models.Resources{CPU: 1500, Memory: 10}
 	steps := []jobs.Step{
@@ -113,7 +114,7 @@
 	w.core.SetWorkers(list, w.now)
 }
 
-// store carries out what the owner wants to be stored.
+// store carries out the owner's writes to the store.
 func (w *checkpointWorld) store() {
 	changes := w.core.TakeChanges(100, w.now)
 	for _, change := range changes.Jobs {
@@ -129,7 +130,7 @@
 	w.core.Stored(changes, w.now)
 }
 
-// advance lets time go by.
+// advance lets time pass.
 func (w *checkpointWorld) advance(span time.Duration) {
 	w.now = w.now.Add(span)
 	for _, worker := range w.workers {
@@ -137,7 +138,7 @@
 	}
 }
 
-// call asks a worker for a report, which is on its way then.
+// call asks a worker for a report, which is then in flight.
 func (w *checkpointWorld) call(worker *checkpointWorker) {
 	call, known := w.core.LeaseCall(worker.info.ID, 0, w.now)
 	switch {
@@ -163,10 +164,10 @@
 	w.endReport(w.core, f, before)
 }
 
-// decide takes the owner's orders and judges what its starts bring.
+// decide takes the owner's orders and checks the checkpoints that its starts bring.
 func (w *checkpointWorld) decide() {
 	orders := w.core.Decide(w.now)
-	slices.SortStableFunc(orders, func(a, b Order) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) }) // that of stops is any
+	slices.SortStableFunc(orders, func(a, b Order) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) }) // the order of stops is arbitrary
 	for _, order := range orders {
 		if start, ok := order.(StartOrder); ok {
 			w.checkStart(w.T, start)
@@ -179,10 +180,10 @@
 	}
 }
 
-// Ways of an order.
+// orderFates are the possible outcomes of an order.
 var orderFates = []string{"done", "done", "done", "answer lost", "order lost", "order late", "not done", "not sent"}
 
-// resolveOrder lets an order reach its worker, or what else becomes of it.
+// resolveOrder lets an order reach its worker, or meet another fate.
 func (w *checkpointWorld) resolveOrder(n int, fate string) {
 	sent := w.orders[n]
 	w.orders = append(w.orders[:n:n], w.orders[n+1:]...)
@@ -192,7 +193,7 @@
 		result = w.obey(sent.order)
 	case "answer lost":
 		w.obey(sent.order)
-	case "order late": // it is done after its call was given up
+	case "order late": // the order is carried out after its call has been abandoned
 		w.orders = append(w.orders, sentOrder{sent.order, nil})
 	case "not done":
 		result.Outcome = OutcomeNotDone
@@ -230,7 +231,7 @@
 	return Result{Outcome: OutcomeUnknown}
 }
 
-// find finds a worker that can be reached.
+// find returns a worker that can be reached, or nil.
 func (w *checkpointWorld) find(id jobs.WorkerID) *checkpointWorker {
 	for _, worker := range w.workers {
 		if worker.info.ID == id && !worker.cut && !worker.gone {
@@ -240,7 +241,7 @@
 	return nil
 }
 
-// save lets a run save its work.
+// save lets a run save a checkpoint.
 func (w *checkpointWorld) save(run *checkpointRun) {
 	run.text = w.newCheckpoint(run.task, w.isOrdered(run.task, run.run))
 }
--- a/services/dispatch/evidence_play_test.go
+++ b/services/dispatch/evidence_play_test.go
@@ -21,17 +21,19 @@
 	"rillsail.example/rillsail/modules/casefile"
 )
 
-// A play of evidence has a core alone, with workers that go by chance and tasks that end them, and knows which is
-// which. No daemon, store or connection takes part, so that thousands of lost runs are judged in a second.
+// A loss simulation consists of a core alone, with workers that are lost by chance and tasks that crash workers, and
+// knows the cause of each loss. No daemon, store or connection takes part, so that thousands of lost runs are judged
+// in a second.
 
-// evidenceCase is a case of testdata/evidence_plays.json: how often workers go by themselves, and what is allowed.
+// evidenceCase is a case of testdata/evidence_plays.json: how often workers are lost by chance, and which error
+// rates are allowed.
 type evidenceCase struct {
 	Name       string       `json:"name"`
-	AloneEvery models.Milli `json:"alone_every_ms"` // how long a worker runs on average until it goes by itself; 0: it never does
-	BurstEvery models.Milli `json:"burst_every_ms"` // 0: there are none
+	AloneEvery models.Milli `json:"alone_every_ms"` // how long a worker runs on average until it is lost by itself; 0: it never is
+	BurstEvery models.Milli `json:"burst_every_ms"` // 0: there are no bursts
 	BurstShare float64      `json:"burst_share"`    // of the workers
-	// GivenUp is how many of a million innocent runs that are lost may give their job up, and TooOften how many
-	// of a thousand tasks that end their workers may be started a sixth time.
+	// GivenUp is how many jobs of a million lost innocent runs may be abandoned, and TooOften how many of a thousand
+	// tasks that crash their workers may be started a sixth time.
 	GivenUp  float64 `json:"given_up_per_million"`
 	TooOften float64 `json:"too_often_per_thousand"`
 }
@@ -42,27 +44,27 @@
 	reportInterval      = 100 * time.Millisecond
 	submitInterval      = 250 * time.Millisecond
 	taskRuntime         = time.Second
-	submitTime          = 20 * time.Second // in which jobs come
-	simulationTime      = 60 * time.Second // by which all is decided
+	submitTime          = 20 * time.Second // in which jobs are submitted
+	simulationTime      = 60 * time.Second // by which all jobs are decided
 	workerDowntime      = 3300 * time.Millisecond
 	crashingJobShare    = 0.08 // of the jobs
-	mostStarts          = 5
+	maxStarts           = 5
 	minCrashTime        = 5 * time.Millisecond
-	crashTimeRange      = 300 // the longest time until a crash, over the shortest
+	crashTimeRange      = 300 // the longest time until a crash, divided by the shortest
 	simulationsInCI     = 40  // of each case
 	simulationsOfBursts = 2000
 )
 
-// simulatedWorker is a worker of a play, as it is.
+// simulatedWorker is the true state of a worker in a simulation.
 type simulatedWorker struct {
 	info  jobs.Worker
-	down  time.Time // since when it is; zero: it is up
+	down  time.Time // since when the worker is down; zero: it is up
 	runs  map[jobs.TaskID]simulatedRun
 	ended []jobs.Ended
-	clock time.Time // when it showed nothing
+	clock time.Time // when the worker's clock showed 0
 }
 
-// running are the tasks that run, in the same order in each play.
+// running returns the running tasks, in the same order in each simulation.
 func (w *simulatedWorker) running() []jobs.TaskID {
 	return slices.SortedFunc(maps.Keys(w.runs), func(a, b jobs.TaskID) int { return cmp.Compare(a.String(), b.String()) })
 }
@@ -72,7 +74,7 @@
 	began time.Time
 }
 
-// lossSimulation is one play of a case.
+// lossSimulation is one simulation of a case.
 type lossSimulation struct {
 	*Core
 	evidenceCase
@@ -83,7 +85,7 @@
 	workersMade int
 	crashing    map[jobs.ID]time.Duration
 	crashes     map[jobs.ID]int
-	lost        int // runs of jobs that end no worker
+	lost        int // runs of jobs that crash no worker
 	burst       time.Time
 }
 
@@ -148,7 +150,7 @@
 	}, jobs.Progress{}, true, p.now)
 }
 
-// completeRuns ends runs that are done, and workers that a run ends.
+// completeRuns ends the runs that are done, and the workers that a run crashes.
 func (p *lossSimulation) completeRuns() {
 	for _, w := range p.workers {
 		for _, id := range w.running() {
@@ -181,7 +183,8 @@
 	p.Unreached(w.info.ID, true, p.now)
 }
 
-// loseAndReplaceWorkers lets workers go by themselves, and others come in the places of those that went.
+// loseAndReplaceWorkers loses workers by chance, alone and in bursts, and replaces those that have been down for
+// workerDowntime.
 func (p *lossSimulation) loseAndReplaceWorkers() {
 	burst := p.BurstEvery > 0 && p.now.Sub(p.burst) >= p.BurstEvery.Duration()
 	if burst {
@@ -221,7 +224,7 @@
 	}
 }
 
-// obey carries out what the core orders.
+// obey carries out the core's orders.
 func (p *lossSimulation) obey() {
 	workers := map[jobs.WorkerID]*simulatedWorker{}
 	for _, w := range p.workers {
@@ -246,44 +249,44 @@
 	}
 }
 
-// TestEvidenceOfLostRuns holds what is promised of tasks that lose workers: of a million innocent runs that are lost
-// few give their job up, and of a thousand tasks that end their workers few are started a sixth time, also
-// where workers go in bursts, or one by one all the time.
+// TestEvidenceOfLostRuns checks the error rates promised for tasks that lose workers, also where workers are lost in
+// bursts or one by one all the time: few jobs are abandoned of a million innocent runs that are lost, and few of a
+// thousand tasks that crash their workers are started a sixth time.
 func TestEvidenceOfLostRuns(t *testing.T) {
 	simulateLosses(t, "testdata/evidence_plays.json", simulationsInCI)
 }
 
-// TestEvidenceOfLostRunsInFrequentBursts guards against innocent jobs that are given up where some of the workers go at
-// the same moment every 2 s, so that what is lost starts again at the same time after each burst.
+// TestEvidenceOfLostRunsInFrequentBursts guards against innocent jobs that are abandoned where some of the workers
+// are lost at the same moment every 2 s, so that lost tasks start again at the same time after each burst.
 func TestEvidenceOfLostRunsInFrequentBursts(t *testing.T) {
 	simulateLosses(t, "testdata/evidence_plays_bursts.json", simulationsOfBursts)
 }
 
-// simulateLosses plays each case of a file so often.
-func simulateLosses(t *testing.T, file string, plays int) {
+// simulateLosses runs the given number of simulations for each case of a file.
+func simulateLosses(t *testing.T, file string, simulations int) {
 	for _, c := range casefile.Read[[]evidenceCase](t, file) {
 		t.Run(c.Name, func(t *testing.T) {
 			t.Parallel()
 			var all evidenceTally
-			for seed := range plays {
+			for seed := range simulations {
 				p := newLossSimulation(c, uint64(seed))
 				p.run()
 				all.add(p)
 			}
-			t.Logf("%d plays: %+v", plays, all)
+			t.Logf("%d simulations: %+v", simulations, all)
 			require.LessOrEqual(t, float64(all.givenUp), 1+c.GivenUp*float64(all.lost)/1e6)
 			require.LessOrEqual(t, float64(all.tooOften), 1+c.TooOften*float64(all.crashing)/1e3)
 		})
 	}
 }
 
-// evidenceTally is what plays have come to.
+// evidenceTally sums up the results of simulations.
 type evidenceTally struct {
 	lost      int // innocent runs
-	givenUp   int // of their jobs
-	crashing  int // tasks that end their workers
-	tooOften  int // of them, started a sixth time
-	undecided int // of them, not given up in time
+	givenUp   int // abandoned jobs of innocent runs
+	crashing  int // tasks that crash their workers
+	tooOften  int // of these tasks, started a sixth time
+	undecided int // of these tasks, not abandoned in time
 }
 
 func (all *evidenceTally) add(p *lossSimulation) {
@@ -295,7 +298,7 @@
 		}
 	}
 	for id := range p.crashing {
-		if p.crashes[id] > mostStarts {
+		if p.crashes[id] > maxStarts {
 			all.tooOften++
 		}
 		if state, _ := p.State(id); !state.Ended() {
--- a/services/dispatch/evidence_test.go
+++ b/services/dispatch/evidence_test.go
@@ -19,16 +19,16 @@
 type lossCase struct {
 	Name       string         `json:"name"`
 	Ran        models.Milli   `json:"ran_ms"`
-	Before     []models.Milli `json:"before_ms"` // earlier runs of it
+	Before     []models.Milli `json:"before_ms"` // earlier runs of the task
 	Beside     []models.Milli `json:"beside_ms"`
-	Suspected  bool           `json:"suspected"` // those beside it
+	Suspected  bool           `json:"suspected"` // whether the neighbours are suspects
 	MoreChance float64        `json:"more_chance"`
 	Doubt      float64        `json:"doubt"`
 	Weight     float64        `json:"weight"`
 }
 
-// TestWhatALossSays: a short run speaks against its task, others that had started with it take
-// a part of that, and workers that go at the same moment take most.
+// TestWhatALossSays checks the evidence of a loss: a short run is evidence against its task; neighbours that had
+// started with the task take a part of that, and workers that are lost at the same moment take most.
 func TestWhatALossSays(t *testing.T) {
 	for _, c := range casefile.Read[[]lossCase](t, "testdata/evidence.json") {
 		t.Run(c.Name, func(t *testing.T) {
@@ -50,9 +50,8 @@
 	}
 }
 
-// TestTasksThatLoseWorkersByChanceAreNotGivenUp loses each of 20,000 innocent tasks' workers at
-// random, as often as the constants say, until its run goes on for long enough: at most as many
-// are given up as the bound allows.
+// TestTasksThatLoseWorkersByChanceAreNotGivenUp loses the workers of each of 20,000 innocent tasks at random, at the
+// rate of the constants, until a run goes on for long enough: no more tasks are abandoned than the bound allows.
 func TestTasksThatLoseWorkersByChanceAreNotGivenUp(t *testing.T) {
 	draw := rand.New(rand.NewPCG(1, 2))
 	givenUp := 0
@@ -73,9 +72,9 @@
 	require.LessOrEqual(t, givenUp, 1)
 }
 
-// TestLossLongAgoMakesNoLaterOneLikelierByChance: workers that went minutes ago say nothing of how
-// often they go now. The first loss after a quiet time was weighed as if they had gone just before,
-// so that it said too little against the task that had brought it about.
+// TestLossLongAgoMakesNoLaterOneLikelierByChance guards against a first loss after a quiet time that is weighed as
+// if workers lost minutes ago had been lost just before: that gave too little evidence against the task that had
+// caused the loss.
 func TestLossLongAgoMakesNoLaterOneLikelierByChance(t *testing.T) {
 	weightAfter := func(earlier int) float64 {
 		b := newBench(t, 4)
@@ -98,14 +97,14 @@
 	require.Equal(t, weightAfter(0), weightAfter(3))
 }
 
-// TestTimeOfALossThatNobodySawIsNotTakenForItsEnd: a worker's calls were not answered until 0.8 s after
-// the start of a task that had ended others after 0.15 s. The loss was weighed as one after 0.8 s, spoke
-// for the task, and a sixth start followed.
+// TestTimeOfALossThatNobodySawIsNotTakenForItsEnd guards against a loss that is weighed as of the time when it was
+// detected. A worker's calls timed out until 0.8 s after the start of a task that had crashed others after 0.15 s;
+// weighed as a loss after 0.8 s it spoke for the task, and a sixth start followed.
 func TestTimeOfALossThatNobodySawIsNotTakenForItsEnd(t *testing.T) {
 	loss := lossContext{runtime: 814 * time.Millisecond, earlierRuntimes: []time.Duration{152 * time.Millisecond}, chanceRate: 0.048}
-	_, seen := loss.evidence()
-	require.Negative(t, seen)
+	_, observed := loss.evidence()
+	require.Negative(t, observed)
 	loss.runtimeIsUpperBound = true
-	_, unseen := loss.evidence()
-	require.Greater(t, unseen, 2.0)
+	_, unobserved := loss.evidence()
+	require.Greater(t, unobserved, 2.0)
 }
--- a/services/dispatch/fate_test.go
+++ b/services/dispatch/fate_test.go
@@ -13,7 +13,7 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// stops gives the stops that are ordered now.
+// stops returns the stops that are ordered now.
 func (b *bench) stops() []StopOrder {
 	var stops []StopOrder
 	for _, order := range b.Decide(b.now) {
@@ -24,8 +24,8 @@
 	return stops
 }
 
-// TestStopThatIsRefusedBarsNothing: a start without answer is barred by a stop. As long as none
-// is carried out, the start may still be done, and the task must not start anew.
+// TestStopThatIsRefusedBarsNothing guards against a second run of a task whose start had no answer: a stop bars the
+// run, and until a stop is carried out the start may still be, so the task must not start again.
 func TestStopThatIsRefusedBarsNothing(t *testing.T) {
 	b := newBench(t, 1)
 	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
@@ -50,8 +50,8 @@
 	require.Len(t, b.starts(), 1, "the run is barred")
 }
 
-// TestProgressThatMayBeStoredGoesWithTheEnd: a transaction without answer may have stored it. A
-// job that is handed in under the same id later on must not find it.
+// TestProgressThatMayBeStoredGoesWithTheEnd guards against progress that stays in the store because its transaction
+// had no answer: a job that is submitted under the same id later must not find it.
 func TestProgressThatMayBeStoredGoesWithTheEnd(t *testing.T) {
 	b := newBench(t, 1)
 	two := one
@@ -74,13 +74,13 @@
 	require.True(t, second.Jobs[0].HasProgress)
 }
 
-// TestLeaseOfAFormerOwnerRunsOnAtAWorkerThatHasAnswered: the worker refuses the former owner from
-// the first answer on, but what it was granted before holds. The former owner's setting was twice
-// as long.
+// TestLeaseOfAFormerOwnerRunsOnAtAWorkerThatHasAnswered guards against a task that starts elsewhere before a
+// previous owner's lease is over: from its first answer on the worker refuses the previous owner, but the lease that
+// it was granted before, here twice as long, still holds.
 func TestLeaseOfAFormerOwnerRunsOnAtAWorkerThatHasAnswered(t *testing.T) {
-	const formerLease = 8 * time.Second
+	const previousLease = 8 * time.Second
 	b := newBench(t, 2)
-	b.Enrol(jobs.Roster{Workers: b.Workers(), Lease: models.MilliOf(formerLease)}, b.now)
+	b.Enrol(jobs.Roster{Workers: b.Workers(), Lease: models.MilliOf(previousLease)}, b.now)
 	b.AddJob(b.job(one), jobs.Progress{}, false, b.now)
 	run := jobs.Run{Task: taskOf(0), Run: 3}
 	b.report(0, jobs.Report{Running: []jobs.Run{run}})
@@ -88,15 +88,16 @@
 	for range 150 {
 		b.report(1, jobs.Report{})
 		if len(b.storedStarts()) > 0 {
-			require.GreaterOrEqual(t, b.now.Sub(answered), formerLease)
-			require.Less(t, b.now.Sub(answered), formerLease+2*time.Second)
+			require.GreaterOrEqual(t, b.now.Sub(answered), previousLease)
+			require.Less(t, b.now.Sub(answered), previousLease+2*time.Second)
 			return
 		}
 	}
-	require.Fail(t, "never run again")
+	require.Fail(t, "the task does not run again")
 }
 
-// TestHaltWithoutAnswerIsRepeated: the pace that was ordered may not be in force.
+// TestHaltWithoutAnswerIsRepeated guards against a pace that is taken to be in force although its order had no
+// answer.
 func TestHaltWithoutAnswerIsRepeated(t *testing.T) {
 	b := newBench(t, 1)
 	b.AddJob(b.job(servingStep, fillingStep), jobs.Progress{}, true, b.now)
@@ -119,11 +120,11 @@
 				halts++
 				result.Outcome = OutcomeUnknown
 				if halts%2 == 0 {
-					result.Outcome = OutcomeNotDone // says nothing of the one before
+					result.Outcome = OutcomeNotDone // says nothing about the order before
 				}
 			}
 			b.Paced(pace, result, b.now)
 		}
 	}
-	require.GreaterOrEqual(t, halts, 3, "the tail stays over its target")
+	require.GreaterOrEqual(t, halts, 3, "the tail latency stays over its target")
 }
--- a/services/dispatch/gone_test.go
+++ b/services/dispatch/gone_test.go
@@ -12,26 +12,26 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// TestWorkerThatCertainlyRunsNothingIsNotInTheRoster: the next owner needn't wait for it.
+// TestWorkerThatCertainlyRunsNothingIsNotInTheRoster checks that the next owner does not wait for such a worker.
 func TestWorkerThatCertainlyRunsNothingIsNotInTheRoster(t *testing.T) {
-	former := newBench(t, 3)
-	former.report(2, jobs.Report{})
-	silent := former.ids[2]
-	for former.now.Before(former.lapsed(former.workers[silent]).Add(silentAfter)) {
-		former.report(0, jobs.Report{})
-		former.report(1, jobs.Report{})
-		former.starts()
+	previous := newBench(t, 3)
+	previous.report(2, jobs.Report{})
+	silent := previous.ids[2]
+	for previous.now.Before(previous.lapsed(previous.workers[silent]).Add(silentAfter)) {
+		previous.report(0, jobs.Report{})
+		previous.report(1, jobs.Report{})
+		previous.starts()
 	}
-	changes := former.TakeChanges(10, former.now)
+	changes := previous.TakeChanges(10, previous.now)
 	require.NotNil(t, changes.Roster)
 	require.Len(t, changes.Roster.Workers, 2)
 
 	b := newBench(t, 0)
-	b.now = former.now
+	b.now = previous.now
 	b.Enrol(*changes.Roster, b.now)
 	b.AddJob(b.job(one), jobs.Progress{}, false, b.now)
-	b.ids = former.ids
-	b.SetWorkers(former.Workers(), b.now) // the list still names it
+	b.ids = previous.ids
+	b.SetWorkers(previous.Workers(), b.now) // the list still names the silent worker
 	b.report(0, jobs.Report{})
 	b.report(1, jobs.Report{})
 	require.Len(t, b.starts(), 1)
@@ -47,7 +47,7 @@
 	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
 	b.report(0, jobs.Report{})
 	b.Stored(without, b.now)
-	require.Empty(t, b.starts(), "the stored roster doesn't name it")
+	require.Empty(t, b.starts(), "the stored roster does not name the worker")
 	with := b.TakeChanges(10, b.now)
 	require.Len(t, with.Roster.Workers, 1)
 	b.Stored(with, b.now)
@@ -71,11 +71,11 @@
 	for range 100 {
 		b.report(other, jobs.Report{})
 		if again := b.storedStarts(); len(again) > 0 {
-			require.Greater(t, b.now.Sub(lost), 4*time.Second, "its lease was 4 s")
+			require.Greater(t, b.now.Sub(lost), 4*time.Second, "the worker's lease was 4 s")
 			require.Less(t, b.now.Sub(lost), 6*time.Second)
 			require.Greater(t, again[0].Call.Run, first[0].Call.Run)
 			return
 		}
 	}
-	require.Fail(t, "never run again")
+	require.Fail(t, "the task does not run again")
 }
--- a/services/dispatch/incarnation_test.go
+++ b/services/dispatch/incarnation_test.go
@@ -13,23 +13,23 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// The starts of incarnations. The time of day is set back between the two: the later is the smaller one.
+// The start times of two incarnations. The time of day is set back between them, so the later one is smaller.
 const (
 	firstStartTime  = models.UnixMilli(2_000_000)
 	secondStartTime = models.UnixMilli(1_000_000)
 )
 
-// newIncarnationBench makes a core with a worker that says when it started, runs a task.
+// newIncarnationBench makes a core with two workers, one of which reports its start time and runs a task.
 func newIncarnationBench(t *testing.T) (b *bench, start StartOrder) {
 	t.Helper()
 	b, start = newIncarnationStart(t, 2)
 	b.Started(start, Result{Outcome: OutcomeDone}, b.now)
-	require.Equal(t, firstStartTime, start.Worker.Born, "the order is for this incarnation")
+	require.Equal(t, firstStartTime, start.Worker.Born, "the order names this incarnation")
 	return b, start
 }
 
-// newIncarnationStart makes a core with so many workers, one of which says when it started and has not answered yet that it is
-// to start a task.
+// newIncarnationStart makes a core with so many workers, one of which reports its start time and has not answered
+// yet to the start of a task.
 func newIncarnationStart(t *testing.T, workers int) (b *bench, start StartOrder) {
 	t.Helper()
 	b = newBench(t, workers)
@@ -41,65 +41,65 @@
 	return b, starts[0]
 }
 
-// list lets the list name one worker, with a start.
+// list lets the list name one worker, with the given start time.
 func (b *bench) list(born models.UnixMilli) {
 	entry := b.workers[b.ids[0]].info
 	entry.Born, entry.Capacity.CPU = born, 2000
 	b.SetWorkers([]jobs.Worker{entry}, b.now)
 }
 
-// reportIncarnation reports for an incarnation whose clock shows so much.
+// reportIncarnation delivers a report of an incarnation with the given start time, whose clock shows the given time.
 func (b *bench) reportIncarnation(born models.UnixMilli, clock models.Milli, report jobs.Report) {
 	b.now = b.now.Add(100 * time.Millisecond)
 	report.Born, report.Clock = born, clock
 	b.call(0, report)
 }
 
-// TestReportOfAnotherIncarnationEndsTheFormerOne guards against what is kept by id: the clock, the
-// numbers of ends and what may be forgotten of them, and the runs.
+// TestReportOfAnotherIncarnationEndsTheFormerOne guards against state that is kept by id: the clock, the numbers of
+// ends and the acknowledgements of them, and the runs.
 func TestReportOfAnotherIncarnationEndsTheFormerOne(t *testing.T) {
 	b, start := newIncarnationBench(t)
 	b.report(0, jobs.Report{Born: firstStartTime, Ended: []jobs.Ended{{Number: 7, Task: taskOf(9), Run: 1, How: jobs.EndStopped}}})
 	b.reportIncarnation(secondStartTime, 30, jobs.Report{})
-	require.Nil(t, b.jobs[testJob].steps[0].tasks[0].worker, "its run is lost at once")
+	require.Nil(t, b.jobs[testJob].steps[0].tasks[0].worker, "the run of the previous incarnation is lost at once")
 	call, _ := b.LeaseCall(b.ids[0], time.Second, b.now)
-	require.Zero(t, call.Acknowledged, "the numbers of its ends begin anew")
-	require.Less(t, call.Until, models.Milli(10_000), "and so does its clock")
+	require.Zero(t, call.Acknowledged, "the numbers of ends begin anew")
+	require.Less(t, call.Until, models.Milli(10_000), "the worker's clock begins anew")
 	require.Equal(t, secondStartTime, b.Worker(b.ids[0]).Born)
 	b.reportIncarnation(secondStartTime, 60, jobs.Report{Ended: []jobs.Ended{{Number: 1, Task: start.Call.Task, Run: start.Call.Run, How: jobs.EndSucceeded}}})
 	require.Equal(t, 1, b.jobs[testJob].steps[0].done, "a start that was carried out late counts")
 }
 
-// TestRestartedWorkerGetsStartsWhenRosterAndListNameIt guards against starts that no successor knows
-// of, and against room that the former incarnation had.
+// TestRestartedWorkerGetsStartsWhenRosterAndListNameIt guards against starts that no successor knows of, and against
+// using the previous incarnation's capacity.
 func TestRestartedWorkerGetsStartsWhenRosterAndListNameIt(t *testing.T) {
 	b, _ := newIncarnationBench(t)
 	b.reportIncarnation(secondStartTime, 30, jobs.Report{})
 	b.reportIncarnation(secondStartTime, 60, jobs.Report{})
-	require.Empty(t, b.storedStarts(), "its entry is that of the former one")
+	require.Empty(t, b.storedStarts(), "the list's entry is of the previous incarnation")
 	b.list(secondStartTime)
 	b.now = b.now.Add(scanPause + time.Millisecond)
 	require.Len(t, b.storedStarts(), 1)
 }
 
-// TestEntryOfAnotherIncarnationProvesNothing guards against entries that come late: only who
-// answers tells which incarnation is there.
+// TestEntryOfAnotherIncarnationProvesNothing guards against list entries that are late: only the answer to a call
+// tells which incarnation is present.
 func TestEntryOfAnotherIncarnationProvesNothing(t *testing.T) {
 	b, start := newIncarnationBench(t)
 	b.list(secondStartTime)
-	require.NotNil(t, b.jobs[testJob].steps[0].tasks[0].worker, "it may be an entry of before")
-	require.False(t, b.usable(b.workers[b.ids[0]], b.now), "what the list says is not of it")
+	require.NotNil(t, b.jobs[testJob].steps[0].tasks[0].worker, "the entry may be an older one")
+	require.False(t, b.usable(b.workers[b.ids[0]], b.now), "the entry is not of this incarnation")
 	call, _ := b.LeaseCall(b.ids[0], time.Second, b.now)
-	require.Zero(t, call.Wait, "who is there is asked at once")
+	require.Zero(t, call.Wait, "the report is asked for at once")
 	b.report(0, jobs.Report{Born: firstStartTime, Running: []jobs.Run{{Task: start.Call.Task, Run: start.Call.Run}}})
 	require.NotNil(t, b.jobs[testJob].steps[0].tasks[0].worker)
 	call, _ = b.LeaseCall(b.ids[0], time.Second, b.now)
-	require.NotZero(t, call.Wait, "and asked no more")
+	require.NotZero(t, call.Wait, "the report is no longer urgent")
 	b.list(firstStartTime)
 	require.True(t, b.usable(b.workers[b.ids[0]], b.now))
 }
 
-// TestLateReportOfAFormerIncarnationIsPassedOver guards against answers that pass each other.
+// TestLateReportOfAFormerIncarnationIsPassedOver guards against answers that overtake each other.
 func TestLateReportOfAFormerIncarnationIsPassedOver(t *testing.T) {
 	b, start := newIncarnationBench(t)
 	sent := b.now
@@ -112,8 +112,8 @@
 	require.EqualValues(t, 1, b.Counts().ReportsPassedOver)
 }
 
-// TestOrderThatMeetsAnotherIncarnationTellsOfIt: the run it was for is lost, and a second one that
-// was on its way says nothing new.
+// TestOrderThatMeetsAnotherIncarnationTellsOfIt checks that such an order shows the loss of its run, and that a
+// second order that was on its way changes nothing.
 func TestOrderThatMeetsAnotherIncarnationTellsOfIt(t *testing.T) {
 	b, start := newIncarnationBench(t)
 	stop := StopOrder{Worker: start.Worker, Call: jobs.StopCall{Task: start.Call.Task, Run: start.Call.Run}}
@@ -125,11 +125,11 @@
 	require.EqualValues(t, 1, b.Counts().RestartsMet)
 	require.Nil(t, b.jobs[testJob].steps[0].tasks[0].worker)
 	b.Started(start, Result{Outcome: OutcomeDone}, b.now)
-	require.Nil(t, b.jobs[testJob].steps[0].tasks[0].worker, "an answer of the former one comes late")
+	require.Nil(t, b.jobs[testJob].steps[0].tasks[0].worker, "the answer of the previous incarnation is late")
 }
 
-// TestStartOfAWorkerIsLearnedFromItsFirstReportThatNamesIt: entries and reports may begin to name it
-// while an owner runs, with the software of the workers or of the owner.
+// TestStartOfAWorkerIsLearnedFromItsFirstReportThatNamesIt covers entries and reports that begin to contain the
+// start time while an owner runs, because the software of the workers or of the owner was upgraded.
 func TestStartOfAWorkerIsLearnedFromItsFirstReportThatNamesIt(t *testing.T) {
 	b := newBench(t, 1)
 	b.report(0, jobs.Report{})
@@ -139,11 +139,11 @@
 	b.Started(starts[0], Result{Outcome: OutcomeDone}, b.now)
 	running := jobs.Report{Born: firstStartTime, Running: []jobs.Run{{Task: starts[0].Call.Task, Run: starts[0].Call.Run}}}
 	b.report(0, running)
-	require.NotNil(t, b.jobs[testJob].steps[0].tasks[0].worker, "its clock has gone on, it is the same one")
+	require.NotNil(t, b.jobs[testJob].steps[0].tasks[0].worker, "the clock has gone on, so the incarnation is the same")
 	require.Equal(t, firstStartTime, b.Worker(b.ids[0]).Born)
 	roster := b.TakeChanges(10, b.now).Roster
 	require.NotNil(t, roster)
-	require.Equal(t, firstStartTime, roster.Workers[0].Born, "a successor knows it too")
+	require.Equal(t, firstStartTime, roster.Workers[0].Born, "the roster tells a successor the start time")
 
 	b = newBench(t, 1)
 	b.report(0, jobs.Report{})
@@ -152,11 +152,11 @@
 	b.Started(starts[0], Result{Outcome: OutcomeDone}, b.now)
 	b.list(secondStartTime)
 	b.reportIncarnation(secondStartTime, 20, jobs.Report{})
-	require.Nil(t, b.jobs[testJob].steps[0].tasks[0].worker, "its clock has begun anew")
+	require.Nil(t, b.jobs[testJob].steps[0].tasks[0].worker, "the clock has begun anew, so the incarnation is another")
 }
 
-// TestFormerOwnersRunIsLostWithItsIncarnation guards against a takeover that takes the answer of the
-// next incarnation for that of the one in the roster.
+// TestFormerOwnersRunIsLostWithItsIncarnation guards against a takeover that takes the answer of the next
+// incarnation for an answer of the one in the roster.
 func TestFormerOwnersRunIsLostWithItsIncarnation(t *testing.T) {
 	for _, listed := range []models.UnixMilli{firstStartTime, secondStartTime} {
 		b := newBench(t, 0)
@@ -187,13 +187,12 @@
 	require.Equal(t, secondStartTime, b.Worker(b.ids[0]).Born)
 }
 
-// TestRosterOfTheFormerIncarnationEnrolsNoOther guards against a roster that was being stored when the
-// worker started again: it names the former incarnation, and a successor would find this one without
-// what had been started on it.
+// TestRosterOfTheFormerIncarnationEnrolsNoOther guards against a roster that was being stored when the worker
+// started again: that roster names the previous incarnation, and a successor would not know of starts on this one.
 func TestRosterOfTheFormerIncarnationEnrolsNoOther(t *testing.T) {
 	b, _ := newIncarnationBench(t)
 	fresh := b.job(one)
-	fresh.Spec.ID = "00000000000000bb" // it has lost no run, which would have to be stored first
+	fresh.Spec.ID = "00000000000000bb" // this job has lost no run, which would have to be stored first
 	b.AddJob(fresh, jobs.Progress{}, true, b.now)
 	b.rosterChanged = true
 	beingStored := b.TakeChanges(10, b.now)
@@ -203,11 +202,11 @@
 	b.reportIncarnation(secondStartTime, 60, jobs.Report{})
 	b.Stored(beingStored, b.now)
 	require.Empty(t, b.starts())
-	require.Len(t, b.storedStarts(), 1, "the next roster names it")
+	require.Len(t, b.storedStarts(), 1, "the next roster names this incarnation")
 }
 
-// TestRestartedWorkerHasNotSeenTheEpoch guards against a former owner's leases that count as over too
-// early: they run from when most workers had seen the new epoch.
+// TestRestartedWorkerHasNotSeenTheEpoch guards against a previous owner's leases that count as over too early: their
+// time runs from when most workers had seen the new epoch.
 func TestRestartedWorkerHasNotSeenTheEpoch(t *testing.T) {
 	b := newBench(t, 0)
 	b.ids = []jobs.WorkerID{"w0"}
@@ -218,14 +217,14 @@
 	b.SetWorkers(list, b.now)
 	b.reportIncarnation(firstStartTime, 10, jobs.Report{})
 	b.reportIncarnation(secondStartTime, 20, jobs.Report{})
-	require.True(t, b.fenced.IsZero(), "one of three has")
+	require.True(t, b.fenced.IsZero(), "one of three workers has seen the epoch")
 	b.ids = []jobs.WorkerID{"w1"}
 	b.reportIncarnation(firstStartTime, 10, jobs.Report{})
 	require.False(t, b.fenced.IsZero())
 }
 
-// TestFormerOwnersLeaseHoldsForTheIncarnationThatAnswers guards against a takeover that counts a worker
-// as lapsed by its own grants alone: the entry may have named an incarnation that has ended.
+// TestFormerOwnersLeaseHoldsForTheIncarnationThatAnswers guards against a takeover that counts a worker as lapsed by
+// its own grants alone: the list's entry may have named an incarnation that has ended.
 func TestFormerOwnersLeaseHoldsForTheIncarnationThatAnswers(t *testing.T) {
 	b := newBench(t, 0)
 	info := jobs.Worker{ID: "w0", Pool: testPool, Address: "w0", Born: secondStartTime}
@@ -237,8 +236,8 @@
 	require.GreaterOrEqual(t, b.workers[info.ID].granted, models.Milli(100+8000))
 }
 
-// TestFenceOfAFormerIncarnationIsNoLaterOwner guards against an owner that gives up its cell because a
-// worker has refused what was sent to its former incarnation.
+// TestFenceOfAFormerIncarnationIsNoLaterOwner guards against an owner that gives up its cell because a worker has
+// refused an order that was sent to its previous incarnation.
 func TestFenceOfAFormerIncarnationIsNoLaterOwner(t *testing.T) {
 	b, start := newIncarnationBench(t)
 	b.reportIncarnation(secondStartTime, 30, jobs.Report{})
@@ -251,8 +250,8 @@
 	require.True(t, b.Superseded())
 }
 
-// TestStartWithoutAnswerIsBarredAtTheNextIncarnation guards against a start that is carried out late, while
-// its task runs elsewhere.
+// TestStartWithoutAnswerIsBarredAtTheNextIncarnation guards against a start that is carried out late, while its task
+// runs elsewhere.
 func TestStartWithoutAnswerIsBarredAtTheNextIncarnation(t *testing.T) {
 	b, start := newIncarnationStart(t, 1)
 	b.reportIncarnation(secondStartTime, 30, jobs.Report{})
@@ -264,15 +263,15 @@
 	require.Equal(t, secondStartTime, stop.Worker.Born)
 	require.Greater(t, stop.Call.Fence, start.Call.Fence)
 	b.list(secondStartTime)
-	require.Empty(t, b.storedStarts(), "it is not barred yet")
+	require.Empty(t, b.storedStarts(), "the run is not barred yet")
 	b.Stopped(stop, Result{Outcome: OutcomeDone}, b.now)
 	b.reportIncarnation(secondStartTime, 300, jobs.Report{})
 	require.Len(t, b.storedStarts(), 1)
 }
 
-// TestLateStartMayRunOnTheNextIncarnationWhileItIsSilent guards against a task that starts elsewhere when the
-// next incarnation has been silent for a while: the start that was meant for the former one may be carried
-// out there yet, and hold for as long as workers grant. It does not wait for that once its run is barred.
+// TestLateStartMayRunOnTheNextIncarnationWhileItIsSilent guards against a task that starts elsewhere when the next
+// incarnation has been silent for a while: a start that was meant for the previous incarnation may still be carried
+// out there, and its lease may be as long as workers grant. Once the run is barred, the task does not wait for that.
 func TestLateStartMayRunOnTheNextIncarnationWhileItIsSilent(t *testing.T) {
 	longestLease := newBench(t, 0).config.LongestLease
 	longest := lateOrder + time.Duration(float64(longestLease)*slowClock)
@@ -298,14 +297,14 @@
 				b.Decide(b.now)
 				b.store()
 			}
-			require.Nil(t, task.worker, "it may start elsewhere in the end")
+			require.Nil(t, task.worker, "the task may start elsewhere in the end")
 			require.GreaterOrEqual(t, b.now.Sub(began), c.freeMin)
 		})
 	}
 }
 
-// TestCallAfterOneWithoutAnswerAcknowledgesNothing guards against acknowledgements that pile up at a worker
-// which carries out calls late: the next incarnation would take them for its own ends.
+// TestCallAfterOneWithoutAnswerAcknowledgesNothing guards against acknowledgements in calls that a worker carries
+// out late: its next incarnation would apply them to its own ends.
 func TestCallAfterOneWithoutAnswerAcknowledgesNothing(t *testing.T) {
 	b := newBench(t, 1)
 	b.report(0, jobs.Report{Ended: []jobs.Ended{{Number: 3, Task: taskOf(9), Run: 1, How: jobs.EndStopped}}})
@@ -319,8 +318,8 @@
 	require.EqualValues(t, 3, call.Acknowledged)
 }
 
-// TestOpenRunOfAFormerIncarnationIsLost guards against a successor whose roster names the next incarnation
-// already: it shows what runs there, and nothing of the run that was open on the former one.
+// TestOpenRunOfAFormerIncarnationIsLost guards against a successor whose roster already names the next incarnation:
+// the report of that incarnation shows its own runs, and nothing of the run that was open on the previous one.
 func TestOpenRunOfAFormerIncarnationIsLost(t *testing.T) {
 	for born, lost := range map[models.UnixMilli]int{firstStartTime: 1, secondStartTime: 0, 0: 0} {
 		b := newBench(t, 0)
@@ -332,12 +331,12 @@
 		b.reportIncarnation(secondStartTime, 30, jobs.Report{})
 		task := &b.jobs[testJob].steps[0].tasks[0]
 		require.Nil(t, task.suspicion.Open)
-		require.Len(t, task.suspicion.Lost, lost, "open on the one that started at %d", born)
+		require.Len(t, task.suspicion.Lost, lost, "open on the incarnation that started at %d", born)
 	}
 }
 
-// TestNextIncarnationDoesNotDrainForTheFormerOne guards against a worker that is left alone, and whose loss
-// counts as announced, because the one before had said that it would leave.
+// TestNextIncarnationDoesNotDrainForTheFormerOne guards against a worker that gets no starts, and whose loss counts
+// as announced, because its previous incarnation had announced that it would leave.
 func TestNextIncarnationDoesNotDrainForTheFormerOne(t *testing.T) {
 	b, _ := newIncarnationBench(t)
 	entry := b.Worker(b.ids[0])
@@ -346,12 +345,12 @@
 	require.False(t, b.workers[b.ids[0]].leaves.IsZero())
 	b.reportIncarnation(secondStartTime, 30, jobs.Report{})
 	require.True(t, b.workers[b.ids[0]].leaves.IsZero())
-	require.Zero(t, b.Worker(b.ids[0]).Leaves, "the roster says so too")
+	require.Zero(t, b.Worker(b.ids[0]).Leaves, "nor does the roster say that it drains")
 	require.False(t, b.Worker(b.ids[0]).Draining)
 }
 
-// TestAnswerToAStartOfAFormerIncarnationSaysNothing guards against a run that counts as begun, or as refused,
-// on the incarnation that is being asked to bar it.
+// TestAnswerToAStartOfAFormerIncarnationSaysNothing guards against a run that counts as begun, or as refused, on the
+// incarnation that is being asked to bar it.
 func TestAnswerToAStartOfAFormerIncarnationSaysNothing(t *testing.T) {
 	for _, result := range []Result{{Outcome: OutcomeUnknown}, {Outcome: OutcomeRefused, Refusal: jobs.RefusedRoom}} {
 		b, start := newIncarnationStart(t, 1)
@@ -365,8 +364,8 @@
 	}
 }
 
-// TestStartThatMetAnotherIncarnationWasNeverLost guards against a run that counts as one which ended its worker
-// right after its start: the call met the next incarnation, which has done nothing of it.
+// TestStartThatMetAnotherIncarnationWasNeverLost guards against a run that counts as one which crashed its worker
+// right after its start: the call met the next incarnation, which did not carry it out.
 func TestStartThatMetAnotherIncarnationWasNeverLost(t *testing.T) {
 	met := Result{Outcome: OutcomeIncarnation, Born: secondStartTime}
 	for name, reportFirst := range map[string]bool{"its answer tells of it": false, "a report told of it before": true} {
@@ -379,7 +378,7 @@
 			task := &b.jobs[testJob].steps[0].tasks[0]
 			require.Zero(t, task.losses())
 			require.Empty(t, task.byChance)
-			require.Equal(t, taskWaiting, task.state, "nothing has to be barred")
+			require.Equal(t, taskWaiting, task.state, "no run has to be barred")
 			require.Equal(t, secondStartTime, b.Worker(b.ids[0]).Born)
 		})
 	}
--- a/services/dispatch/proof_test.go
+++ b/services/dispatch/proof_test.go
@@ -12,8 +12,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// TestOwnerThatStoodStillWaitsForAProof: it may have a successor that has started what waits
-// here, and workers that the successor hasn't reached would obey.
+// TestOwnerThatStoodStillWaitsForAProof guards against orders of an owner that was suspended: a successor may have
+// started the tasks that wait here, and workers that the successor has not reached would obey.
 func TestOwnerThatStoodStillWaitsForAProof(t *testing.T) {
 	prove := map[string]func(b *bench){
 		"a transaction": func(b *bench) { b.Stored(b.TakeChanges(10, b.now), b.now) },
@@ -33,14 +33,14 @@
 		b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
 		b.report(0, jobs.Report{})
 		require.Empty(t, b.starts(), "one worker of three proves nothing")
-		require.True(t, b.HasChanges(), "a proof is wanted")
+		require.True(t, b.HasChanges(), "a transaction is wanted as proof")
 		proof(b)
 		require.Len(t, b.starts(), 1, name)
 	}
 }
 
-// TestLapsedTasksWaitForAProof: the store is away while a worker is silent, and a successor
-// may have prolonged the lease there.
+// TestLapsedTasksWaitForAProof guards against tasks that start elsewhere too early: the store is away while a worker
+// is silent, and a successor may have renewed the worker's lease.
 func TestLapsedTasksWaitForAProof(t *testing.T) {
 	b := newBench(t, 4)
 	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
--- a/services/dispatch/recent_test.go
+++ b/services/dispatch/recent_test.go
@@ -13,8 +13,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// newRecentBench makes a core with four workers that say when they started; the first one runs a task that
-// has lost a worker before, and starts again under its id.
+// newRecentBench makes a core with four workers that report their start times; the first worker runs a task that has
+// lost a worker before, and starts again under its id.
 func newRecentBench(t *testing.T) *bench {
 	t.Helper()
 	b := newBench(t, 4)
@@ -34,7 +34,7 @@
 	b.now = b.now.Add(70 * time.Millisecond)
 	b.restart(b.ids[0])
 	require.Empty(t, b.starts())
-	require.Empty(t, b.jobs[testJob].end, "it is not known yet which others went")
+	require.Empty(t, b.jobs[testJob].end, "losses of other workers are not known yet")
 	return b
 }
 
@@ -43,8 +43,8 @@
 	b.Reported(id, b.now, jobs.Report{Born: secondStartTime, Clock: models.Milli(10)}, b.now)
 }
 
-// TestNobodyIsGivenUpBeforeItIsKnownWhichOthersWent guards against a job that is given up for a restart of all
-// workers, for the first one was known some milliseconds before the others.
+// TestNobodyIsGivenUpBeforeItIsKnownWhichOthersWent guards against a job that is abandoned for a restart of all
+// workers, because the restart of the first one was known some milliseconds before the others.
 func TestNobodyIsGivenUpBeforeItIsKnownWhichOthersWent(t *testing.T) {
 	b := newRecentBench(t)
 	lost := b.jobs[testJob].steps[0].tasks[0].suspicion.Lost
@@ -59,7 +59,8 @@
 	require.Less(t, b.jobs[testJob].steps[0].tasks[0].suspicion.Lost[1].Weight, lost[1].Weight-3)
 }
 
-// TestTaskIsGivenUpOnceNoOthersWent: it waits for no longer than that.
+// TestTaskIsGivenUpOnceNoOthersWent checks that the task is abandoned once the losses of other workers would be
+// known.
 func TestTaskIsGivenUpOnceNoOthersWent(t *testing.T) {
 	b := newRecentBench(t)
 	b.now = b.now.Add(simultaneousLossesKnownAfter)
--- a/services/dispatch/repeats_test.go
+++ b/services/dispatch/repeats_test.go
@@ -13,13 +13,13 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// smallStep is a step of tasks of which a worker has room for many.
+// smallStep is a step whose tasks are so small that a worker has capacity for many.
 func smallStep(count int) jobs.Step {
 	return jobs.Step{Count: count, Size: models.Resources{CPU: 10, Memory: 10}, Estimate: 1000}
 }
 
-// TestStartsWaitForWhatMayBeSent: what can't be sent yet stays waiting, is given up with its
-// job, and goes on when more may be sent.
+// TestStartsWaitForWhatMayBeSent checks that tasks whose starts may not be sent yet keep waiting, start when more
+// may be sent, and are dropped when their job is cancelled.
 func TestStartsWaitForWhatMayBeSent(t *testing.T) {
 	b := newBench(t, 2)
 	b.AddJob(b.job(smallStep(10)), jobs.Progress{}, true, b.now)
@@ -27,7 +27,7 @@
 	b.report(1, jobs.Report{})
 	b.AllowStarts(4)
 	require.Len(t, b.starts(), 4)
-	require.Empty(t, b.starts(), "none are left")
+	require.Empty(t, b.starts(), "no start is left")
 	b.AllowStarts(3)
 	require.Len(t, b.starts(), 3)
 	b.Cancel(testJob)
@@ -35,7 +35,7 @@
 	require.Empty(t, b.starts())
 }
 
-// TestMostUrgentStartsGoFirstWhenFewMay hands in a job of low priority first.
+// TestMostUrgentStartsGoFirstWhenFewMay submits a job of low priority first.
 func TestMostUrgentStartsGoFirstWhenFewMay(t *testing.T) {
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
@@ -54,7 +54,7 @@
 	require.Equal(t, []jobs.ID{urgent.Spec.ID, urgent.Spec.ID, urgent.Spec.ID, batch.Spec.ID}, first)
 }
 
-// TestStartThatWasNotSentIsMadeAgain takes another number for it, at once.
+// TestStartThatWasNotSentIsMadeAgain checks that the task starts again at once, with another run number.
 func TestStartThatWasNotSentIsMadeAgain(t *testing.T) {
 	b := newBench(t, 1)
 	b.AddJob(b.job(smallStep(1)), jobs.Progress{}, true, b.now)
@@ -67,22 +67,23 @@
 	require.Greater(t, second[0].Call.Run, first[0].Call.Run)
 }
 
-// TestRepetitionThatWasNotSentIsBarred: the first start, which had no answer, may be done.
+// TestRepetitionThatWasNotSentIsBarred guards against a second run beside the first start, which had no answer and
+// may be carried out.
 func TestRepetitionThatWasNotSentIsBarred(t *testing.T) {
 	b := newBench(t, 1)
 	b.AddJob(b.job(smallStep(1)), jobs.Progress{}, true, b.now)
 	b.report(0, jobs.Report{})
 	start := b.starts()[0]
 	b.Started(start, Result{Outcome: OutcomeUnknown}, b.now)
-	require.Equal(t, []StartOrder{start}, b.starts(), "it is repeated")
+	require.Equal(t, []StartOrder{start}, b.starts(), "the start is repeated")
 	b.Started(start, Result{Outcome: OutcomeNotSent}, b.now)
 	orders := b.Decide(b.now)
 	require.Len(t, orders, 1)
 	require.IsType(t, StopOrder{}, orders[0])
 }
 
-// TestRepetitionsArePaidForByAnswers loses all answers: no more starts are repeated than are
-// saved up. When half of all answers get lost one by one, each start may be repeated.
+// TestRepetitionsArePaidForByAnswers checks that without any answer no more starts are repeated than the saved
+// budget allows, and that each start may be repeated when half of all answers are lost one by one.
 func TestRepetitionsArePaidForByAnswers(t *testing.T) {
 	r := newRepeats()
 	taken := 0
@@ -102,8 +103,8 @@
 	}
 }
 
-// TestStartsAreNotRepeatedWithoutBound gives a core whose starts are never answered more of
-// them than it may repeat: the rest is barred.
+// TestStartsAreNotRepeatedWithoutBound gives a core more starts without answer than it may repeat: the runs of the
+// rest are barred.
 func TestStartsAreNotRepeatedWithoutBound(t *testing.T) {
 	b := newBench(t, 4)
 	for n := range 4 {
--- a/services/dispatch/saved_fault_test.go
+++ b/services/dispatch/saved_fault_test.go
@@ -11,16 +11,15 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// On real processes runs were started with checkpoints that were not their tasks'. The tests of
-// this file hold what was found in the owner while that was looked into: a text was kept by the
-// order in which reports came, whatever run it was of. Each was found by
-// TestStartsBringTheNewestTextOfTheirTask, or by reading; the text is always the task's own, so
-// that none of them alone explains what was seen.
+// Runs on real processes were started with checkpoints of other tasks. The tests of this file cover the faults that
+// were found in the owner during the search for the cause: a checkpoint was kept by the order in which reports
+// arrived, whatever run it came from. They were found by TestStartsBringTheNewestTextOfTheirTask or by reading the
+// code. In all of them the checkpoint is the task's own, so none alone explains what was observed.
 
-// previousRuns are three runs of former owners, the latest last.
+// previousRuns are three runs of previous owners, the latest last.
 var previousRuns = []jobs.RunID{4097, 4098, 8193}
 
-// newTakeoverBench is an owner that has just taken a cell with one task that saves its work.
+// newTakeoverBench makes an owner that has just taken a cell with one task that saves checkpoints.
 func newTakeoverBench(t *testing.T, workers int) *bench {
 	t.Helper()
 	b := newBench(t, workers)
@@ -29,9 +28,9 @@
 	return b
 }
 
-// TestEndOfAnOlderRunDoesNotReplaceANewerText: after a takeover the workers answer in any order,
-// and each lists what has ended there. The run that started next went on from the text of
-// whichever answered last, and what a newer run had saved was done again.
+// TestEndOfAnOlderRunDoesNotReplaceANewerText guards against a run that resumes from the checkpoint of whichever
+// worker answered last: after a takeover the workers answer in any order, and each lists the runs that have ended
+// there. Work that a newer run had saved was repeated.
 func TestEndOfAnOlderRunDoesNotReplaceANewerText(t *testing.T) {
 	b := newTakeoverBench(t, 2)
 	b.report(0, endOf(1, previousRuns[1], jobs.EndStopped, "newer"))
@@ -41,8 +40,8 @@
 	require.EqualValues(t, "newer", starts[0].Call.Checkpoint)
 }
 
-// TestEndThatIsListedAgainDoesNotReplaceANewerText: a worker that was taken for gone comes back,
-// is new to the owner and lists its ends again, while a later run has saved more.
+// TestEndThatIsListedAgainDoesNotReplaceANewerText covers a worker that was taken for lost, comes back as a new one
+// and lists its ends again, while a later run has saved more.
 func TestEndThatIsListedAgainDoesNotReplaceANewerText(t *testing.T) {
 	b := newBench(t, 2)
 	b.AddJob(b.job(checkpointStep), jobs.Progress{}, true, b.now)
@@ -57,8 +56,8 @@
 	require.EqualValues(t, "newer", b.starts()[0].Call.Checkpoint)
 }
 
-// TestOldRunThatIsTakenOverDoesNotReplaceANewerText: a run that still is on a worker when a
-// newer one has ended elsewhere goes on, but what is saved is the newer one's.
+// TestOldRunThatIsTakenOverDoesNotReplaceANewerText covers a run that still is on a worker when a newer one has
+// ended elsewhere: the old run goes on, but the checkpoint of the newer one stays.
 func TestOldRunThatIsTakenOverDoesNotReplaceANewerText(t *testing.T) {
 	b := newTakeoverBench(t, 2)
 	b.report(0, endOf(1, previousRuns[1], jobs.EndStopped, "newer"))
@@ -69,9 +68,9 @@
 	require.EqualValues(t, "newer", starts[0].Call.Checkpoint)
 }
 
-// TestReportThatAnEndHasPassedDoesNotReplaceItsText: answers on different connections may pass
-// each other, and two of the same millisecond can't be told apart by the worker's clock. The
-// end is a run's last word, a row that shows it running is older.
+// TestReportThatAnEndHasPassedDoesNotReplaceItsText covers answers on different connections that overtake each
+// other: the worker's clock does not tell two answers of the same millisecond apart. An end is a run's final row, so
+// a row that shows the run as running is older.
 func TestReportThatAnEndHasPassedDoesNotReplaceItsText(t *testing.T) {
 	b := newTakeoverBench(t, 1)
 	b.report(0, jobs.Report{})
@@ -85,9 +84,9 @@
 	require.EqualValues(t, "at the stop", b.starts()[0].Call.Checkpoint)
 }
 
-// TestTextOfARunThatNobodyOrderedIsNotTaken: a worker shows a run with a number that no owner
-// up to this one can have given. It is kept from running beside another, as before, but what
-// it has saved is nobody's. No worker has been seen to do this; it is a precaution.
+// TestTextOfARunThatNobodyOrderedIsNotTaken covers a worker that reports a run with a number that no owner up to
+// this one can have given: the run is kept from running beside another, and its checkpoint is ignored. No worker has
+// been observed to do this; the rule is a precaution.
 func TestTextOfARunThatNobodyOrderedIsNotTaken(t *testing.T) {
 	for _, invented := range []jobs.Report{
 		running(1<<40, "invented"), endOf(1, 1<<40, jobs.EndStopped, "invented"),
@@ -102,13 +101,13 @@
 		b.Started(starts[0], Result{Outcome: OutcomeDone}, b.now)
 		next := starts[0].Call.Run
 		b.report(int(starts[0].Worker.ID[1]-'0'), endOf(2, next, jobs.EndStopped, "saved next"))
-		require.EqualValues(t, "saved next", b.starts()[0].Call.Checkpoint, "its own runs count, whatever numbers they have now")
+		require.EqualValues(t, "saved next", b.starts()[0].Call.Checkpoint, "this owner's runs count, whatever their numbers are now")
 	}
 }
 
-// TestTextThatOnlyAFailedEndShowsIsNotTaken: what a run has saved since the last report when it
-// fails may be what made it fail, or a failing worker's making. That before stands. No such text
-// has been seen; it is a precaution, weighed in docs/design/platform.md.
+// TestTextThatOnlyAFailedEndShowsIsNotTaken covers a checkpoint that a run saved after the last report before it
+// failed: it may be why the run failed, or a failing worker may have damaged it, so the one before stays. No such
+// checkpoint has been observed; the rule is a precaution, discussed in docs/design/platform.md.
 func TestTextThatOnlyAFailedEndShowsIsNotTaken(t *testing.T) {
 	b := newBench(t, 1)
 	b.AddJob(b.job(checkpointStep), jobs.Progress{}, true, b.now)
@@ -123,9 +122,9 @@
 	require.EqualValues(t, "at its stop", b.starts()[0].Call.Checkpoint)
 }
 
-// TestNumbersOfRunsRiseOverOwnersAfterAMove: tasks that come from another cell bring the number of
-// their latest run there. When that was above the numbers of this cell's epochs, two owners of
-// this cell in turn gave the same numbers, so that a run's number did not tell which was newer.
+// TestNumbersOfRunsRiseOverOwnersAfterAMove guards against two owners that give the same run numbers, so that these
+// do not tell which run is newer. Tasks that come from another cell bring the number of their latest run there; this
+// happened when that number was above those of this cell's epochs.
 func TestNumbersOfRunsRiseOverOwnersAfterAMove(t *testing.T) {
 	lasting := checkpointStep
 	lasting.Lasts = true
--- a/services/dispatch/saved_test.go
+++ b/services/dispatch/saved_test.go
@@ -14,21 +14,22 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// checkpointStep is a step whose runs save their work.
+// checkpointStep is a step whose runs save checkpoints.
 var checkpointStep = jobs.Step{Count: 1, Size: models.Resources{CPU: 1000, Memory: 100}, Estimate: 5000, Checkpoints: true}
 
-// running is a row of a run that has saved a text.
+// running is a report with a row of a running run that has saved a checkpoint.
 func running(run jobs.RunID, text jobs.Text) jobs.Report {
 	return jobs.Report{Running: []jobs.Run{{Task: taskOf(0), Run: run, Checkpoint: text}}}
 }
 
-// endOf is an end of a run that has saved a text.
+// endOf is a report with an end of a run that has saved a checkpoint.
 func endOf(number uint64, run jobs.RunID, how jobs.End, text jobs.Text) jobs.Report {
 	return jobs.Report{Ended: []jobs.Ended{{Number: number, Task: taskOf(0), Run: run, How: how, Checkpoint: text}}}
 }
 
-// TestLogsTellWhereATextIsFrom: a start that brings a text names the run, worker and row it is
-// from, an end what became of its text; both by a digest, for the text is the caller's.
+// TestLogsTellWhereATextIsFrom checks that the log line of a start with a checkpoint names the run, worker and row
+// that the checkpoint came from, and that of an end what became of its checkpoint. Both identify the checkpoint by a
+// digest, because it is the caller's data.
 func TestLogsTellWhereATextIsFrom(t *testing.T) {
 	const secret = jobs.Text("what the caller saved")
 	b := newBench(t, 1)
@@ -60,7 +61,7 @@
 	}
 }
 
-// TestTextOfAStepThatDoesNotCheckpointIsCounted, and no start brings it.
+// TestTextOfAStepThatDoesNotCheckpointIsCounted also checks that no start brings such a checkpoint.
 func TestTextOfAStepThatDoesNotCheckpointIsCounted(t *testing.T) {
 	b := newBench(t, 1)
 	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
@@ -73,27 +74,27 @@
 	require.Zero(t, b.Counts().StartsFromText)
 }
 
-// TestNumbersOfRunsRiseOverOwnersThatMoveWhatTheyHaveNotStarted: a successor hands over tasks whose
-// worker has gone; it has given them no number, its former owner has. The cell that takes them began
-// below those, and a worker that comes to it refuses such starts as old.
+// TestNumbersOfRunsRiseOverOwnersThatMoveWhatTheyHaveNotStarted guards against a cell that gives lower run numbers
+// than the cell that a task came from, so that workers refuse its starts as old. A successor handed over tasks of a
+// lost worker that only its previous owner had given run numbers.
 func TestNumbersOfRunsRiseOverOwnersThatMoveWhatTheyHaveNotStarted(t *testing.T) {
 	lasting := one
 	lasting.Lasts = true
-	former := newBench(t, 1)
-	record := former.job(lasting)
-	former.AddJob(record, jobs.Progress{}, true, former.now)
-	former.report(0, jobs.Report{})
-	given := former.starts()[0].Call.Run
+	previous := newBench(t, 1)
+	record := previous.job(lasting)
+	previous.AddJob(record, jobs.Progress{}, true, previous.now)
+	previous.report(0, jobs.Report{})
+	given := previous.starts()[0].Call.Run
 
 	here := newBench(t, 1)
-	here.config.Epoch = former.config.Epoch + 1
+	here.config.Epoch = previous.config.Epoch + 1
 	here.AddJob(record, jobs.Progress{}, false, here.now)
 	here.report(0, jobs.Report{})
 	move, ok := here.moveOf(here.jobs[testJob].steps[0])
 	require.True(t, ok)
 
 	there := newBench(t, 1)
-	there.config.Epoch = former.config.Epoch - 2
+	there.config.Epoch = previous.config.Epoch - 2
 	there.AddJob(record.NewPart(move.Tasks, move.LeastRun), jobs.Progress{}, true, there.now)
 	there.report(0, jobs.Report{})
 	require.Greater(t, there.starts()[0].Call.Run, given)
--- a/services/dispatch/shared_test.go
+++ b/services/dispatch/shared_test.go
@@ -25,7 +25,7 @@
 	return jobs.LostRun{Run: run, Ran: 70, Doubt: doubt, Weight: weight, With: loss}
 }
 
-// newSharedBench makes a core with two jobs of a task each, whose tasks have lost these runs.
+// newSharedBench makes a core with two jobs of one task each, whose tasks have lost the given runs.
 func newSharedBench(t *testing.T, first, second []jobs.LostRun) *bench {
 	t.Helper()
 	b := newBench(t, 3)
@@ -44,7 +44,7 @@
 
 func (b *bench) taskOf(id jobs.ID) *task { return &b.jobs[id].steps[0].tasks[0] }
 
-// lose starts what may start, which is a task of this job alone, and lets its worker go.
+// lose expects a single start, of a task of the given job, and loses its worker.
 func (b *bench) lose(t *testing.T, id jobs.ID) {
 	t.Helper()
 	starts := b.starts()
@@ -53,21 +53,21 @@
 	b.Started(starts[0], Result{Outcome: OutcomeDone}, b.now)
 	b.now = b.now.Add(70 * time.Millisecond)
 	b.Unreached(starts[0].Worker.ID, true, b.now)
-	require.Empty(t, b.starts(), "its worker has gone silent")
+	require.Empty(t, b.starts(), "the task's worker is silent")
 	b.now = b.now.Add(time.Second)
 	b.Replaced(starts[0].Worker.ID, b.now)
 }
 
-// TestTaskIsNotGivenUpWhileAnotherMayBeTheCause guards against a job that is given up for a worker that
-// another task has ended: both were lost with it, and the other one's trial was still open. Nor does it
-// start meanwhile, or it would be started once too often if it ends its workers.
+// TestTaskIsNotGivenUpWhileAnotherMayBeTheCause guards against a job that is abandoned for a worker that another
+// task has crashed: both tasks were lost with the worker, and the other task's trial was still open. Nor does the
+// task start meanwhile, because it would be started once too often if it does crash its workers.
 func TestTaskIsNotGivenUpWhileAnotherMayBeTheCause(t *testing.T) {
 	b := newSharedBench(t,
 		[]jobs.LostRun{lostRunWith(lossShared, 1, 7, 6), lostRunWith(lossAlone, 2, 9, 9)},
 		[]jobs.LostRun{lostRunWith(lossShared, 1, 7, 6)})
 	b.lose(t, otherJob)
 	require.Empty(t, b.jobs[testJob].end)
-	require.Empty(t, b.jobs[otherJob].end, "of two that have lost as many runs, one is tried first")
+	require.Empty(t, b.jobs[otherJob].end, "of two tasks with as many losses, one is tried first")
 	b.store()
 	starts := b.starts()
 	require.Len(t, starts, 1)
@@ -82,18 +82,18 @@
 	}
 	b.Decide(b.now)
 	require.Empty(t, b.jobs[testJob].end)
-	require.Equal(t, jobs.StateFailed, b.jobs[otherJob].end, "it is no other task's doing")
+	require.Equal(t, jobs.StateFailed, b.jobs[otherJob].end, "no other task may be the cause")
 }
 
-// TestLossThatIsExplainedSpeaksAgainstNoOtherTask guards against losses that stay counted against tasks beside
-// the one that has caused them.
+// TestLossThatIsExplainedSpeaksAgainstNoOtherTask guards against losses that stay counted against the neighbours of
+// the task that has caused them.
 func TestLossThatIsExplainedSpeaksAgainstNoOtherTask(t *testing.T) {
 	b := newSharedBench(t,
 		[]jobs.LostRun{lostRunWith(lossShared, 1, 7, 6), lostRunWith(lossAlone, 2, 9, 9)},
 		[]jobs.LostRun{lostRunWith(lossShared, 1, 7, 6), lostRunWith(lossThird, 2, 9, 9)})
-	b.taskOf(testJob).suspicion.Unseen = 1 // so that the other one is tried first
+	b.taskOf(testJob).suspicion.Unseen = 1 // so that the other task is tried first
 	b.lose(t, otherJob)
-	require.Equal(t, jobs.StateFailed, b.jobs[otherJob].end, "without the loss that both share")
+	require.Equal(t, jobs.StateFailed, b.jobs[otherJob].end, "its other losses suffice")
 	lost := b.taskOf(testJob).suspicion.Lost
 	require.InDelta(t, 0, lost[0].Weight, 0.01)
 	require.InDelta(t, 0, lost[0].Doubt, 0.01)
@@ -102,7 +102,7 @@
 	require.Empty(t, b.jobs[testJob].end)
 }
 
-// TestTaskWaitsForOthersForSomeTimeOnly guards against tasks that wait for ever for one that finds no place.
+// TestTaskWaitsForOthersForSomeTimeOnly guards against tasks that wait for ever for another one that finds no place.
 func TestTaskWaitsForOthersForSomeTimeOnly(t *testing.T) {
 	b := newSharedBench(t,
 		[]jobs.LostRun{lostRunWith(lossShared, 1, 7, 6), lostRunWith(lossAlone, 2, 9, 9)},
@@ -119,10 +119,10 @@
 			return
 		}
 	}
-	require.Fail(t, "it does not start")
+	require.Fail(t, "the task does not start")
 }
 
-// TestSharedLossIsStored guards against a successor that judges by each loss alone.
+// TestSharedLossIsStored guards against a successor that judges shared losses like separate ones.
 func TestSharedLossIsStored(t *testing.T) {
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
@@ -134,8 +134,8 @@
 	require.Equal(t, start.Worker.Incarnation().Loss(), lost[0].With)
 }
 
-// TestTasksThatWereLostTogetherAreTriedApart guards against trials that say nothing: two suspects of one loss
-// were tried on the same worker, and lost again together.
+// TestTasksThatWereLostTogetherAreTriedApart guards against trials that give no evidence: two suspects of one loss
+// were tried on the same worker, and were lost together again.
 func TestTasksThatWereLostTogetherAreTriedApart(t *testing.T) {
 	lost := []jobs.LostRun{lostRunWith(lossShared, 1, 6, 0)}
 	b := newSharedBench(t, lost, lost)
@@ -150,5 +150,5 @@
 	require.Len(t, b.starts(), 1, "one worker is left")
 	b.now = b.now.Add(maxApartWait)
 	b.report(0, jobs.Report{})
-	require.Len(t, b.starts(), 1, "it does not wait for ever")
+	require.Len(t, b.starts(), 1, "the second task does not wait for ever")
 }
--- a/services/dispatch/suspicion_test.go
+++ b/services/dispatch/suspicion_test.go
@@ -13,7 +13,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// crashWorkerOfOnlyStart lets a worker that has just started a task go, and another one come in its place.
+// crashWorkerOfOnlyStart carries out the only start that is ordered, loses its worker 10 ms later, and lets another
+// worker answer at that address.
 func (b *bench) crashWorkerOfOnlyStart(t *testing.T) StartOrder {
 	t.Helper()
 	starts := b.storedStarts()
@@ -26,8 +27,8 @@
 	return starts[0]
 }
 
-// TestReplacedWorkerDoesNotJoinAgain: its entry stays in the list for seconds. It joined and was
-// dropped with each look at the list, a call and a write of the roster each time.
+// TestReplacedWorkerDoesNotJoinAgain guards against a worker that joins and is removed again with each read of the
+// list, at the cost of a call and a write of the roster each time, because its entry stays in the list for seconds.
 func TestReplacedWorkerDoesNotJoinAgain(t *testing.T) {
 	b := newBench(t, 2)
 	list := b.Workers()
@@ -36,12 +37,12 @@
 	require.NotContains(t, b.workers, b.ids[0])
 	b.Stored(b.TakeChanges(10, b.now), b.now)
 	b.SetWorkers(list, b.now)
-	require.False(t, b.HasChanges(), "nothing has to be stored for it")
+	require.False(t, b.HasChanges(), "nothing has to be stored for the worker")
 	b.SetWorkers(list[1:], b.now)
-	require.Empty(t, b.replaced, "it is forgotten with its entry")
+	require.Empty(t, b.replaced, "the incarnation is forgotten once the list does not name it")
 }
 
-// TestSuspectHasAWorkerForItself: nothing else starts beside a suspect, until it has run for long
+// TestSuspectHasAWorkerForItself checks that nothing else starts beside a suspect until the suspect has run for long
 // enough.
 func TestSuspectHasAWorkerForItself(t *testing.T) {
 	b := newBench(t, 2)
@@ -57,7 +58,7 @@
 	other := b.job(one)
 	other.Spec.ID = "00000000000000bb"
 	b.AddJob(other, jobs.Progress{}, true, b.now)
-	require.Empty(t, b.starts(), "the only worker is the suspect's")
+	require.Empty(t, b.starts(), "the suspect has the only worker to itself")
 	row := jobs.Run{Task: second[0].Call.Task, Run: second[0].Call.Run}
 	at := 0
 	if second[0].Worker.ID == b.ids[1] {
@@ -66,18 +67,18 @@
 	for range 4 {
 		b.report(at, jobs.Report{Running: []jobs.Run{row}})
 	}
-	require.Len(t, b.starts(), 1, "it has outlived its trial")
+	require.Len(t, b.starts(), 1, "the suspect has outlived its trial")
 }
 
-// TestOpenRunsAreLostWithTheirWorkers: a successor counts what a former owner had stored as open,
-// if the worker is gone, and not if it answers.
+// TestOpenRunsAreLostWithTheirWorkers checks that a successor counts a run that the previous owner stored as open if
+// its worker is lost, and does not if the worker answers.
 func TestOpenRunsAreLostWithTheirWorkers(t *testing.T) {
 	for _, gone := range []bool{true, false} {
 		b := newBench(t, 2)
-		former := againstFirst(jobs.LostRun{Run: 7, Ran: 10, Doubt: 8, Weight: 8}, &jobs.OpenRun{
+		previous := againstFirst(jobs.LostRun{Run: 7, Ran: 10, Doubt: 8, Weight: 8}, &jobs.OpenRun{
 			LostRun: jobs.LostRun{Run: 8, Ran: 10, Doubt: 8, Weight: 8}, Worker: b.ids[0],
 		})
-		b.AddJob(b.job(one), jobs.Progress{Suspected: former}, false, b.now)
+		b.AddJob(b.job(one), jobs.Progress{Suspected: previous}, false, b.now)
 		if gone {
 			b.Replaced(b.ids[0], b.now)
 		} else {
@@ -85,7 +86,7 @@
 		}
 		state, known := b.State(testJob)
 		require.True(t, known)
-		require.Equal(t, jobs.StateQueued, state, "not stored yet")
+		require.Equal(t, jobs.StateQueued, state, "the end is not stored yet")
 		changes := b.TakeChanges(10, b.now)
 		require.Len(t, changes.Jobs, 1)
 		if gone {
@@ -97,14 +98,14 @@
 	}
 }
 
-// againstFirst is what is known against the first task of a job.
+// againstFirst is a suspicion against the first task of a job.
 func againstFirst(lost jobs.LostRun, open *jobs.OpenRun) jobs.Suspicions {
 	all := jobs.Suspicions{}
 	all.Set(0, 0, jobs.Suspicion{Lost: []jobs.LostRun{lost}, Open: open})
 	return all
 }
 
-// TestWhatIsKnownGoesWithTasksToAnotherCell: a task with something against it is no freer there.
+// TestWhatIsKnownGoesWithTasksToAnotherCell checks that a suspect stays one in another cell.
 func TestWhatIsKnownGoesWithTasksToAnotherCell(t *testing.T) {
 	known := againstFirst(jobs.LostRun{Run: 7, Ran: 10, Doubt: 8, Weight: 8}, nil)
 	here := newBench(t, 1)
@@ -121,7 +122,7 @@
 	require.True(t, there.jobs[testJob].steps[0].tasks[0].suspected())
 }
 
-// TestSuspicionIsSmall holds what a suspect costs in the store.
+// TestSuspicionIsSmall bounds the space that a suspect takes in the store.
 func TestSuspicionIsSmall(t *testing.T) {
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
@@ -135,7 +136,7 @@
 	require.Less(t, len(data), 70, "%s", data)
 }
 
-// TestWorkerThatLeavesAsItSaidSaysNothing: what ran there is lost, and suspected of nothing.
+// TestWorkerThatLeavesAsItSaidSaysNothing checks that the tasks of such a worker are lost, but not suspected.
 func TestWorkerThatLeavesAsItSaidSaysNothing(t *testing.T) {
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
@@ -152,7 +153,7 @@
 	require.Empty(t, b.jobs[testJob].steps[0].tasks[0].suspicion.Lost)
 }
 
-// TestRunThatIsConfirmedLateBeganAtAnyTime guards against a job that is given up for a run of some milliseconds:
+// TestRunThatIsConfirmedLateBeganAtAnyTime guards against a job that is abandoned for a run of some milliseconds:
 // the start had no answer for seconds, and the worker was lost right after the report that showed the run.
 func TestRunThatIsConfirmedLateBeganAtAnyTime(t *testing.T) {
 	for late, least := range map[time.Duration]time.Duration{0: 20 * time.Millisecond, 2 * time.Second: 2 * time.Second} {
--- a/services/dispatch/takeover_test.go
+++ b/services/dispatch/takeover_test.go
@@ -18,16 +18,16 @@
 	b.AddJob(b.job(one), jobs.Progress{}, false, b.now)
 	b.report(0, jobs.Report{})
 	b.report(1, jobs.Report{})
-	require.Empty(t, b.starts(), "the third worker may run it")
+	require.Empty(t, b.starts(), "the third worker may run the task")
 	b.report(2, jobs.Report{Running: []jobs.Run{{Task: taskOf(0), Run: 2}}})
-	require.Empty(t, b.starts(), "it does")
+	require.Empty(t, b.starts(), "the third worker runs the task")
 	state, ok := b.State(testJob)
 	require.True(t, ok)
 	require.Equal(t, jobs.StateRunning, state)
 }
 
-// TestWorkerThatHasLeftEndsTheWaitAfterATakeover holds what cost 14 s of all lasting tasks
-// on a played day: one worker of the roster had left while all daemons were down.
+// TestWorkerThatHasLeftEndsTheWaitAfterATakeover guards against a long wait for a worker of the roster that left
+// while all daemons were down: in a simulated day that kept all long-running tasks from running for 14 s.
 func TestWorkerThatHasLeftEndsTheWaitAfterATakeover(t *testing.T) {
 	b := newBench(t, 3)
 	gone := jobs.Worker{ID: "gone", Pool: testPool, Address: "gone"}
@@ -44,27 +44,27 @@
 		b.SetWorkers(listed, b.now)
 		return b.storedStarts()
 	}
-	require.Empty(t, look(), "the worker that doesn't answer may run it")
+	require.Empty(t, look(), "the worker that does not answer may run the task")
 	b.Unreached(gone.ID, true, b.now)
-	require.Empty(t, look(), "it may be cut off, and come back into the list")
+	require.Empty(t, look(), "the worker may be cut off, and be listed again")
 	began := b.now
 	for b.now.Sub(began) <= maxRelistDelay {
 		b.Unreached(gone.ID, false, b.now)
-		require.Empty(t, look(), "a connection that doesn't come about proves nothing")
+		require.Empty(t, look(), "a connection that fails without a refusal proves nothing")
 	}
 	b.Unreached(gone.ID, true, b.now)
 	require.Len(t, look(), 1)
 }
 
-// TestWorkerThatDrainedBeforeATakeoverIsNotWaitedFor holds what the incident inc-c56b of the
-// grown site of Samferð showed: 27 workers had drained and left while all daemons were down.
+// TestWorkerThatDrainedBeforeATakeoverIsNotWaitedFor guards against a wait for workers that drained and left while
+// all daemons were down; in one incident there were 27 of them.
 func TestWorkerThatDrainedBeforeATakeoverIsNotWaitedFor(t *testing.T) {
-	former := newBench(t, 3)
-	drains := former.workers[former.ids[2]].info
+	previous := newBench(t, 3)
+	drains := previous.workers[previous.ids[2]].info
 	drains.Draining, drains.Remaining = true, time.Second
-	former.SetWorkers([]jobs.Worker{drains}, former.now)
-	roster := former.TakeChanges(10, former.now).Roster
-	require.NotNil(t, roster, "that it drains is stored")
+	previous.SetWorkers([]jobs.Worker{drains}, previous.now)
+	roster := previous.TakeChanges(10, previous.now).Roster
+	require.NotNil(t, roster, "the roster with the draining worker is stored")
 
 	b := newBench(t, 2)
 	b.now = b.now.Add(2 * time.Second)
@@ -78,15 +78,15 @@
 	require.Len(t, b.starts(), 1)
 }
 
-// TestStaleEntryOfADrainedWorkerIsNotWaitedFor holds what cost 1,172 tasks 7 s each:
-// workers had drained and left during an outage of the store, whose list went on naming
-// them, with the rest of time that they had before it.
+// TestStaleEntryOfADrainedWorkerIsNotWaitedFor guards against a wait for workers that drained and left during an
+// outage of the store, whose list went on naming them with the remaining time that they had before the outage. That
+// delayed 1,172 tasks by 7 s each.
 func TestStaleEntryOfADrainedWorkerIsNotWaitedFor(t *testing.T) {
-	former := newBench(t, 3)
-	drains := former.workers[former.ids[2]].info
+	previous := newBench(t, 3)
+	drains := previous.workers[previous.ids[2]].info
 	drains.Draining, drains.Remaining = true, 2*time.Second
-	former.SetWorkers([]jobs.Worker{drains}, former.now)
-	roster := former.TakeChanges(10, former.now).Roster
+	previous.SetWorkers([]jobs.Worker{drains}, previous.now)
+	roster := previous.TakeChanges(10, previous.now).Roster
 
 	b := newBench(t, 2)
 	b.now = b.now.Add(time.Second)
@@ -100,13 +100,13 @@
 		return b.starts()
 	}
 	b.Unreached(drains.ID, true, b.now)
-	require.Empty(t, look(), "it has a second left by the roster")
+	require.Empty(t, look(), "the roster leaves the worker a second")
 	b.now = b.now.Add(time.Second)
 	b.Unreached(drains.ID, false, b.now)
-	require.Empty(t, look(), "it is in the list, and may be cut off")
+	require.Empty(t, look(), "the worker is listed, and may be cut off")
 	b.Unreached(drains.ID, true, b.now)
 	require.Len(t, look(), 1)
-	require.NotContains(t, b.workers, drains.ID, "its entry doesn't bring it back")
+	require.NotContains(t, b.workers, drains.ID, "the stale entry does not add the worker again")
 }
 
 func TestWaitAfterATakeoverIsAsLongAsTheRosterSays(t *testing.T) {
@@ -121,16 +121,15 @@
 		if len(b.storedStarts()) > 0 {
 			break
 		}
-		require.Less(t, b.now.Sub(began), 8*time.Second, "the longest lease is 8 s, the roster says 4 s")
+		require.Less(t, b.now.Sub(began), 8*time.Second, "the longest lease is 8 s, the roster names 4 s")
 	}
-	require.Greater(t, b.now.Sub(began), 7*time.Second, "the former owner may have gone on for 3 s")
+	require.Greater(t, b.now.Sub(began), 7*time.Second, "the previous owner may have gone on for 3 s")
 	require.EqualValues(t, 4000, b.roster().Lease)
 }
 
-// TestFailuresOfASilentWorkerAreWaitedForAfterATakeover holds what a played day showed: a run
-// that a successor had taken over failed, and the task was started a fourth time. Two of its
-// three failures were known only to the former owner, which could not store them, and to a
-// worker that had not answered yet.
+// TestFailuresOfASilentWorkerAreWaitedForAfterATakeover guards against a fourth start of a task that has failed
+// three times. In a simulated day a run that a successor had taken over failed; the other two failures were known
+// only to the previous owner, which could not store them, and to a worker that had not answered yet.
 func TestFailuresOfASilentWorkerAreWaitedForAfterATakeover(t *testing.T) {
 	b := newBench(t, 2)
 	b.Enrol(jobs.Roster{Workers: b.Workers()}, b.now)
@@ -141,7 +140,7 @@
 	b.report(1, jobs.Report{Ended: []jobs.Ended{
 		{Number: 1, Task: taskOf(0), Run: 1, How: jobs.EndFailed}, {Number: 2, Task: taskOf(0), Run: 2, How: jobs.EndFailed},
 	}})
-	require.Empty(t, b.starts(), "it has failed as often as it may")
+	require.Empty(t, b.starts(), "the task has failed as often as it may")
 	require.Equal(t, jobs.StateFailed, b.jobs[testJob].end)
 }
 
@@ -151,7 +150,7 @@
 	b.Enrol(jobs.Roster{}, b.now)
 	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
 	b.Decide(b.now)
-	require.Empty(t, b.Movable(10, b.now), "what former owners have started may run yet")
+	require.Empty(t, b.Movable(10, b.now), "runs of previous owners may still exist")
 	b.now = b.now.Add(maxBlindTime + time.Second)
 	b.Decide(b.now)
 	b.now = b.now.Add(offerAfter)
--- a/services/dispatch/trial_test.go
+++ b/services/dispatch/trial_test.go
@@ -12,8 +12,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// TestSuspectOfSeveralLossesWaitsForAWorkerOfItsOwn: it was started beside tasks that had begun in
-// the same moment once it had waited for a second, and their crash was taken for its own.
+// TestSuspectOfSeveralLossesWaitsForAWorkerOfItsOwn guards against a suspect that is started beside other new runs
+// after it has waited for a second: a crash that these caused was counted against the suspect.
 func TestSuspectOfSeveralLossesWaitsForAWorkerOfItsOwn(t *testing.T) {
 	b := newBench(t, 1)
 	b.report(0, jobs.Report{})
@@ -35,7 +35,7 @@
 			b.report(0, jobs.Report{Running: []jobs.Run{row}})
 		}
 	}
-	require.Equal(t, testJob, starts[0].Call.Task.Job, "the worker is kept for it")
+	require.Equal(t, testJob, starts[0].Call.Task.Job, "the worker is reserved for the suspect")
 	require.GreaterOrEqual(t, b.now.Sub(began), minTrialTime)
 	require.Len(t, starts, 1)
 }
--- a/services/dispatch/unseen_test.go
+++ b/services/dispatch/unseen_test.go
@@ -22,7 +22,7 @@
 	return starts[0]
 }
 
-// newRunningBench makes a bench of two workers, of which the first has just started a task.
+// newRunningBench makes a bench of two workers, the first of which has just started a task.
 func newRunningBench(t *testing.T) *bench {
 	t.Helper()
 	b := newBench(t, 2)
@@ -32,36 +32,36 @@
 	return b
 }
 
-// drainFirst lets the first worker say for how long it stays.
+// drainFirst lets the first worker drain, with the given remaining time.
 func (b *bench) drainFirst(remaining time.Duration) {
 	list := b.Workers()
 	list[0].Draining, list[0].Remaining = true, remaining
 	b.SetWorkers(list, b.now)
 }
 
-// store stores all changes there are.
+// store stores all changes.
 func (b *bench) store() Changes {
 	changes := b.TakeChanges(10, b.now)
 	b.Stored(changes, b.now)
 	return changes
 }
 
-// TestLostRunIsStoredBeforeTheNextStart: two owners in turn lost two runs of a task each while the
-// store was away, and each began to count from nothing.
+// TestLostRunIsStoredBeforeTheNextStart guards against owners that each count from zero: two owners in turn lost two
+// runs of a task each while the store was away.
 func TestLostRunIsStoredBeforeTheNextStart(t *testing.T) {
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
 	b.report(1, jobs.Report{})
 	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
 	b.crashWorkerOfOnlyStart(t)
-	require.Empty(t, b.starts(), "what is known isn't stored yet")
+	require.Empty(t, b.starts(), "the loss is not stored yet")
 	changes := b.store()
 	require.Len(t, changes.Jobs[0].Progress.Suspected[0][0].Lost, 1)
 	require.Len(t, b.starts(), 1)
 }
 
-// TestRosterKeepsAWorkerUntilItsLostRunsAreStored: with the worker out of the roster and the run not
-// stored, a successor would know of neither.
+// TestRosterKeepsAWorkerUntilItsLostRunsAreStored guards against a successor that knows neither of a worker that has
+// left the roster nor of its lost run, because the run was not stored.
 func TestRosterKeepsAWorkerUntilItsLostRunsAreStored(t *testing.T) {
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
@@ -86,8 +86,8 @@
 	require.NotNil(t, second.Roster)
 }
 
-// newSuccessor makes an owner whose former one had used a worker that is gone, and started a task
-// that no worker shows.
+// newSuccessor makes an owner whose predecessor had used a worker that is lost, and had started a task that no
+// worker reports.
 func newSuccessor(t *testing.T, progress jobs.Progress, before ...jobs.Epoch) *bench {
 	t.Helper()
 	b := newBench(t, 2)
@@ -101,22 +101,22 @@
 	return b
 }
 
-// TestUnseenLossIsStoredBeforeOldTasksStart: a run that nobody knows of may have ended the worker
-// that is gone. One write of the roster says so for all tasks of the cell.
+// TestUnseenLossIsStoredBeforeOldTasksStart checks that the loss of an unknown run, which may have crashed the lost
+// worker, is stored before tasks of earlier jobs start: one write of the roster covers all tasks of the cell.
 func TestUnseenLossIsStoredBeforeOldTasksStart(t *testing.T) {
 	b := newSuccessor(t, jobs.Progress{})
-	require.Empty(t, b.starts(), "the store doesn't know yet")
+	require.Empty(t, b.starts(), "the takeover's losses are not stored yet")
 	fresh := b.job(one)
 	fresh.Spec.ID = "00000000000000bb"
 	b.AddJob(fresh, jobs.Progress{}, true, b.now)
-	require.Len(t, b.starts(), 1, "a job accepted since was never on that worker")
+	require.Len(t, b.starts(), 1, "a job accepted since the takeover was never on that worker")
 	roster := b.store().Roster
 	require.Equal(t, []jobs.Epoch{5}, roster.Unseen)
 	require.Len(t, b.starts(), 1)
 	require.Equal(t, 1, b.jobs[testJob].steps[0].tasks[0].losses())
 }
 
-// TestWorkersThatAllAnswerLeaveNoUnseenLoss: then nothing was lost, and nothing has to be stored.
+// TestWorkersThatAllAnswerLeaveNoUnseenLoss checks that no loss is counted and none has to be stored in this case.
 func TestWorkersThatAllAnswerLeaveNoUnseenLoss(t *testing.T) {
 	b := newBench(t, 2)
 	b.Enrol(jobs.Roster{Workers: b.Workers()}, b.now)
@@ -127,8 +127,8 @@
 	require.Zero(t, b.jobs[testJob].steps[0].tasks[0].losses())
 }
 
-// TestUnseenLossesAddUpOverOwners: those of former takeovers count unless a run has gone on for
-// long since, or the job was accepted later.
+// TestUnseenLossesAddUpOverOwners checks that losses of earlier takeovers count, unless a run has gone on for long
+// since then or the job was accepted later.
 func TestUnseenLossesAddUpOverOwners(t *testing.T) {
 	b := newSuccessor(t, jobs.Progress{}, 2, 3, 4)
 	require.Equal(t, 4, b.jobs[testJob].steps[0].tasks[0].losses())
@@ -143,7 +143,7 @@
 	require.Len(t, b.store().Roster.Unseen, maxUnobservedEpochs)
 }
 
-// TestLongRunIsRememberedByTheNextOwner: what may have been lost before it doesn't count any more.
+// TestLongRunIsRememberedByTheNextOwner checks that losses before a long run no longer count.
 func TestLongRunIsRememberedByTheNextOwner(t *testing.T) {
 	b := newSuccessor(t, jobs.Progress{})
 	b.store()
@@ -157,7 +157,8 @@
 	require.Equal(t, jobs.Suspicion{Cleared: 5}, changes.Jobs[0].Progress.Suspected[0][0])
 }
 
-// TestLossesThatNobodySawLowerTheBound: five runs may be lost at most, whoever has seen them.
+// TestLossesThatNobodySawLowerTheBound checks that at most five runs may be lost, whether an owner observed them or
+// not.
 func TestLossesThatNobodySawLowerTheBound(t *testing.T) {
 	lost := func(run jobs.RunID) jobs.LostRun { return jobs.LostRun{Run: run, Ran: 50, Doubt: 4, Weight: 3} }
 	known := jobs.Suspicions{}
@@ -165,11 +166,11 @@
 	b := newSuccessor(t, jobs.Progress{Suspected: known})
 	require.Equal(t, 5, b.jobs[testJob].steps[0].tasks[0].losses())
 	require.True(t, b.jobs[testJob].steps[0].tasks[0].crashesWorkers())
-	require.Empty(t, b.storedStarts(), "the next would be the sixth")
+	require.Empty(t, b.storedStarts(), "the next start would be the sixth")
 }
 
-// TestRunOnAWorkerThatDrainsMayHaveEndedIt: a worker that had said that it leaves said nothing of
-// what ran there, and a task that ended such workers was started once more for each.
+// TestRunOnAWorkerThatDrainsMayHaveEndedIt guards against extra starts of a task that crashes draining workers: the
+// loss of such a worker was no evidence, so each one allowed another start.
 func TestRunOnAWorkerThatDrainsMayHaveEndedIt(t *testing.T) {
 	b := newRunningBench(t)
 	b.drainFirst(100 * time.Millisecond)
@@ -181,7 +182,8 @@
 	require.Len(t, b.starts(), 1)
 }
 
-// TestDrainingWorkerThatGoesEarlyHasCrashed: it had said that it would stay for seconds.
+// TestDrainingWorkerThatGoesEarlyHasCrashed covers a worker that is lost seconds before the time that it had
+// announced.
 func TestDrainingWorkerThatGoesEarlyHasCrashed(t *testing.T) {
 	b := newRunningBench(t)
 	b.drainFirst(3 * time.Second)
@@ -191,7 +193,8 @@
 	require.Len(t, b.store().Jobs[0].Progress.Suspected[0][0].Lost, 1)
 }
 
-// TestRunOnASilentWorkerMayHaveEndedIt: its lease runs out, and nobody hears why it was silent.
+// TestRunOnASilentWorkerMayHaveEndedIt covers a worker whose lease runs out, so that nobody learns why it was
+// silent.
 func TestRunOnASilentWorkerMayHaveEndedIt(t *testing.T) {
 	b := newRunningBench(t)
 	b.Overdue(b.ids[0], b.now)
@@ -201,15 +204,15 @@
 		b.starts()
 		if changes := b.store(); len(changes.Jobs) > 0 && changes.Jobs[0].Progress.Suspected[0][0].Open != nil {
 			open = true
-			require.NotNil(t, changes.Roster, "stored no later than the roster that leaves out the worker")
+			require.NotNil(t, changes.Roster, "the run is stored no later than the roster without its worker")
 		}
 	}
 	require.True(t, open)
 	require.Equal(t, 1, b.jobs[testJob].steps[0].tasks[0].losses())
 }
 
-// TestRunTakenOverMayHaveEndedItsWorker: a successor sees a run, and its worker is lost right after.
-// It does not know since when the run is under way, and counted nothing.
+// TestRunTakenOverMayHaveEndedItsWorker guards against a loss that is not counted: a successor takes over a run and
+// its worker is lost right after, and the successor does not know when the run began.
 func TestRunTakenOverMayHaveEndedItsWorker(t *testing.T) {
 	b := newBench(t, 2)
 	b.Enrol(jobs.Roster{Workers: b.Workers()}, b.now)
@@ -224,7 +227,8 @@
 	require.Len(t, b.starts(), 1)
 }
 
-// TestUnseenLossesGoWithATaskToAnotherCell: its record is newer than the takeovers here.
+// TestUnseenLossesGoWithATaskToAnotherCell checks that a move includes these losses, because the task's record there is
+// newer than the takeovers here.
 func TestUnseenLossesGoWithATaskToAnotherCell(t *testing.T) {
 	b := newBench(t, 1)
 	b.AddJob(b.job(servingStep), jobs.Progress{}, true, b.now)
@@ -234,8 +238,8 @@
 	require.Equal(t, 2, move.Suspected[0][0].Unseen)
 }
 
-// TestOpenRunSaysLessTheLaterItsWorkerIsMissed: the longer nobody has looked, the likelier the worker
-// was lost by chance.
+// TestOpenRunSaysLessTheLaterItsWorkerIsMissed checks that the evidence of an open run decreases with the time until
+// its worker's loss is noticed: the longer that time, the likelier the worker was lost by chance.
 func TestOpenRunSaysLessTheLaterItsWorkerIsMissed(t *testing.T) {
 	open := &jobs.OpenRun{LostRun: jobs.LostRun{Run: 3}, Began: 1, Chance: 0.02}
 	soon := weighUnobserved(open, 3*time.Second)
@@ -244,11 +248,11 @@
 	require.Less(t, late.Weight, soon.Weight)
 	require.Less(t, late.Weight, 0.2)
 	open.Beside = 1
-	require.Less(t, weighUnobserved(open, 3*time.Second).Weight, 0.0, "another suspect was there")
+	require.Less(t, weighUnobserved(open, 3*time.Second).Weight, 0.0, "another suspect was on the worker")
 }
 
-// TestRunWithoutAnswerMayHaveEndedItsWorker: the start had no answer, and calls to the worker had failed
-// before it. Its run had not been under way by what was known, and counted nothing.
+// TestRunWithoutAnswerMayHaveEndedItsWorker guards against a loss that is not counted: the start had no answer,
+// calls to the worker had failed before it, and so the run did not count as under way.
 func TestRunWithoutAnswerMayHaveEndedItsWorker(t *testing.T) {
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
@@ -263,19 +267,20 @@
 	require.Equal(t, 1, b.store().Jobs[0].Progress.Suspected[0][0].Unseen)
 }
 
-// TestTimeThatNobodySawIsNoTime: 1 s had stood for it, and a loss after 1 s was taken for one.
+// TestTimeThatNobodySawIsNoTime guards against an unknown runtime that is stored as 1 s: a later loss after 1 s
+// seemed to be after the same runtime.
 func TestTimeThatNobodySawIsNoTime(t *testing.T) {
 	suspect := &task{suspicion: jobs.Suspicion{Lost: []jobs.LostRun{{Run: 1, Ran: 1000}, {Run: 2}}}}
 	require.Equal(t, []time.Duration{time.Second}, suspect.lostRuntimes())
 	require.Equal(t, 2*assumedUnobservedRuntime, suspect.trialTime())
 }
 
-// TestLossThatWasSeenIsNoUnseenOneOfItsTakeover guards against a run that counts twice: among the losses that
-// were seen, and at later owners as one that was lost at that takeover.
+// TestLossThatWasSeenIsNoUnseenOneOfItsTakeover guards against a run that counts twice: among the observed losses,
+// and at later owners as an unobserved loss of that takeover.
 func TestLossThatWasSeenIsNoUnseenOneOfItsTakeover(t *testing.T) {
 	open := &jobs.OpenRun{LostRun: jobs.LostRun{Run: 3, Ran: 300, Doubt: 2, Weight: 2}, Worker: "gone"}
 	b := newSuccessor(t, jobs.Progress{Suspected: jobs.Suspicions{0: {0: {Open: open}}}}, 3)
-	require.Equal(t, 2, b.jobs[testJob].steps[0].tasks[0].losses(), "the one that was open, and one of the former takeover")
+	require.Equal(t, 2, b.jobs[testJob].steps[0].tasks[0].losses(), "the open run, and one loss of the earlier takeover")
 	changes := b.store()
 	require.Equal(t, []jobs.Epoch{3, 5}, changes.Roster.Unseen)
 
@@ -285,7 +290,7 @@
 	require.Equal(t, 2, next.jobs[testJob].steps[0].tasks[0].losses())
 }
 
-// TestSilentWorkerThatComesBackHasNotCrashed guards against losses that stay counted when the worker shows the
+// TestSilentWorkerThatComesBackHasNotCrashed guards against losses that stay counted when the worker reports the
 // run: it was cut off, and the run has lapsed.
 func TestSilentWorkerThatComesBackHasNotCrashed(t *testing.T) {
 	b := newRunningBench(t)
@@ -299,11 +304,11 @@
 	require.Equal(t, 1, b.jobs[testJob].steps[0].tasks[0].losses())
 	b.report(0, jobs.Report{Ended: []jobs.Ended{{Number: 1, Task: taskOf(0), Run: run, How: jobs.EndLapsed}}})
 	require.Zero(t, b.jobs[testJob].steps[0].tasks[0].losses())
-	require.Zero(t, b.store().Jobs[0].Progress.Suspected[0][0].Unseen, "a successor is told as well")
+	require.Zero(t, b.store().Jobs[0].Progress.Suspected[0][0].Unseen, "a successor is told that the run was not lost")
 }
 
-// TestRunThatHasLapsedWasNotLostAtTheTakeover guards against tasks that are taken to have lost a run unseen,
-// although a worker shows after the takeover how the latest one ended.
+// TestRunThatHasLapsedWasNotLostAtTheTakeover guards against counting an unobserved loss for tasks whose latest run
+// a worker reports as ended after the takeover.
 func TestRunThatHasLapsedWasNotLostAtTheTakeover(t *testing.T) {
 	b := newBench(t, 2)
 	gone := jobs.Worker{ID: "gone", Pool: testPool, Address: "gone"}
