--- a/services/dispatch/bench_test.go
+++ b/services/dispatch/bench_test.go
@@ -52,7 +52,7 @@
 	b.now = b.now.Add(100 * time.Millisecond)
 	report.Clock = models.MilliOf(b.now.Sub(time.Unix(1_000_000, 0)))
 	b.call(n, report)
-	if w := b.workers[b.ids[n]]; w != nil && !w.leased {
+	if w := b.workers[b.ids[n]]; w != nil && !w.renewed {
 		b.call(n, report) // the first answer has told the worker's clock
 	}
 }
@@ -92,8 +92,8 @@
 
 func taskOf(index int) jobs.TaskID { return jobs.TaskID{Job: testJob, Index: index} }
 
-// adds lets the core know for sure what a filling image adds to the serving one.
-func (b *bench) adds(filling jobs.ImageName, factor float64) {
+// setInterference lets the core know for sure what a filling image adds to the serving one.
+func (b *bench) setInterference(filling jobs.ImageName, factor float64) {
 	b.Core.model.Restore(jobs.Knowledge{Filling: []jobs.ImageName{filling}, Factors: []jobs.ImageKnowledge{{
 		Serving: servingStep.Image, Idle: 0.2, Free: 1000, Watched: 1000 * 0.2 / 0.55, Mean: []float64{factor}, Covariance: []float64{0},
 	}}}, 0)
--- a/services/dispatch/changes.go
+++ b/services/dispatch/changes.go
@@ -23,7 +23,7 @@
 	// Proof says that the transaction is wanted because it proves the ownership.
 	Proof bool
 
-	taken time.Time
+	takenAt time.Time
 }
 
 // JobChange is a job's progress, or its end.
@@ -43,43 +43,43 @@
 // TakeChanges takes at most limit changed jobs, ended ones first because callers wait for
 // them. Changes that can't be stored are given back with Unstored.
 func (c *Core) TakeChanges(limit int, now time.Time) Changes {
-	changes := Changes{Proof: c.wantsProof, taken: now}
-	c.hurried = false
+	changes := Changes{Proof: c.wantsProof, takenAt: now}
+	c.storeUrgently = false
 	changes.Forget = c.takeForgotten(limit)
 	limit -= len(changes.Forget)
-	slices.SortStableFunc(c.dirty, func(a, b *job) int { return cmp.Compare(a.storeOrder(), b.storeOrder()) })
+	slices.SortStableFunc(c.dirty, func(a, b *job) int { return cmp.Compare(a.storePriority(), b.storePriority()) })
 	taken := min(limit, len(c.dirty))
 	for _, j := range c.dirty[:taken] {
 		j.dirty = false
 		changes.Jobs = append(changes.Jobs, c.changeOf(j, now))
 	}
 	c.dirty = slices.Clone(c.dirty[taken:])
-	if c.rosterChanged && !slices.ContainsFunc(c.dirty, (*job).countsLoss) {
+	if c.rosterChanged && !slices.ContainsFunc(c.dirty, (*job).hasUnstoredLoss) {
 		changes.Roster = c.roster()
 		c.rosterChanged = false
 	}
 	if !changes.Empty() {
-		changes.Knowledge = c.takeKnowledge(now)
+		changes.Knowledge = c.takeLearnedParameters(now)
 	}
 	return changes
 }
 
-// storeOrder is the place of a job among those to be stored: callers wait for ends, and starts for
+// storePriority is the place of a job among those to be stored: callers wait for ends, and starts for
 // counted losses.
-func (j *job) storeOrder() int {
+func (j *job) storePriority() int {
 	switch {
 	case j.end != "":
 		return 0
-	case j.countsLoss():
+	case j.hasUnstoredLoss():
 		return 1
 	default:
 		return 2
 	}
 }
 
-// countsLoss tells whether a lost run of the job is counted and not stored yet. The roster may leave
+// hasUnstoredLoss tells whether a lost run of the job is counted and not stored yet. The roster may leave
 // out its worker no sooner: a successor that finds neither would not know that there was a run.
-func (j *job) countsLoss() bool { return j.stored < j.counted }
+func (j *job) hasUnstoredLoss() bool { return j.stored < j.counted }
 
 // Empty tells whether there is nothing to store.
 func (c Changes) Empty() bool {
@@ -102,7 +102,7 @@
 			return true
 		}
 	}
-	return c.rosterChanged || c.wantsProof || c.hurried
+	return c.rosterChanged || c.wantsProof || c.storeUrgently
 }
 
 // HasChanges tells whether there is something to store.
@@ -149,7 +149,7 @@
 // Stored says that the changes are stored: ended jobs may be shown as such and workers
 // may forget the ends.
 func (c *Core) Stored(changes Changes, now time.Time) {
-	c.proved = latest(c.proved, changes.taken)
+	c.proved = latest(c.proved, changes.takenAt)
 	c.wantsProof = false
 	for _, change := range changes.Jobs {
 		j := change.job
@@ -158,8 +158,8 @@
 			j.hasProgress = true
 			continue
 		}
-		c.remember(j.spec.ID, j.end, now)
-		c.forgetJob(j)
+		c.rememberEnd(j.spec.ID, j.end, now)
+		c.forgetIfStored(j)
 	}
 	if changes.Roster == nil {
 		return
--- a/services/dispatch/core.go
+++ b/services/dispatch/core.go
@@ -81,55 +81,55 @@
 
 // Core decides for one cell. It is not safe for concurrent use.
 type Core struct {
-	config      Config
-	jobs        map[jobs.ID]*job
-	timed       map[jobs.ID]*job // those that repeat
-	ended       map[jobs.ID]endedJob
-	left        map[jobs.ID]leftJob // jobs that went to another cell as a whole
-	forgotAt    time.Time           // when ended jobs were last looked through
-	workers     map[jobs.WorkerID]*worker
-	order       []*worker       // by id
-	hurry       []jobs.WorkerID // see TakeHurried
-	met         int             // workers that were ever added
-	queues      map[jobs.QueueName]jobs.Terms
-	open        []*step // with tasks that wait
-	orders      []Order
-	dirty       []*job
-	formerLease time.Duration // of former owners; LongestLease at most
-	held        bool          // jobs wait to be offered to other cells
-	blind       bool          // a worker may run tasks that were not reported yet
-	fenced      time.Time     // when most workers had; zero: not yet
-	superseded  bool
-	proved      time.Time // when the latest transaction that proves the ownership was made; see mayOrder
-	obeyed      time.Time // when two thirds of the workers had been called that have answered
-	countedAt   time.Time // when obeyed was last found out
-	wantsProof  bool      // a transaction is wanted for its proof alone
-	idle        bool      // orders wait for a proof
-	known       known
-	stopping    map[*task]struct{}
-	now         time.Time // of the latest call
-
-	rosterChanged bool
-	forgotten     []jobs.ID // ended jobs to be removed from the store
-	model         *contention.Model
-	sharedAt      time.Time                 // when observations last came into force
-	usual         map[jobs.QueueName]*speed // how fast tasks progress, in estimates
-	repeats       repeats
-	losses        []workerLoss              // of the last seconds
-	openRuns      map[jobs.WorkerID][]*task // suspects that a former owner started there, until it answers
-	takeovers     takeoverLosses
-	withLosses    map[*task]struct{}            // tasks that have lost runs; some of them may have ended since
-	toJudge       []*task                       // against which something has been counted
-	recent        []recentLoss                  // to be weighed again
-	replaced      map[jobs.Incarnation]struct{} // proved to be gone, while the list still names them
-	hurried       bool                          // what is dirty should not wait to be stored
-	short         shortWork
-	startsLeft    int // that Decide may still order
-	counts        Counts
-	figures       JobFigures
-	placeBuffer   places                      // reused by Core.places
-	restored      map[stepKey]contention.Load // of a former owner, until the step is added
-	knowledgeAt   time.Time                   // when the knowledge was last taken to be stored
+	config       Config
+	jobs         map[jobs.ID]*job
+	repeating    map[jobs.ID]*job // those that repeat
+	ended        map[jobs.ID]endedJob
+	movedOut     map[jobs.ID]movedOutJob // jobs that went to another cell as a whole
+	endedSweptAt time.Time               // when ended jobs were last looked through
+	workers      map[jobs.WorkerID]*worker
+	order        []*worker       // by id
+	hurry        []jobs.WorkerID // see TakeHurried
+	workersAdded int             // workers that were ever added
+	queues       map[jobs.QueueName]jobs.Terms
+	waitingSteps []*step // with tasks that wait
+	orders       []Order
+	dirty        []*job
+	formerLease  time.Duration // of former owners; LongestLease at most
+	jobsHeld     bool          // jobs wait to be offered to other cells
+	blind        bool          // a worker may run tasks that were not reported yet
+	fenced       time.Time     // when most workers had; zero: not yet
+	superseded   bool
+	proved       time.Time // when the latest transaction that proves the ownership was made; see mayOrder
+	obeyed       time.Time // when two thirds of the workers had been called that have answered
+	countedAt    time.Time // when obeyed was last found out
+	wantsProof   bool      // a transaction is wanted for its proof alone
+	idle         bool      // orders wait for a proof
+	known        known
+	stopping     map[*task]struct{}
+	now          time.Time // of the latest call
+
+	rosterChanged     bool
+	forgotten         []jobs.ID // ended jobs to be removed from the store
+	model             *contention.Model
+	modelSettledAt    time.Time                 // when observations last came into force
+	queueSpeeds       map[jobs.QueueName]*speed // how fast tasks progress, in estimates
+	repeats           repeats
+	losses            []workerLoss              // of the last seconds
+	openRuns          map[jobs.WorkerID][]*task // suspects that a former owner started there, until it answers
+	takeovers         takeoverLosses
+	withLosses        map[*task]struct{}            // tasks that have lost runs; some of them may have ended since
+	toJudge           []*task                       // against which something has been counted
+	recent            []recentLoss                  // to be weighed again
+	replaced          map[jobs.Incarnation]struct{} // proved to be gone, while the list still names them
+	storeUrgently     bool                          // what is dirty should not wait to be stored
+	shortWork         shortWork
+	startsLeft        int // that Decide may still order
+	counts            Counts
+	figures           JobFigures
+	placeBuffer       placeHeap                   // reused by Core.findPlaces
+	restoredLoads     map[stepKey]contention.Load // of a former owner, until the step is added
+	parametersTakenAt time.Time                   // when the knowledge was last taken to be stored
 }
 
 // Counts is what a core has done so far.
@@ -148,10 +148,10 @@
 // New makes a core without jobs and workers.
 func New(config Config) *Core {
 	return &Core{
-		config: config, jobs: map[jobs.ID]*job{}, timed: map[jobs.ID]*job{}, ended: map[jobs.ID]endedJob{}, left: map[jobs.ID]leftJob{},
+		config: config, jobs: map[jobs.ID]*job{}, repeating: map[jobs.ID]*job{}, ended: map[jobs.ID]endedJob{}, movedOut: map[jobs.ID]movedOutJob{},
 		workers: map[jobs.WorkerID]*worker{}, queues: map[jobs.QueueName]jobs.Terms{}, stopping: map[*task]struct{}{},
-		formerLease: config.LongestLease, blind: true, proved: config.Taken, model: contention.NewModel(), usual: map[jobs.QueueName]*speed{},
-		restored: map[stepKey]contention.Load{}, known: known{jobs: config.Taken, workers: config.Taken},
+		formerLease: config.LongestLease, blind: true, proved: config.Taken, model: contention.NewModel(), queueSpeeds: map[jobs.QueueName]*speed{},
+		restoredLoads: map[stepKey]contention.Load{}, known: known{jobs: config.Taken, workers: config.Taken},
 		repeats: newRepeats(), startsLeft: math.MaxInt,
 		openRuns: map[jobs.WorkerID][]*task{}, withLosses: map[*task]struct{}{}, replaced: map[jobs.Incarnation]struct{}{},
 	}
@@ -190,7 +190,7 @@
 	c.expireWorkers(now)
 	c.weighAgain(now)
 	c.judge(now)
-	c.openDue(now)
+	c.openDueOccurrences(now)
 	if c.mayOrder(now) {
 		c.evacuate(now)
 		c.retryStops(now)
@@ -215,9 +215,9 @@
 	return w.info.Pool == pool && (spec.Requires == "" || slices.Contains(w.info.Labels, spec.Requires))
 }
 
-// due is when a job's objective ends.
-func (c *Core) due(j *job) models.UnixMilli {
+// deadline is when a job's objective ends.
+func (c *Core) deadline(j *job) models.UnixMilli {
 	terms := c.terms(j)
-	objective := terms.Slack + models.Milli(terms.Stretch*float64(models.MilliOf(j.chain)))
-	return j.begins + models.UnixMilli(objective)
+	objective := terms.Slack + models.Milli(terms.Stretch*float64(models.MilliOf(j.criticalPath)))
+	return j.objectiveStart + models.UnixMilli(objective)
 }
--- a/services/dispatch/core_test.go
+++ b/services/dispatch/core_test.go
@@ -91,17 +91,17 @@
 func TestWorkerIsNotJudgedByAFewSamples(t *testing.T) {
 	b := newBench(t, 1)
 	w := b.workers[b.ids[0]]
-	for sample := range leastSamples {
+	for sample := range minWorkerSamples {
 		require.True(t, w.stalledUntil.IsZero(), "after %d samples", sample)
-		w.speed.add(0, workerWeight)
-		b.judgeSpeed(w, b.now)
+		w.speed.add(0, workerSpeedWeight)
+		b.checkStalled(w, b.now)
 	}
 	require.False(t, w.stalledUntil.IsZero(), "it has stood still all the time")
 
-	w.speed, w.stalledUntil = speed{mean: 1, samples: 2 * leastSamples}, time.Time{}
+	w.speed, w.stalledUntil = speed{mean: 1, samples: 2 * minWorkerSamples}, time.Time{}
 	for range 7 { // nearly three seconds of one task
-		w.speed.add(0, workerWeight)
-		b.judgeSpeed(w, b.now)
+		w.speed.add(0, workerSpeedWeight)
+		b.checkStalled(w, b.now)
 	}
 	require.True(t, w.stalledUntil.IsZero(), "it has been well until then")
 }
@@ -110,9 +110,9 @@
 func TestSlowWorkerKeepsItsTasks(t *testing.T) {
 	b := newBench(t, 1)
 	w := b.workers[b.ids[0]]
-	for range 10 * leastSamples {
-		w.speed.add(1.0/7, workerWeight)
-		b.judgeSpeed(w, b.now)
+	for range 10 * minWorkerSamples {
+		w.speed.add(1.0/7, workerSpeedWeight)
+		b.checkStalled(w, b.now)
 		require.True(t, w.stalledUntil.IsZero())
 	}
 }
--- a/services/dispatch/end.go
+++ b/services/dispatch/end.go
@@ -12,12 +12,12 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// seeEnd takes one ended row of a report.
-func (c *Core) seeEnd(w *worker, ended jobs.Ended, now time.Time) {
+// recordEnd takes one ended row of a report.
+func (c *Core) recordEnd(w *worker, ended jobs.Ended, now time.Time) {
 	w.lastEnd = ended.Number
 	t := c.find(ended.Task)
 	if t == nil {
-		w.keepEnd(ended.Number, nil)
+		w.retainEnd(ended.Number, nil)
 		return
 	}
 	c.noteShown(t, ended.Run)
@@ -26,7 +26,7 @@
 		fate = c.keepText(t, saved{text: ended.Checkpoint, run: ended.Run, worker: w.info.ID, row: savedRow(ended.How), at: now})
 	}
 	c.applyEnd(w, t, ended, now)
-	w.keepEnd(ended.Number, t.step.job)
+	w.retainEnd(ended.Number, t.step.job)
 	c.logEnd(w, t, ended, fate, now)
 }
 
@@ -37,11 +37,11 @@
 	case jobs.EndSucceeded:
 		c.counts.Succeeded++
 		w.failedJobs = w.failedJobs[:0]
-		c.succeed(t, current, now)
+		c.markSucceeded(t, current, now)
 	case jobs.EndFailed:
 		c.counts.Failed++
-		w.noteFailure(t.step.job, now)
-		c.fail(t, ended.Run)
+		w.recordFailure(t.step.job, now)
+		c.countFailure(t, ended.Run)
 	case jobs.EndLapsed:
 		c.counts.Lapsed++
 		c.noteLapsed(t, ended.Run)
@@ -53,10 +53,10 @@
 	}
 }
 
-// keepEnd notes an end that the worker must not forget before its job's progress is
+// retainEnd notes an end that the worker must not forget before its job's progress is
 // stored; without a job, or with nothing to store, it may forget it at once.
-func (w *worker) keepEnd(number uint64, j *job) {
-	end := keptEnd{number: number}
+func (w *worker) retainEnd(number uint64, j *job) {
+	end := unacknowledgedEnd{number: number}
 	if j != nil && j.version > j.stored {
 		end.job, end.version = j, j.version
 	}
@@ -78,8 +78,8 @@
 	c.config.Logger.Info("run ended", fields...)
 }
 
-// succeed marks a task as done; tasks that last are run again however they end.
-func (c *Core) succeed(t *task, current bool, now time.Time) {
+// markSucceeded marks a task as done; tasks that last are run again however they end.
+func (c *Core) markSucceeded(t *task, current bool, now time.Time) {
 	if t.step.spec.Lasts || t.state == taskDone {
 		return
 	}
@@ -102,19 +102,19 @@
 	c.settle(t.step.job)
 }
 
-// fail counts a failed run, and fails the job when the task has no attempt left.
-func (c *Core) fail(t *task, run jobs.RunID) {
+// countFailure counts a failed run, and fails the job when the task has no attempt left.
+func (c *Core) countFailure(t *task, run jobs.RunID) {
 	if t.step.spec.Lasts || t.state == taskDone || t.step.job.end != "" || slices.Contains(t.failures, run) {
 		return
 	}
 	j := t.step.job
 	t.failures = append(t.failures, run)
 	c.change(j)
-	if len(t.failures) >= c.attempts(j) && j.end == "" && !j.cancelled {
+	if len(t.failures) >= c.maxAttempts(j) && j.end == "" && !j.cancelled {
 		c.end(j, jobs.StateFailed)
 		c.stopAll(j, "its job has failed")
 	}
 }
 
-// attempts is how many failed runs of a task fail its job.
-func (c *Core) attempts(j *job) int { return max(1, c.terms(j).MaxAttempts) }
+// maxAttempts is how many failed runs of a task fail its job.
+func (c *Core) maxAttempts(j *job) int { return max(1, c.terms(j).MaxAttempts) }
--- a/services/dispatch/ended.go
+++ b/services/dispatch/ended.go
@@ -18,20 +18,20 @@
 // Remembered is how long the state of an ended job is kept at least.
 const Remembered = 150 * time.Second
 
-// remember keeps the state of a job that has ended.
-func (c *Core) remember(id jobs.ID, state jobs.State, now time.Time) {
+// rememberEnd keeps the state of a job that has ended.
+func (c *Core) rememberEnd(id jobs.ID, state jobs.State, now time.Time) {
 	c.ended[id] = endedJob{state: state, until: now.Add(Remembered)}
 }
 
-// forgetEvery is how often ended jobs are looked through.
-const forgetEvery = time.Second
+// forgetInterval is how often ended jobs are looked through.
+const forgetInterval = time.Second
 
 // forgetEnded drops ended jobs that were kept for long enough.
 func (c *Core) forgetEnded(now time.Time) {
-	if now.Sub(c.forgotAt) < forgetEvery {
+	if now.Sub(c.endedSweptAt) < forgetInterval {
 		return
 	}
-	c.forgotAt = now
+	c.endedSweptAt = now
 	c.forgetLosses()
 	for id, e := range c.ended {
 		if now.After(e.until) {
--- a/services/dispatch/expect_test.go
+++ b/services/dispatch/expect_test.go
@@ -17,8 +17,8 @@
 	s := &step{spec: &servingStep}
 	begin := b.now
 	for n := range 50 {
-		s.own.Advance(begin.Add(time.Duration(n) * 100 * time.Millisecond))
-		s.own.Correct(0.65, 0.05*0.05)
+		s.baseline.Advance(begin.Add(time.Duration(n) * 100 * time.Millisecond))
+		s.baseline.Correct(0.65, 0.05*0.05)
 	}
 	b.now = begin.Add(5 * time.Second)
 	b.Core.now = b.now
--- a/services/dispatch/figures.go
+++ b/services/dispatch/figures.go
@@ -40,9 +40,9 @@
 	Starts []FirstStart
 }
 
-// mostFigures bounds what is kept for an operator's metrics, should nobody ask: some minutes
+// maxJobFigures bounds what is kept for an operator's metrics, should nobody ask: some minutes
 // of jobs at the size that one cell is planned for.
-const mostFigures = 10_000
+const maxJobFigures = 10_000
 
 // TakeJobFigures gives what has become of jobs since it was last asked.
 func (c *Core) TakeJobFigures() JobFigures {
@@ -51,19 +51,19 @@
 	return figures
 }
 
-// noteFirstStart notes the first start of a job's tasks by this owner. Jobs accepted before
+// recordFirstStart notes the first start of a job's tasks by this owner. Jobs accepted before
 // it took the cell may have been started by a former one, and are left out.
-func (c *Core) noteFirstStart(j *job, now time.Time) {
-	if !j.fresh || j.noted || len(c.figures.Starts) >= mostFigures {
+func (c *Core) recordFirstStart(j *job, now time.Time) {
+	if !j.fresh || j.firstStartNoted || len(c.figures.Starts) >= maxJobFigures {
 		return
 	}
-	j.noted = true
+	j.firstStartNoted = true
 	c.figures.Starts = append(c.figures.Starts, FirstStart{j.spec.Queue, ageOf(j, c.timeOfDay(now))})
 }
 
-// noteEnd notes the end of a job.
-func (c *Core) noteEnd(j *job, state jobs.State, now time.Time) {
-	if len(c.figures.Ends) >= mostFigures {
+// recordJobEnd notes the end of a job.
+func (c *Core) recordJobEnd(j *job, state jobs.State, now time.Time) {
+	if len(c.figures.Ends) >= maxJobFigures {
 		return
 	}
 	outcome := JobInTime
@@ -72,7 +72,7 @@
 		outcome = JobFailed
 	case state == jobs.StateCancelled:
 		outcome = JobCancelled
-	case c.timeOfDay(now) > c.due(j):
+	case c.timeOfDay(now) > c.deadline(j):
 		outcome = JobLate
 	}
 	c.figures.Ends = append(c.figures.Ends, JobEnd{j.spec.Queue, outcome, ageOf(j, c.timeOfDay(now))})
--- a/services/dispatch/filling.go
+++ b/services/dispatch/filling.go
@@ -8,25 +8,25 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// lastingUse is the part of its declared processor time that a lasting task is taken to
+// longRunningUse is the part of its declared processor time that a lasting task is taken to
 // use: it declares what it needs at its busiest.
-const lastingUse = 0.5
+const longRunningUse = 0.5
 
-// unused is the processor time that the worker's tasks are taken to leave over.
-func (w *worker) unused() models.MilliCPU {
-	ordinary := w.used.CPU - w.lasting
-	return w.info.Capacity.CPU - ordinary - models.MilliCPU(lastingUse*float64(w.lasting))
+// unusedCPU is the processor time that the worker's tasks are taken to leave over.
+func (w *worker) unusedCPU() models.MilliCPU {
+	ordinary := w.used.CPU - w.longRunningCPU
+	return w.info.Capacity.CPU - ordinary - models.MilliCPU(longRunningUse*float64(w.longRunningCPU))
 }
 
-// mayFill tells whether a filling task may come to the worker: there must be processor
+// mayRunFiller tells whether a filling task may come to the worker: there must be processor
 // time left over, and the loads there must stay low enough.
-func (c *Core) mayFill(w *worker, s *step) bool {
-	if w.filling+s.spec.Size.CPU > w.unused() {
+func (c *Core) mayRunFiller(w *worker, s *step) bool {
+	if w.fillerCPU+s.spec.Size.CPU > w.unusedCPU() {
 		return false
 	}
 	share := w.fullShare(s)
 	image := c.model.Index(s.spec.Image)
-	for _, serving := range c.expect(w) {
+	for _, serving := range c.expectedLoads(w) {
 		added, variance := serving.service.AddedBy(image, share)
 		if serving.excess(placeCaution, added, variance) > 0 || serving.later.excess(laterCaution, added, variance) > 0 {
 			return false
@@ -42,27 +42,27 @@
 	idleWeight = 0.1
 )
 
-// fillScore is how good a place the worker is for a filling task.
-func (c *Core) fillScore(w *worker, s *step) float64 {
-	score := idleWeight * float64(w.unused()-w.filling-s.spec.Size.CPU) / w.capacity()
+// fillerScore is how good a place the worker is for a filling task.
+func (c *Core) fillerScore(w *worker, s *step) float64 {
+	score := idleWeight * float64(w.unusedCPU()-w.fillerCPU-s.spec.Size.CPU) / w.cpuCapacity()
 	share := w.fullShare(s)
 	image := c.model.Index(s.spec.Image)
-	for _, serving := range c.expect(w) {
+	for _, serving := range c.expectedLoads(w) {
 		added, variance := serving.service.AddedBy(image, share)
-		soon := serving.overTarget(added, variance) - serving.over
-		later := serving.later.overTarget(added, variance) - serving.later.over
+		soon := serving.overTarget(added, variance) - serving.overProbability
+		later := serving.later.overTarget(added, variance) - serving.later.overProbability
 		score -= harmWeight * (soon + later) / 2
 	}
 	return score
 }
 
-// usedOfDeclared is the part of its declared processor time that a filling task uses at
+// fillerUse is the part of its declared processor time that a filling task uses at
 // full pace.
-const usedOfDeclared = 0.9
+const fillerUse = 0.9
 
 // fullShare is the share of the worker that a task of a filling step uses at full pace.
 func (w *worker) fullShare(s *step) float64 {
-	return usedOfDeclared * float64(s.spec.Size.CPU) / w.capacity()
+	return fillerUse * float64(s.spec.Size.CPU) / w.cpuCapacity()
 }
 
 // measuredShares are the shares of the worker that the filling images use, as reported.
@@ -70,7 +70,7 @@
 	var shares []float64
 	for _, t := range w.tasks {
 		if t.step.spec.Fills && t.state == taskRunning && t.figure > 0 {
-			shares = c.share(shares, w, t, float64(t.figure))
+			shares = c.addShare(shares, w, t, float64(t.figure))
 		}
 	}
 	return shares
@@ -81,19 +81,19 @@
 	var shares []float64
 	for _, t := range w.tasks {
 		if t.step.spec.Fills && t.state != taskStopping {
-			use := usedOfDeclared * float64(t.step.spec.Size.CPU)
-			shares = c.share(shares, w, t, use*float64(t.pace)/float64(jobs.FullSpeed))
+			use := fillerUse * float64(t.step.spec.Size.CPU)
+			shares = c.addShare(shares, w, t, use*float64(t.pace)/float64(jobs.FullSpeed))
 		}
 	}
 	return shares
 }
 
-// share adds what a filling task uses to the share of its image.
-func (c *Core) share(shares []float64, w *worker, t *task, use float64) []float64 {
+// addShare adds what a filling task uses to the share of its image.
+func (c *Core) addShare(shares []float64, w *worker, t *task, use float64) []float64 {
 	i := c.model.Index(t.step.spec.Image)
 	for len(shares) <= i {
 		shares = append(shares, 0)
 	}
-	shares[i] += use / w.capacity()
+	shares[i] += use / w.cpuCapacity()
 	return shares
 }
--- a/services/dispatch/job.go
+++ b/services/dispatch/job.go
@@ -14,37 +14,37 @@
 
 // job is an active job.
 type job struct {
-	spec        jobs.Spec
-	terms       jobs.Terms
-	accepted    models.UnixMilli
-	begins      models.UnixMilli // when its objective begins to count
-	chain       time.Duration
-	fresh       bool // accepted after the cell was taken: no former owner started it
-	came        bool // from another cell
-	steps       []*step
-	left        int // steps that are not done
-	begun       bool
-	cancelled   bool
-	end         jobs.State // decided, perhaps not stored yet; empty while active
-	running     int        // tasks that may be on a worker
-	version     uint64     // of the progress
-	stored      uint64
-	counted     uint64          // the version when a lost run of it was last counted
-	hasProgress bool            // in the store
-	dirty       bool            // in the core's dirty jobs
-	noted       bool            // its first start is in the figures
-	offered     time.Time       // when it was last listed as movable
-	stays       bool            // it can't be moved as a whole
-	recorded    uint64          // version of the record that says which tasks this cell has
-	leastRun    jobs.RunID      // that other cells had given to runs of its tasks
-	brought     jobs.Suspicions // that came with tasks of other cells
-	home        jobs.CellName   // whose record names this cell, if that does not follow from the job's id
-	further     []jobs.CellName // further cells that its record here names
-	closed      bool            // its record here says so
+	spec               jobs.Spec
+	terms              jobs.Terms
+	accepted           models.UnixMilli
+	objectiveStart     models.UnixMilli // when its objective begins to count
+	criticalPath       time.Duration
+	fresh              bool // accepted after the cell was taken: no former owner started it
+	fromOtherCell      bool // from another cell
+	steps              []*step
+	remainingSteps     int // steps that are not done
+	begun              bool
+	cancelled          bool
+	end                jobs.State // decided, perhaps not stored yet; empty while active
+	running            int        // tasks that may be on a worker
+	version            uint64     // of the progress
+	stored             uint64
+	counted            uint64          // the version when a lost run of it was last counted
+	hasProgress        bool            // in the store
+	dirty              bool            // in the core's dirty jobs
+	firstStartNoted    bool            // its first start is in the figures
+	offeredAt          time.Time       // when it was last listed as movable
+	immovable          bool            // it can't be moved as a whole
+	recordVersion      uint64          // version of the record that says which tasks this cell has
+	leastRun           jobs.RunID      // that other cells had given to runs of its tasks
+	importedSuspicions jobs.Suspicions // that came with tasks of other cells
+	home               jobs.CellName   // whose record names this cell, if that does not follow from the job's id
+	further            []jobs.CellName // further cells that its record here names
+	closed             bool            // its record here says so
 }
 
-// leftJob is a job all of whose tasks other cells have.
-type leftJob struct {
+// movedOutJob is a job all of whose tasks other cells have.
+type movedOutJob struct {
 	version uint64 // of its key here
 	further []jobs.CellName
 }
@@ -55,30 +55,30 @@
 	c.now = now
 	id := record.Spec.ID
 	if record.Ended != "" {
-		c.remember(id, record.Ended, now)
+		c.rememberEnd(id, record.Ended, now)
 		return
 	}
 	if j, known := c.jobs[id]; known {
-		c.takeRecord(j, record)
+		c.applyRecord(j, record)
 		return
 	}
 	if _, known := c.ended[id]; known {
 		return
 	}
-	if left := c.left[id]; record.Left() || record.Version > 0 && record.Version <= left.version {
+	if left := c.movedOut[id]; record.Left() || record.Version > 0 && record.Version <= left.version {
 		if record.Version >= left.version {
-			c.left[id] = leftJob{version: record.Version, further: record.Further}
+			c.movedOut[id] = movedOutJob{version: record.Version, further: record.Further}
 		}
 		return
 	}
-	delete(c.left, id)
+	delete(c.movedOut, id)
 	j := newJob(record, fresh && !record.Moved)
 	c.jobs[id] = j
 	c.restoreLoads(j)
 	if j.spec.Repeat.Count > 0 {
-		c.timed[id] = j
+		c.repeating[id] = j
 	}
-	j.keepElsewhere(record)
+	j.markElsewhere(record)
 	c.applyProgress(j, progress)
 	c.applyUnseen(j, record)
 	j.hasProgress = !progress.Empty()
@@ -94,9 +94,9 @@
 // newJob makes a job with all its tasks; none of them has run yet.
 func newJob(record jobs.Record, fresh bool) *job {
 	j := &job{
-		spec: record.Spec, terms: record.Terms, accepted: record.Accepted, begins: record.Accepted,
-		chain: record.Spec.Chain(), fresh: fresh, came: record.Came, recorded: record.Version,
-		leastRun: record.LeastRun, brought: record.Suspected, home: record.Home, further: record.Further, closed: record.Closed,
+		spec: record.Spec, terms: record.Terms, accepted: record.Accepted, objectiveStart: record.Accepted,
+		criticalPath: record.Spec.Chain(), fresh: fresh, fromOtherCell: record.Came, recordVersion: record.Version,
+		leastRun: record.LeastRun, importedSuspicions: record.Suspected, home: record.Home, further: record.Further, closed: record.Closed,
 	}
 	for occurrence := range j.spec.Occurrences() {
 		for number := range j.spec.Steps {
@@ -108,7 +108,7 @@
 			j.steps = append(j.steps, s)
 		}
 	}
-	j.left = len(j.steps)
+	j.remainingSteps = len(j.steps)
 	return j
 }
 
@@ -121,7 +121,7 @@
 			}
 		}
 	}
-	c.applySuspicions(j, j.brought.With(progress.Suspected))
+	c.applySuspicions(j, j.importedSuspicions.With(progress.Suspected))
 	for flat, failures := range progress.Failed {
 		for index, f := range failures {
 			if t := j.task(flat, index); t != nil {
@@ -143,27 +143,27 @@
 // settle ends a job when nothing is left to do for it.
 func (c *Core) settle(j *job) {
 	if j.end != "" {
-		c.forgetJob(j)
+		c.forgetIfStored(j)
 		return
 	}
 	switch {
-	case j.cancelled && j.running == 0 && !j.unknown():
+	case j.cancelled && j.running == 0 && !j.hasUnknownTasks():
 		c.end(j, jobs.StateCancelled)
-	case !j.cancelled && j.left == 0:
+	case !j.cancelled && j.remainingSteps == 0:
 		c.end(j, jobs.StateSucceeded)
 	}
 }
 
-// forgetJob drops an ended job once its end is stored and nothing of it runs.
-func (c *Core) forgetJob(j *job) {
+// forgetIfStored drops an ended job once its end is stored and nothing of it runs.
+func (c *Core) forgetIfStored(j *job) {
 	if j.running == 0 && j.stored >= j.version {
 		delete(c.jobs, j.spec.ID)
-		delete(c.timed, j.spec.ID)
+		delete(c.repeating, j.spec.ID)
 	}
 }
 
-// unknown tells whether a task of the job may run unseen.
-func (j *job) unknown() bool {
+// hasUnknownTasks tells whether a task of the job may run unseen.
+func (j *job) hasUnknownTasks() bool {
 	for _, s := range j.steps {
 		for i := range s.tasks {
 			if s.tasks[i].state == taskUnknown {
@@ -178,7 +178,7 @@
 func (c *Core) end(j *job, state jobs.State) {
 	j.end = state
 	c.change(j)
-	c.noteEnd(j, state, c.now)
+	c.recordJobEnd(j, state, c.now)
 	c.config.Logger.Info("job ends", zap.String("job", string(j.spec.ID)), zap.String("state", string(state)),
 		zap.Int64("age_ms", int64(c.timeOfDay(c.now)-j.accepted)), zap.Int("running", j.running))
 }
@@ -186,7 +186,7 @@
 // changeSoon notes that a job's progress has to be stored, and should not wait.
 func (c *Core) changeSoon(j *job) {
 	c.change(j)
-	c.hurried = true
+	c.storeUrgently = true
 }
 
 // change notes that a job's progress has to be stored.
--- a/services/dispatch/knowledge.go
+++ b/services/dispatch/knowledge.go
@@ -12,10 +12,10 @@
 	"rillsail.example/rillsail/services/contention"
 )
 
-// knowledgeEvery is how often the knowledge goes with what is stored anyway: it costs no
+// parametersInterval is how often the knowledge goes with what is stored anyway: it costs no
 // call of its own, some 20 KB for sixty serving steps and five times nine images, and factors
 // change by less than their spread in two seconds.
-const knowledgeEvery = 2 * time.Second
+const parametersInterval = 2 * time.Second
 
 // stepKey names a step of a cell's job.
 type stepKey struct {
@@ -23,24 +23,24 @@
 	flat int
 }
 
-// takeKnowledge gives the knowledge to be stored when its time has come; nil otherwise.
-func (c *Core) takeKnowledge(now time.Time) *jobs.Knowledge {
-	if now.Sub(c.knowledgeAt) < knowledgeEvery {
+// takeLearnedParameters gives the knowledge to be stored when its time has come; nil otherwise.
+func (c *Core) takeLearnedParameters(now time.Time) *jobs.Knowledge {
+	if now.Sub(c.parametersTakenAt) < parametersInterval {
 		return nil
 	}
-	c.knowledgeAt = now
-	knowledge := c.Knowledge(now)
+	c.parametersTakenAt = now
+	knowledge := c.LearnedParameters(now)
 	return &knowledge
 }
 
-// Knowledge is what the core has learned from its own workers' reports.
-func (c *Core) Knowledge(now time.Time) jobs.Knowledge {
+// LearnedParameters is what the core has learned from its own workers' reports.
+func (c *Core) LearnedParameters(now time.Time) jobs.Knowledge {
 	k := c.model.Knowledge()
 	k.At = c.timeOfDay(now)
 	for _, j := range c.jobs {
 		k.Loads = append(k.Loads, c.loadsOf(j, now)...)
 	}
-	for queue, usual := range c.usual {
+	for queue, usual := range c.queueSpeeds {
 		k.Speeds = append(k.Speeds, jobs.QueueSpeed{Queue: queue, Mean: usual.mean, Samples: usual.samples})
 	}
 	slices.SortFunc(k.Loads, func(a, b jobs.StepLoad) int {
@@ -54,10 +54,10 @@
 func (c *Core) loadsOf(j *job, now time.Time) []jobs.StepLoad {
 	var loads []jobs.StepLoad
 	for _, s := range j.steps {
-		if s.spec.Serves() && s.own.Known() {
-			load := s.own.Summary()
+		if s.spec.Serves() && s.baseline.Known() {
+			load := s.baseline.Summary()
 			load.Job, load.Number = j.spec.ID, s.flat()
-			load.At = c.timeOfDayThen(s.own.At(), now)
+			load.At = c.timeOfDayThen(s.baseline.At(), now)
 			loads = append(loads, load)
 		}
 	}
@@ -70,10 +70,10 @@
 func (c *Core) Restore(k jobs.Knowledge, now time.Time) {
 	c.model.Restore(k, max(0, now.Sub(c.timeAt(k.At, now)).Seconds()))
 	for _, l := range k.Loads {
-		c.restored[stepKey{l.Job, l.Number}] = contention.LoadOf(l, c.timeAt(l.At, now))
+		c.restoredLoads[stepKey{l.Job, l.Number}] = contention.LoadOf(l, c.timeAt(l.At, now))
 	}
 	for _, s := range k.Speeds {
-		c.usual[s.Queue] = &speed{mean: s.Mean, samples: s.Samples}
+		c.queueSpeeds[s.Queue] = &speed{mean: s.Mean, samples: s.Samples}
 	}
 }
 
@@ -81,9 +81,9 @@
 func (c *Core) restoreLoads(j *job) {
 	for _, s := range j.steps {
 		key := stepKey{j.spec.ID, s.flat()}
-		if own, ok := c.restored[key]; ok {
-			s.own = own
-			delete(c.restored, key)
+		if own, ok := c.restoredLoads[key]; ok {
+			s.baseline = own
+			delete(c.restoredLoads, key)
 		}
 	}
 }
--- a/services/dispatch/knowledge_test.go
+++ b/services/dispatch/knowledge_test.go
@@ -22,14 +22,14 @@
 	t.Helper()
 	b := newBench(t, 1)
 	b.AddJob(b.job(servingStep), jobs.Progress{}, true, b.now)
-	b.adds("heavy", 1.4)
-	own := &b.jobs[testJob].steps[0].own
+	b.setInterference("heavy", 1.4)
+	own := &b.jobs[testJob].steps[0].baseline
 	for range 50 {
 		b.now = b.now.Add(100 * time.Millisecond)
 		own.Advance(b.now)
 		own.Correct(0.65, 0.05*0.05)
 	}
-	b.usualSpeed("q").add(0.8, usualWeight)
+	b.queueSpeed("q").add(0.8, queueSpeedWeight)
 	return b
 }
 
@@ -50,19 +50,19 @@
 	former := learnedBench(t)
 	successor := newBench(t, 1)
 	successor.now = former.now.Add(500 * time.Millisecond)
-	successor.Restore(stored(t, former.Knowledge(former.now)), successor.now)
+	successor.Restore(stored(t, former.LearnedParameters(former.now)), successor.now)
 	successor.AddJob(former.job(servingStep), jobs.Progress{}, false, successor.now)
 	require.InDelta(t, 1.4, successor.factor().Factor, 1e-9)
-	load, variance := successor.jobs[testJob].steps[0].own.Predict(successor.now)
+	load, variance := successor.jobs[testJob].steps[0].baseline.Predict(successor.now)
 	require.InDelta(t, 0.65, load, 0.03)
 	require.Less(t, variance, 0.06*0.06)
-	require.InDelta(t, 0.8, successor.usualSpeed("q").mean, 1e-9)
-	require.Empty(t, successor.restored)
+	require.InDelta(t, 0.8, successor.queueSpeed("q").mean, 1e-9)
+	require.Empty(t, successor.restoredLoads)
 }
 
 func TestKnowledgeAges(t *testing.T) {
 	former := learnedBench(t)
-	knowledge := stored(t, former.Knowledge(former.now))
+	knowledge := stored(t, former.LearnedParameters(former.now))
 	spreadAfter := func(age time.Duration) float64 {
 		successor := newBench(t, 1)
 		successor.Restore(knowledge, former.now.Add(age))
@@ -78,7 +78,7 @@
 	successor := newBench(t, 1)
 	successor.Restore(knowledge, former.now)
 	successor.AddJob(former.job(servingStep), jobs.Progress{}, false, former.now)
-	load, _ := successor.jobs[testJob].steps[0].own.Predict(former.now.Add(time.Minute))
+	load, _ := successor.jobs[testJob].steps[0].baseline.Predict(former.now.Add(time.Minute))
 	unknown, _ := (&contention.Load{}).Predict(former.now)
 	require.InDelta(t, unknown, load, 1e-9, "a load swings within seconds")
 }
@@ -86,13 +86,13 @@
 func TestKnowledgeIsStoredWithOtherChangesOnly(t *testing.T) {
 	b := learnedBench(t)
 	b.TakeChanges(10, b.now)
-	b.now = b.now.Add(knowledgeEvery)
+	b.now = b.now.Add(parametersInterval)
 	require.False(t, b.HasChanges())
 	require.Nil(t, b.TakeChanges(10, b.now).Knowledge, "a call of its own would cost more than it brings")
 	b.change(b.jobs[testJob])
 	require.NotNil(t, b.TakeChanges(10, b.now).Knowledge)
 	b.change(b.jobs[testJob])
-	require.Nil(t, b.TakeChanges(10, b.now.Add(knowledgeEvery/2)).Knowledge)
+	require.Nil(t, b.TakeChanges(10, b.now.Add(parametersInterval/2)).Knowledge)
 }
 
 func TestKnowledgeThatDoesNotFitTogetherIsRejected(t *testing.T) {
--- a/services/dispatch/learn.go
+++ b/services/dispatch/learn.go
@@ -16,39 +16,39 @@
 	figureSpan = 600 * time.Millisecond // until a change shows in full, rounding included
 )
 
-// startsServing is for how long the figures of a new serving task say nothing.
-const startsServing = 1500 * time.Millisecond
+// servingWarmup is for how long the figures of a new serving task say nothing.
+const servingWarmup = 1500 * time.Millisecond
 
 // learn takes a worker's figures into the model: what serving tasks show is the load that
 // they have of their own and what the filling ones beside them add.
 func (c *Core) learn(w *worker, now time.Time) {
 	shares := c.measuredShares(w)
-	w.load, w.excess, w.steady = 0, -1, -1
+	w.maxLoad, w.maxExcess, w.averageExcess = 0, -1, -1
 	for _, t := range w.tasks {
 		if t.step.spec.Serves() && t.state == taskRunning && t.figure > 0 {
 			c.learnServing(w, t, shares, now)
 		}
 	}
-	c.shareInTime(now)
-	w.noteLoad(now)
+	c.settleModel(now)
+	w.updateOverTarget(now)
 }
 
 // learnServing takes the tail of a serving task into the model; shares are those of the
 // filling images beside it.
 func (c *Core) learnServing(w *worker, t *task, shares []float64, now time.Time) {
 	service := c.model.Service(t.step.spec.Image)
-	started := now.Sub(t.began) >= startsServing
+	started := now.Sub(t.began) >= servingWarmup
 	if started {
 		c.learnUnit(w, t, service, now)
 	}
 	load := service.LoadOf(t.figure, int(t.step.spec.Target))
 	t.noteShown(load)
-	w.load = max(w.load, load)
-	w.excess = max(w.excess, load-service.TargetLoad())
-	w.steady = max(w.steady, t.steady-service.TargetLoad())
+	w.maxLoad = max(w.maxLoad, load)
+	w.maxExcess = max(w.maxExcess, load-service.TargetLoad())
+	w.averageExcess = max(w.averageExcess, t.averageLoad-service.TargetLoad())
 	if started {
-		t.apart += service.Observe(&t.step.own, contention.Observation{
-			At: now.Add(-figureAge), Load: load, Shares: shares, Apart: t.apart, Unsettled: now.Sub(w.refilled) < figureSpan,
+		t.loadOffset += service.Observe(&t.step.baseline, contention.Observation{
+			At: now.Add(-figureAge), Load: load, Shares: shares, Apart: t.loadOffset, Unsettled: now.Sub(w.fillersChangedAt) < figureSpan,
 		})
 	}
 }
@@ -56,11 +56,11 @@
 // learnUnit takes a tail with nothing beside it, for as long as the figure covers, into the
 // unit of its service's loads, and tells them anew when the unit changes.
 func (c *Core) learnUnit(w *worker, t *task, service *contention.Service, now time.Time) {
-	if w.filling > 0 || now.Sub(w.refilled) < figureSpan {
+	if w.fillerCPU > 0 || now.Sub(w.fillersChangedAt) < figureSpan {
 		return
 	}
-	seconds := now.Sub(t.step.aloneAt).Seconds()
-	t.step.aloneAt = now
+	seconds := now.Sub(t.step.aloneReportedAt).Seconds()
+	t.step.aloneReportedAt = now
 	scale := service.SeeAlone(t.figure, int(t.step.spec.Target), seconds)
 	if scale == 1 {
 		return
@@ -76,12 +76,12 @@
 
 // rescale tells the loads of a serving step in another unit.
 func (s *step) rescale(scale float64) {
-	s.own.Rescale(scale)
+	s.baseline.Rescale(scale)
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		t.apart *= scale
-		if t.steady != 0 {
-			t.shown, t.steady = contention.Rescaled(t.shown, scale), contention.Rescaled(t.steady, scale)
+		t.loadOffset *= scale
+		if t.averageLoad != 0 {
+			t.shownLoad, t.averageLoad = contention.Rescaled(t.shownLoad, scale), contention.Rescaled(t.averageLoad, scale)
 		}
 		if t.worker != nil {
 			t.worker.expectedValid = false
@@ -89,45 +89,45 @@
 	}
 }
 
-// steadyWeight is that of a new report in the average that says whether a tail stays over
+// averageWeight is that of a new report in the average that says whether a tail stays over
 // its target: single figures differ by a fifth from what their task's users see, so one
 // below the target between others above it proves nothing.
-const steadyWeight = 0.4
+const averageWeight = 0.4
 
 // noteShown takes the load that a serving task's figure shows.
 func (t *task) noteShown(load float64) {
-	t.shown = load
-	if t.steady == 0 {
-		t.steady = load
+	t.shownLoad = load
+	if t.averageLoad == 0 {
+		t.averageLoad = load
 	}
-	t.steady += steadyWeight * (load - t.steady)
+	t.averageLoad += averageWeight * (load - t.averageLoad)
 }
 
-// steadyMargin is by how much the average of a load that is at its target may be below it:
+// averageMargin is by how much the average of a load that is at its target may be below it:
 // half of the standard deviation of that average.
-const steadyMargin = 0.0125
+const averageMargin = 0.0125
 
-// noteLoad notes since when a tail is over its target: one figure over it is enough, but only
+// updateOverTarget notes since when a tail is over its target: one figure over it is enough, but only
 // the average ends it.
-func (w *worker) noteLoad(now time.Time) {
+func (w *worker) updateOverTarget(now time.Time) {
 	switch {
-	case w.excess >= 0 && w.over.IsZero():
-		w.over = now
-	case w.excess < 0 && w.steady < -steadyMargin:
-		w.over = time.Time{}
+	case w.maxExcess >= 0 && w.overTargetSince.IsZero():
+		w.overTargetSince = now
+	case w.maxExcess < 0 && w.averageExcess < -averageMargin:
+		w.overTargetSince = time.Time{}
 	}
 }
 
-// shareEvery is how often new observations come into force.
-const shareEvery = 200 * time.Millisecond
+// settleInterval is how often new observations come into force.
+const settleInterval = 200 * time.Millisecond
 
-// shareInTime lets new observations come into force from time to time.
-func (c *Core) shareInTime(now time.Time) {
-	passed := now.Sub(c.sharedAt)
-	if passed < shareEvery {
+// settleModel lets new observations come into force from time to time.
+func (c *Core) settleModel(now time.Time) {
+	passed := now.Sub(c.modelSettledAt)
+	if passed < settleInterval {
 		return
 	}
-	c.sharedAt = now
+	c.modelSettledAt = now
 	c.model.Settle(min(passed, time.Second).Seconds())
 }
 
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -17,8 +17,8 @@
 // clockMargin is added to proofs that depend on a worker's clock.
 const clockMargin = 200 * time.Millisecond
 
-// hotWait is how long a report may wait for an end where a tail is over its target.
-const hotWait = 300 * time.Millisecond
+// overTargetWait is how long a report may wait for an end where a tail is over its target.
+const overTargetWait = 300 * time.Millisecond
 
 // LeaseCall gives the next call that prolongs a worker's lease.
 func (c *Core) LeaseCall(id jobs.WorkerID, wait time.Duration, now time.Time) (jobs.LeaseCall, bool) {
@@ -28,22 +28,22 @@
 	}
 	c.advanceAck(w)
 	call := jobs.LeaseCall{Fence: w.fence, Acknowledged: w.acked, Wait: wait}
-	if !w.over.IsZero() && w.filling > 0 {
-		call.Wait = min(wait, hotWait)
+	if !w.overTargetSince.IsZero() && w.fillerCPU > 0 {
+		call.Wait = min(wait, overTargetWait)
 	}
 	if w.trials > 0 {
 		call.Wait = min(call.Wait, trialWait)
 	}
-	if w.overdue || w.hurried || !w.leased {
+	if w.overdue || w.hurried || !w.renewed {
 		call.Wait = 0 // nothing starts there before the answer
 	}
 	if w.overdue {
 		call.Acknowledged = 0 // it may be carried out late, and by the next incarnation
 	}
-	if w.answered && now.Sub(w.heard) < grantWhile+wait { // its clock is known from the answer
-		call.Until = c.grant(w, now)
+	if w.answered && now.Sub(w.heard) < renewWithin+wait { // its clock is known from the answer
+		call.Until = c.grantLease(w, now)
 	}
-	w.granting = call.Until != 0
+	w.renewing = call.Until != 0
 	return call, true
 }
 
@@ -57,12 +57,12 @@
 	}
 }
 
-// grantWhile is for how long after its last report was due a worker's lease is prolonged.
+// renewWithin is for how long after its last report was due a worker's lease is prolonged.
 // After that the calls only ask for a report, so that the lease runs out in the end.
-const grantWhile = 700 * time.Millisecond
+const renewWithin = 700 * time.Millisecond
 
-// grant gives the end of a lease that begins now, on the worker's clock.
-func (c *Core) grant(w *worker, now time.Time) models.Milli {
+// grantLease gives the end of a lease that begins now, on the worker's clock.
+func (c *Core) grantLease(w *worker, now time.Time) models.Milli {
 	return w.grantFor(c.config.Lease, now)
 }
 
@@ -73,9 +73,9 @@
 // seconds after which nothing may start on a worker that drains; the lease is longer than that.
 const startWithin = time.Second
 
-// startUntil gives the time, on the worker's clock, after which a start that is decided now
+// startDeadline gives the time, on the worker's clock, after which a start that is decided now
 // is refused. The run's lease is the worker's, which the calls that prolong it keep longer.
-func (c *Core) startUntil(w *worker, now time.Time) models.Milli {
+func (c *Core) startDeadline(w *worker, now time.Time) models.Milli {
 	return w.grantFor(min(startWithin, c.config.Lease), now)
 }
 
@@ -101,11 +101,11 @@
 
 // lapsed tells when everything on the worker has certainly been ended by its own clock.
 func (c *Core) lapsed(w *worker) time.Time {
-	return latest(c.leaseLapsed(w), c.lateStartsLapsed(w))
+	return latest(c.leaseLapsedAt(w), c.lateStartsLapsedAt(w))
 }
 
-// leaseLapsed tells when the leases are over that the worker was granted.
-func (c *Core) leaseLapsed(w *worker) time.Time {
+// leaseLapsedAt tells when the leases are over that the worker was granted.
+func (c *Core) leaseLapsedAt(w *worker) time.Time {
 	if !w.answered {
 		return c.formerLapsed()
 	}
@@ -117,14 +117,14 @@
 // platform states, with the time that it may have waited to be sent.
 const lateOrder = 13 * time.Second
 
-// lateStartsLapsed tells when the runs have ended that begin on the worker by late starts which were meant
+// lateStartsLapsedAt tells when the runs have ended that begin on the worker by late starts which were meant
 // for a former incarnation. The time that such a start brings is one of the former clock, and may lie far
 // ahead on the new one: the run goes on for as long as workers grant at most.
-func (c *Core) lateStartsLapsed(w *worker) time.Time {
+func (c *Core) lateStartsLapsedAt(w *worker) time.Time {
 	var last time.Time
 	for _, t := range w.tasks {
-		if t.barred && t.settled.IsZero() {
-			last = latest(last, t.sent)
+		if t.barred && t.answeredAt.IsZero() {
+			last = latest(last, t.startSentAt)
 		}
 	}
 	if last.IsZero() {
@@ -133,8 +133,8 @@
 	return last.Add(lateOrder + time.Duration(float64(c.config.LongestLease)*slowClock) + clockMargin)
 }
 
-// keptEnd is an end that must not be forgotten by its worker yet.
-type keptEnd struct {
+// unacknowledgedEnd is an end that must not be forgotten by its worker yet.
+type unacknowledgedEnd struct {
 	number  uint64
 	job     *job
 	version uint64
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -16,13 +16,13 @@
 	var room, used, filling, capacity models.MilliCPU
 	for _, w := range c.order {
 		room += w.used.CPU
-		used += w.used.CPU - models.MilliCPU((1-lastingUse)*float64(w.lasting))
-		filling += w.filling
+		used += w.used.CPU - models.MilliCPU((1-longRunningUse)*float64(w.longRunningCPU))
+		filling += w.fillerCPU
 		if c.usable(w, now) {
 			capacity += w.info.Capacity.CPU
 		}
 	}
-	for _, s := range c.open {
+	for _, s := range c.waitingSteps {
 		waiting := models.MilliCPU(s.waiting) * s.spec.Size.CPU
 		if s.spec.Fills {
 			filling += waiting
--- a/services/dispatch/movable.go
+++ b/services/dispatch/movable.go
@@ -33,31 +33,31 @@
 // some seconds, and most others find a place before.
 const offerAfter = 400 * time.Millisecond
 
-// holdMost is how long a job that hasn't begun is held back when there are not places for all
+// maxHold is how long a job that hasn't begun is held back when there are not places for all
 // tasks of its first step: its owner asks the other cells meanwhile, which takes two calls
 // of some milliseconds, and a job that has begun can't be moved as a whole.
-const holdMost = 100 * time.Millisecond
+const maxHold = 100 * time.Millisecond
 
-// holds tells whether the step's job is better offered to other cells before any of it
+// holdsForOffer tells whether the step's job is better offered to other cells before any of it
 // starts here.
-func (c *Core) holds(s *step, now time.Time) bool {
-	if c.blind || !c.config.OtherCells || s.spec.Fills || !s.stuck.IsZero() && now.Sub(s.stuck) > holdMost {
+func (c *Core) holdsForOffer(s *step, now time.Time) bool {
+	if c.blind || !c.config.OtherCells || s.spec.Fills || !s.stuck.IsZero() && now.Sub(s.stuck) > maxHold {
 		return false
 	}
-	if !s.movesWhole() {
+	if !s.movableAsWhole() {
 		return false
 	}
 	if c.countPlaces(c.terms(s.job).Pool, s, s.waiting, map[*worker]models.Resources{}, now) >= s.waiting {
 		return false
 	}
-	c.held = true
+	c.jobsHeld = true
 	return true
 }
 
 // TakeHeld tells whether jobs have been held back since it was last asked.
 func (c *Core) TakeHeld() bool {
-	held := c.held
-	c.held = false
+	held := c.jobsHeld
+	c.jobsHeld = false
 	return held
 }
 
@@ -69,23 +69,23 @@
 		return nil
 	}
 	var stuck []candidate
-	for _, s := range c.open {
-		if s.waiting > 0 && !s.stuck.IsZero() && (now.Sub(s.stuck) >= offerAfter || s.job.untouched()) &&
-			now.Sub(s.job.offered) >= offerAfter {
+	for _, s := range c.waitingSteps {
+		if s.waiting > 0 && !s.stuck.IsZero() && (now.Sub(s.stuck) >= offerAfter || s.job.neverStarted()) &&
+			now.Sub(s.job.offeredAt) >= offerAfter {
 			stuck = append(stuck, c.candidate(s, now))
 		}
 	}
 	slices.SortFunc(stuck, func(a, b candidate) int {
-		return cmp.Or(a.step.job.offered.Compare(b.step.job.offered), a.before(b))
+		return cmp.Or(a.step.job.offeredAt.Compare(b.step.job.offeredAt), a.before(b))
 	})
 	var moves []Move
 	for _, candidate := range stuck {
 		j := candidate.step.job
-		if len(moves) == limit || j.offered.Equal(now) { // listed with another of its steps
+		if len(moves) == limit || j.offeredAt.Equal(now) { // listed with another of its steps
 			continue
 		}
 		if move, ok := c.moveOf(candidate.step); ok {
-			j.offered = now
+			j.offeredAt = now
 			move.Stuck = now.Sub(candidate.step.stuck)
 			moves = append(moves, move)
 		}
@@ -101,7 +101,7 @@
 	case s.job.spec.Divisible():
 		move.add(s)
 		return move, true
-	case s.movesWhole():
+	case s.movableAsWhole():
 		move.Whole = true
 		for _, each := range s.job.steps {
 			move.add(each)
@@ -121,9 +121,9 @@
 	return c.firstRun(j)
 }
 
-// movesWhole tells whether the step's job may be moved as a whole.
-func (s *step) movesWhole() bool {
-	return !s.job.spec.Divisible() && s.job.spec.Repeat.Count == 0 && !s.spec.SameRack && s.job.untouched()
+// movableAsWhole tells whether the step's job may be moved as a whole.
+func (s *step) movableAsWhole() bool {
+	return !s.job.spec.Divisible() && s.job.spec.Repeat.Count == 0 && !s.spec.SameRack && s.job.neverStarted()
 }
 
 // add adds a step's waiting tasks.
@@ -147,11 +147,11 @@
 	m.Demand.Step.Count = min(m.Demand.Step.Count, count)
 }
 
-// untouched tells whether no task of the job has ever been started, by this owner or a
+// neverStarted tells whether no task of the job has ever been started, by this owner or a
 // former one. A run that was started may have succeeded on a worker that is silent now, and
 // this cell must know the job when that worker reports it.
-func (j *job) untouched() bool {
-	if j.stays || !j.fresh || j.begun || j.running > 0 {
+func (j *job) neverStarted() bool {
+	if j.immovable || !j.fresh || j.begun || j.running > 0 {
 		return false
 	}
 	for _, s := range j.steps {
--- a/services/dispatch/move.go
+++ b/services/dispatch/move.go
@@ -37,7 +37,7 @@
 	if !ok {
 		return false
 	}
-	c.takeRecord(j, record)
+	c.applyRecord(j, record)
 	for _, t := range c.tasksOf(move.Job, move.Tasks) {
 		if t.state != taskMoving {
 			return false
@@ -50,7 +50,7 @@
 // forGood the job isn't offered as a whole again.
 func (c *Core) KeepMove(move Move, forGood bool) {
 	for _, t := range c.tasksOf(move.Job, move.Tasks) {
-		t.step.job.stays = t.step.job.stays || forGood
+		t.step.job.immovable = t.step.job.immovable || forGood
 		t.step.stuck = time.Time{}
 		if t.state == taskMoving {
 			t.state = taskWaiting
@@ -74,16 +74,16 @@
 	}
 	c.config.Logger.Warn("job that was to be handed to another cell is forgotten", zap.String("job", string(move.Job)),
 		zap.String("to", string(move.To)), zap.Int("tasks", move.Tasks.Len()))
-	c.leaveJob(j)
+	c.forgetIfElsewhere(j)
 }
 
 // Moved says that a move is stored, with the version of the job's key.
 func (c *Core) Moved(move Move, version uint64) {
 	j, ok := c.jobs[move.Job]
-	if !ok || j.recorded >= version {
+	if !ok || j.recordVersion >= version {
 		return // the watch has told it
 	}
-	j.recorded = version
+	j.recordVersion = version
 	for _, t := range c.tasksOf(move.Job, move.Tasks) {
 		if t.state == taskMoving {
 			t.state = taskElsewhere
@@ -91,7 +91,7 @@
 	}
 	c.config.Logger.Info("work is handed to another cell", zap.String("job", string(move.Job)), zap.String("to", string(move.To)),
 		zap.Int("tasks", move.Tasks.Len()), zap.Int64("no_place_ms", move.Stuck.Milliseconds()))
-	c.leaveJob(j)
+	c.forgetIfElsewhere(j)
 }
 
 // tasksOf finds tasks of a job that this cell has.
--- a/services/dispatch/move_test.go
+++ b/services/dispatch/move_test.go
@@ -14,8 +14,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// huge is a step whose task finds room on no worker.
-var huge = jobs.Step{Count: 2, Size: models.Resources{CPU: 5000, Memory: 100}, Estimate: 500}
+// oversizedStep is a step whose task finds room on no worker.
+var oversizedStep = jobs.Step{Count: 2, Size: models.Resources{CPU: 5000, Memory: 100}, Estimate: 500}
 
 // stuckJob adds a job for which there is no place, and waits until it may be moved.
 func (b *bench) stuckJob(fresh bool, steps ...jobs.Step) {
@@ -35,13 +35,13 @@
 		steps   []jobs.Step
 		movable bool
 	}{
-		"whole job":                         {true, []jobs.Step{huge}, true},
-		"a former owner may have run it":    {false, []jobs.Step{huge}, false},
-		"part of it runs":                   {true, []jobs.Step{one, huge}, false},
-		"its second step waits for a first": {true, []jobs.Step{huge, {Count: 1, Size: one.Size, After: []int{0}}}, true},
-		"it lasts, whoever had it before":   {false, []jobs.Step{{Count: 2, Size: huge.Size, Lasts: true}}, true},
-		"it lasts in part":                  {true, []jobs.Step{huge, {Count: 1, Size: huge.Size, Lasts: true}}, false},
-		"its tasks want to be on one rack":  {true, []jobs.Step{{Count: 2, Size: huge.Size, SameRack: true}}, false},
+		"whole job":                         {true, []jobs.Step{oversizedStep}, true},
+		"a former owner may have run it":    {false, []jobs.Step{oversizedStep}, false},
+		"part of it runs":                   {true, []jobs.Step{one, oversizedStep}, false},
+		"its second step waits for a first": {true, []jobs.Step{oversizedStep, {Count: 1, Size: one.Size, After: []int{0}}}, true},
+		"it lasts, whoever had it before":   {false, []jobs.Step{{Count: 2, Size: oversizedStep.Size, Lasts: true}}, true},
+		"it lasts in part":                  {true, []jobs.Step{oversizedStep, {Count: 1, Size: oversizedStep.Size, Lasts: true}}, false},
+		"its tasks want to be on one rack":  {true, []jobs.Step{{Count: 2, Size: oversizedStep.Size, SameRack: true}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, 1)
@@ -53,7 +53,7 @@
 
 func TestTaskThatMovesIsNotStarted(t *testing.T) {
 	b := newBench(t, 1)
-	b.stuckJob(true, huge)
+	b.stuckJob(true, oversizedStep)
 	move := b.Movable(10, b.now)[0]
 	require.True(t, b.BeginMove(move))
 	require.False(t, b.BeginMove(move), "it is on its way already")
@@ -66,7 +66,7 @@
 
 func TestRunOfATaskThatMovesIsStopped(t *testing.T) {
 	b := newBench(t, 1)
-	b.stuckJob(true, jobs.Step{Count: 1, Size: huge.Size, Lasts: true})
+	b.stuckJob(true, jobs.Step{Count: 1, Size: oversizedStep.Size, Lasts: true})
 	require.True(t, b.BeginMove(b.Movable(10, b.now)[0]))
 	b.report(0, jobs.Report{Running: []jobs.Run{{Task: taskOf(0), Run: 3}}})
 	orders := b.Decide(b.now)
@@ -79,12 +79,12 @@
 func movedOut(t *testing.T) (*bench, jobs.Record) {
 	t.Helper()
 	b := newBench(t, 1)
-	b.stuckJob(true, jobs.Step{Count: 2, Size: huge.Size, Lasts: true})
+	b.stuckJob(true, jobs.Step{Count: 2, Size: oversizedStep.Size, Lasts: true})
 	move := b.Movable(10, b.now)[0]
 	move.Limit(1)
 	require.True(t, b.BeginMove(move))
 	b.Moved(move, 11)
-	record := b.job(jobs.Step{Count: 2, Size: huge.Size, Lasts: true})
+	record := b.job(jobs.Step{Count: 2, Size: oversizedStep.Size, Lasts: true})
 	record = record.Without(move.Tasks)
 	record.Version = 11
 	return b, record
@@ -92,7 +92,7 @@
 
 func TestOldRecordDoesNotBringTasksBack(t *testing.T) {
 	b, record := movedOut(t)
-	old := b.job(jobs.Step{Count: 2, Size: huge.Size, Lasts: true})
+	old := b.job(jobs.Step{Count: 2, Size: oversizedStep.Size, Lasts: true})
 	old.Version = 10
 	b.AddJob(old, jobs.Progress{}, true, b.now)
 	b.AddJob(record, jobs.Progress{}, true, b.now)
@@ -114,13 +114,13 @@
 
 func TestJobThatLeftIsNotTakenAgainFromAnOldRecord(t *testing.T) {
 	b := newBench(t, 1)
-	b.stuckJob(true, huge)
+	b.stuckJob(true, oversizedStep)
 	move := b.Movable(10, b.now)[0]
 	require.True(t, b.BeginMove(move))
 	b.Moved(move, 11)
 	_, known := b.State(testJob)
 	require.False(t, known, "the other cell knows it")
-	old := b.job(huge)
+	old := b.job(oversizedStep)
 	old.Version = 10
 	b.AddJob(old, jobs.Progress{}, true, b.now)
 	require.Empty(t, b.jobs)
@@ -172,7 +172,7 @@
 		require.Empty(t, b.starts(), "four of five tasks find a place")
 		require.True(t, b.TakeHeld())
 		require.Len(t, b.Movable(10, b.now), 1)
-		b.now = b.now.Add(holdMost + time.Millisecond)
+		b.now = b.now.Add(maxHold + time.Millisecond)
 		require.Len(t, b.starts(), 4, "no other cell has taken it")
 	}
 }
@@ -191,8 +191,8 @@
 
 func TestJobThatNobodyTakesDoesNotKeepOthersFromBeingOffered(t *testing.T) {
 	b := newBench(t, 1)
-	b.stuckJob(true, huge)
-	other := b.job(huge)
+	b.stuckJob(true, oversizedStep)
+	other := b.job(oversizedStep)
 	other.Spec.ID = "00000000000000bb"
 	b.AddJob(other, jobs.Progress{}, true, b.now)
 	b.now = b.now.Add(scanPause + time.Millisecond)
@@ -221,7 +221,7 @@
 func TestMoveThatFailedIsTriedAgainUnlessForGood(t *testing.T) {
 	for _, forGood := range []bool{false, true} {
 		b := newBench(t, 1)
-		b.stuckJob(true, huge)
+		b.stuckJob(true, oversizedStep)
 		move := b.Movable(10, b.now)[0]
 		require.True(t, b.BeginMove(move))
 		b.KeepMove(move, forGood)
@@ -234,11 +234,11 @@
 
 func TestTryWithoutAnswerIsRecognisedByTheRecord(t *testing.T) {
 	b := newBench(t, 1)
-	b.stuckJob(true, jobs.Step{Count: 2, Size: huge.Size, Lasts: true})
+	b.stuckJob(true, jobs.Step{Count: 2, Size: oversizedStep.Size, Lasts: true})
 	move := b.Movable(10, b.now)[0]
 	move.Limit(1)
 	require.True(t, b.BeginMove(move))
-	record := b.job(jobs.Step{Count: 2, Size: huge.Size, Lasts: true})
+	record := b.job(jobs.Step{Count: 2, Size: oversizedStep.Size, Lasts: true})
 	record.Version = 10
 	require.True(t, b.StillMoving(move, record))
 	record = record.Without(move.Tasks)
@@ -269,9 +269,9 @@
 func TestAllWaitingWorkIsOfferedInTurn(t *testing.T) {
 	const waiting, atOnce = 20, 3
 	b := newBench(t, 1)
-	b.stuckJob(true, huge)
+	b.stuckJob(true, oversizedStep)
 	for n := range waiting - 1 {
-		record := b.job(huge)
+		record := b.job(oversizedStep)
 		record.Spec.ID = jobs.ID(fmt.Sprintf("%016x", n))
 		record.Accepted += models.UnixMilli(n)
 		b.AddJob(record, jobs.Progress{}, true, b.now)
--- a/services/dispatch/offer.go
+++ b/services/dispatch/offer.go
@@ -41,11 +41,11 @@
 	for _, w := range c.order {
 		// A worker that is kept for a suspect has room that nothing else gets: work that came for it
 		// found no place here either, and was handed back and forth.
-		if !w.suits(pool, s.spec) || !c.usable(w, now) || w.isKept(now) {
+		if !w.suits(pool, s.spec) || !c.usable(w, now) || w.isReserved(now) {
 			continue
 		}
-		for n := w.placesFor(s, wanted-count, promised[w]); n > 0; n-- {
-			if s.spec.Fills && !c.mayFill(w, s) {
+		for n := w.countFitting(s, wanted-count, promised[w]); n > 0; n-- {
+			if s.spec.Fills && !c.mayRunFiller(w, s) {
 				break
 			}
 			count++
@@ -55,10 +55,10 @@
 	return count
 }
 
-// placesFor is how many tasks of a step find room on the worker beside what is promised, at
+// countFitting is how many tasks of a step find room on the worker beside what is promised, at
 // most so many. Of filling tasks it is one at most, because each changes the loads there.
-func (w *worker) placesFor(s *step, wanted int, promised models.Resources) int {
-	size, free := s.room(), w.free().Sub(promised)
+func (w *worker) countFitting(s *step, wanted int, promised models.Resources) int {
+	size, free := s.footprint(), w.free().Sub(promised)
 	if !size.Fits(free) {
 		return 0
 	}
@@ -69,7 +69,7 @@
 		wanted = min(wanted, 1)
 	}
 	if s.spec.PerWorker > 0 {
-		wanted = min(wanted, s.spec.PerWorker-w.count(s))
+		wanted = min(wanted, s.spec.PerWorker-w.countTasks(s))
 	}
 	n := 0
 	for n < wanted && size.Fits(free) {
--- a/services/dispatch/outcome.go
+++ b/services/dispatch/outcome.go
@@ -15,7 +15,7 @@
 // Started takes the outcome of a start.
 func (c *Core) Started(order StartOrder, result Result, now time.Time) {
 	if result.Outcome == OutcomeIncarnation {
-		c.neverRan(order, now)
+		c.retractRun(order, now)
 	}
 	if c.overtaken(order.Worker, order.Call.Fence, result, now) {
 		return
@@ -26,12 +26,12 @@
 		return
 	}
 	if result.Outcome == OutcomeNotSent {
-		c.unsent(t)
+		c.handleUnsent(t)
 		return
 	}
 	known := result.Outcome == OutcomeDone || result.Outcome == OutcomeRefused && result.Refusal == jobs.RefusedRun
 	if t.retried && !known {
-		w.mute = now.Add(mutePause)
+		w.avoidUntil = now.Add(avoidPause)
 		c.stop(t, "its first start is not answered, the second was not done")
 		return
 	}
@@ -42,18 +42,18 @@
 		c.confirm(t, now)
 		w.failed = time.Time{} // it lives
 	case OutcomeUnknown:
-		c.unanswered(t, order, now)
+		c.handleUnanswered(t, order, now)
 	case OutcomeNotDone, OutcomeUnreached:
-		w.unwell = now.Add(unwellPause)
+		w.unwell = now.Add(notDonePause)
 		c.wait(t)
 	default:
-		c.refused(t, w, result.Refusal, now)
+		c.handleRefused(t, w, result.Refusal, now)
 	}
 }
 
-// neverRan takes back a run whose only start has met another incarnation of its worker, which has done nothing
+// retractRun takes back a run whose only start has met another incarnation of its worker, which has done nothing
 // of it: it was not lost with the former one, and need not be barred.
-func (c *Core) neverRan(order StartOrder, now time.Time) {
+func (c *Core) retractRun(order StartOrder, now time.Time) {
 	c.now = now
 	t := c.find(order.Call.Task)
 	if t == nil || t.run != order.Call.Run || t.retried || c.superseded {
@@ -69,9 +69,9 @@
 	}
 }
 
-// unsent lets a task whose start was not sent wait again; a repetition of a start that may be
+// handleUnsent lets a task whose start was not sent wait again; a repetition of a start that may be
 // done is barred.
-func (c *Core) unsent(t *task) {
+func (c *Core) handleUnsent(t *task) {
 	if t.retried {
 		c.stop(t, "its first start is not answered, the second was not sent")
 		return
@@ -81,23 +81,23 @@
 
 // Pauses after which a worker or a step is tried again.
 const (
-	unwellPause = 700 * time.Millisecond // the worker did nothing because it is not well
-	fullPause   = 300 * time.Millisecond // the worker has less room, or a later clock, than counted
-	stepPause   = time.Second            // the start was refused for a reason of its own
-	// mutePause is for how long all others go before a worker that has not answered a start twice,
+	notDonePause = 700 * time.Millisecond // the worker did nothing because it is not well
+	fullPause    = 300 * time.Millisecond // the worker has less room, or a later clock, than counted
+	stepPause    = time.Second            // the start was refused for a reason of its own
+	// avoidPause is for how long all others go before a worker that has not answered a start twice,
 	// though it reports: its task was placed there again and again, beside idle workers. It is longer
 	// than the stop that has to be proved first.
-	mutePause = 4 * time.Second
+	avoidPause = 4 * time.Second
 )
 
-// refused draws from a refused start when and where the task may start again.
-func (c *Core) refused(t *task, w *worker, reason jobs.Refusal, now time.Time) {
+// handleRefused draws from a refused start when and where the task may start again.
+func (c *Core) handleRefused(t *task, w *worker, reason jobs.Refusal, now time.Time) {
 	c.counts.Refused++
 	c.config.Logger.Info("start refused", zap.Stringer("task", t.id()), zap.Uint64("run", uint64(t.run)),
 		zap.String("worker", string(w.info.ID)), zap.String("reason", string(reason)))
 	switch reason {
 	case jobs.RefusedRun: // it is there or has ended; the next report says which
-		t.settled = now
+		t.answeredAt = now
 		return
 	case jobs.RefusedRoom, jobs.RefusedLate: // with what is known of the worker, the next start would be refused as well
 		w.unwell = now.Add(fullPause)
@@ -107,13 +107,13 @@
 	c.wait(t)
 }
 
-// unanswered repeats a start that got no answer once; after that the run is barred.
-func (c *Core) unanswered(t *task, order StartOrder, now time.Time) {
+// handleUnanswered repeats a start that got no answer once; after that the run is barred.
+func (c *Core) handleUnanswered(t *task, order StartOrder, now time.Time) {
 	c.counts.Unanswered++
 	mayRepeat := !t.retried && now.Sub(t.worker.heard) < silentAfter && !t.step.job.cancelled && c.mayStart()
 	if mayRepeat && c.repeats.take() {
 		t.retried = true
-		t.tried, t.sent = now, now
+		t.orderedAt, t.startSentAt = now, now
 		c.orders = append(c.orders, order)
 		return
 	}
@@ -132,7 +132,7 @@
 		return
 	}
 	if result.Outcome == OutcomeDone || result.Outcome == OutcomeRefused && result.Refusal == jobs.RefusedRun {
-		t.settled = now
+		t.answeredAt = now
 	}
 }
 
@@ -148,11 +148,11 @@
 	}
 	switch result.Outcome {
 	case OutcomeDone:
-		t.paceOpen = false
+		t.paceUncertain = false
 		return
 	case OutcomeUnknown: // it may be in force, and must not stay so for ever
 		t.pace = min(order.Before, order.Call.Pace)
-		t.paceOpen = true
+		t.paceUncertain = true
 	default: // that of an earlier order without answer stays open
 		t.pace = order.Before // the next look decides anew
 	}
--- a/services/dispatch/parts.go
+++ b/services/dispatch/parts.go
@@ -11,8 +11,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// leaveJob drops a job when all of its tasks are elsewhere.
-func (c *Core) leaveJob(j *job) {
+// forgetIfElsewhere drops a job when all of its tasks are elsewhere.
+func (c *Core) forgetIfElsewhere(j *job) {
 	for _, s := range j.steps {
 		for i := range s.tasks {
 			if s.tasks[i].state != taskElsewhere {
@@ -22,16 +22,16 @@
 	}
 	delete(c.jobs, j.spec.ID)
 	c.dirty = slices.DeleteFunc(c.dirty, func(other *job) bool { return other == j })
-	c.left[j.spec.ID] = leftJob{version: j.recorded, further: j.further}
+	c.movedOut[j.spec.ID] = movedOutJob{version: j.recordVersion, further: j.further}
 }
 
-// takeRecord takes a newer record of a job that is known: tasks have come from another cell,
+// applyRecord takes a newer record of a job that is known: tasks have come from another cell,
 // or the store has carried out a move whose outcome was not known.
-func (c *Core) takeRecord(j *job, record jobs.Record) {
-	if record.Version <= j.recorded {
+func (c *Core) applyRecord(j *job, record jobs.Record) {
+	if record.Version <= j.recordVersion {
 		return
 	}
-	j.recorded = record.Version
+	j.recordVersion = record.Version
 	j.home, j.further, j.closed = record.Home, record.Further, record.Closed
 	j.leastRun = max(j.leastRun, record.LeastRun)
 	came, went := 0, 0
@@ -54,11 +54,11 @@
 		c.listOpen(s)
 	}
 	c.config.Logger.Info("work has moved between cells", zap.String("job", string(j.spec.ID)), zap.Int("came", came), zap.Int("went", went))
-	c.leaveJob(j)
+	c.forgetIfElsewhere(j)
 }
 
-// keepElsewhere marks the tasks of a new job that another cell has.
-func (j *job) keepElsewhere(record jobs.Record) {
+// markElsewhere marks the tasks of a new job that another cell has.
+func (j *job) markElsewhere(record jobs.Record) {
 	for flat, s := range j.steps {
 		for i := range s.tasks {
 			s.tasks[i].run = record.LeastRun
@@ -74,8 +74,8 @@
 	if j, ok := c.jobs[id]; ok {
 		return j.further
 	}
-	return c.left[id].further
+	return c.movedOut[id].further
 }
 
 // Dropped says that the store does not hold a job any more.
-func (c *Core) Dropped(id jobs.ID) { delete(c.left, id) }
+func (c *Core) Dropped(id jobs.ID) { delete(c.movedOut, id) }
--- a/services/dispatch/place.go
+++ b/services/dispatch/place.go
@@ -23,7 +23,7 @@
 func (c *Core) placeAll(now time.Time) {
 	candidates := c.candidates(now)
 	if len(candidates) > 0 {
-		c.lookAtShortWork(now)
+		c.updateShortWork(now)
 	}
 	for _, candidate := range candidates {
 		if c.startsLeft <= 0 {
@@ -36,9 +36,9 @@
 // candidates gives the open steps whose tasks may be placed now, the most urgent first, and
 // takes those off the list that have none left.
 func (c *Core) candidates(now time.Time) []candidate {
-	candidates := make([]candidate, 0, len(c.open))
-	kept := c.open[:0]
-	for _, s := range c.open {
+	candidates := make([]candidate, 0, len(c.waitingSteps))
+	kept := c.waitingSteps[:0]
+	for _, s := range c.waitingSteps {
 		if s.waiting == 0 || s.job.end != "" || s.job.cancelled {
 			s.listed = false
 			continue
@@ -48,7 +48,7 @@
 			candidates = append(candidates, c.candidate(s, now))
 		}
 	}
-	c.open = kept
+	c.waitingSteps = kept
 	slices.SortFunc(candidates, candidate.before)
 	return candidates
 }
@@ -70,12 +70,12 @@
 // placeStep gives the step's waiting tasks their places. They are all alike, so the places
 // are looked up once; only a place that was taken is looked at again.
 func (c *Core) placeStep(s *step, now time.Time) {
-	if c.holds(s, now) {
+	if c.holdsForOffer(s, now) {
 		s.findNone(now)
 		return
 	}
 	c.placeSuspects(s, now)
-	places := c.places(s, now)
+	places := c.findPlaces(s, now)
 	for i := range s.tasks {
 		t := &s.tasks[i]
 		if t.state != taskWaiting || t.suspected() || !t.countIsStored() {
@@ -95,10 +95,10 @@
 		s.stuck = time.Time{}
 		c.start(t, places[0].worker, now)
 		if s.spec.SameRack {
-			places = c.places(s, now) // the first task makes its rack the best one
+			places = c.findPlaces(s, now) // the first task makes its rack the best one
 			continue
 		}
-		c.lookAgain(&places, s, now)
+		c.rescoreFirst(&places, s, now)
 	}
 }
 
@@ -114,20 +114,20 @@
 func (c *Core) start(t *task, w *worker, now time.Time) {
 	c.beginRun(t, now)
 	if t.step.spec.Fills {
-		w.refilled = now
+		w.fillersChangedAt = now
 	}
 	w.add(t)
-	c.takeRoom(t)
+	c.takeShortCapacity(t)
 	c.startsLeft--
 	c.counts.Starts++
 	if t.saved != nil {
 		c.counts.StartsFromText++
 	}
-	c.noteFirstStart(t.step.job, now)
+	c.recordFirstStart(t.step.job, now)
 	c.logStart(t, w, now)
 	c.orders = append(c.orders, StartOrder{Worker: w.info, Call: jobs.StartCall{
 		Task: t.id(), Run: t.run, Fence: w.fence, Payload: t.step.job.spec.Payload,
-		Until: c.startUntil(w, now), Checkpoint: t.text(),
+		Until: c.startDeadline(w, now), Checkpoint: t.text(),
 	}})
 }
 
@@ -136,7 +136,7 @@
 	c.config.Logger.Info("run starts", t.logOrigin([]zap.Field{
 		zap.Stringer("task", t.id()), zap.Uint64("run", uint64(t.run)),
 		zap.String("worker", string(w.info.ID)), zap.Int64("job_age_ms", int64(c.timeOfDay(now)-t.step.job.accepted)),
-		zap.Int64("report_age_ms", now.Sub(w.heard).Milliseconds()), zap.Float64("load", w.load),
+		zap.Int64("report_age_ms", now.Sub(w.heard).Milliseconds()), zap.Float64("load", w.maxLoad),
 		zap.Int("lost_before", len(t.suspicion.Lost)),
 	}, now)...)
 }
@@ -149,11 +149,11 @@
 	t.ordered = true
 	t.run = c.nextRun(t)
 	t.state = taskStarting
-	t.settled, t.sampled = time.Time{}, time.Time{}
-	t.tried, t.sent, t.began, t.paced = now, now, now, now
-	t.retried, t.open, t.barred, t.paceOpen = false, true, false, false
+	t.answeredAt, t.sampledAt = time.Time{}, time.Time{}
+	t.orderedAt, t.startSentAt, t.began, t.pacedAt = now, now, now, now
+	t.retried, t.open, t.barred, t.paceUncertain = false, true, false, false
 	t.pace = jobs.FullSpeed
-	t.apart, t.shown, t.steady, t.figure = 0, 0, 0, 0
+	t.loadOffset, t.shownLoad, t.averageLoad, t.figure = 0, 0, 0, 0
 }
 
 // nextRun numbers a run above all runs of this and of former owners.
--- a/services/dispatch/places.go
+++ b/services/dispatch/places.go
@@ -16,14 +16,14 @@
 	score  float64
 }
 
-// places is a heap of places, the best one first.
-type places []place
+// placeHeap is a heap of places, the best one first.
+type placeHeap []place
 
 // Len implements heap.Interface.
-func (p places) Len() int { return len(p) }
+func (p placeHeap) Len() int { return len(p) }
 
 // Less implements heap.Interface.
-func (p places) Less(i, j int) bool {
+func (p placeHeap) Less(i, j int) bool {
 	if p[i].score != p[j].score {
 		return p[i].score > p[j].score
 	}
@@ -31,22 +31,22 @@
 }
 
 // Swap implements heap.Interface.
-func (p places) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
+func (p placeHeap) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
 
 // Push implements heap.Interface.
-func (p *places) Push(x any) { *p = append(*p, x.(place)) }
+func (p *placeHeap) Push(x any) { *p = append(*p, x.(place)) }
 
 // Pop implements heap.Interface.
-func (p *places) Pop() any {
+func (p *placeHeap) Pop() any {
 	last := len(*p) - 1
 	x := (*p)[last]
 	*p = (*p)[:last]
 	return x
 }
 
-// lookAgain gives the first place its new score, or removes it when it takes no more tasks
+// rescoreFirst gives the first place its new score, or removes it when it takes no more tasks
 // of the step.
-func (c *Core) lookAgain(p *places, s *step, now time.Time) {
+func (c *Core) rescoreFirst(p *placeHeap, s *step, now time.Time) {
 	first := &(*p)[0]
 	if !c.mayTake(first.worker, s, now) {
 		heap.Pop(p)
@@ -56,8 +56,8 @@
 	heap.Fix(p, 0)
 }
 
-// places finds all workers that may take a task of the step now.
-func (c *Core) places(s *step, now time.Time) places {
+// findPlaces finds all workers that may take a task of the step now.
+func (c *Core) findPlaces(s *step, now time.Time) placeHeap {
 	list := c.placeBuffer[:0]
 	for _, w := range c.order {
 		if c.mayTake(w, s, now) {
@@ -71,24 +71,24 @@
 
 // mayTake tells whether a task of the step may start on the worker now.
 func (c *Core) mayTake(w *worker, s *step, now time.Time) bool {
-	return !w.isKept(now) && c.mayTry(w, s, now)
+	return !w.isReserved(now) && c.mayTry(w, s, now)
 }
 
-// isKept tells whether nothing but suspects may start on the worker.
-func (w *worker) isKept(now time.Time) bool { return w.trials > 0 || !now.After(w.keptUntil) }
+// isReserved tells whether nothing but suspects may start on the worker.
+func (w *worker) isReserved(now time.Time) bool { return w.trials > 0 || !now.After(w.keptUntil) }
 
 // mayTry tells the same of a suspect, which may start beside others on trial.
 func (c *Core) mayTry(w *worker, s *step, now time.Time) bool {
-	return c.usable(w, now) && c.fits(w, s) && c.hasRoom(w, s)
+	return c.usable(w, now) && c.fits(w, s) && c.hasCapacity(w, s)
 }
 
-// hasRoom tells whether what is left on the worker is enough for a task of the step.
-func (c *Core) hasRoom(w *worker, s *step) bool {
-	return w.placesFor(s, 1, models.Resources{}) > 0 && (!s.spec.Fills || c.mayFill(w, s))
+// hasCapacity tells whether what is left on the worker is enough for a task of the step.
+func (c *Core) hasCapacity(w *worker, s *step) bool {
+	return w.countFitting(s, 1, models.Resources{}) > 0 && (!s.spec.Fills || c.mayRunFiller(w, s))
 }
 
-// count is how many tasks of a step are on the worker.
-func (w *worker) count(s *step) int {
+// countTasks is how many tasks of a step are on the worker.
+func (w *worker) countTasks(s *step) int {
 	n := 0
 	for _, t := range w.tasks {
 		if t.step == s {
--- a/services/dispatch/report.go
+++ b/services/dispatch/report.go
@@ -21,10 +21,10 @@
 	}
 	w, later := c.reporting(w, sent, report, now)
 	if !later {
-		c.passOver(w, report)
+		c.discardReport(w, report)
 		return false
 	}
-	w.passedOver = false
+	w.reportDiscarded = false
 	c.now = now
 	first := !w.answered
 	if w.retired {
@@ -38,41 +38,41 @@
 	if first {
 		c.noteAnswered(now)
 	}
-	newEnds := c.seeRows(w, report, now)
+	newEnds := c.applyRows(w, report, now)
 	if first {
 		c.closeOpenRuns(w)
 	}
-	c.missRuns(w, sent)
+	c.releaseMissingRuns(w, sent)
 	w.forgetStrays(sent)
 	if first {
 		c.checkBlind(now)
 	}
 	c.learn(w, now)
 	w.expectedValid = false
-	return first || newEnds || w.excess > seenMargin
+	return first || newEnds || w.maxExcess > shownMargin
 }
 
-// passOver counts a report that is not taken, and logs the first one of a row.
-func (c *Core) passOver(w *worker, report jobs.Report) {
+// discardReport counts a report that is not taken, and logs the first one of a row.
+func (c *Core) discardReport(w *worker, report jobs.Report) {
 	c.counts.ReportsPassedOver++
-	if w.passedOver {
+	if w.reportDiscarded {
 		return
 	}
-	w.passedOver = true
+	w.reportDiscarded = true
 	c.config.Logger.Warn("report is passed over, a later one has come", zap.String("worker", string(w.info.ID)),
 		zap.Int64("clock", int64(report.Clock)), zap.Int64("of_the_later", int64(w.clock)),
 		zap.Int64("born", int64(report.Born)), zap.Int64("born_of_the_later", int64(w.info.Born)),
 		zap.Int("running", len(report.Running)), zap.Int("ended", len(report.Ended)))
 }
 
-// seeRows takes what a report says of runs, and tells whether it shows new ends.
-func (c *Core) seeRows(w *worker, report jobs.Report, now time.Time) (newEnds bool) {
+// applyRows takes what a report says of runs, and tells whether it shows new ends.
+func (c *Core) applyRows(w *worker, report jobs.Report, now time.Time) (newEnds bool) {
 	for _, run := range report.Running {
-		c.seeRun(w, run, now)
+		c.applyRunning(w, run, now)
 	}
 	for _, ended := range report.Ended {
 		if ended.Number > w.lastEnd {
-			c.seeEnd(w, ended, now)
+			c.recordEnd(w, ended, now)
 			newEnds = true
 		}
 	}
@@ -83,14 +83,14 @@
 func (w *worker) beginReport(report jobs.Report, sent, now time.Time) {
 	w.answered, w.overdue, w.failed, w.youngStored = true, false, time.Time{}, false
 	w.hurried = false
-	w.leased = w.granting
+	w.renewed = w.renewing
 	w.asked, w.heard, w.clock = sent, now, report.Clock
-	w.reports++
-	w.unseeStrays()
+	w.reportCount++
+	w.clearStraysSeen()
 }
 
-// seeRun takes one running row of a report.
-func (c *Core) seeRun(w *worker, run jobs.Run, now time.Time) {
+// applyRunning takes one running row of a report.
+func (c *Core) applyRunning(w *worker, run jobs.Run, now time.Time) {
 	t := c.find(run.Task)
 	if t != nil {
 		c.noteShown(t, run.Run)
@@ -105,7 +105,7 @@
 		c.stopStray(w, run, now)
 		return
 	}
-	t.seen = w.reports
+	t.lastReport = w.reportCount
 	t.figure = run.Figure
 	c.checkPace(w, t, now)
 	c.sampleSpeed(w, t, run.Progress, now)
@@ -129,10 +129,10 @@
 	t.state = taskRunning
 	t.run = run.Run
 	t.ordered = false
-	t.settled = c.now
+	t.answeredAt = c.now
 	t.began = c.now
-	t.pace, t.paceOpen = shownPace(t.step.spec, run.Figure), false
-	t.paced = c.now
+	t.pace, t.paceUncertain = inferPace(t.step.spec, run.Figure), false
+	t.pacedAt = c.now
 	t.step.job.running++
 	t.step.job.begun = true
 	w.add(t)
@@ -147,7 +147,7 @@
 func (c *Core) inferDone(t *task) {
 	s := t.step
 	s.opened = true
-	for _, earlier := range s.earlier() {
+	for _, earlier := range s.predecessors() {
 		for i := range earlier.tasks {
 			o := &earlier.tasks[i]
 			if o.state == taskWaiting || o.state == taskUnknown {
@@ -161,26 +161,26 @@
 	}
 }
 
-// answeredSoon is how soon after a start an answer says when the run began. Of a later one, or of a report that
+// promptAnswer is how soon after a start an answer says when the run began. Of a later one, or of a report that
 // shows the run first, it is known only that it began after the start was ordered.
-const answeredSoon = 200 * time.Millisecond
+const promptAnswer = 200 * time.Millisecond
 
 // confirm notes that a run is under way.
 func (c *Core) confirm(t *task, now time.Time) {
 	t.state = taskRunning
-	t.settled = now
-	if now.Sub(t.began) <= answeredSoon {
+	t.answeredAt = now
+	if now.Sub(t.began) <= promptAnswer {
 		t.began = now
 	}
 	t.step.job.begun = true
 }
 
-// missRuns finds tasks that should be on the worker but that a report does not show,
+// releaseMissingRuns finds tasks that should be on the worker but that a report does not show,
 // although its call was sent after the last order was answered.
-func (c *Core) missRuns(w *worker, sent time.Time) {
+func (c *Core) releaseMissingRuns(w *worker, sent time.Time) {
 	for i := len(w.tasks) - 1; i >= 0; i-- {
 		t := w.tasks[i]
-		if t.seen == w.reports || t.settled.IsZero() || !sent.After(t.settled) {
+		if t.lastReport == w.reportCount || t.answeredAt.IsZero() || !sent.After(t.answeredAt) {
 			continue
 		}
 		if t.state == taskRunning {
--- a/services/dispatch/reserve.go
+++ b/services/dispatch/reserve.go
@@ -16,50 +16,50 @@
 // last leave room to short work for some seconds.
 
 const (
-	// lastsLeaves is for how long a task that lasts leaves room, from when it waits: until
+	// shortReserveTime is for how long a task that lasts leaves room, from when it waits: until
 	// workers that replace others are there, and less than callers allow it to be away (6 s).
-	lastsLeaves = 5 * time.Second
-	// shortRoom is how many times its demand short work is left: it comes in bursts, and what
+	shortReserveTime = 5 * time.Second
+	// shortReserveFactor is how many times its demand short work is left: it comes in bursts, and what
 	// is free lies in pieces.
-	shortRoom = 1.5
-	// mostShortRoom bounds it, as a part of the cell's processor time.
-	mostShortRoom = 0.25
-	// demandSpan is the time over which the demand is remembered.
-	demandSpan = 3 * time.Second
+	shortReserveFactor = 1.5
+	// maxShortReserve bounds it, as a part of the cell's processor time.
+	maxShortReserve = 0.25
+	// demandWindow is the time over which the demand is remembered.
+	demandWindow = 3 * time.Second
 )
 
 // shortWork is what short work, which neither lasts nor fills, needs of the cell's declared room.
 type shortWork struct {
-	demand float64 // thousandths of a core, remembered
-	at     time.Time
-	room   models.MilliCPU // that is free, or taken by it, as of at
-	whole  models.MilliCPU // of all workers that may be used, as of at
+	demand   float64 // thousandths of a core, remembered
+	at       time.Time
+	free     models.MilliCPU // that is free, or taken by it, as of at
+	capacity models.MilliCPU // of all workers that may be used, as of at
 }
 
-// lookAtShortWork takes the room that there is for short work, and what it takes and waits for.
-func (c *Core) lookAtShortWork(now time.Time) {
-	s := &c.short
+// updateShortWork takes the room that there is for short work, and what it takes and waits for.
+func (c *Core) updateShortWork(now time.Time) {
+	s := &c.shortWork
 	passed := now.Sub(s.at)
-	s.room, s.whole = 0, 0
+	s.free, s.capacity = 0, 0
 	taken := models.MilliCPU(0)
 	for _, w := range c.order {
 		if !c.usable(w, now) {
 			continue
 		}
-		s.whole += w.info.Capacity.CPU
-		s.room += w.info.Capacity.CPU - w.lasting
-		taken += w.used.CPU - w.lasting
+		s.capacity += w.info.Capacity.CPU
+		s.free += w.info.Capacity.CPU - w.longRunningCPU
+		taken += w.used.CPU - w.longRunningCPU
 	}
-	current := float64(taken + c.waitingShort())
-	fades := min(1, passed.Seconds()/demandSpan.Seconds())
+	current := float64(taken + c.waitingShortCPU())
+	fades := min(1, passed.Seconds()/demandWindow.Seconds())
 	s.demand = max(current, s.demand+fades*(current-s.demand))
 	s.at = now
 }
 
-// waitingShort is the processor time that waiting tasks of short steps declare.
-func (c *Core) waitingShort() models.MilliCPU {
+// waitingShortCPU is the processor time that waiting tasks of short steps declare.
+func (c *Core) waitingShortCPU() models.MilliCPU {
 	sum := models.MilliCPU(0)
-	for _, s := range c.open {
+	for _, s := range c.waitingSteps {
 		if !s.spec.Lasts && !s.spec.Fills {
 			sum += models.MilliCPU(s.waiting) * s.spec.Size.CPU
 		}
@@ -70,16 +70,16 @@
 // leavesRoom tells whether a task that lasts may start now: it has waited for long enough, or
 // short work has room enough beside it. Tasks that come from another cell have waited there.
 func (c *Core) leavesRoom(t *task, now time.Time) bool {
-	if now.Sub(t.waits) >= lastsLeaves {
+	if now.Sub(t.waits) >= shortReserveTime {
 		return true
 	}
-	left := min(shortRoom*c.short.demand, mostShortRoom*float64(c.short.whole))
-	return float64(c.short.room-t.step.spec.Size.CPU) >= left
+	left := min(shortReserveFactor*c.shortWork.demand, maxShortReserve*float64(c.shortWork.capacity))
+	return float64(c.shortWork.free-t.step.spec.Size.CPU) >= left
 }
 
-// takeRoom notes that a task that lasts takes room.
-func (c *Core) takeRoom(t *task) {
+// takeShortCapacity notes that a task that lasts takes room.
+func (c *Core) takeShortCapacity(t *task) {
 	if t.step.spec.Lasts {
-		c.short.room -= t.step.spec.Size.CPU
+		c.shortWork.free -= t.step.spec.Size.CPU
 	}
 }
--- a/services/dispatch/reserve_test.go
+++ b/services/dispatch/reserve_test.go
@@ -21,8 +21,8 @@
 // shortage is a core of four workers with tasks that last on all of them and short work.
 type shortage struct {
 	*bench
-	t    *testing.T
-	made int
+	t         *testing.T
+	shortJobs int
 }
 
 const (
@@ -60,17 +60,17 @@
 	return n
 }
 
-// hand adds a short job of so many tasks.
-func (s *shortage) hand(tasks int) jobs.ID {
-	s.made++
+// addShortJob adds a short job of so many tasks.
+func (s *shortage) addShortJob(tasks int) jobs.ID {
+	s.shortJobs++
 	record := s.job(jobs.Step{Count: tasks, Size: models.Resources{CPU: shortCPU, Memory: 10}, Estimate: 800})
-	record.Spec.ID = jobs.ID(string(testJob[:14]) + []string{"b0", "b1", "b2", "b3"}[s.made])
+	record.Spec.ID = jobs.ID(string(testJob[:14]) + []string{"b0", "b1", "b2", "b3"}[s.shortJobs])
 	s.AddJob(record, jobs.Progress{}, true, s.now)
 	return record.Spec.ID
 }
 
-// look lets time pass in which the workers report what runs, and places what waits.
-func (s *shortage) look(passed time.Duration) {
+// advance lets time pass in which the workers report what runs, and places what waits.
+func (s *shortage) advance(passed time.Duration) {
 	for end := s.now.Add(passed); s.now.Before(end); {
 		for n := range s.ids {
 			if w := s.workers[s.ids[n]]; w != nil {
@@ -96,18 +96,18 @@
 // filled. Of the three that are left two are full of them, and short work has half of the third.
 func TestTasksThatLostTheirWorkerLeaveRoomToShortWork(t *testing.T) {
 	s := newShortage(t)
-	first := s.hand(2)
-	s.look(400 * time.Millisecond)
+	first := s.addShortJob(2)
+	s.advance(400 * time.Millisecond)
 	require.Equal(t, 2, s.running(first))
 	s.Replaced(s.ids[0], s.now)
 	lost := 12 - s.running(lastingID)
 	require.Positive(t, lost)
-	s.look(time.Second)
+	s.advance(time.Second)
 	require.Less(t, s.running(lastingID), 12, "they don't take all room that is left")
-	second := s.hand(1)
-	s.look(400 * time.Millisecond)
+	second := s.addShortJob(1)
+	s.advance(400 * time.Millisecond)
 	require.Equal(t, 1, s.running(second), "short work that comes finds a place")
-	s.look(lastsLeaves)
+	s.advance(shortReserveTime)
 	require.Greater(t, s.running(lastingID), 12-lost, "they have waited for long enough")
 }
 
@@ -115,19 +115,19 @@
 func TestTasksThatLastTakeRoomThatNobodyElseNeeds(t *testing.T) {
 	s := newShortage(t)
 	s.Replaced(s.ids[0], s.now)
-	s.look(400 * time.Millisecond)
+	s.advance(400 * time.Millisecond)
 	require.Equal(t, 12, s.running(lastingID))
 }
 
 // TestDemandOfShortWorkIsForgotten: room is left for as long as it may be needed again.
 func TestDemandOfShortWorkIsForgotten(t *testing.T) {
 	s := newShortage(t)
-	s.short.demand = 4000
+	s.shortWork.demand = 4000
 	for range 100 {
 		s.now = s.now.Add(100 * time.Millisecond)
-		s.lookAtShortWork(s.now)
+		s.updateShortWork(s.now)
 	}
-	require.Less(t, s.short.demand, 200.0)
+	require.Less(t, s.shortWork.demand, 200.0)
 }
 
 // TestRoomLeftToShortWorkIsOfferedToOtherCells: a task of another cell that found no place there
@@ -135,9 +135,9 @@
 // it as well, tasks that had lost their workers waited for 15 s.
 func TestRoomLeftToShortWorkIsOfferedToOtherCells(t *testing.T) {
 	s := newShortage(t)
-	s.hand(2)
-	s.look(400 * time.Millisecond)
-	s.short.demand = 16_000
+	s.addShortJob(2)
+	s.advance(400 * time.Millisecond)
+	s.shortWork.demand = 16_000
 	step := servingStep
 	step.Size.CPU = lastingCPU
 	demand := jobs.Demand{Job: "00000000000000cc", Pool: testPool, Step: step}
@@ -147,10 +147,10 @@
 // TestTaskThatLeavesRoomIsNotOfferedToOtherCells: it has a place here, once it has waited.
 func TestTaskThatLeavesRoomIsNotOfferedToOtherCells(t *testing.T) {
 	s := newShortage(t)
-	s.hand(2)
-	s.look(400 * time.Millisecond)
+	s.addShortJob(2)
+	s.advance(400 * time.Millisecond)
 	s.Replaced(s.ids[0], s.now)
-	s.look(time.Second)
+	s.advance(time.Second)
 	require.Less(t, s.running(lastingID), 12)
 	for _, step := range s.jobs[lastingID].steps {
 		require.Zero(t, step.stuck)
@@ -165,9 +165,9 @@
 // to another cell" and the task's "run starts", 5.004 s later, with no line between.
 func TestTaskFromAnotherCellDoesNotWaitAnew(t *testing.T) {
 	s := newShortage(t)
-	s.hand(2)
-	s.look(400 * time.Millisecond)
-	s.short.demand = 16_000
+	s.addShortJob(2)
+	s.advance(400 * time.Millisecond)
+	s.shortWork.demand = 16_000
 	step := servingStep
 	step.Size.CPU = lastingCPU
 	step.Count = 2
@@ -175,6 +175,6 @@
 	record.Spec.ID = "00000000000000cc"
 	part := record.NewPart(jobs.TaskSet{0: {1}}, 7)
 	s.AddJob(part, jobs.Progress{}, true, s.now)
-	s.look(100 * time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	require.Equal(t, 1, s.running(part.Spec.ID))
 }
--- a/services/dispatch/room.go
+++ b/services/dispatch/room.go
@@ -25,8 +25,8 @@
 	w.expectedValid = false
 }
 
-// room is what a task of the step takes of its worker's room: a filling one no processor time.
-func (s *step) room() models.Resources {
+// footprint is what a task of the step takes of its worker's room: a filling one no processor time.
+func (s *step) footprint() models.Resources {
 	size := s.spec.Size
 	if s.spec.Fills {
 		size.CPU = 0
@@ -37,12 +37,12 @@
 // account adds what a task has declared, or takes it away with sign -1.
 func (w *worker) account(t *task, sign models.MilliCPU) {
 	spec := t.step.spec
-	size := t.step.room()
+	size := t.step.footprint()
 	switch {
 	case spec.Fills:
-		w.filling += sign * spec.Size.CPU
+		w.fillerCPU += sign * spec.Size.CPU
 	case spec.Lasts:
-		w.lasting += sign * size.CPU
+		w.longRunningCPU += sign * size.CPU
 	}
 	if sign > 0 {
 		w.used = w.used.Add(size)
@@ -54,5 +54,5 @@
 // free is the room that no task has declared.
 func (w *worker) free() models.Resources { return w.info.Capacity.Sub(w.used) }
 
-// capacity is the worker's processor time, to divide by.
-func (w *worker) capacity() float64 { return float64(max(1, w.info.Capacity.CPU)) }
+// cpuCapacity is the worker's processor time, to divide by.
+func (w *worker) cpuCapacity() float64 { return float64(max(1, w.info.Capacity.CPU)) }
--- a/services/dispatch/score.go
+++ b/services/dispatch/score.go
@@ -10,20 +10,20 @@
 const (
 	dataWeight = 2.0
 	rackWeight = 2.0
-	// muteWeight is more than all else together.
-	muteWeight = 100.0
+	// avoidWeight is more than all else together.
+	avoidWeight = 100.0
 )
 
 // score is how good a place the worker is for a task of the step; the highest is taken.
 func (c *Core) score(w *worker, s *step) float64 {
 	spec := s.spec
-	capacity := w.capacity()
+	capacity := w.cpuCapacity()
 	var score float64
 	switch {
 	case spec.Fills:
-		score = c.fillScore(w, s)
+		score = c.fillerScore(w, s)
 	case spec.Lasts:
-		score = w.likeness(spec.Image) - float64(w.free().CPU)/capacity
+		score = w.imageAffinity(spec.Image) - float64(w.free().CPU)/capacity
 	default:
 		score = -float64(w.free().CPU-spec.Size.CPU) / capacity // the tightest, so that large tasks find room as well
 	}
@@ -33,16 +33,16 @@
 	if spec.SameRack && s.onRack(w.info.Rack) {
 		score += rackWeight
 	}
-	if c.now.Before(w.mute) {
-		score -= muteWeight
+	if c.now.Before(w.avoidUntil) {
+		score -= avoidWeight
 	}
 	return score
 }
 
-// likeness is how well a serving image fits to those on the worker: workers whose serving
+// imageAffinity is how well a serving image fits to those on the worker: workers whose serving
 // tasks are of one image leave room for all filling images that don't harm this one.
 // 2: only this image, 1: no serving task, below 1: others as well.
-func (w *worker) likeness(image jobs.ImageName) float64 {
+func (w *worker) imageAffinity(image jobs.ImageName) float64 {
 	same, all := 0, 0
 	for _, t := range w.tasks {
 		if t.step.spec.Lasts {
--- a/services/dispatch/speed.go
+++ b/services/dispatch/speed.go
@@ -16,17 +16,17 @@
 // waiting for ever for a worker that reports and does nothing. Workers that are only slow are
 // left in peace: to move their tasks costs more than it brings.
 const (
-	speedEvery = 400 * time.Millisecond // between two samples of a task
-	// workerWeight is that of a new sample in a worker's speed, and leastSamples are needed before
+	speedSampleInterval = 400 * time.Millisecond // between two samples of a task
+	// workerSpeedWeight is that of a new sample in a worker's speed, and minWorkerSamples are needed before
 	// a worker is judged: with fewer, sound workers are left alone for one slow task.
-	workerWeight = 0.2
-	leastSamples = 8
-	usualWeight  = 0.02                      // of a new sample in the usual speed
-	stalledBelow = 0.05                      // of the usual speed
-	stalledPause = 2500 * time.Millisecond   // until such a worker is tried again
-	leastPace    = 50 * jobs.FullSpeed / 100 // below it a task's progress says nothing of its worker
-	startsWithin = 300 * time.Millisecond    // a restart from a checkpoint makes no progress at first
-	usualAtLeast = 20                        // samples before anything is compared
+	workerSpeedWeight = 0.2
+	minWorkerSamples  = 8
+	queueSpeedWeight  = 0.02                      // of a new sample in the usual speed
+	stalledBelow      = 0.05                      // of the usual speed
+	stalledPause      = 2500 * time.Millisecond   // until such a worker is tried again
+	minSampledPace    = 50 * jobs.FullSpeed / 100 // below it a task's progress says nothing of its worker
+	restartGrace      = 300 * time.Millisecond    // a restart from a checkpoint makes no progress at first
+	minQueueSamples   = 20                        // samples before anything is compared
 )
 
 // speed is an average with the number of its samples.
@@ -47,42 +47,42 @@
 // sampleSpeed takes a task's progress into its worker's speed.
 func (c *Core) sampleSpeed(w *worker, t *task, progress jobs.Percent, now time.Time) {
 	spec := t.step.spec
-	if spec.Lasts || spec.Estimate <= 0 || t.pace < leastPace || now.Sub(t.began) < startsWithin {
-		t.sampled = time.Time{}
+	if spec.Lasts || spec.Estimate <= 0 || t.pace < minSampledPace || now.Sub(t.began) < restartGrace {
+		t.sampledAt = time.Time{}
 		return
 	}
-	if t.sampled.IsZero() || progress < t.sampledProgress {
-		t.sampled, t.sampledProgress = now, progress
+	if t.sampledAt.IsZero() || progress < t.sampledProgress {
+		t.sampledAt, t.sampledProgress = now, progress
 		return
 	}
-	apart := now.Sub(t.sampled)
-	if apart < speedEvery {
+	apart := now.Sub(t.sampledAt)
+	if apart < speedSampleInterval {
 		return
 	}
 	worked := float64(progress-t.sampledProgress) / float64(jobs.FullSpeed) * float64(spec.Estimate.Duration())
 	sample := worked / float64(apart)
-	t.sampled, t.sampledProgress = now, progress
-	usual := c.usualSpeed(t.step.job.spec.Queue)
-	usual.add(sample, usualWeight)
-	if usual.samples >= usualAtLeast && usual.mean > 0 {
-		w.speed.add(sample/usual.mean, workerWeight)
-		c.judgeSpeed(w, now)
+	t.sampledAt, t.sampledProgress = now, progress
+	usual := c.queueSpeed(t.step.job.spec.Queue)
+	usual.add(sample, queueSpeedWeight)
+	if usual.samples >= minQueueSamples && usual.mean > 0 {
+		w.speed.add(sample/usual.mean, workerSpeedWeight)
+		c.checkStalled(w, now)
 	}
 }
 
-// usualSpeed is the speed of a queue's tasks over all workers.
-func (c *Core) usualSpeed(queue jobs.QueueName) *speed {
-	s, ok := c.usual[queue]
+// queueSpeed is the speed of a queue's tasks over all workers.
+func (c *Core) queueSpeed(queue jobs.QueueName) *speed {
+	s, ok := c.queueSpeeds[queue]
 	if !ok {
 		s = &speed{}
-		c.usual[queue] = s
+		c.queueSpeeds[queue] = s
 	}
 	return s
 }
 
-// judgeSpeed leaves a worker alone that stands still, and moves its tasks.
-func (c *Core) judgeSpeed(w *worker, now time.Time) {
-	if w.speed.samples < leastSamples || w.speed.mean >= stalledBelow || now.Before(w.stalledUntil) {
+// checkStalled leaves a worker alone that stands still, and moves its tasks.
+func (c *Core) checkStalled(w *worker, now time.Time) {
+	if w.speed.samples < minWorkerSamples || w.speed.mean >= stalledBelow || now.Before(w.stalledUntil) {
 		return
 	}
 	c.config.Logger.Warn("worker stands still and is left alone", zap.String("worker", string(w.info.ID)),
--- a/services/dispatch/step.go
+++ b/services/dispatch/step.go
@@ -12,26 +12,26 @@
 
 // step is one step of one occurrence of a job.
 type step struct {
-	job        *job
-	occurrence int
-	number     int
-	spec       *jobs.Step
-	tasks      []task
-	done       int
-	waiting    int
-	opened     bool            // its earlier steps are done and its time has come
-	listed     bool            // in the core's open steps
-	backoff    time.Time       // no look for places before
-	stuck      time.Time       // since when no place is found for a waiting task; zero: one was
-	own        contention.Load // of a step that serves
-	aloneAt    time.Time       // when a task of it was last heard of that has nothing beside
+	job             *job
+	occurrence      int
+	number          int
+	spec            *jobs.Step
+	tasks           []task
+	done            int
+	waiting         int
+	opened          bool            // its earlier steps are done and its time has come
+	listed          bool            // in the core's open steps
+	backoff         time.Time       // no look for places before
+	stuck           time.Time       // since when no place is found for a waiting task; zero: one was
+	baseline        contention.Load // of a step that serves
+	aloneReportedAt time.Time       // when a task of it was last heard of that has nothing beside
 }
 
 // flat is the number of a step over all occurrences, as Progress counts.
 func (s *step) flat() int { return s.occurrence*len(s.job.spec.Steps) + s.number }
 
-// earlier are the steps that must be done before this one.
-func (s *step) earlier() []*step {
+// predecessors are the steps that must be done before this one.
+func (s *step) predecessors() []*step {
 	first := s.occurrence * len(s.job.spec.Steps)
 	list := make([]*step, 0, len(s.spec.After))
 	for _, number := range s.spec.After {
@@ -42,7 +42,7 @@
 
 // mayOpen tells whether all earlier steps are done.
 func (s *step) mayOpen() bool {
-	for _, earlier := range s.earlier() {
+	for _, earlier := range s.predecessors() {
 		if earlier.done < len(earlier.tasks) {
 			return false
 		}
@@ -71,12 +71,12 @@
 		return
 	}
 	s.listed = true
-	c.open = append(c.open, s)
+	c.waitingSteps = append(c.waitingSteps, s)
 }
 
-// openDue opens occurrences whose time has come.
-func (c *Core) openDue(now time.Time) {
-	for _, j := range c.timed {
+// openDueOccurrences opens occurrences whose time has come.
+func (c *Core) openDueOccurrences(now time.Time) {
+	for _, j := range c.repeating {
 		c.openSteps(j, now)
 	}
 }
--- a/services/dispatch/stop.go
+++ b/services/dispatch/stop.go
@@ -19,8 +19,8 @@
 	c.config.Logger.Info("run is to stop", zap.Stringer("task", t.id()), zap.Uint64("run", uint64(t.run)),
 		zap.String("worker", string(t.worker.info.ID)), zap.String("reason", reason))
 	t.state = taskStopping
-	t.settled = time.Time{}
-	t.tried = time.Time{}
+	t.answeredAt = time.Time{}
+	t.orderedAt = time.Time{}
 	c.stopping[t] = struct{}{}
 }
 
@@ -40,8 +40,8 @@
 		switch {
 		case t.state != taskStopping || t.worker == nil:
 			delete(c.stopping, t)
-		case t.settled.IsZero() && now.Sub(t.tried) >= stopPause:
-			t.tried = now
+		case t.answeredAt.IsZero() && now.Sub(t.orderedAt) >= stopPause:
+			t.orderedAt = now
 			c.orderStop(t.worker, t.id(), t.run)
 		}
 	}
--- a/services/dispatch/stray.go
+++ b/services/dispatch/stray.go
@@ -12,8 +12,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// strayPause is how long a stop of a stray run is given before it is repeated.
-const strayPause = time.Second
+// strayStopInterval is how long a stop of a stray run is given before it is repeated.
+const strayStopInterval = time.Second
 
 // stray is a run that should not be on its worker. Nothing starts there while it is,
 // because it takes room that isn't counted.
@@ -23,8 +23,8 @@
 	seen    bool      // in the latest report
 }
 
-// unseeStrays begins a report: none of the strays is seen in it yet.
-func (w *worker) unseeStrays() {
+// clearStraysSeen begins a report: none of the strays is seen in it yet.
+func (w *worker) clearStraysSeen() {
 	for task, s := range w.strays {
 		s.seen = false
 		w.strays[task] = s
@@ -44,7 +44,7 @@
 	if s.noted.IsZero() {
 		s.noted = now
 	}
-	if now.Sub(s.stopped) < strayPause {
+	if now.Sub(s.stopped) < strayStopInterval {
 		w.strays[run.Task] = s
 		return
 	}
--- a/services/dispatch/summary.go
+++ b/services/dispatch/summary.go
@@ -13,23 +13,23 @@
 
 // Summary is a core's state in figures.
 type Summary struct {
-	Jobs      int  `json:"jobs"`       // active
-	Waiting   int  `json:"waiting"`    // tasks whose turn has come
-	Running   int  `json:"running"`    // tasks on workers, starting and stopping ones included
-	OverTail  int  `json:"over_tail"`  // serving tasks whose tail is over its target
-	Throttled int  `json:"throttled"`  // filling tasks below full pace
-	Workers   int  `json:"workers"`    // known
-	Usable    int  `json:"usable"`     // that may get new tasks
-	Unstored  int  `json:"unstored"`   // jobs with changes to store
-	Blind     bool `json:"recovering"` // some tasks wait for workers that haven't reported since the takeover
+	Jobs       int  `json:"jobs"`       // active
+	Waiting    int  `json:"waiting"`    // tasks whose turn has come
+	Running    int  `json:"running"`    // tasks on workers, starting and stopping ones included
+	OverTail   int  `json:"over_tail"`  // serving tasks whose tail is over its target
+	Throttled  int  `json:"throttled"`  // filling tasks below full pace
+	Workers    int  `json:"workers"`    // known
+	Usable     int  `json:"usable"`     // that may get new tasks
+	Unstored   int  `json:"unstored"`   // jobs with changes to store
+	Recovering bool `json:"recovering"` // some tasks wait for workers that haven't reported since the takeover
 	// ReportAge is how old the reports of workers are, the middle one of those in the list.
 	ReportAge models.Milli `json:"report_age_ms"`
 }
 
 // Summary sums the core up.
 func (c *Core) Summary(now time.Time) Summary {
-	s := Summary{Jobs: len(c.jobs), Workers: len(c.order), Unstored: len(c.dirty), Blind: c.blind}
-	for _, step := range c.open {
+	s := Summary{Jobs: len(c.jobs), Workers: len(c.order), Unstored: len(c.dirty), Recovering: c.blind}
+	for _, step := range c.waitingSteps {
 		s.Waiting += step.waiting
 	}
 	ages := make([]time.Duration, 0, len(c.order))
@@ -75,7 +75,7 @@
 	for _, w := range c.order {
 		state := WorkerState{
 			ID: w.info.ID, Born: w.info.Born, Listed: w.listed, Usable: c.usable(w, now), ReportAge: models.MilliOf(now.Sub(w.heard)),
-			Free: w.free(), Load: w.load,
+			Free: w.free(), Load: w.maxLoad,
 		}
 		for _, t := range w.tasks {
 			state.Tasks = append(state.Tasks, t.id().String())
--- a/services/dispatch/task.go
+++ b/services/dispatch/task.go
@@ -39,30 +39,30 @@
 	unseen    int            // runs that may have been lost between two owners; see unseen.go
 	lapsed    jobs.RunID     // the latest run, when a worker has shown after the takeover that it has lapsed; 0: none has
 
-	run      jobs.RunID
-	starts   int          // in this epoch
-	ordered  bool         // this owner ordered the run, and knows since when it is under way
-	settled  time.Time    // when the order in flight was answered; zero while it is not
-	tried    time.Time    // when the last order was given
-	sent     time.Time    // when its start was last ordered
-	retried  bool         // the start was repeated
-	open     bool         // a start of the run was ordered and is not answered; it may be carried out yet
-	barred   bool         // it was ordered at a former incarnation of the worker, and is to be barred at this one
-	waits    time.Time    // since when it waits, while it does; zero: for long, or for another cell
-	began    time.Time    // when the run was ordered, then when it was known to be under way
-	seen     uint64       // the worker's report that last showed it
-	saved    *saved       // what the next run goes on from; nil: it begins anew
-	pace     jobs.Percent // as ordered
-	paced    time.Time    // when it began or its pace was last changed
-	paceOpen bool         // an order had no answer: the pace in force may be higher
-	figure   int          // as last reported
-
-	sampled         time.Time // when sampledProgress was taken for the worker's speed
+	run           jobs.RunID
+	starts        int          // in this epoch
+	ordered       bool         // this owner ordered the run, and knows since when it is under way
+	answeredAt    time.Time    // when the order in flight was answered; zero while it is not
+	orderedAt     time.Time    // when the last order was given
+	startSentAt   time.Time    // when its start was last ordered
+	retried       bool         // the start was repeated
+	open          bool         // a start of the run was ordered and is not answered; it may be carried out yet
+	barred        bool         // it was ordered at a former incarnation of the worker, and is to be barred at this one
+	waits         time.Time    // since when it waits, while it does; zero: for long, or for another cell
+	began         time.Time    // when the run was ordered, then when it was known to be under way
+	lastReport    uint64       // the worker's report that last showed it
+	saved         *saved       // what the next run goes on from; nil: it begins anew
+	pace          jobs.Percent // as ordered
+	pacedAt       time.Time    // when it began or its pace was last changed
+	paceUncertain bool         // an order had no answer: the pace in force may be higher
+	figure        int          // as last reported
+
+	sampledAt       time.Time // when sampledProgress was taken for the worker's speed
 	sampledProgress jobs.Percent
 
-	shown  float64 // load of a serving task in the latest report
-	steady float64 // its average over the last few reports; zero: none yet
-	apart  float64 // by which a serving task's load differs from that of its step's others
+	shownLoad   float64 // load of a serving task in the latest report
+	averageLoad float64 // its average over the last few reports; zero: none yet
+	loadOffset  float64 // by which a serving task's load differs from that of its step's others
 }
 
 func (t *task) id() jobs.TaskID {
@@ -73,21 +73,21 @@
 func (c *Core) initTask(t *task) {
 	switch {
 	case t.state == taskDone, t.state == taskElsewhere:
-	case c.unseen(t):
+	case c.mayRunUnobserved(t):
 		t.state = taskUnknown
 	default:
 		t.step.waiting++
 		// What comes from another cell has waited there: with that time forgotten, a task that lasts
 		// left room to short work anew in each cell it came to.
-		if j := t.step.job; j.fresh && !j.came {
+		if j := t.step.job; j.fresh && !j.fromOtherCell {
 			t.waits = c.now
 		}
 	}
 }
 
-// unseen tells whether a worker that has not answered since the takeover may know of runs of
+// mayRunUnobserved tells whether a worker that has not answered since the takeover may know of runs of
 // the task.
-func (c *Core) unseen(t *task) bool { return c.blind && !t.step.job.fresh }
+func (c *Core) mayRunUnobserved(t *task) bool { return c.blind && !t.step.job.fresh }
 
 // finishTask marks a task as succeeded; it must not be on a worker.
 func (c *Core) finishTask(t *task) {
@@ -98,7 +98,7 @@
 	t.step.done++
 	t.step.job.begun = true
 	if t.step.done == len(t.step.tasks) {
-		t.step.job.left--
+		t.step.job.remainingSteps--
 	}
 }
 
@@ -112,7 +112,7 @@
 	t.pace = jobs.FullSpeed
 	// That this run has ended says nothing of those before it: a worker that has not answered
 	// may know of failures that leave the task no attempt. Tasks that last have no such bound.
-	if c.unseen(t) && !t.step.spec.Lasts {
+	if c.mayRunUnobserved(t) && !t.step.spec.Lasts {
 		if t.state == taskWaiting {
 			t.step.waiting--
 		}
@@ -134,7 +134,7 @@
 		return
 	}
 	if t.step.spec.Fills {
-		t.worker.refilled = c.now
+		t.worker.fillersChangedAt = c.now
 	}
 	t.worker.remove(t)
 	t.worker = nil
--- a/services/dispatch/throttle.go
+++ b/services/dispatch/throttle.go
@@ -19,7 +19,7 @@
 	laterCaution    = 0.3  // the same at the end of the task's run, when it may be throttled
 	throttleCaution = 0.3  // from there on filling tasks are throttled
 	aimCaution      = 0.8  // what throttling aims at, and up to which speed is given back
-	seenMargin      = 0.10 // by which a load that is seen is over the target's to count as such: two standard deviations of a figure
+	shownMargin     = 0.10 // by which a load that is seen is over the target's to count as such: two standard deviations of a figure
 )
 
 // settleTime is how long the figures take to show a change of pace: they are of the last
@@ -30,14 +30,14 @@
 // back where they are low.
 func (c *Core) throttle(now time.Time) {
 	for _, w := range c.order {
-		if w.filling == 0 || !w.hasSettled(now) {
+		if w.fillerCPU == 0 || !w.hasSettled(now) {
 			continue
 		}
-		if !w.over.IsZero() && now.Sub(w.over) > overTooLong {
-			c.haltFilling(w, now)
-		} else if _, excess := c.hottest(w, throttleCaution); excess >= 0 {
+		if !w.overTargetSince.IsZero() && now.Sub(w.overTargetSince) > maxOverTarget {
+			c.haltFillers(w, now)
+		} else if _, excess := c.mostOverTarget(w, throttleCaution); excess >= 0 {
 			c.slowDown(w, now)
-		} else if _, excess := c.hottest(w, aimCaution); excess < 0 && w.hasThrottled() {
+		} else if _, excess := c.mostOverTarget(w, aimCaution); excess < 0 && w.hasThrottledTasks() {
 			c.speedUp(w, now)
 		}
 	}
@@ -45,11 +45,11 @@
 
 // hasSettled tells whether the worker's figures are fresh and show the latest paces.
 func (w *worker) hasSettled(now time.Time) bool {
-	return w.answered && now.Sub(w.throttled) >= settleTime && now.Sub(w.heard) <= settleTime
+	return w.answered && now.Sub(w.throttledAt) >= settleTime && now.Sub(w.heard) <= settleTime
 }
 
-// hasThrottled tells whether a task on the worker is below full pace.
-func (w *worker) hasThrottled() bool {
+// hasThrottledTasks tells whether a task on the worker is below full pace.
+func (w *worker) hasThrottledTasks() bool {
 	return slices.ContainsFunc(w.tasks, func(t *task) bool { return t.pace < jobs.FullSpeed })
 }
 
@@ -95,26 +95,26 @@
 	return list
 }
 
-// hottest gives the worker's serving image whose load, seen or expected, is most over that
+// mostOverTarget gives the worker's serving image whose load, seen or expected, is most over that
 // at its target, and by how much; below zero it is under it.
-func (c *Core) hottest(w *worker, caution float64) (image jobs.ImageName, excess float64) {
+func (c *Core) mostOverTarget(w *worker, caution float64) (image jobs.ImageName, excess float64) {
 	excess = math.Inf(-1)
-	for _, s := range c.expect(w) {
-		if e := max(s.excess(caution, 0, 0), s.seen-seenMargin-s.service.TargetLoad()); e > excess {
+	for _, s := range c.expectedLoads(w) {
+		if e := max(s.excess(caution, 0, 0), s.shownLoad-shownMargin-s.service.TargetLoad()); e > excess {
 			image, excess = s.image, e
 		}
 	}
 	return image, excess
 }
 
-// overTooLong is for how long a tail may be seen over its target before all filling beside
+// maxOverTarget is for how long a tail may be seen over its target before all filling beside
 // it is throttled to a standstill. The users count harm after four seconds; a report may
 // show it one second late, and the next one, and the pace it leads to, take half a second
 // each.
-const overTooLong = 1200 * time.Millisecond
+const maxOverTarget = 1200 * time.Millisecond
 
-// haltFilling throttles all filling tasks of the worker to a standstill.
-func (c *Core) haltFilling(w *worker, now time.Time) {
+// haltFillers throttles all filling tasks of the worker to a standstill.
+func (c *Core) haltFillers(w *worker, now time.Time) {
 	for _, t := range w.tasks {
 		if t.step.spec.Fills && t.state == taskRunning {
 			c.setPace(w, t, 0, now)
@@ -122,32 +122,32 @@
 	}
 }
 
-// leastRelief is the least load at full pace for which a task is worth throttling.
-const leastRelief = 0.01
+// minRelief is the least load at full pace for which a task is worth throttling.
+const minRelief = 0.01
 
 // slowDown throttles or moves filling tasks, those that add most first, until the highest
 // load is what throttling aims at.
 func (c *Core) slowDown(w *worker, now time.Time) {
-	image, excess := c.hottest(w, aimCaution)
+	image, excess := c.mostOverTarget(w, aimCaution)
 	list := c.fillers(w, image)
 	for _, f := range list {
-		if excess <= 0 || f.adds < leastRelief {
+		if excess <= 0 || f.adds < minRelief {
 			return
 		}
 		pace := f.paceWithout(excess)
 		excess -= f.addsNow()
-		if pace < moveBelow && c.mayMove(w, f.task, now) {
-			c.move(w, f.task, now)
+		if pace < moveBelow && c.canMove(w, f.task, now) {
+			c.moveTask(w, f.task, now)
 			continue
 		}
 		c.setPace(w, f.task, pace, now)
 	}
 }
 
-// move stops a task that has a place on another worker.
-func (c *Core) move(w *worker, t *task, now time.Time) {
+// moveTask stops a task that has a place on another worker.
+func (c *Core) moveTask(w *worker, t *task, now time.Time) {
 	c.stop(t, "it goes on on a worker with room")
-	w.throttled = now
+	w.throttledAt = now
 	w.expectedValid = false
 }
 
@@ -159,8 +159,8 @@
 	moveAfter = 700 * time.Millisecond
 )
 
-// mayMove tells whether a task can go on at full pace on another worker.
-func (c *Core) mayMove(w *worker, t *task, now time.Time) bool {
+// canMove tells whether a task can go on at full pace on another worker.
+func (c *Core) canMove(w *worker, t *task, now time.Time) bool {
 	if !t.step.spec.Checkpoints || now.Sub(t.began) < moveAfter {
 		return false
 	}
@@ -174,12 +174,12 @@
 
 // speedUp gives speed back to throttled tasks, those that add least first.
 func (c *Core) speedUp(w *worker, now time.Time) {
-	image, _ := c.hottest(w, aimCaution)
+	image, _ := c.mostOverTarget(w, aimCaution)
 	for _, f := range slices.Backward(c.fillers(w, image)) {
 		if f.pace >= jobs.FullSpeed {
 			continue
 		}
-		_, excess := c.hottest(w, aimCaution) // as raised so far
+		_, excess := c.mostOverTarget(w, aimCaution) // as raised so far
 		pace := f.pace + f.gainWithin(-excess)
 		c.setPace(w, f.task, min(jobs.FullSpeed, pace), now)
 	}
--- a/services/dispatch/throttle_test.go
+++ b/services/dispatch/throttle_test.go
@@ -137,7 +137,7 @@
 			}
 			running = append(running, jobs.Run{Task: s.Call.Task, Run: s.Call.Run, Figure: figure})
 		}
-		b.adds("filling", 0) // as if learned for sure
+		b.setInterference("filling", 0) // as if learned for sure
 		b.report(0, jobs.Report{Running: running})
 	}
 	report()
@@ -170,7 +170,7 @@
 	figures := []int{104, 97, 106, 95, 102, 98}
 	began := b.now
 	for n := 0; b.now.Sub(began) < 6*time.Second; n++ {
-		b.adds("filling", 0) // as if learned for sure
+		b.setInterference("filling", 0) // as if learned for sure
 		b.now = b.now.Add(200 * time.Millisecond)
 		b.report(0, jobs.Report{Running: []jobs.Run{
 			{Task: starts[0].Call.Task, Run: starts[0].Call.Run, Figure: figures[n%len(figures)]},
--- a/services/dispatch/urgency.go
+++ b/services/dispatch/urgency.go
@@ -10,10 +10,10 @@
 	"rillsail.example/rillsail/modules/compare"
 )
 
-// lastsYield is for how long past its objective a task that lasts leaves room to ordinary
+// longRunningYield is for how long past its objective a task that lasts leaves room to ordinary
 // work of its priority that may still end in time: that takes the room for a second, the
 // other one for a minute.
-const lastsYield = 10_000 // milliseconds
+const longRunningYield = 10_000 // milliseconds
 
 // urgency is when a step's tasks come in the order of placement; lower comes first.
 type urgency struct {
@@ -29,17 +29,17 @@
 
 // urgency gives the urgency of an open step.
 func (c *Core) urgency(s *step, now models.UnixMilli) urgency {
-	u := urgency{priority: c.terms(s.job).Priority, due: c.due(s.job)}
+	u := urgency{priority: c.terms(s.job).Priority, due: c.deadline(s.job)}
 	if s.spec.Lasts {
-		u.late = now < u.due+lastsYield
+		u.late = now < u.due+longRunningYield
 	} else {
-		u.late = now+models.UnixMilli(c.rest(s)) > u.due
+		u.late = now+models.UnixMilli(c.remainingEstimate(s)) > u.due
 	}
 	return u
 }
 
-// rest estimates the longest chain from a step to its job's end.
-func (c *Core) rest(s *step) models.Milli {
+// remainingEstimate estimates the longest chain from a step to its job's end.
+func (c *Core) remainingEstimate(s *step) models.Milli {
 	steps := s.job.spec.Steps
 	longest := make([]models.Milli, len(steps))
 	var most models.Milli
--- a/services/dispatch/urgency_test.go
+++ b/services/dispatch/urgency_test.go
@@ -31,5 +31,5 @@
 		return starts[0].Call.Task.Job
 	}
 	require.Equal(t, jobs.ID("00000000000000bb"), first(time.Second))
-	require.Equal(t, testJob, first(lastsYield*time.Millisecond+2*time.Second), "it has waited for long enough")
+	require.Equal(t, testJob, first(longRunningYield*time.Millisecond+2*time.Second), "it has waited for long enough")
 }
--- a/services/dispatch/worker.go
+++ b/services/dispatch/worker.go
@@ -21,61 +21,61 @@
 
 // worker is one incarnation of a worker of the cell.
 type worker struct {
-	info        jobs.Worker
-	fence       jobs.Fence // of all calls to it
-	listed      bool
-	enrolled    bool      // the stored roster names it
-	youngStored bool      // its young runs are stored, for its address refuses connections
-	former      bool      // a former owner's roster named it
-	retired     bool      // it was silent until nothing ran there; the roster leaves it out
-	missing     time.Time // since when the list doesn't name it; zero: it does, or was not read yet
-	leaves      time.Time // when a draining worker may leave; zero: it doesn't drain
-	tasks       []*task
-	used        models.Resources // declared by its tasks; of filling ones the memory only
-	lasting     models.MilliCPU  // declared by those that last
-	filling     models.MilliCPU  // declared by those that fill
-	answered    bool             // reported in this epoch
-	heard       time.Time        // when the last report came
-	asked       time.Time        // when the call was sent that it answers
-	overdue     bool             // the latest call that asked for a report was not answered
-	failed      time.Time        // when the first call after the last report turned out not to be answered; zero: none has
-	refused     bool             // that call was turned away at the worker's address
-	clock       models.Milli     // of that report
-	entry       *jobs.Worker     // what the list says of another incarnation with this id; nil: nothing
-	hurried     bool             // its next report is wanted at once
-	hurriedFor  models.UnixMilli // the start of the incarnation for whose entry it was last
-	since       time.Time        // calls that were sent before are answered by a former incarnation, if by another one
-	bornTold    bool             // that it can't be read was logged
-	passedOver  bool             // the latest report was not taken
-	granted     models.Milli     // the latest end of a lease that was sent, on its clock
-	granting    bool             // the latest call that asked for a report prolongs the lease
-	leased      bool             // the latest report answers a call that prolonged the lease
-	unwell      time.Time        // no starts before
-	mute        time.Time        // all others go before it until then
-	ends        []keptEnd
-	lastEnd     uint64 // highest number applied
-	acked       uint64 // highest number that may be forgotten
-
-	strays  map[jobs.TaskID]stray // runs that should not be there
-	reports uint64
-
-	speed        speed     // of its tasks, compared with the usual
-	stalledUntil time.Time // no new tasks before
-	failedAt     time.Time
-	failedJobs   []jobs.ID // different jobs that failed here since the last success
-	throttled    time.Time // when a pace was last changed, or a task moved away
-	load         float64   // the highest load of a serving task, of the last report
-	excess       float64   // by how much a load is over that at its target, the most of all; below zero: none is
-	steady       float64   // the same of the averages of the last few reports
-	over         time.Time // since when a tail is over its target; zero: none
-	refilled     time.Time // when what fills there, or its pace, last changed
-	trials       int       // suspects on trial there; nothing else starts meanwhile
-	keptUntil    time.Time // nothing starts before but keptFor
-	keptFor      *task     // a suspect that waits
-
-	expected      []servingTask // see Core.expect
-	expectedValid bool
-	expectedAt    time.Time
+	info            jobs.Worker
+	fence           jobs.Fence // of all calls to it
+	listed          bool
+	enrolled        bool      // the stored roster names it
+	youngStored     bool      // its young runs are stored, for its address refuses connections
+	former          bool      // a former owner's roster named it
+	retired         bool      // it was silent until nothing ran there; the roster leaves it out
+	missing         time.Time // since when the list doesn't name it; zero: it does, or was not read yet
+	leaves          time.Time // when a draining worker may leave; zero: it doesn't drain
+	tasks           []*task
+	used            models.Resources // declared by its tasks; of filling ones the memory only
+	longRunningCPU  models.MilliCPU  // declared by those that last
+	fillerCPU       models.MilliCPU  // declared by those that fill
+	answered        bool             // reported in this epoch
+	heard           time.Time        // when the last report came
+	asked           time.Time        // when the call was sent that it answers
+	overdue         bool             // the latest call that asked for a report was not answered
+	failed          time.Time        // when the first call after the last report turned out not to be answered; zero: none has
+	refused         bool             // that call was turned away at the worker's address
+	clock           models.Milli     // of that report
+	entry           *jobs.Worker     // what the list says of another incarnation with this id; nil: nothing
+	hurried         bool             // its next report is wanted at once
+	hurriedFor      models.UnixMilli // the start of the incarnation for whose entry it was last
+	since           time.Time        // calls that were sent before are answered by a former incarnation, if by another one
+	bornTold        bool             // that it can't be read was logged
+	reportDiscarded bool             // the latest report was not taken
+	granted         models.Milli     // the latest end of a lease that was sent, on its clock
+	renewing        bool             // the latest call that asked for a report prolongs the lease
+	renewed         bool             // the latest report answers a call that prolonged the lease
+	unwell          time.Time        // no starts before
+	avoidUntil      time.Time        // all others go before it until then
+	ends            []unacknowledgedEnd
+	lastEnd         uint64 // highest number applied
+	acked           uint64 // highest number that may be forgotten
+
+	strays      map[jobs.TaskID]stray // runs that should not be there
+	reportCount uint64
+
+	speed            speed     // of its tasks, compared with the usual
+	stalledUntil     time.Time // no new tasks before
+	failedAt         time.Time
+	failedJobs       []jobs.ID // different jobs that failed here since the last success
+	throttledAt      time.Time // when a pace was last changed, or a task moved away
+	maxLoad          float64   // the highest load of a serving task, of the last report
+	maxExcess        float64   // by how much a load is over that at its target, the most of all; below zero: none is
+	averageExcess    float64   // the same of the averages of the last few reports
+	overTargetSince  time.Time // since when a tail is over its target; zero: none
+	fillersChangedAt time.Time // when what fills there, or its pace, last changed
+	trials           int       // suspects on trial there; nothing else starts meanwhile
+	keptUntil        time.Time // nothing starts before but keptFor
+	keptFor          *task     // a suspect that waits
+
+	loadExpectations []servingTask // see Core.expectedLoads
+	expectedValid    bool
+	expectedAt       time.Time
 }
 
 // noteFailed notes that a call which asks for a report was not answered; refused says that the worker's
@@ -161,11 +161,11 @@
 	if !before.IsZero() && before.Before(w.leaves) {
 		w.leaves = before // the entry is older than what was known, as after an outage of the store
 	}
-	w.info.Leaves = c.leavesAt(w, now)
+	w.info.Leaves = c.rosterLeaveTime(w, now)
 }
 
-// leavesAt is when a draining worker may leave, as the roster says it; 0: it does not drain.
-func (c *Core) leavesAt(w *worker, now time.Time) models.UnixMilli {
+// rosterLeaveTime is when a draining worker may leave, as the roster says it; 0: it does not drain.
+func (c *Core) rosterLeaveTime(w *worker, now time.Time) models.UnixMilli {
 	if w.leaves.IsZero() {
 		return 0
 	}
@@ -174,8 +174,8 @@
 
 // addWorker takes a worker that was not known; it gets tasks once it is enrolled.
 func (c *Core) addWorker(info jobs.Worker, now time.Time) *worker {
-	c.met++
-	w := &worker{info: info, fence: c.config.Epoch.Fence(c.met), heard: now, strays: map[jobs.TaskID]stray{}}
+	c.workersAdded++
+	w := &worker{info: info, fence: c.config.Epoch.Fence(c.workersAdded), heard: now, strays: map[jobs.TaskID]stray{}}
 	c.workers[info.ID] = w
 	c.order = append(c.order, w)
 	slices.SortFunc(c.order, func(a, b *worker) int { return strings.Compare(string(a.info.ID), string(b.info.ID)) })
@@ -210,23 +210,23 @@
 	failingPause = 3 * time.Second
 )
 
-// noteFailure notes that a run of the job failed here.
-func (w *worker) noteFailure(j *job, now time.Time) {
+// recordFailure notes that a run of the job failed here.
+func (w *worker) recordFailure(j *job, now time.Time) {
 	w.failedAt = now
 	if !slices.Contains(w.failedJobs, j.spec.ID) {
 		w.failedJobs = append(w.failedJobs, j.spec.ID)
 	}
 }
 
-// failing tells whether the worker seems to fail whatever it is given.
-func (w *worker) failing(now time.Time) bool {
+// isFailing tells whether the worker seems to fail whatever it is given.
+func (w *worker) isFailing(now time.Time) bool {
 	return len(w.failedJobs) >= failingJobs && now.Sub(w.failedAt) < failingPause
 }
 
 // usable tells whether new tasks may start on the worker.
 func (c *Core) usable(w *worker, now time.Time) bool {
 	stays := w.listed && w.enrolled && !w.info.Draining
-	heard := w.leased && now.Sub(w.heard) < silentAfter // a start alone carries no more than startWithin
-	well := !w.failing(now) && now.After(w.unwell) && now.After(w.stalledUntil)
+	heard := w.renewed && now.Sub(w.heard) < silentAfter // a start alone carries no more than startWithin
+	well := !w.isFailing(now) && now.After(w.unwell) && now.After(w.stalledUntil)
 	return stays && heard && well && len(w.strays) == 0
 }
