--- a/services/dispatch/changes.go
+++ b/services/dispatch/changes.go
@@ -13,35 +13,36 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Changes is what has to be stored next.
+// Changes are what has to be stored next.
 type Changes struct {
 	Jobs   []JobChange
 	Roster *jobs.Roster // nil: unchanged
-	Forget []jobs.ID    // ended jobs whose records have been kept for long enough
-	// Knowledge goes with other changes from time to time; it is no reason to store by itself.
+	Forget []jobs.ID    // ended jobs whose records have been kept long enough
+	// Knowledge holds the learned parameters. They are stored along with other changes from time to time and
+	// are no reason to store by themselves.
 	Knowledge *jobs.Knowledge
-	// Proof says that the transaction is wanted because it proves the ownership.
+	// Proof says that a transaction is wanted because it proves the ownership of the cell.
 	Proof bool
 
 	takenAt time.Time
 }
 
-// JobChange is a job's progress, or its end.
+// JobChange is a job's progress or its end.
 type JobChange struct {
 	ID       jobs.ID
 	Ended    *jobs.Record // the ended record; nil while the job is active
 	Progress jobs.Progress
-	// HasProgress: stored progress goes with the end.
+	// HasProgress says that stored progress is to be deleted with the end.
 	HasProgress bool
-	// Cancelled: a stored cancellation goes with the end.
+	// Cancelled says that a stored cancellation is to be deleted with the end.
 	Cancelled bool
 
 	job     *job
 	version uint64
 }
 
-// TakeChanges takes at most limit changed jobs, ended ones first because callers wait for
-// them. Changes that can't be stored are given back with Unstored.
+// TakeChanges returns at most limit changed jobs, ended jobs first because callers wait for them. Changes that
+// can't be stored are to be returned with Unstored.
 func (c *Core) TakeChanges(limit int, now time.Time) Changes {
 	changes := Changes{Proof: c.wantsProof, takenAt: now}
 	c.storeUrgently = false
@@ -64,8 +65,8 @@
 	return changes
 }
 
-// storePriority is the place of a job among those to be stored: callers wait for ends, and starts for
-// counted losses.
+// storePriority returns a job's rank among those to be stored, lowest first: callers wait for ends, and starts
+// wait until counted losses are stored.
 func (j *job) storePriority() int {
 	switch {
 	case j.end != "":
@@ -77,16 +78,16 @@
 	}
 }
 
-// hasUnstoredLoss tells whether a lost run of the job is counted and not stored yet. The roster may leave
-// out its worker no sooner: a successor that finds neither would not know that there was a run.
+// hasUnstoredLoss reports whether a lost run of the job is counted and not stored yet. Until it is stored, the
+// roster must not omit the run's worker: a successor that finds neither would not know that there was a run.
 func (j *job) hasUnstoredLoss() bool { return j.stored < j.counted }
 
-// Empty tells whether there is nothing to store.
+// Empty reports whether there is nothing to store.
 func (c Changes) Empty() bool {
 	return len(c.Jobs) == 0 && c.Roster == nil && len(c.Forget) == 0 && !c.Proof
 }
 
-// takeForgotten takes the ended jobs to be removed from the store.
+// takeForgotten returns up to limit ended jobs to be deleted from the store.
 func (c *Core) takeForgotten(limit int) []jobs.ID {
 	n := min(limit, len(c.forgotten))
 	taken := c.forgotten[:n:n]
@@ -94,8 +95,7 @@
 	return taken
 }
 
-// HasEnds tells whether a job has ended, which callers wait to hear, or something else should be
-// stored at once.
+// HasEnds reports whether there are changes to be stored at once, such as ends of jobs, for which callers wait.
 func (c *Core) HasEnds() bool {
 	for _, j := range c.dirty {
 		if j.end != "" {
@@ -105,12 +105,12 @@
 	return c.rosterChanged || c.wantsProof || c.storeUrgently
 }
 
-// HasChanges tells whether there is something to store.
+// HasChanges reports whether there is anything to store.
 func (c *Core) HasChanges() bool {
 	return len(c.dirty) > 0 || len(c.forgotten) > 0 || c.rosterChanged || c.wantsProof
 }
 
-// changeOf is what has to be stored of a job now.
+// changeOf returns what has to be stored of the job now.
 func (c *Core) changeOf(j *job, now time.Time) JobChange {
 	change := JobChange{ID: j.spec.ID, job: j, version: j.version, Cancelled: j.cancelled, HasProgress: j.hasProgress}
 	if j.end != "" {
@@ -124,7 +124,7 @@
 	return change
 }
 
-// progressOf gathers what must not be lost of a job's tasks when workers forget it.
+// progressOf collects the state of the job's tasks that would be lost when workers forget their ends.
 func progressOf(j *job) jobs.Progress {
 	progress := jobs.Progress{Done: map[int][]int{}, Failed: map[int]map[int]jobs.Failures{}, Suspected: suspicionsOf(j)}
 	for flat, s := range j.steps {
@@ -146,8 +146,8 @@
 	return progress
 }
 
-// Stored says that the changes are stored: ended jobs may be shown as such and workers
-// may forget the ends.
+// Stored says that the changes are stored: ended jobs may be reported as ended, and workers may forget the
+// ends.
 func (c *Core) Stored(changes Changes, now time.Time) {
 	c.proved = latest(c.proved, changes.takenAt)
 	c.wantsProof = false
@@ -172,8 +172,8 @@
 	}
 }
 
-// Unstored gives back changes that are not known to be stored. Progress among them may be, or
-// may be yet, so it goes with the job's end.
+// Unstored takes back changes that are not known to be stored. Progress among them may have been stored or may
+// be stored later, so it has to be deleted with the job's end.
 func (c *Core) Unstored(changes Changes) {
 	for _, change := range changes.Jobs {
 		change.job.hasProgress = change.job.hasProgress || change.Ended == nil
@@ -184,5 +184,5 @@
 	}
 	c.rosterChanged = c.rosterChanged || changes.Roster != nil
 	c.forgotten = append(c.forgotten, changes.Forget...)
-	c.config.Logger.Debug("changes are not stored", zap.Int("jobs", len(changes.Jobs)))
+	c.config.Logger.Debug("changes are not known to be stored; they are kept for the next attempt", zap.Int("jobs", len(changes.Jobs)))
 }
--- a/services/dispatch/core.go
+++ b/services/dispatch/core.go
@@ -2,39 +2,39 @@
 // Copyright The Rillsail Authors
 
 // Package dispatch decides which tasks of a cell's jobs run on which of its workers.
-// The workers hold the truth about what runs: a Core is built from the stored jobs and
-// the workers' reports, and nothing is stored before a start. It does no input or
-// output and reads no clock; every call says the time.
+// The workers are the source of truth about what runs: a Core is built from the stored jobs and
+// the workers' reports, and nothing is stored before an ordinary start. A Core does no input or
+// output and reads no clock; the caller passes the time to every call.
 //
-// The path of a task is a chain, read in Core.Decide:
+// Core.Decide drives a task through these stages:
 //
 //	open steps → order → place → start → report → end → store → acknowledge
 //
-// Where to look:
+// Files by subject:
 //
-//   - jobs and steps: job.go, step.go, task.go, ended.go; those that are divided between
-//     cells: parts.go
-//   - the order of steps and the places of their tasks: urgency.go, place.go, places.go,
+//   - jobs and steps: job.go, step.go, task.go, ended.go; jobs divided between cells: parts.go
+//   - the order of steps and the placement of their tasks: urgency.go, place.go, places.go,
 //     score.go
-//   - what orders bring: order.go, outcome.go, stop.go
-//   - reports: report.go, end.go; runs that should not be there: stray.go; what the next run
-//     goes on from: saved.go
-//   - what is stored: changes.go
-//   - workers: worker.go, room.go, speed.go, lease.go; those that go: gone.go; those that start again
-//     under their ids: incarnation.go
-//   - tasks that end their workers: suspicion.go (who is suspected, and given up), evidence.go
-//     (what a loss says), chance.go (how often workers go), burst.go (those that go together), recent.go (losses weighed before others are known), shared.go (losses that several tasks share),
-//     trial.go (where and how suspects start), suspicion_store.go (what is stored),
-//     unseen.go (runs that may be lost and that no owner knows of)
-//   - the time after a takeover: takeover.go; whether this still is the owner: proof.go;
-//     whether what it knows is recent enough to start something: stale.go
-//   - work that goes to another cell: movable.go (what may go), offer.go (how much of other
-//     cells' work finds a place here), move.go (the tasks while a move is stored)
-//   - how full the cell is: load.go; figures for operators: summary.go
-//   - interference, the model: package contention; learn.go (figures into it)
-//   - what a successor takes over of it: knowledge.go
-//   - interference, what follows: expect.go (loads to come), filling.go (places and use of
-//     filling tasks), throttle.go (who is slowed down), pace.go (paces ordered and seen)
+//   - orders and their outcomes: order.go, outcome.go, stop.go
+//   - reports: report.go, end.go; stray runs: stray.go; checkpoints for the next run: saved.go
+//   - what has to be stored: changes.go
+//   - workers: worker.go, room.go, speed.go, lease.go; lost workers: gone.go; workers that
+//     restart under the same id: incarnation.go
+//   - tasks that crash their workers: suspicion.go (suspects, and when a task is abandoned),
+//     evidence.go (the evidence of one loss), chance.go (the base rate of worker losses),
+//     burst.go (workers lost together), recent.go (losses that are re-evaluated when later ones
+//     are known), shared.go (losses shared by several tasks), trial.go (where and how suspects
+//     start), suspicion_store.go (what is stored), unseen.go (runs that may have been lost
+//     without any owner knowing of them)
+//   - recovery after a takeover: takeover.go; proof that this process still owns the cell:
+//     proof.go; whether its view of the store is fresh enough to start tasks: stale.go
+//   - work handed to another cell: movable.go (what may move), offer.go (how much work of other
+//     cells fits here), move.go (the tasks while a move is being stored)
+//   - the load of the cell: load.go; figures for operators: summary.go
+//   - interference: the model is package contention; learn.go feeds it; knowledge.go stores its
+//     parameters for a successor
+//   - use of the interference model: expect.go (predicted loads), filling.go (placement and CPU
+//     use of filler tasks), throttle.go (whom to throttle), pace.go (paces ordered and observed)
 //
 // # Usage
 //
@@ -58,94 +58,95 @@
 	"rillsail.example/rillsail/services/contention"
 )
 
-// Config is what a core is made of.
+// Config is the configuration of a Core.
 type Config struct {
 	Epoch jobs.Epoch
-	// Taken is when the cell was taken from its former owner.
+	// Taken is when this process took the cell over from its previous owner.
 	Taken time.Time
-	// Lease is how long a worker runs on when nobody prolongs it.
+	// Lease is how long a worker keeps its tasks running after its lease was last renewed.
 	Lease time.Duration
-	// LongestLease is the longest that workers grant; former owners' leases are taken to be
-	// as long when the stored roster doesn't say.
+	// LongestLease is the longest lease that workers accept. Leases of previous owners are assumed to be this
+	// long when the stored roster does not say how long they were.
 	LongestLease time.Duration
 	// OtherCells says that work may be handed to other cells.
 	OtherCells bool
-	// TimeOfDay gives the time of day now, a time that the owner has just given; nil: what it shows.
+	// TimeOfDay returns the current time of day; its argument is the time that the caller has just passed to
+	// the Core. If nil, the argument itself is converted.
 	TimeOfDay func(now time.Time) models.UnixMilli
 	Logger    *zap.Logger
 }
 
-// runsPerEpoch is how many runs of one task an epoch has numbers for: run ids rise over
-// all epochs without anything being stored.
+// runsPerEpoch is how many run ids one epoch has for a single task. Run ids thereby rise from epoch to epoch
+// although no counter is stored.
 const runsPerEpoch = 1 << 12
 
 // Core decides for one cell. It is not safe for concurrent use.
 type Core struct {
 	config       Config
 	jobs         map[jobs.ID]*job
-	repeating    map[jobs.ID]*job // those that repeat
+	repeating    map[jobs.ID]*job // jobs that repeat
 	ended        map[jobs.ID]endedJob
-	movedOut     map[jobs.ID]movedOutJob // jobs that went to another cell as a whole
-	endedSweptAt time.Time               // when ended jobs were last looked through
+	movedOut     map[jobs.ID]movedOutJob // jobs whose tasks are all in other cells now
+	endedSweptAt time.Time               // when expired ended jobs were last removed
 	workers      map[jobs.WorkerID]*worker
-	order        []*worker       // by id
-	hurry        []jobs.WorkerID // see TakeHurried
-	workersAdded int             // workers that were ever added
+	order        []*worker       // sorted by id
+	hurry        []jobs.WorkerID // workers to be asked for a report at once; see TakeHurried
+	workersAdded int             // how many workers were ever added; numbers their fences
 	queues       map[jobs.QueueName]jobs.Terms
-	waitingSteps []*step // with tasks that wait
+	waitingSteps []*step // opened steps with waiting tasks
 	orders       []Order
 	dirty        []*job
-	formerLease  time.Duration // of former owners; LongestLease at most
-	jobsHeld     bool          // jobs wait to be offered to other cells
-	blind        bool          // a worker may run tasks that were not reported yet
-	fenced       time.Time     // when most workers had; zero: not yet
+	formerLease  time.Duration // longest lease that a previous owner may have granted; at most LongestLease
+	jobsHeld     bool          // jobs are held back until they have been offered to other cells
+	blind        bool          // recovering: workers that have not reported since the takeover may run tasks
+	fenced       time.Time     // when more than half of the workers had reported in this epoch; zero: not yet
 	superseded   bool
-	proved       time.Time // when the latest transaction that proves the ownership was made; see mayOrder
-	obeyed       time.Time // when two thirds of the workers had been called that have answered
-	countedAt    time.Time // when obeyed was last found out
-	wantsProof   bool      // a transaction is wanted for its proof alone
-	idle         bool      // orders wait for a proof
+	proved       time.Time // when the latest transaction that proves ownership was begun; see mayOrder
+	obeyed       time.Time // a time such that two thirds of the workers have answered a call sent since
+	countedAt    time.Time // when the answers of the workers were last counted for mayOrder
+	wantsProof   bool      // a transaction is wanted for its proof of ownership alone
+	idle         bool      // orders are held back until ownership is proved again
 	known        known
 	stopping     map[*task]struct{}
-	now          time.Time // of the latest call
+	now          time.Time // as passed to the latest call
 
 	rosterChanged     bool
-	forgotten         []jobs.ID // ended jobs to be removed from the store
+	forgotten         []jobs.ID // ended jobs to be deleted from the store
 	model             *contention.Model
-	modelSettledAt    time.Time                 // when observations last came into force
-	queueSpeeds       map[jobs.QueueName]*speed // how fast tasks progress, in estimates
+	modelSettledAt    time.Time                 // when the model last took new observations into its predictions
+	queueSpeeds       map[jobs.QueueName]*speed // how fast the tasks of each queue progress, relative to their estimates
 	repeats           repeats
-	losses            []workerLoss              // of the last seconds
-	openRuns          map[jobs.WorkerID][]*task // suspects that a former owner started there, until it answers
+	losses            []workerLoss              // worker losses within the window of chance.go
+	openRuns          map[jobs.WorkerID][]*task // suspects that a previous owner started on the worker, until the worker reports
 	takeovers         takeoverLosses
 	withLosses        map[*task]struct{}            // tasks that have lost runs; some of them may have ended since
-	toJudge           []*task                       // against which something has been counted
-	recent            []recentLoss                  // to be weighed again
-	replaced          map[jobs.Incarnation]struct{} // proved to be gone, while the list still names them
-	storeUrgently     bool                          // what is dirty should not wait to be stored
+	toJudge           []*task                       // tasks with newly counted losses, to be judged
+	recent            []recentLoss                  // losses to be re-evaluated when later ones are known
+	replaced          map[jobs.Incarnation]struct{} // incarnations proved to have ended that the platform's list still names
+	storeUrgently     bool                          // dirty jobs have changes that are to be stored without delay
 	shortWork         shortWork
-	startsLeft        int // that Decide may still order
+	startsLeft        int // how many more starts Decide may order
 	counts            Counts
 	figures           JobFigures
 	placeBuffer       placeHeap                   // reused by Core.findPlaces
-	restoredLoads     map[stepKey]contention.Load // of a former owner, until the step is added
-	parametersTakenAt time.Time                   // when the knowledge was last taken to be stored
+	restoredLoads     map[stepKey]contention.Load // baseline loads learned by a previous owner, until their step is added
+	parametersTakenAt time.Time                   // when the learned parameters were last included in changes to store
 }
 
-// Counts is what a core has done so far.
+// Counts are totals since the Core was made.
 type Counts struct {
 	Starts, Succeeded, Failed, Stopped, Lapsed, Refused, Paces, Unanswered int64
-	WorkersLost                                                            int64 // with runs
-	RestartsReported, RestartsMet                                          int64 // of workers under their ids, by what showed them: a report, a call that was meant for the former incarnation
-	ReportsPassedOver                                                      int64 // for their clocks
-	LostUnseen                                                             int64 // runs that may be lost, and nobody saw
-	Trials, GivenUp, Cleared                                               int64 // of tasks suspected of crashing workers
-	StartsFromText                                                         int64 // that bring a checkpoint
-	// Checkpoints that reports showed and that were not taken, by why: see textFate.
+	WorkersLost                                                            int64 // workers lost while tasks were assigned to them
+	RestartsReported, RestartsMet                                          int64 // restarts of workers under the same id, detected by a report or by a call that was meant for the previous incarnation
+	ReportsPassedOver                                                      int64 // reports discarded as older than one already applied
+	LostUnseen                                                             int64 // runs that may have been lost with a worker, while nobody observed their start or their loss
+	Trials, GivenUp, Cleared                                               int64 // trials of tasks suspected of crashing workers; tasks abandoned; tasks cleared
+	StartsFromText                                                         int64 // starts from a checkpoint
+	// Checkpoints in reports that were not taken, by reason: see textFate.
 	TextsNotAskedOf, TextsOlder, TextsUnordered, TextsFailed int64
 }
 
-// New makes a core without jobs and workers.
+// New returns a Core without jobs and workers.
 func New(config Config) *Core {
 	return &Core{
 		config: config, jobs: map[jobs.ID]*job{}, repeating: map[jobs.ID]*job{}, ended: map[jobs.ID]endedJob{}, movedOut: map[jobs.ID]movedOutJob{},
@@ -157,17 +158,17 @@
 	}
 }
 
-// Superseded tells whether a worker has seen a later owner.
+// Superseded reports whether a worker has refused a call because a later owner has called it.
 func (c *Core) Superseded() bool { return c.superseded }
 
-// AllowStarts bounds the starts that Decide may order from now on; the most urgent go first, and
-// tasks that get none wait. Without a call there is no bound.
+// AllowStarts bounds how many starts Decide may order from now on. The most urgent tasks are started first; the
+// others keep waiting. Without a call, the number of starts is unbounded.
 func (c *Core) AllowStarts(n int) { c.startsLeft = n }
 
-// Counts is what the core has done so far.
+// Counts returns the totals since the Core was made.
 func (c *Core) Counts() Counts { return c.counts }
 
-// Configure sets the queues' terms in force.
+// Configure sets the terms of the queues as configured now.
 func (c *Core) Configure(configuration *jobs.Configuration) {
 	clear(c.queues)
 	for _, queue := range configuration.Queues {
@@ -175,8 +176,8 @@
 	}
 }
 
-// terms are the terms of a job: those of its queue as configured now, or those it was
-// accepted with when the queue is gone.
+// terms returns the terms of a job: those of its queue as configured now, or those that the job was accepted
+// with if its queue has been removed.
 func (c *Core) terms(j *job) jobs.Terms {
 	if terms, ok := c.queues[j.spec.Queue]; ok {
 		return terms
@@ -184,7 +185,7 @@
 	return j.terms
 }
 
-// Decide looks at everything once and gives the orders that follow.
+// Decide re-examines workers, tasks and loads, and returns the orders to carry out.
 func (c *Core) Decide(now time.Time) []Order {
 	c.now = now
 	c.expireWorkers(now)
@@ -205,17 +206,17 @@
 	return orders
 }
 
-// fits tells whether a worker's pool and labels allow a step's tasks.
+// fits reports whether the worker's pool and labels allow the tasks of the step.
 func (c *Core) fits(w *worker, s *step) bool {
 	return w.suits(c.terms(s.job).Pool, s.spec)
 }
 
-// suits tells whether the worker is of the pool and has the label that a step requires.
+// suits reports whether the worker belongs to the pool and has the label that the step requires.
 func (w *worker) suits(pool jobs.PoolName, spec *jobs.Step) bool {
 	return w.info.Pool == pool && (spec.Requires == "" || slices.Contains(w.info.Labels, spec.Requires))
 }
 
-// deadline is when a job's objective ends.
+// deadline returns when the job's latency objective ends.
 func (c *Core) deadline(j *job) models.UnixMilli {
 	terms := c.terms(j)
 	objective := terms.Slack + models.Milli(terms.Stretch*float64(models.MilliOf(j.criticalPath)))
--- a/services/dispatch/end.go
+++ b/services/dispatch/end.go
@@ -12,7 +12,7 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// recordEnd takes one ended row of a report.
+// recordEnd applies one ended run of a report.
 func (c *Core) recordEnd(w *worker, ended jobs.Ended, now time.Time) {
 	w.lastEnd = ended.Number
 	t := c.find(ended.Task)
@@ -30,7 +30,7 @@
 	c.logEnd(w, t, ended, fate, now)
 }
 
-// applyEnd draws from an end what it means for the task.
+// applyEnd updates the task, its worker and the totals by how a run ended.
 func (c *Core) applyEnd(w *worker, t *task, ended jobs.Ended, now time.Time) {
 	current := t.worker == w && t.run == ended.Run
 	switch ended.How {
@@ -53,8 +53,8 @@
 	}
 }
 
-// retainEnd notes an end that the worker must not forget before its job's progress is
-// stored; without a job, or with nothing to store, it may forget it at once.
+// retainEnd records an end that the worker must not forget before its job's progress is stored. Without a job,
+// or with nothing left to store, the worker may forget the end at once.
 func (w *worker) retainEnd(number uint64, j *job) {
 	end := unacknowledgedEnd{number: number}
 	if j != nil && j.version > j.stored {
@@ -63,7 +63,7 @@
 	w.ends = append(w.ends, end)
 }
 
-// logEnd logs how a run ended, and what became of the text that it brought.
+// logEnd logs how a run ended, and whether its checkpoint was taken.
 func (c *Core) logEnd(w *worker, t *task, ended jobs.Ended, fate textFate, now time.Time) {
 	fields := []zap.Field{
 		zap.Stringer("task", ended.Task), zap.Uint64("run", uint64(ended.Run)), zap.String("how", string(ended.How)),
@@ -78,7 +78,7 @@
 	c.config.Logger.Info("run ended", fields...)
 }
 
-// markSucceeded marks a task as done; tasks that last are run again however they end.
+// markSucceeded marks a task as done. Long-running tasks are run again however they end.
 func (c *Core) markSucceeded(t *task, current bool, now time.Time) {
 	if t.step.spec.Lasts || t.state == taskDone {
 		return
@@ -102,7 +102,7 @@
 	c.settle(t.step.job)
 }
 
-// countFailure counts a failed run, and fails the job when the task has no attempt left.
+// countFailure counts a failed run, and fails the job when its task has no attempts left.
 func (c *Core) countFailure(t *task, run jobs.RunID) {
 	if t.step.spec.Lasts || t.state == taskDone || t.step.job.end != "" || slices.Contains(t.failures, run) {
 		return
@@ -116,5 +116,5 @@
 	}
 }
 
-// maxAttempts is how many failed runs of a task fail its job.
+// maxAttempts returns after how many failed runs of a task its job fails.
 func (c *Core) maxAttempts(j *job) int { return max(1, c.terms(j).MaxAttempts) }
--- a/services/dispatch/ended.go
+++ b/services/dispatch/ended.go
@@ -9,13 +9,13 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// endedJob is what is remembered of an ended job.
+// endedJob is what is kept of an ended job.
 type endedJob struct {
 	state jobs.State
 	until time.Time
 }
 
-// Remembered is how long the state of an ended job is kept at least.
+// Remembered is the minimum time for which the state of an ended job is kept.
 const Remembered = 150 * time.Second
 
 // rememberEnd keeps the state of a job that has ended.
@@ -23,10 +23,10 @@
 	c.ended[id] = endedJob{state: state, until: now.Add(Remembered)}
 }
 
-// forgetInterval is how often ended jobs are looked through.
+// forgetInterval is how often expired ended jobs are removed.
 const forgetInterval = time.Second
 
-// forgetEnded drops ended jobs that were kept for long enough.
+// forgetEnded removes ended jobs that have been kept long enough.
 func (c *Core) forgetEnded(now time.Time) {
 	if now.Sub(c.endedSweptAt) < forgetInterval {
 		return
@@ -41,7 +41,7 @@
 	}
 }
 
-// State tells the state of a job as far as it is stored.
+// State returns the state of a job as far as it is stored.
 func (c *Core) State(id jobs.ID) (jobs.State, bool) {
 	if e, ok := c.ended[id]; ok {
 		return e.state, e.state != jobs.StateBarred
@@ -59,8 +59,8 @@
 	}
 }
 
-// Pending counts the jobs of each queue that have no task begun. A divided job counts where
-// its first task is.
+// Pending counts the jobs of each queue of which no task has begun. A job divided between cells is counted in
+// the cell that has its first task.
 func (c *Core) Pending() map[jobs.QueueName]int {
 	pending := map[jobs.QueueName]int{}
 	for _, j := range c.jobs {
--- a/services/dispatch/expect.go
+++ b/services/dispatch/expect.go
@@ -11,38 +11,37 @@
 	"rillsail.example/rillsail/services/contention"
 )
 
-// servingTask is a serving task's image with the load that is expected of it.
+// servingTask is the image of a serving task with its predicted load.
 type servingTask struct {
 	image           jobs.ImageName
 	service         *contention.Service
 	mean            float64
 	variance        float64
 	shownLoad       float64      // in the latest report
-	overProbability float64      // the probability that it gets over its target
-	later           *servingTask // the same when a task that is placed now has run for a while
+	overProbability float64      // probability that the load gets over its target
+	later           *servingTask // the prediction for when a task placed now has run for a while
 }
 
-// excess is by how much the load is over that at the target when some is added, if it is
-// taken to be so many standard deviations higher than its mean.
+// excess returns by how much the load would exceed the target load after a load of the given mean and variance
+// is added. The total is taken as its mean plus caution standard deviations.
 func (s servingTask) excess(caution, mean, variance float64) float64 {
 	return s.mean + mean + caution*math.Sqrt(s.variance+variance+residualVariance) - s.service.TargetLoad()
 }
 
 const (
-	// lookahead is how far ahead loads are expected: an order takes a tenth of a second, and the
-	// next look at the worker comes half a second later.
+	// lookahead is how far ahead loads are predicted: an order takes a tenth of a second, and the worker is
+	// examined again half a second later.
 	lookahead = 600 * time.Millisecond
-	// laterLookahead is how far ahead a place is looked at besides: filling tasks of the users run
-	// for about two seconds, and a load on its way up would throttle or move them soon.
+	// laterLookahead is how far ahead a placement is checked in addition: the users' filler tasks run for about
+	// two seconds, and a rising load would soon make it necessary to throttle or move them.
 	laterLookahead = 1800 * time.Millisecond
-	// expectationLifetime is for how long an expectation is used: with slopeSpread, a load
-	// moves by about 0.02 meanwhile.
+	// expectationLifetime is how long a prediction is reused: with slopeSpread, a load moves by about 0.02 in
+	// that time.
 	expectationLifetime = 200 * time.Millisecond
 )
 
-// expectedLoads gives the serving tasks of a worker with the loads that follow from the model
-// and the ordered paces. The list is kept for a while, unless the worker's tasks, figures
-// or paces change.
+// expectedLoads returns the serving tasks of a worker with the loads that follow from the model and the ordered
+// paces. The result is cached until it expires or the worker's tasks, figures or paces change.
 func (c *Core) expectedLoads(w *worker) []servingTask {
 	if w.expectedValid && c.now.Sub(w.expectedAt) < expectationLifetime {
 		return w.loadExpectations
@@ -58,8 +57,7 @@
 	return w.loadExpectations
 }
 
-// expectTask gives a serving task with its expected load; shares are those of the filling
-// images beside it.
+// expectTask returns a serving task with its predicted load; shares are those of the filler images beside it.
 func (c *Core) expectTask(t *task, shares []float64) servingTask {
 	image := t.step.spec.Image
 	service := c.model.Service(image)
@@ -72,7 +70,7 @@
 	return serving
 }
 
-// addBaseline adds the load that the step has of its own at a time.
+// addBaseline adds the baseline load of the step, as predicted for the given time.
 func (s *servingTask) addBaseline(own *contention.Load, at time.Time) {
 	mean, variance := own.Predict(at)
 	s.mean += mean
@@ -80,14 +78,15 @@
 	s.overProbability = s.overTarget(0, 0)
 }
 
-// overTarget is the probability that the load reaches the target when some is added.
+// overTarget returns the probability that the load reaches its target after a load of the given mean and
+// variance is added.
 func (s servingTask) overTarget(mean, variance float64) float64 {
 	spread := math.Sqrt(s.variance + variance + residualVariance)
 	return 1 / (1 + math.Exp(logisticSlope*(s.service.TargetLoad()-s.mean-mean)/spread))
 }
 
-// logisticSlope lets a logistic curve stand in for the normal one, within 0.01.
+// logisticSlope makes a logistic curve approximate the normal distribution within 0.01.
 const logisticSlope = 1.702
 
-// residualVariance is the variance of a load that the model doesn't know: that of a figure.
+// residualVariance is the variance of a load that the model does not explain: that of a single figure.
 const residualVariance = 0.04 * 0.04
--- a/services/dispatch/figures.go
+++ b/services/dispatch/figures.go
@@ -10,10 +10,10 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// JobOutcome is the outcome of a job, as its caller sees it.
+// JobOutcome is the outcome of a job from its caller's point of view.
 type JobOutcome string
 
-// The outcomes of jobs.
+// Outcomes of jobs.
 const (
 	JobInTime    JobOutcome = "in_time"
 	JobLate      JobOutcome = "late" // succeeded after its objective
@@ -28,31 +28,31 @@
 	Age     time.Duration // since it was accepted
 }
 
-// FirstStart is the first start of any of a job's tasks.
+// FirstStart is the first start of any task of a job.
 type FirstStart struct {
 	Queue jobs.QueueName
 	Age   time.Duration // since the job was accepted
 }
 
-// JobFigures is what has become of jobs since it was last asked.
+// JobFigures are the job ends and first starts since TakeJobFigures was last called.
 type JobFigures struct {
 	Ends   []JobEnd
 	Starts []FirstStart
 }
 
-// maxJobFigures bounds what is kept for an operator's metrics, should nobody ask: some minutes
-// of jobs at the size that one cell is planned for.
+// maxJobFigures bounds the figures kept for an operator's metrics in case nobody takes them: a few minutes of
+// jobs at the size for which one cell is planned.
 const maxJobFigures = 10_000
 
-// TakeJobFigures gives what has become of jobs since it was last asked.
+// TakeJobFigures returns the figures recorded since it was last called.
 func (c *Core) TakeJobFigures() JobFigures {
 	figures := c.figures
 	c.figures = JobFigures{}
 	return figures
 }
 
-// recordFirstStart notes the first start of a job's tasks by this owner. Jobs accepted before
-// it took the cell may have been started by a former one, and are left out.
+// recordFirstStart records the first start of a job's tasks by this owner. Jobs accepted before this owner took
+// the cell are left out, because a previous owner may have started them.
 func (c *Core) recordFirstStart(j *job, now time.Time) {
 	if !j.fresh || j.firstStartNoted || len(c.figures.Starts) >= maxJobFigures {
 		return
@@ -61,7 +61,7 @@
 	c.figures.Starts = append(c.figures.Starts, FirstStart{j.spec.Queue, ageOf(j, c.timeOfDay(now))})
 }
 
-// recordJobEnd notes the end of a job.
+// recordJobEnd records the end of a job.
 func (c *Core) recordJobEnd(j *job, state jobs.State, now time.Time) {
 	if len(c.figures.Ends) >= maxJobFigures {
 		return
@@ -78,7 +78,7 @@
 	c.figures.Ends = append(c.figures.Ends, JobEnd{j.spec.Queue, outcome, ageOf(j, c.timeOfDay(now))})
 }
 
-// ageOf is how long ago a job was accepted, by another daemon's clock perhaps.
+// ageOf returns how long ago a job was accepted; the time of acceptance may be by another daemon's clock.
 func ageOf(j *job, now models.UnixMilli) time.Duration {
 	return max(0, time.Duration(now-j.accepted)*time.Millisecond)
 }
--- a/services/dispatch/filling.go
+++ b/services/dispatch/filling.go
@@ -8,18 +8,18 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// longRunningUse is the part of its declared processor time that a lasting task is taken to
-// use: it declares what it needs at its busiest.
+// longRunningUse is the part of its declared CPU that a long-running task is assumed to use: it declares its
+// peak demand.
 const longRunningUse = 0.5
 
-// unusedCPU is the processor time that the worker's tasks are taken to leave over.
+// unusedCPU returns the CPU that the worker's ordinary and long-running tasks are assumed to leave unused.
 func (w *worker) unusedCPU() models.MilliCPU {
 	ordinary := w.used.CPU - w.longRunningCPU
 	return w.info.Capacity.CPU - ordinary - models.MilliCPU(longRunningUse*float64(w.longRunningCPU))
 }
 
-// mayRunFiller tells whether a filling task may come to the worker: there must be processor
-// time left over, and the loads there must stay low enough.
+// mayRunFiller reports whether a filler task may be placed on the worker: enough CPU must be unused, and the
+// serving tasks' loads must stay low enough.
 func (c *Core) mayRunFiller(w *worker, s *step) bool {
 	if w.fillerCPU+s.spec.Size.CPU > w.unusedCPU() {
 		return false
@@ -35,14 +35,14 @@
 	return true
 }
 
-// Weights of a place for a filling task: the probability that a serving task gets over its
-// target counts more than how much processor time is left over.
+// Weights in the score of a place for a filler task: the probability that a serving task gets over its
+// target counts more than the unused CPU.
 const (
 	harmWeight = 2.0
 	idleWeight = 0.1
 )
 
-// fillerScore is how good a place the worker is for a filling task.
+// fillerScore returns the score of the worker as a place for a filler task.
 func (c *Core) fillerScore(w *worker, s *step) float64 {
 	score := idleWeight * float64(w.unusedCPU()-w.fillerCPU-s.spec.Size.CPU) / w.cpuCapacity()
 	share := w.fullShare(s)
@@ -56,16 +56,15 @@
 	return score
 }
 
-// fillerUse is the part of its declared processor time that a filling task uses at
-// full pace.
+// fillerUse is the part of its declared CPU that a filler task uses at full pace.
 const fillerUse = 0.9
 
-// fullShare is the share of the worker that a task of a filling step uses at full pace.
+// fullShare returns the share of the worker's CPU that a task of a filler step uses at full pace.
 func (w *worker) fullShare(s *step) float64 {
 	return fillerUse * float64(s.spec.Size.CPU) / w.cpuCapacity()
 }
 
-// measuredShares are the shares of the worker that the filling images use, as reported.
+// measuredShares returns the shares of the worker's CPU that each filler image uses, as reported.
 func (c *Core) measuredShares(w *worker) []float64 {
 	var shares []float64
 	for _, t := range w.tasks {
@@ -76,7 +75,7 @@
 	return shares
 }
 
-// plannedShares are the shares that the filling images will use at their ordered paces.
+// plannedShares returns the shares of the worker's CPU that each filler image will use at the ordered paces.
 func (c *Core) plannedShares(w *worker) []float64 {
 	var shares []float64
 	for _, t := range w.tasks {
@@ -88,7 +87,7 @@
 	return shares
 }
 
-// addShare adds what a filling task uses to the share of its image.
+// addShare adds the CPU use of a filler task to the share of its image.
 func (c *Core) addShare(shares []float64, w *worker, t *task, use float64) []float64 {
 	i := c.model.Index(t.step.spec.Image)
 	for len(shares) <= i {
--- a/services/dispatch/job.go
+++ b/services/dispatch/job.go
@@ -17,40 +17,40 @@
 	spec               jobs.Spec
 	terms              jobs.Terms
 	accepted           models.UnixMilli
-	objectiveStart     models.UnixMilli // when its objective begins to count
-	criticalPath       time.Duration
-	fresh              bool // accepted after the cell was taken: no former owner started it
-	fromOtherCell      bool // from another cell
+	objectiveStart     models.UnixMilli // the start of its latency objective
+	criticalPath       time.Duration    // the longest chain of its steps' estimates
+	fresh              bool             // accepted after this owner took the cell: no previous owner has started any of its tasks
+	fromOtherCell      bool             // moved here from another cell
 	steps              []*step
-	remainingSteps     int // steps that are not done
-	begun              bool
+	remainingSteps     int  // steps that are not done
+	begun              bool // a task of it is known to have run
 	cancelled          bool
-	end                jobs.State // decided, perhaps not stored yet; empty while active
-	running            int        // tasks that may be on a worker
-	version            uint64     // of the progress
-	stored             uint64
-	counted            uint64          // the version when a lost run of it was last counted
-	hasProgress        bool            // in the store
-	dirty              bool            // in the core's dirty jobs
-	firstStartNoted    bool            // its first start is in the figures
+	end                jobs.State      // decided but perhaps not stored yet; empty while the job is active
+	running            int             // tasks that may be on a worker
+	version            uint64          // of its progress, incremented by each change
+	stored             uint64          // the latest version that is stored
+	counted            uint64          // the version at which a lost run was last counted
+	hasProgress        bool            // the store may hold progress of it
+	dirty              bool            // is among the core's dirty jobs
+	firstStartNoted    bool            // its first start is among the job figures
 	offeredAt          time.Time       // when it was last listed as movable
-	immovable          bool            // it can't be moved as a whole
+	immovable          bool            // must not be moved as a whole
 	recordVersion      uint64          // version of the record that says which tasks this cell has
-	leastRun           jobs.RunID      // that other cells had given to runs of its tasks
-	importedSuspicions jobs.Suspicions // that came with tasks of other cells
-	home               jobs.CellName   // whose record names this cell, if that does not follow from the job's id
-	further            []jobs.CellName // further cells that its record here names
-	closed             bool            // its record here says so
+	leastRun           jobs.RunID      // highest run id that other cells have given to its tasks
+	importedSuspicions jobs.Suspicions // suspicions that came with tasks from other cells
+	home               jobs.CellName   // the cell whose record names this one, if it does not follow from the job's id
+	further            []jobs.CellName // further cells named by the job's record in this cell
+	closed             bool            // its record in this cell is closed; see jobs.Record
 }
 
-// movedOutJob is a job all of whose tasks other cells have.
+// movedOutJob is a job whose tasks are all in other cells.
 type movedOutJob struct {
-	version uint64 // of its key here
+	version uint64 // of the job's key in this cell
 	further []jobs.CellName
 }
 
-// AddJob takes a job that the store holds. Fresh says that it was accepted after this
-// cell was taken, so that nobody else has started any of it.
+// AddJob takes a job that the store holds. fresh says that the job was accepted after this process took the
+// cell, so that no previous owner has started any of its tasks.
 func (c *Core) AddJob(record jobs.Record, progress jobs.Progress, fresh bool, now time.Time) {
 	c.now = now
 	id := record.Spec.ID
@@ -91,7 +91,7 @@
 	c.settle(j)
 }
 
-// newJob makes a job with all its tasks; none of them has run yet.
+// newJob returns a job with all its tasks, none of which has run yet.
 func newJob(record jobs.Record, fresh bool) *job {
 	j := &job{
 		spec: record.Spec, terms: record.Terms, accepted: record.Accepted, objectiveStart: record.Accepted,
@@ -112,7 +112,7 @@
 	return j
 }
 
-// applyProgress takes what is stored of the job's ended tasks.
+// applyProgress applies the stored progress to the job's tasks: ends, failures and suspicions.
 func (c *Core) applyProgress(j *job, progress jobs.Progress) {
 	for flat, indexes := range progress.Done {
 		for _, index := range indexes {
@@ -131,8 +131,8 @@
 	}
 }
 
-// task gives a task as what is stored names it, steps counted over all occurrences; nil when the
-// job has none such.
+// task returns the task with a stored step number, counted over all occurrences, and an index; nil when the job
+// has no such task.
 func (j *job) task(flat, index int) *task {
 	if flat < 0 || flat >= len(j.steps) || index < 0 || index >= len(j.steps[flat].tasks) {
 		return nil
@@ -140,7 +140,7 @@
 	return &j.steps[flat].tasks[index]
 }
 
-// settle ends a job when nothing is left to do for it.
+// settle ends the job when nothing is left to do for it, and forgets a job that has ended and is stored.
 func (c *Core) settle(j *job) {
 	if j.end != "" {
 		c.forgetIfStored(j)
@@ -154,7 +154,7 @@
 	}
 }
 
-// forgetIfStored drops an ended job once its end is stored and nothing of it runs.
+// forgetIfStored drops an ended job once its end is stored and none of its tasks can be on a worker.
 func (c *Core) forgetIfStored(j *job) {
 	if j.running == 0 && j.stored >= j.version {
 		delete(c.jobs, j.spec.ID)
@@ -162,7 +162,7 @@
 	}
 }
 
-// hasUnknownTasks tells whether a task of the job may run unseen.
+// hasUnknownTasks reports whether a task of the job may run on a worker that has not reported yet.
 func (j *job) hasUnknownTasks() bool {
 	for _, s := range j.steps {
 		for i := range s.tasks {
@@ -174,7 +174,7 @@
 	return false
 }
 
-// end decides how a job ends; callers hear of it once it is stored.
+// end decides how the job ends; callers learn of the end once it is stored.
 func (c *Core) end(j *job, state jobs.State) {
 	j.end = state
 	c.change(j)
@@ -183,13 +183,13 @@
 		zap.Int64("age_ms", int64(c.timeOfDay(c.now)-j.accepted)), zap.Int("running", j.running))
 }
 
-// changeSoon notes that a job's progress has to be stored, and should not wait.
+// changeSoon marks the job's progress as changed and to be stored without delay.
 func (c *Core) changeSoon(j *job) {
 	c.change(j)
 	c.storeUrgently = true
 }
 
-// change notes that a job's progress has to be stored.
+// change marks the job's progress as changed, so that it will be stored.
 func (c *Core) change(j *job) {
 	j.version++
 	if !j.dirty {
@@ -198,7 +198,7 @@
 	}
 }
 
-// Cancel ends a job; the wish is stored already.
+// Cancel ends a job whose cancellation is already stored.
 func (c *Core) Cancel(id jobs.ID) {
 	j, ok := c.jobs[id]
 	if !ok || j.cancelled || j.end != "" {
@@ -210,7 +210,7 @@
 	c.settle(j)
 }
 
-// stopAll stops all runs of a job.
+// stopAll stops all runs of the job.
 func (c *Core) stopAll(j *job, reason string) {
 	for _, s := range j.steps {
 		for i := range s.tasks {
--- a/services/dispatch/knowledge.go
+++ b/services/dispatch/knowledge.go
@@ -12,18 +12,18 @@
 	"rillsail.example/rillsail/services/contention"
 )
 
-// parametersInterval is how often the knowledge goes with what is stored anyway: it costs no
-// call of its own, some 20 KB for sixty serving steps and five times nine images, and factors
+// parametersInterval is how often the learned parameters are stored along with other changes. They cost no call
+// of their own and take some 20 KB for sixty serving steps and five times nine images; interference factors
 // change by less than their spread in two seconds.
 const parametersInterval = 2 * time.Second
 
-// stepKey names a step of a cell's job.
+// stepKey identifies a step of a job in the cell.
 type stepKey struct {
 	job  jobs.ID
 	flat int
 }
 
-// takeLearnedParameters gives the knowledge to be stored when its time has come; nil otherwise.
+// takeLearnedParameters returns the learned parameters when they are due to be stored, and nil otherwise.
 func (c *Core) takeLearnedParameters(now time.Time) *jobs.Knowledge {
 	if now.Sub(c.parametersTakenAt) < parametersInterval {
 		return nil
@@ -33,7 +33,7 @@
 	return &knowledge
 }
 
-// LearnedParameters is what the core has learned from its own workers' reports.
+// LearnedParameters returns what the core has learned from the reports of its own workers.
 func (c *Core) LearnedParameters(now time.Time) jobs.Knowledge {
 	k := c.model.Knowledge()
 	k.At = c.timeOfDay(now)
@@ -50,7 +50,7 @@
 	return k
 }
 
-// loadsOf are the loads that a job's serving steps are known to have of their own.
+// loadsOf returns the known baseline loads of a job's serving steps.
 func (c *Core) loadsOf(j *job, now time.Time) []jobs.StepLoad {
 	var loads []jobs.StepLoad
 	for _, s := range j.steps {
@@ -64,9 +64,9 @@
 	return loads
 }
 
-// Restore takes the knowledge of a former owner, before the cell's jobs are added. Without
-// it, a successor throttles what it need not for some ten seconds, while it learns all pairs
-// of images anew, and lets heavy ones harm services meanwhile.
+// Restore takes the parameters learned by a previous owner; it must be called before the cell's jobs are added.
+// Without them a successor relearns all pairs of images for some ten seconds, in which it throttles tasks
+// needlessly and lets heavy ones harm services.
 func (c *Core) Restore(k jobs.Knowledge, now time.Time) {
 	c.model.Restore(k, max(0, now.Sub(c.timeAt(k.At, now)).Seconds()))
 	for _, l := range k.Loads {
@@ -77,7 +77,7 @@
 	}
 }
 
-// restoreLoads gives the job's steps the loads that a former owner knew.
+// restoreLoads gives the job's steps the baseline loads that a previous owner had learned.
 func (c *Core) restoreLoads(j *job) {
 	for _, s := range j.steps {
 		key := stepKey{j.spec.ID, s.flat()}
--- a/services/dispatch/learn.go
+++ b/services/dispatch/learn.go
@@ -10,17 +10,17 @@
 	"rillsail.example/rillsail/services/contention"
 )
 
-// Figures are of the last half second, so they tell the mean of that time.
+// A reported figure covers the last half second, so it shows the mean of that time.
 const (
 	figureAge  = 250 * time.Millisecond
 	figureSpan = 600 * time.Millisecond // until a change shows in full, rounding included
 )
 
-// servingWarmup is for how long the figures of a new serving task say nothing.
+// servingWarmup is how long the figures of a new serving task are ignored as meaningless.
 const servingWarmup = 1500 * time.Millisecond
 
-// learn takes a worker's figures into the model: what serving tasks show is the load that
-// they have of their own and what the filling ones beside them add.
+// learn feeds a worker's figures into the interference model: the load that a serving task shows is its
+// baseline load plus what the filler tasks beside it add.
 func (c *Core) learn(w *worker, now time.Time) {
 	shares := c.measuredShares(w)
 	w.maxLoad, w.maxExcess, w.averageExcess = 0, -1, -1
@@ -33,8 +33,8 @@
 	w.updateOverTarget(now)
 }
 
-// learnServing takes the tail of a serving task into the model; shares are those of the
-// filling images beside it.
+// learnServing feeds the tail latency of a serving task into the model; shares are those of the filler images
+// beside it.
 func (c *Core) learnServing(w *worker, t *task, shares []float64, now time.Time) {
 	service := c.model.Service(t.step.spec.Image)
 	started := now.Sub(t.began) >= servingWarmup
@@ -53,8 +53,9 @@
 	}
 }
 
-// learnUnit takes a tail with nothing beside it, for as long as the figure covers, into the
-// unit of its service's loads, and tells them anew when the unit changes.
+// learnUnit uses a tail latency measured while no filler task was beside the serving task for the whole span of
+// the figure to estimate the unit in which its service's loads are expressed, and rescales the loads when the
+// unit changes.
 func (c *Core) learnUnit(w *worker, t *task, service *contention.Service, now time.Time) {
 	if w.fillerCPU > 0 || now.Sub(w.fillersChangedAt) < figureSpan {
 		return
@@ -74,7 +75,7 @@
 	}
 }
 
-// rescale tells the loads of a serving step in another unit.
+// rescale converts the loads of a serving step to another unit.
 func (s *step) rescale(scale float64) {
 	s.baseline.Rescale(scale)
 	for i := range s.tasks {
@@ -89,12 +90,12 @@
 	}
 }
 
-// averageWeight is that of a new report in the average that says whether a tail stays over
-// its target: single figures differ by a fifth from what their task's users see, so one
-// below the target between others above it proves nothing.
+// averageWeight is the weight of a new report in the moving average that decides whether a tail latency stays
+// over its target. Single figures differ by a fifth from what the task's users see, so one figure below the
+// target between others above it proves nothing.
 const averageWeight = 0.4
 
-// noteShown takes the load that a serving task's figure shows.
+// noteShown records the load that a serving task's figure shows.
 func (t *task) noteShown(load float64) {
 	t.shownLoad = load
 	if t.averageLoad == 0 {
@@ -103,12 +104,12 @@
 	t.averageLoad += averageWeight * (load - t.averageLoad)
 }
 
-// averageMargin is by how much the average of a load that is at its target may be below it:
-// half of the standard deviation of that average.
+// averageMargin is how far below its target the moving average of a load must be to end an excess: half of that
+// average's standard deviation.
 const averageMargin = 0.0125
 
-// updateOverTarget notes since when a tail is over its target: one figure over it is enough, but only
-// the average ends it.
+// updateOverTarget records since when a tail latency is over its target. A single figure begins the excess, but
+// only the moving average ends it.
 func (w *worker) updateOverTarget(now time.Time) {
 	switch {
 	case w.maxExcess >= 0 && w.overTargetSince.IsZero():
@@ -118,10 +119,10 @@
 	}
 }
 
-// settleInterval is how often new observations come into force.
+// settleInterval is how often the model takes new observations into its predictions.
 const settleInterval = 200 * time.Millisecond
 
-// settleModel lets new observations come into force from time to time.
+// settleModel takes new observations into the model's predictions once per settleInterval.
 func (c *Core) settleModel(now time.Time) {
 	passed := now.Sub(c.modelSettledAt)
 	if passed < settleInterval {
@@ -136,5 +137,5 @@
 	c.model.LearnElsewhere(cell, learned)
 }
 
-// Learned lists what this cell has learned by itself of all pairs.
+// Learned returns what this cell has learned by itself about all pairs of images.
 func (c *Core) Learned() []jobs.Learned { return c.model.Learned() }
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -10,17 +10,17 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// slowClock is how much a worker's clock may run slow, as the platform states, with half
+// slowClock is the factor by which a worker's clock may run slow: the bound that the platform states, plus half
 // as much again for rounding.
 const slowClock = 1.03
 
 // clockMargin is added to proofs that depend on a worker's clock.
 const clockMargin = 200 * time.Millisecond
 
-// overTargetWait is how long a report may wait for an end where a tail is over its target.
+// overTargetWait is how long a report may wait for an end on a worker where a tail latency is over its target.
 const overTargetWait = 300 * time.Millisecond
 
-// LeaseCall gives the next call that prolongs a worker's lease.
+// LeaseCall returns the next call that asks a worker for a report and renews its lease.
 func (c *Core) LeaseCall(id jobs.WorkerID, wait time.Duration, now time.Time) (jobs.LeaseCall, bool) {
 	w, ok := c.workers[id]
 	if !ok {
@@ -35,21 +35,21 @@
 		call.Wait = min(call.Wait, trialWait)
 	}
 	if w.overdue || w.hurried || !w.renewed {
-		call.Wait = 0 // nothing starts there before the answer
+		call.Wait = 0 // nothing may start on the worker before its answer
 	}
 	if w.overdue {
-		call.Acknowledged = 0 // it may be carried out late, and by the next incarnation
+		call.Acknowledged = 0 // the unanswered call may be carried out late, by the next incarnation
 	}
-	if w.answered && now.Sub(w.heard) < renewWithin+wait { // its clock is known from the answer
+	if w.answered && now.Sub(w.heard) < renewWithin+wait { // the lease is on the worker's clock, known from its report
 		call.Until = c.grantLease(w, now)
 	}
 	w.renewing = call.Until != 0
 	return call, true
 }
 
-// Overdue notes that a call which prolongs a worker's lease was not answered. Calls get
-// lost one by one as well as with the worker: the next one asks for a report at once, so that
-// several fit into the time after which the worker would count as silent.
+// Overdue records that a call which renews a worker's lease was not answered. Single calls get lost even when
+// the worker is alive, so the next call asks for a report without wait: several such calls fit into the time
+// after which the worker counts as silent.
 func (c *Core) Overdue(id jobs.WorkerID, now time.Time) {
 	if w, ok := c.workers[id]; ok {
 		w.overdue = true
@@ -57,36 +57,35 @@
 	}
 }
 
-// renewWithin is for how long after its last report was due a worker's lease is prolonged.
-// After that the calls only ask for a report, so that the lease runs out in the end.
+// renewWithin is how long after its last report was due a worker's lease is still renewed. After that, calls
+// only ask for a report, so that the lease of a silent worker expires.
 const renewWithin = 700 * time.Millisecond
 
-// grantLease gives the end of a lease that begins now, on the worker's clock.
+// grantLease returns the end of a lease that begins now, on the worker's clock.
 func (c *Core) grantLease(w *worker, now time.Time) models.Milli {
 	return w.grantFor(c.config.Lease, now)
 }
 
-// startWithin is how old a start may be when it is done: twice the time after which one
-// without answer is repeated, and somewhat for the age of the report that tells the worker's
-// clock. It bounds by construction what an owner can do that is slow, or whose calls are
-// held up: later than that the worker refuses. With staleAfter it keeps within the three
-// seconds after which nothing may start on a worker that drains; the lease is longer than that.
+// startWithin is how old a start may be when a worker carries it out: twice the time after which an unanswered
+// start is repeated, plus some for the age of the report that tells the worker's clock. A worker refuses later
+// starts, so a slow owner, or one whose calls are delayed, can do no more. Together with staleAfter it keeps
+// within the three seconds after which nothing may start on a draining worker; the lease is longer than that.
 const startWithin = time.Second
 
-// startDeadline gives the time, on the worker's clock, after which a start that is decided now
-// is refused. The run's lease is the worker's, which the calls that prolong it keep longer.
+// startDeadline returns the time, on the worker's clock, after which the worker refuses a start that is ordered
+// now. The run itself lasts as long as the worker's lease, which lease calls renew.
 func (c *Core) startDeadline(w *worker, now time.Time) models.Milli {
 	return w.grantFor(min(startWithin, c.config.Lease), now)
 }
 
-// grantFor gives a time on the worker's clock, at which a lease that was granted may end.
+// grantFor returns the time on the worker's clock after span, and records it as a possible end of a lease.
 func (w *worker) grantFor(span time.Duration, now time.Time) models.Milli {
 	until := w.clock + models.MilliOf(now.Sub(w.heard)+span)
 	w.granted = max(w.granted, until)
 	return until
 }
 
-// advanceAck finds the last end that the worker may forget: all before it are stored.
+// advanceAck finds the last end that the worker may forget: all ends up to it are stored.
 func (c *Core) advanceAck(w *worker) {
 	kept := 0
 	for _, u := range w.ends {
@@ -99,12 +98,12 @@
 	w.ends = w.ends[kept:]
 }
 
-// lapsed tells when everything on the worker has certainly been ended by its own clock.
+// lapsed returns when everything on the worker has certainly been ended by the worker's own clock.
 func (c *Core) lapsed(w *worker) time.Time {
 	return latest(c.leaseLapsedAt(w), c.lateStartsLapsedAt(w))
 }
 
-// leaseLapsedAt tells when the leases are over that the worker was granted.
+// leaseLapsedAt returns when all leases that the worker was granted are over.
 func (c *Core) leaseLapsedAt(w *worker) time.Time {
 	if !w.answered {
 		return c.formerLapsed()
@@ -113,13 +112,13 @@
 	return w.heard.Add(max(left, 0) + clockMargin)
 }
 
-// lateOrder is the longest time after which an order that was not answered is carried out, as the users'
-// platform states, with the time that it may have waited to be sent.
+// lateOrder is the longest time after which an unanswered order may still be carried out, as the users'
+// platform states, plus the time that the order may have waited to be sent.
 const lateOrder = 13 * time.Second
 
-// lateStartsLapsedAt tells when the runs have ended that begin on the worker by late starts which were meant
-// for a former incarnation. The time that such a start brings is one of the former clock, and may lie far
-// ahead on the new one: the run goes on for as long as workers grant at most.
+// lateStartsLapsedAt returns when the runs have ended that begin on the worker through late starts meant for
+// its previous incarnation. The deadline in such a start is on that incarnation's clock and may lie far ahead
+// on the new clock: the run may last for as long as the longest lease that workers accept.
 func (c *Core) lateStartsLapsedAt(w *worker) time.Time {
 	var last time.Time
 	for _, t := range w.tasks {
@@ -133,7 +132,7 @@
 	return last.Add(lateOrder + time.Duration(float64(c.config.LongestLease)*slowClock) + clockMargin)
 }
 
-// unacknowledgedEnd is an end that must not be forgotten by its worker yet.
+// unacknowledgedEnd is an end that its worker must not forget yet.
 type unacknowledgedEnd struct {
 	number  uint64
 	job     *job
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -10,8 +10,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Load is how full the cell is: what its tasks have declared, those that wait included, as
-// a part of what its usable workers have.
+// Load returns how full the cell is: the resources declared by its tasks, waiting ones included, relative to
+// the capacity of its usable workers.
 func (c *Core) Load(now time.Time) jobs.CellLoad {
 	var room, used, filling, capacity models.MilliCPU
 	for _, w := range c.order {
--- a/services/dispatch/movable.go
+++ b/services/dispatch/movable.go
@@ -12,34 +12,34 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Move is work that finds no place here and may go to another cell: waiting tasks of a job
-// that lasts, or a whole job that has not begun.
+// Move is work that can't be placed here and may go to another cell: waiting tasks of a long-running job, or a
+// whole job that has not begun.
 type Move struct {
 	Job    jobs.ID
-	Demand jobs.Demand   // of those that need a place now
-	Whole  bool          // all tasks of the job go, or none
-	Stuck  time.Duration // for how long no place was found
-	To     jobs.CellName // the cell that has places; filled in when the move begins
-	Home   jobs.CellName // whose record names this cell; empty: it follows from the job's id
+	Demand jobs.Demand   // of the tasks to be placed now
+	Whole  bool          // all tasks of the job move, or none
+	Stuck  time.Duration // for how long no worker could take a task
+	To     jobs.CellName // the cell that can place the tasks; set when the move begins
+	Home   jobs.CellName // the cell whose record names this one; empty: it follows from the job's id
 	Tasks  jobs.TaskSet
-	// LeastRun is the highest number that a run of the tasks has had.
+	// LeastRun is the highest run id that the tasks have had.
 	LeastRun jobs.RunID
-	// Suspected is what is known against them.
+	// Suspected are the suspicions against the tasks.
 	Suspected jobs.Suspicions
 }
 
-// offerAfter is how long a step must have found no place before its work is offered to other
-// cells, and the least time between two offers of a job: a task that lasts must run again within
-// some seconds, and most others find a place before.
+// offerAfter is how long a step must have been stuck before its work is offered to other cells, and the minimum
+// time between two offers of one job. A long-running task must run again within some seconds, and most other
+// tasks find a worker before that.
 const offerAfter = 400 * time.Millisecond
 
-// maxHold is how long a job that hasn't begun is held back when there are not places for all
-// tasks of its first step: its owner asks the other cells meanwhile, which takes two calls
-// of some milliseconds, and a job that has begun can't be moved as a whole.
+// maxHold is how long a job that has not begun is held back when only some tasks of its first step can be
+// placed. Meanwhile the owner asks the other cells, which takes two calls of some milliseconds; a job that has
+// begun can't be moved as a whole.
 const maxHold = 100 * time.Millisecond
 
-// holdsForOffer tells whether the step's job is better offered to other cells before any of it
-// starts here.
+// holdsForOffer reports whether the step's job should be offered to other cells before any of its tasks starts
+// here.
 func (c *Core) holdsForOffer(s *step, now time.Time) bool {
 	if c.blind || !c.config.OtherCells || s.spec.Fills || !s.stuck.IsZero() && now.Sub(s.stuck) > maxHold {
 		return false
@@ -54,16 +54,16 @@
 	return true
 }
 
-// TakeHeld tells whether jobs have been held back since it was last asked.
+// TakeHeld reports whether jobs have been held back since it was last called.
 func (c *Core) TakeHeld() bool {
 	held := c.jobsHeld
 	c.jobsHeld = false
 	return held
 }
 
-// Movable lists work that other cells may take, at most limit jobs: those first that were listed
-// longest ago, of these the most urgent. With the most urgent first of all, those that found no place
-// anywhere were listed again and again before the others, which one might have taken.
+// Movable returns work that other cells may take, of at most limit jobs: those first that were listed longest
+// ago, among them the most urgent. Were the most urgent always listed first, jobs that no cell can place would
+// be listed again and again before others that a cell might have taken.
 func (c *Core) Movable(limit int, now time.Time) []Move {
 	if c.blind {
 		return nil
@@ -81,7 +81,7 @@
 	var moves []Move
 	for _, candidate := range stuck {
 		j := candidate.step.job
-		if len(moves) == limit || j.offeredAt.Equal(now) { // listed with another of its steps
+		if len(moves) == limit || j.offeredAt.Equal(now) { // already listed with another of its steps
 			continue
 		}
 		if move, ok := c.moveOf(candidate.step); ok {
@@ -93,7 +93,7 @@
 	return moves
 }
 
-// moveOf is what may be moved of a step's job.
+// moveOf returns what may be moved of the step's job.
 func (c *Core) moveOf(s *step) (Move, bool) {
 	move := Move{Job: s.job.spec.ID, Demand: jobs.Demand{Job: s.job.spec.ID, Number: s.flat(), Pool: c.terms(s.job).Pool, Step: *s.spec}, Tasks: jobs.TaskSet{}, Suspected: jobs.Suspicions{}, LeastRun: c.leastRunOf(s.job), Home: s.job.home}
 	move.Demand.Step.Count = s.waiting
@@ -112,8 +112,8 @@
 	}
 }
 
-// leastRunOf is no lower than any number that former owners have given to runs of a job: what they
-// gave to tasks whose worker has gone is not known here.
+// leastRunOf returns a number no lower than any run id that previous owners have assigned to the job's tasks.
+// The run ids of tasks whose worker was lost are not known here.
 func (c *Core) leastRunOf(j *job) jobs.RunID {
 	if j.fresh {
 		return j.leastRun
@@ -121,12 +121,12 @@
 	return c.firstRun(j)
 }
 
-// movableAsWhole tells whether the step's job may be moved as a whole.
+// movableAsWhole reports whether the step's job may be moved as a whole.
 func (s *step) movableAsWhole() bool {
 	return !s.job.spec.Divisible() && s.job.spec.Repeat.Count == 0 && !s.spec.SameRack && s.job.neverStarted()
 }
 
-// add adds a step's waiting tasks.
+// add adds the step's waiting tasks.
 func (m *Move) add(s *step) {
 	for i := range s.tasks {
 		if t := &s.tasks[i]; t.state == taskWaiting {
@@ -139,7 +139,7 @@
 	}
 }
 
-// Limit reduces a move to at most so many tasks.
+// Limit reduces the move to at most count tasks.
 func (m *Move) Limit(count int) {
 	for flat, indexes := range m.Tasks {
 		m.Tasks[flat] = indexes[:min(count, len(indexes))]
@@ -147,9 +147,9 @@
 	m.Demand.Step.Count = min(m.Demand.Step.Count, count)
 }
 
-// neverStarted tells whether no task of the job has ever been started, by this owner or a
-// former one. A run that was started may have succeeded on a worker that is silent now, and
-// this cell must know the job when that worker reports it.
+// neverStarted reports whether no task of the job was ever started, by this owner or a previous one. A run that
+// was started may have succeeded on a worker that is silent now, and this cell must still know the job when
+// that worker reports the run.
 func (j *job) neverStarted() bool {
 	if j.immovable || !j.fresh || j.begun || j.running > 0 {
 		return false
--- a/services/dispatch/move.go
+++ b/services/dispatch/move.go
@@ -11,8 +11,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// BeginMove keeps the tasks of a move from being placed; it tells whether they all still
-// wait. The move ends with Moved or KeepMove.
+// BeginMove keeps the tasks of a move from being placed, and returns whether all of them were still waiting.
+// The move ends with Moved, KeepMove or MoveGone.
 func (c *Core) BeginMove(move Move) bool {
 	tasks := c.tasksOf(move.Job, move.Tasks)
 	if len(tasks) < move.Tasks.Len() {
@@ -30,8 +30,8 @@
 	return true
 }
 
-// StillMoving takes a job's record as it is just before a move is tried, and tells whether
-// the tasks are still to be moved: an earlier try without answer may have done it.
+// StillMoving applies a job's record as read just before a move is attempted, and returns whether the tasks
+// still have to be moved: an earlier attempt with an unknown outcome may have moved them.
 func (c *Core) StillMoving(move Move, record jobs.Record) bool {
 	j, ok := c.jobs[move.Job]
 	if !ok {
@@ -46,8 +46,8 @@
 	return c.jobs[move.Job] == j
 }
 
-// KeepMove lets the tasks of a move wait here again: it has certainly not been done. With
-// forGood the job isn't offered as a whole again.
+// KeepMove returns the tasks of a move that certainly was not stored to waiting. With forGood, the job is not
+// offered as a whole again.
 func (c *Core) KeepMove(move Move, forGood bool) {
 	for _, t := range c.tasksOf(move.Job, move.Tasks) {
 		t.step.job.immovable = t.step.job.immovable || forGood
@@ -60,8 +60,8 @@
 	}
 }
 
-// MoveGone says that the store does not hold the job of a move any more. It has ended and was
-// forgotten since then, so the tasks must not start here.
+// MoveGone says that the store no longer holds the job of a move: the job has ended and was forgotten in the
+// meantime, so its tasks must not start here.
 func (c *Core) MoveGone(move Move) {
 	j, ok := c.jobs[move.Job]
 	if !ok {
@@ -72,16 +72,16 @@
 			t.state = taskElsewhere
 		}
 	}
-	c.config.Logger.Warn("job that was to be handed to another cell is forgotten", zap.String("job", string(move.Job)),
+	c.config.Logger.Warn("job that was being handed to another cell is no longer in the store; its tasks are dropped", zap.String("job", string(move.Job)),
 		zap.String("to", string(move.To)), zap.Int("tasks", move.Tasks.Len()))
 	c.forgetIfElsewhere(j)
 }
 
-// Moved says that a move is stored, with the version of the job's key.
+// Moved says that a move is stored, with the new version of the job's key.
 func (c *Core) Moved(move Move, version uint64) {
 	j, ok := c.jobs[move.Job]
 	if !ok || j.recordVersion >= version {
-		return // the watch has told it
+		return // already learned from the watch
 	}
 	j.recordVersion = version
 	for _, t := range c.tasksOf(move.Job, move.Tasks) {
@@ -94,7 +94,7 @@
 	c.forgetIfElsewhere(j)
 }
 
-// tasksOf finds tasks of a job that this cell has.
+// tasksOf returns the tasks of a job that this cell knows.
 func (c *Core) tasksOf(id jobs.ID, set jobs.TaskSet) []*task {
 	j, ok := c.jobs[id]
 	if !ok {
--- a/services/dispatch/offer.go
+++ b/services/dispatch/offer.go
@@ -10,8 +10,7 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Places counts for each demand how many of its tasks would find a place now, one demand
-// after the other.
+// Places returns for each demand how many of its tasks could be placed now, with the demands served in order.
 func (c *Core) Places(demands []jobs.Demand, now time.Time) []int {
 	counts := make([]int, len(demands))
 	if c.blind {
@@ -25,8 +24,8 @@
 	return counts
 }
 
-// stepFor is the step that a demand is about, if this cell has a part of its job; otherwise
-// one like it.
+// stepFor returns the step that a demand is for if this cell has a part of its job, and otherwise a new step
+// with the same specification.
 func (c *Core) stepFor(demand *jobs.Demand) *step {
 	if j, ok := c.jobs[demand.Job]; ok && demand.Number >= 0 && demand.Number < len(j.steps) {
 		return j.steps[demand.Number]
@@ -34,13 +33,13 @@
 	return &step{spec: &demand.Step}
 }
 
-// countPlaces counts the places for so many of a step's tasks beside what is promised
-// already, and promises them.
+// countPlaces returns how many of the wanted tasks of the step can be placed beside what is promised already,
+// and adds them to what is promised.
 func (c *Core) countPlaces(pool jobs.PoolName, s *step, wanted int, promised map[*worker]models.Resources, now time.Time) int {
 	count := 0
 	for _, w := range c.order {
-		// A worker that is kept for a suspect has room that nothing else gets: work that came for it
-		// found no place here either, and was handed back and forth.
+		// A worker reserved for a suspect has free capacity that nothing else gets. When it was counted, work
+		// that came for it could not be placed here either, and was handed back and forth between the cells.
 		if !w.suits(pool, s.spec) || !c.usable(w, now) || w.isReserved(now) {
 			continue
 		}
@@ -55,8 +54,8 @@
 	return count
 }
 
-// countFitting is how many tasks of a step find room on the worker beside what is promised, at
-// most so many. Of filling tasks it is one at most, because each changes the loads there.
+// countFitting returns how many tasks of the step, up to wanted, fit on the worker beside what is promised. It
+// is at most one for filler tasks, because each of them changes the loads on the worker.
 func (w *worker) countFitting(s *step, wanted int, promised models.Resources) int {
 	size, free := s.footprint(), w.free().Sub(promised)
 	if !size.Fits(free) {
--- a/services/dispatch/order.go
+++ b/services/dispatch/order.go
@@ -8,7 +8,7 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Order is something to be done at a worker.
+// Order is an order to a worker.
 type Order interface{ order() }
 
 // StartOrder starts a run.
@@ -17,40 +17,40 @@
 	Call   jobs.StartCall
 }
 
-// StopOrder stops or bars a run.
+// StopOrder stops a run, or bars it from starting.
 type StopOrder struct {
 	Worker jobs.Worker
 	Call   jobs.StopCall
 }
 
-// PaceOrder throttles a run.
+// PaceOrder changes the pace of a run.
 type PaceOrder struct {
 	Worker jobs.Worker
 	Call   jobs.PaceCall
-	Before jobs.Percent // the pace until now
+	Before jobs.Percent // the pace so far
 }
 
 func (StartOrder) order() {}
 func (StopOrder) order()  {}
 func (PaceOrder) order()  {}
 
-// Outcome is what became of an order.
+// Outcome is the outcome of an order.
 type Outcome int
 
-// The outcomes of an order.
+// Outcomes of an order.
 const (
 	OutcomeDone        Outcome = iota
-	OutcomeRefused             // see the refusal
-	OutcomeNotDone             // the worker answered that it did nothing, it is not well
-	OutcomeUnreached           // no connection came about, nothing was done
-	OutcomeIncarnation         // another incarnation is at the address
-	OutcomeUnknown             // no answer; it may have been done or may still be
-	OutcomeNotSent             // nobody has sent it
+	OutcomeRefused             // see Result.Refusal
+	OutcomeNotDone             // the worker answered that it did nothing, because it is not well
+	OutcomeUnreached           // no connection was established; nothing was done
+	OutcomeIncarnation         // another incarnation answered and did nothing
+	OutcomeUnknown             // no answer; the order may have been carried out, or may still be
+	OutcomeNotSent             // the order was never sent
 )
 
-// Result is the outcome of an order with its reason.
+// Result is the outcome of an order with its details.
 type Result struct {
 	Outcome Outcome
 	Refusal jobs.Refusal
-	Born    models.UnixMilli // of another incarnation that is there; 0: not known
+	Born    models.UnixMilli // start time of the other incarnation that answered; 0: not known
 }
--- a/services/dispatch/outcome.go
+++ b/services/dispatch/outcome.go
@@ -12,7 +12,7 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Started takes the outcome of a start.
+// Started applies the outcome of a start.
 func (c *Core) Started(order StartOrder, result Result, now time.Time) {
 	if result.Outcome == OutcomeIncarnation {
 		c.retractRun(order, now)
@@ -32,15 +32,15 @@
 	known := result.Outcome == OutcomeDone || result.Outcome == OutcomeRefused && result.Refusal == jobs.RefusedRun
 	if t.retried && !known {
 		w.avoidUntil = now.Add(avoidPause)
-		c.stop(t, "its first start is not answered, the second was not done")
+		c.stop(t, "its first start has no answer, and the second was not carried out")
 		return
 	}
 	switch result.Outcome {
 	case OutcomeDone:
-		t.open = t.retried // the first start has no answer
+		t.open = t.retried // if repeated, the first start still has no answer
 		c.repeats.earn()
 		c.confirm(t, now)
-		w.failed = time.Time{} // it lives
+		w.failed = time.Time{} // the answer shows that it is alive
 	case OutcomeUnknown:
 		c.handleUnanswered(t, order, now)
 	case OutcomeNotDone, OutcomeUnreached:
@@ -51,8 +51,8 @@
 	}
 }
 
-// retractRun takes back a run whose only start has met another incarnation of its worker, which has done nothing
-// of it: it was not lost with the former one, and need not be barred.
+// retractRun withdraws a run whose only start was answered by another incarnation of its worker, which did
+// nothing with it: the run was not lost with the previous incarnation, and need not be barred.
 func (c *Core) retractRun(order StartOrder, now time.Time) {
 	c.now = now
 	t := c.find(order.Call.Task)
@@ -69,11 +69,11 @@
 	}
 }
 
-// handleUnsent lets a task whose start was not sent wait again; a repetition of a start that may be
-// done is barred.
+// handleUnsent returns a task whose start was not sent to waiting. If the unsent start was a repetition, the
+// run is barred, because the first start may have been carried out.
 func (c *Core) handleUnsent(t *task) {
 	if t.retried {
-		c.stop(t, "its first start is not answered, the second was not sent")
+		c.stop(t, "its first start has no answer, and the second was not sent")
 		return
 	}
 	c.wait(t)
@@ -82,24 +82,24 @@
 // Pauses after which a worker or a step is tried again.
 const (
 	notDonePause = 700 * time.Millisecond // the worker did nothing because it is not well
-	fullPause    = 300 * time.Millisecond // the worker has less room, or a later clock, than counted
-	stepPause    = time.Second            // the start was refused for a reason of its own
-	// avoidPause is for how long all others go before a worker that has not answered a start twice,
-	// though it reports: its task was placed there again and again, beside idle workers. It is longer
-	// than the stop that has to be proved first.
+	fullPause    = 300 * time.Millisecond // the worker has less free capacity, or a later clock, than assumed
+	stepPause    = time.Second            // the start was refused for any other reason
+	// avoidPause is how long all other workers are preferred to one that reports but has not answered a start
+	// twice. Without it, the task was placed on that worker again and again, beside idle workers. The pause is
+	// longer than the stop that has to be proved first.
 	avoidPause = 4 * time.Second
 )
 
-// handleRefused draws from a refused start when and where the task may start again.
+// handleRefused decides when and where a task may start again after a refused start.
 func (c *Core) handleRefused(t *task, w *worker, reason jobs.Refusal, now time.Time) {
 	c.counts.Refused++
 	c.config.Logger.Info("start refused", zap.Stringer("task", t.id()), zap.Uint64("run", uint64(t.run)),
 		zap.String("worker", string(w.info.ID)), zap.String("reason", string(reason)))
 	switch reason {
-	case jobs.RefusedRun: // it is there or has ended; the next report says which
+	case jobs.RefusedRun: // the run is on the worker or has ended; the next report says which
 		t.answeredAt = now
 		return
-	case jobs.RefusedRoom, jobs.RefusedLate: // with what is known of the worker, the next start would be refused as well
+	case jobs.RefusedRoom, jobs.RefusedLate: // the next start would be refused as well until the worker reports again
 		w.unwell = now.Add(fullPause)
 	default:
 		t.step.backoff = now.Add(stepPause)
@@ -107,7 +107,7 @@
 	c.wait(t)
 }
 
-// handleUnanswered repeats a start that got no answer once; after that the run is barred.
+// handleUnanswered repeats an unanswered start once; after that, the run is barred.
 func (c *Core) handleUnanswered(t *task, order StartOrder, now time.Time) {
 	c.counts.Unanswered++
 	mayRepeat := !t.retried && now.Sub(t.worker.heard) < silentAfter && !t.step.job.cancelled && c.mayStart()
@@ -117,12 +117,12 @@
 		c.orders = append(c.orders, order)
 		return
 	}
-	c.stop(t, "its start is not answered")
+	c.stop(t, "its start has no answer")
 }
 
-// Stopped takes the outcome of a stop. The next report proves what it says. A stop that was
-// refused bars nothing, and a start without answer may still be done: it is ordered again,
-// unless it was refused because the run has ended or is barred already.
+// Stopped applies the outcome of a stop; the next report proves that it holds. A refused stop bars nothing, and
+// an unanswered start may still be carried out, so the stop is ordered again, unless it was refused because the
+// run has ended or is barred already.
 func (c *Core) Stopped(order StopOrder, result Result, now time.Time) {
 	if c.overtaken(order.Worker, order.Call.Fence, result, now) {
 		return
@@ -136,7 +136,7 @@
 	}
 }
 
-// Paced takes the outcome of a throttling order.
+// Paced applies the outcome of a pace order.
 func (c *Core) Paced(order PaceOrder, result Result, now time.Time) {
 	c.now = now
 	if c.overtaken(order.Worker, order.Call.Fence, result, now) {
@@ -144,23 +144,23 @@
 	}
 	t := c.find(order.Call.Task)
 	if t == nil || t.worker == nil || t.run != order.Call.Run || t.pace != order.Call.Pace {
-		return // its run is over, or a newer order has been given
+		return // the run is over, or a newer pace has been ordered
 	}
 	switch result.Outcome {
 	case OutcomeDone:
 		t.paceUncertain = false
 		return
-	case OutcomeUnknown: // it may be in force, and must not stay so for ever
+	case OutcomeUnknown: // it may be in force, and must not stay so indefinitely
 		t.pace = min(order.Before, order.Call.Pace)
 		t.paceUncertain = true
-	default: // that of an earlier order without answer stays open
-		t.pace = order.Before // the next look decides anew
+	default: // an earlier order without an answer remains uncertain
+		t.pace = order.Before // decided anew when the worker is next examined
 	}
 	t.worker.expectedValid = false
 }
 
-// overtaken tells whether an outcome says no more than that a later owner, or another
-// incarnation of the worker, is there; both are noted.
+// overtaken reports whether an outcome only says that a later owner, or another incarnation of the worker, has
+// taken over, and records which.
 func (c *Core) overtaken(worker jobs.Worker, fence jobs.Fence, result Result, now time.Time) bool {
 	c.now = now
 	if result.Outcome == OutcomeRefused && result.Refusal == jobs.RefusedFence {
@@ -177,8 +177,8 @@
 	return false
 }
 
-// FenceRefused says that a worker has seen a higher fence than that of a call. It is a later owner's,
-// unless this one has given the worker's next incarnation a higher one itself.
+// FenceRefused says that a worker has seen a higher fence than that of a call. That fence belongs to a later
+// owner, unless this owner itself has given it to the worker's next incarnation.
 func (c *Core) FenceRefused(id jobs.WorkerID, fence jobs.Fence) {
 	if w, ok := c.workers[id]; ok && w.fence == fence {
 		c.superseded = true
--- a/services/dispatch/parts.go
+++ b/services/dispatch/parts.go
@@ -11,7 +11,7 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// forgetIfElsewhere drops a job when all of its tasks are elsewhere.
+// forgetIfElsewhere drops a job when all of its tasks are in other cells.
 func (c *Core) forgetIfElsewhere(j *job) {
 	for _, s := range j.steps {
 		for i := range s.tasks {
@@ -25,8 +25,8 @@
 	c.movedOut[j.spec.ID] = movedOutJob{version: j.recordVersion, further: j.further}
 }
 
-// applyRecord takes a newer record of a job that is known: tasks have come from another cell,
-// or the store has carried out a move whose outcome was not known.
+// applyRecord applies a newer record of a known job: tasks have come from another cell, or the store has
+// carried out a move whose outcome was unknown.
 func (c *Core) applyRecord(j *job, record jobs.Record) {
 	if record.Version <= j.recordVersion {
 		return
@@ -34,7 +34,7 @@
 	j.recordVersion = record.Version
 	j.home, j.further, j.closed = record.Home, record.Further, record.Closed
 	j.leastRun = max(j.leastRun, record.LeastRun)
-	came, went := 0, 0
+	arrived, departed := 0, 0
 	for flat, s := range j.steps {
 		for i := range s.tasks {
 			t := &s.tasks[i]
@@ -45,19 +45,19 @@
 				c.noteLosses(t)
 				t.state = taskWaiting
 				s.waiting++
-				came++
+				arrived++
 			case !holds && t.state == taskMoving:
 				t.state = taskElsewhere
-				went++
+				departed++
 			}
 		}
 		c.listOpen(s)
 	}
-	c.config.Logger.Info("work has moved between cells", zap.String("job", string(j.spec.ID)), zap.Int("came", came), zap.Int("went", went))
+	c.config.Logger.Info("work has moved between cells", zap.String("job", string(j.spec.ID)), zap.Int("came", arrived), zap.Int("went", departed))
 	c.forgetIfElsewhere(j)
 }
 
-// markElsewhere marks the tasks of a new job that another cell has.
+// markElsewhere marks the tasks of a new job that are in another cell.
 func (j *job) markElsewhere(record jobs.Record) {
 	for flat, s := range j.steps {
 		for i := range s.tasks {
@@ -69,7 +69,7 @@
 	}
 }
 
-// Further are the further cells that have tasks of a job, as its record here names them.
+// Further returns the further cells that have tasks of a job, as named by the job's record in this cell.
 func (c *Core) Further(id jobs.ID) []jobs.CellName {
 	if j, ok := c.jobs[id]; ok {
 		return j.further
@@ -77,5 +77,5 @@
 	return c.movedOut[id].further
 }
 
-// Dropped says that the store does not hold a job any more.
+// Dropped says that the store no longer holds a job.
 func (c *Core) Dropped(id jobs.ID) { delete(c.movedOut, id) }
--- a/services/dispatch/place.go
+++ b/services/dispatch/place.go
@@ -13,13 +13,13 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// candidate is an open step with its urgency.
+// candidate is an opened step with its urgency.
 type candidate struct {
 	step *step
 	urgency
 }
 
-// placeAll gives waiting tasks their places, the most urgent first.
+// placeAll starts waiting tasks on workers, the most urgent first.
 func (c *Core) placeAll(now time.Time) {
 	candidates := c.candidates(now)
 	if len(candidates) > 0 {
@@ -33,8 +33,8 @@
 	}
 }
 
-// candidates gives the open steps whose tasks may be placed now, the most urgent first, and
-// takes those off the list that have none left.
+// candidates returns the opened steps whose tasks may be placed now, the most urgent first, and removes steps
+// without waiting tasks from the list.
 func (c *Core) candidates(now time.Time) []candidate {
 	candidates := make([]candidate, 0, len(c.waitingSteps))
 	kept := c.waitingSteps[:0]
@@ -53,22 +53,22 @@
 	return candidates
 }
 
-// candidate is the step with its urgency now.
+// candidate returns the step with its urgency now.
 func (c *Core) candidate(s *step, now time.Time) candidate {
 	return candidate{s, c.urgency(s, c.timeOfDay(now))}
 }
 
-// before orders candidates, the most urgent first.
+// before compares candidates, the most urgent first.
 func (a candidate) before(b candidate) int {
 	return cmp.Or(a.compare(b.urgency), cmp.Compare(a.step.job.spec.ID, b.step.job.spec.ID), cmp.Compare(a.step.flat(), b.step.flat()))
 }
 
-// scanPause is how long a step that found no place for a task waits for the next look at
-// all workers: with many steps waiting, most of the processor time would go there.
+// scanPause is how long a step for whose task no worker was found waits before all workers are examined again.
+// Without it, most of the processor time would go into these scans when many steps wait.
 const scanPause = 20 * time.Millisecond
 
-// placeStep gives the step's waiting tasks their places. They are all alike, so the places
-// are looked up once; only a place that was taken is looked at again.
+// placeStep starts the step's waiting tasks. The tasks are all alike, so the workers are scored once; only a
+// worker that got a task is scored again.
 func (c *Core) placeStep(s *step, now time.Time) {
 	if c.holdsForOffer(s, now) {
 		s.findNone(now)
@@ -89,20 +89,20 @@
 			return
 		}
 		if s.spec.Lasts && !c.leavesRoom(t, now) {
-			s.backoff = now.Add(scanPause) // it has a place, and isn't stuck
-			continue                       // others of the step may have waited for longer
+			s.backoff = now.Add(scanPause) // a worker could take the task, so the step is not stuck
+			continue                       // other tasks of the step may have waited longer
 		}
 		s.stuck = time.Time{}
 		c.start(t, places[0].worker, now)
 		if s.spec.SameRack {
-			places = c.findPlaces(s, now) // the first task makes its rack the best one
+			places = c.findPlaces(s, now) // the first task makes its rack the preferred one
 			continue
 		}
 		c.rescoreFirst(&places, s, now)
 	}
 }
 
-// findNone notes that there is no place for a waiting task of the step.
+// findNone records that no worker can take a waiting task of the step.
 func (s *step) findNone(now time.Time) {
 	s.backoff = now.Add(scanPause)
 	if s.stuck.IsZero() {
@@ -110,7 +110,7 @@
 	}
 }
 
-// start puts a task on a worker and orders its run.
+// start assigns a task to a worker and orders its run.
 func (c *Core) start(t *task, w *worker, now time.Time) {
 	c.beginRun(t, now)
 	if t.step.spec.Fills {
@@ -131,7 +131,7 @@
 	}})
 }
 
-// logStart logs a start with what decided it, and what its run goes on from.
+// logStart logs a start with the figures that decided it, and the checkpoint that the run resumes from.
 func (c *Core) logStart(t *task, w *worker, now time.Time) {
 	c.config.Logger.Info("run starts", t.logOrigin([]zap.Field{
 		zap.Stringer("task", t.id()), zap.Uint64("run", uint64(t.run)),
@@ -141,7 +141,7 @@
 	}, now)...)
 }
 
-// beginRun makes a waiting task one with a run whose start is not answered yet.
+// beginRun gives a waiting task a new run whose start has no answer yet.
 func (c *Core) beginRun(t *task, now time.Time) {
 	t.step.waiting--
 	t.step.job.running++
@@ -156,15 +156,15 @@
 	t.loadOffset, t.shownLoad, t.averageLoad, t.figure = 0, 0, 0, 0
 }
 
-// nextRun numbers a run above all runs of this and of former owners.
+// nextRun returns a run id above those of all runs of the task by this and by previous owners.
 func (c *Core) nextRun(t *task) jobs.RunID {
 	return max(t.run+1, c.firstRun(t.step.job)+jobs.RunID(t.starts))
 }
 
-// firstRun is below all numbers that this owner gives to runs of a job, and above those of
-// former owners. What other cells had given is added, not only exceeded: where it is above this
-// cell's epochs, one owner after the other would begin with the same number, and neither a
-// worker nor an owner could tell which run is newer.
+// firstRun returns a number below all run ids that this owner assigns to the job's tasks and above those of
+// previous owners. The run ids assigned by other cells are added rather than merely exceeded: if they were
+// above this cell's epochs, successive owners would start from the same number, and neither a worker nor an
+// owner could tell which run is newer.
 func (c *Core) firstRun(j *job) jobs.RunID {
 	return j.leastRun + jobs.RunID(c.config.Epoch)*runsPerEpoch
 }
--- a/services/dispatch/places.go
+++ b/services/dispatch/places.go
@@ -10,7 +10,7 @@
 	"rillsail.example/rillsail/models"
 )
 
-// place is a worker that may take a task of a step, with its score.
+// place is a worker that can take a task of a step, with its score.
 type place struct {
 	worker *worker
 	score  float64
@@ -44,8 +44,8 @@
 	return x
 }
 
-// rescoreFirst gives the first place its new score, or removes it when it takes no more tasks
-// of the step.
+// rescoreFirst updates the score of the first place, or removes that place when its worker can take no more
+// tasks of the step.
 func (c *Core) rescoreFirst(p *placeHeap, s *step, now time.Time) {
 	first := &(*p)[0]
 	if !c.mayTake(first.worker, s, now) {
@@ -56,7 +56,7 @@
 	heap.Fix(p, 0)
 }
 
-// findPlaces finds all workers that may take a task of the step now.
+// findPlaces returns all workers that can take a task of the step now.
 func (c *Core) findPlaces(s *step, now time.Time) placeHeap {
 	list := c.placeBuffer[:0]
 	for _, w := range c.order {
@@ -69,25 +69,26 @@
 	return list
 }
 
-// mayTake tells whether a task of the step may start on the worker now.
+// mayTake reports whether a task of the step may start on the worker now.
 func (c *Core) mayTake(w *worker, s *step, now time.Time) bool {
 	return !w.isReserved(now) && c.mayTry(w, s, now)
 }
 
-// isReserved tells whether nothing but suspects may start on the worker.
+// isReserved reports whether only suspects may start on the worker.
 func (w *worker) isReserved(now time.Time) bool { return w.trials > 0 || !now.After(w.keptUntil) }
 
-// mayTry tells the same of a suspect, which may start beside others on trial.
+// mayTry reports whether a suspect of the step may start on the worker now; it may run beside other suspects on
+// trial.
 func (c *Core) mayTry(w *worker, s *step, now time.Time) bool {
 	return c.usable(w, now) && c.fits(w, s) && c.hasCapacity(w, s)
 }
 
-// hasCapacity tells whether what is left on the worker is enough for a task of the step.
+// hasCapacity reports whether the worker has enough free capacity for a task of the step.
 func (c *Core) hasCapacity(w *worker, s *step) bool {
 	return w.countFitting(s, 1, models.Resources{}) > 0 && (!s.spec.Fills || c.mayRunFiller(w, s))
 }
 
-// countTasks is how many tasks of a step are on the worker.
+// countTasks returns how many tasks of the step are on the worker.
 func (w *worker) countTasks(s *step) int {
 	n := 0
 	for _, t := range w.tasks {
--- a/services/dispatch/report.go
+++ b/services/dispatch/report.go
@@ -12,12 +12,12 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Reported takes a worker's report; sent is when the call was sent that it answers. It
-// tells whether something changed that Decide should look at.
+// Reported applies a worker's report; sent is when the call that it answers was sent. Reported returns whether
+// something changed that Decide should look at.
 func (c *Core) Reported(id jobs.WorkerID, sent time.Time, report jobs.Report, now time.Time) bool {
 	w, ok := c.workers[id]
 	if !ok {
-		return false // dropped meanwhile
+		return false // the worker was dropped in the meantime
 	}
 	w, later := c.reporting(w, sent, report, now)
 	if !later {
@@ -32,7 +32,7 @@
 	}
 	w.beginReport(report, sent, now)
 	if first && w.former {
-		// The worker refuses former owners from now on, but what they granted holds.
+		// The worker refuses calls of previous owners from now on, but a lease that they granted remains valid.
 		w.granted = max(w.granted, report.Clock+models.MilliOf(c.formerLease))
 	}
 	if first {
@@ -52,20 +52,20 @@
 	return first || newEnds || w.maxExcess > shownMargin
 }
 
-// discardReport counts a report that is not taken, and logs the first one of a row.
+// discardReport counts a report that is not applied, and logs the first one of a series.
 func (c *Core) discardReport(w *worker, report jobs.Report) {
 	c.counts.ReportsPassedOver++
 	if w.reportDiscarded {
 		return
 	}
 	w.reportDiscarded = true
-	c.config.Logger.Warn("report is passed over, a later one has come", zap.String("worker", string(w.info.ID)),
+	c.config.Logger.Warn("report is discarded, a later one was already applied", zap.String("worker", string(w.info.ID)),
 		zap.Int64("clock", int64(report.Clock)), zap.Int64("of_the_later", int64(w.clock)),
 		zap.Int64("born", int64(report.Born)), zap.Int64("born_of_the_later", int64(w.info.Born)),
 		zap.Int("running", len(report.Running)), zap.Int("ended", len(report.Ended)))
 }
 
-// applyRows takes what a report says of runs, and tells whether it shows new ends.
+// applyRows applies the report's running and ended runs, and returns whether it shows new ends.
 func (c *Core) applyRows(w *worker, report jobs.Report, now time.Time) (newEnds bool) {
 	for _, run := range report.Running {
 		c.applyRunning(w, run, now)
@@ -79,7 +79,7 @@
 	return newEnds
 }
 
-// beginReport notes that the worker has answered.
+// beginReport records that the worker has answered.
 func (w *worker) beginReport(report jobs.Report, sent, now time.Time) {
 	w.answered, w.overdue, w.failed, w.youngStored = true, false, time.Time{}, false
 	w.hurried = false
@@ -89,7 +89,7 @@
 	w.clearStraysSeen()
 }
 
-// applyRunning takes one running row of a report.
+// applyRunning applies one running run of a report.
 func (c *Core) applyRunning(w *worker, run jobs.Run, now time.Time) {
 	t := c.find(run.Task)
 	if t != nil {
@@ -121,7 +121,7 @@
 	}
 }
 
-// adopt takes over a run that a former owner started, or that was thought not to be.
+// adopt takes over a run that a previous owner started, or that was assumed not to exist.
 func (c *Core) adopt(w *worker, t *task, run jobs.Run) {
 	if t.state == taskWaiting {
 		t.step.waiting--
@@ -142,8 +142,8 @@
 	c.inferDone(t)
 }
 
-// inferDone concludes that the steps a running task waited for are done: their ends may
-// have been known to a former owner only.
+// inferDone concludes that the steps on which a running task depends are done: only a previous owner may have
+// learned of their ends.
 func (c *Core) inferDone(t *task) {
 	s := t.step
 	s.opened = true
@@ -161,11 +161,11 @@
 	}
 }
 
-// promptAnswer is how soon after a start an answer says when the run began. Of a later one, or of a report that
-// shows the run first, it is known only that it began after the start was ordered.
+// promptAnswer is how soon after a start its answer must come to tell when the run began. After a later answer,
+// or a report that shows the run first, it is only known that the run began after the start was ordered.
 const promptAnswer = 200 * time.Millisecond
 
-// confirm notes that a run is under way.
+// confirm records that a run is under way.
 func (c *Core) confirm(t *task, now time.Time) {
 	t.state = taskRunning
 	t.answeredAt = now
@@ -175,8 +175,8 @@
 	t.step.job.begun = true
 }
 
-// releaseMissingRuns finds tasks that should be on the worker but that a report does not show,
-// although its call was sent after the last order was answered.
+// releaseMissingRuns returns tasks to waiting that are assigned to the worker but missing from its report, if
+// the report's call was sent after their last order was answered.
 func (c *Core) releaseMissingRuns(w *worker, sent time.Time) {
 	for i := len(w.tasks) - 1; i >= 0; i-- {
 		t := w.tasks[i]
@@ -184,7 +184,7 @@
 			continue
 		}
 		if t.state == taskRunning {
-			c.config.Logger.Warn("run has gone without an end", zap.Stringer("task", t.id()), zap.String("worker", string(w.info.ID)))
+			c.config.Logger.Warn("run is missing from its worker's report without an end; its task waits again", zap.Stringer("task", t.id()), zap.String("worker", string(w.info.ID)))
 		}
 		c.wait(t)
 	}
--- a/services/dispatch/reserve.go
+++ b/services/dispatch/reserve.go
@@ -9,37 +9,39 @@
 	"rillsail.example/rillsail/models"
 )
 
-// When many workers leave at once, the tasks that last and were there all look for another
-// place, before any short job that comes later. They take all the room that is left, and short
-// work of the same priority waits for seconds, until other workers come. A task that lasts waits at no
-// more cost than its own time; a short job that waits as long is late as a whole. So tasks that
-// last leave room to short work for some seconds.
+// When many workers leave at once, the long-running tasks on them all look for another worker, before any short
+// job that is submitted later. They take all the remaining free capacity, and short work of the same priority
+// waits for seconds until replacement workers arrive. For a long-running task the cost of waiting is only the
+// time itself; a short job that waits as long misses its objective as a whole. Therefore long-running tasks
+// leave free capacity to short work for some seconds.
 
 const (
-	// shortReserveTime is for how long a task that lasts leaves room, from when it waits: until
-	// workers that replace others are there, and less than callers allow it to be away (6 s).
+	// shortReserveTime is how long a waiting long-running task leaves capacity to short work: long enough for
+	// replacement workers to arrive, and less than callers allow it to be away (6 s).
 	shortReserveTime = 5 * time.Second
-	// shortReserveFactor is how many times its demand short work is left: it comes in bursts, and what
-	// is free lies in pieces.
+	// shortReserveFactor is the multiple of its demand that is left to short work, because short work comes in
+	// bursts and free capacity is fragmented over the workers.
 	shortReserveFactor = 1.5
-	// maxShortReserve bounds it, as a part of the cell's processor time.
+	// maxShortReserve bounds the capacity left to short work, as a part of the cell's CPU.
 	maxShortReserve = 0.25
-	// demandWindow is the time over which the demand is remembered.
+	// demandWindow is the time over which a past demand fades.
 	demandWindow = 3 * time.Second
 )
 
-// shortWork is what short work, which neither lasts nor fills, needs of the cell's declared room.
+// shortWork is the demand of short work, which is neither long-running nor filler, and the declared capacity
+// that it can use.
 type shortWork struct {
-	demand   float64 // thousandths of a core, remembered
+	demand   float64 // thousandths of a core; its peaks fade over demandWindow
 	at       time.Time
-	free     models.MilliCPU // that is free, or taken by it, as of at
-	capacity models.MilliCPU // of all workers that may be used, as of at
+	free     models.MilliCPU // capacity that is free or used by short work, as of at
+	capacity models.MilliCPU // of all usable workers, as of at
 }
 
-// updateShortWork takes the room that there is for short work, and what it takes and waits for.
+// updateShortWork updates the capacity available to short work and the demand of short work, which is what it
+// uses and what it waits for.
 func (c *Core) updateShortWork(now time.Time) {
 	s := &c.shortWork
-	passed := now.Sub(s.at)
+	elapsed := now.Sub(s.at)
 	s.free, s.capacity = 0, 0
 	taken := models.MilliCPU(0)
 	for _, w := range c.order {
@@ -51,12 +53,12 @@
 		taken += w.used.CPU - w.longRunningCPU
 	}
 	current := float64(taken + c.waitingShortCPU())
-	fades := min(1, passed.Seconds()/demandWindow.Seconds())
+	fades := min(1, elapsed.Seconds()/demandWindow.Seconds())
 	s.demand = max(current, s.demand+fades*(current-s.demand))
 	s.at = now
 }
 
-// waitingShortCPU is the processor time that waiting tasks of short steps declare.
+// waitingShortCPU returns the CPU declared by the waiting tasks of short steps.
 func (c *Core) waitingShortCPU() models.MilliCPU {
 	sum := models.MilliCPU(0)
 	for _, s := range c.waitingSteps {
@@ -67,8 +69,8 @@
 	return sum
 }
 
-// leavesRoom tells whether a task that lasts may start now: it has waited for long enough, or
-// short work has room enough beside it. Tasks that come from another cell have waited there.
+// leavesRoom reports whether a long-running task may start now: it has waited long enough, or enough capacity
+// remains for short work. A task that came from another cell has already waited there.
 func (c *Core) leavesRoom(t *task, now time.Time) bool {
 	if now.Sub(t.waits) >= shortReserveTime {
 		return true
@@ -77,7 +79,7 @@
 	return float64(c.shortWork.free-t.step.spec.Size.CPU) >= left
 }
 
-// takeShortCapacity notes that a task that lasts takes room.
+// takeShortCapacity deducts a starting long-running task from the capacity available to short work.
 func (c *Core) takeShortCapacity(t *task) {
 	if t.step.spec.Lasts {
 		c.shortWork.free -= t.step.spec.Size.CPU
--- a/services/dispatch/room.go
+++ b/services/dispatch/room.go
@@ -5,7 +5,7 @@
 
 import "rillsail.example/rillsail/models"
 
-// add puts a task on the worker and takes its room.
+// add assigns a task to the worker and deducts its resources.
 func (w *worker) add(t *task) {
 	t.worker = w
 	t.position = len(w.tasks)
@@ -14,7 +14,7 @@
 	w.expectedValid = false
 }
 
-// remove takes a task off the worker and gives its room back.
+// remove takes a task off the worker and releases its resources.
 func (w *worker) remove(t *task) {
 	last := len(w.tasks) - 1
 	w.tasks[t.position] = w.tasks[last]
@@ -25,7 +25,8 @@
 	w.expectedValid = false
 }
 
-// footprint is what a task of the step takes of its worker's room: a filling one no processor time.
+// footprint returns what a task of the step deducts from its worker's free capacity; filler tasks deduct no
+// CPU.
 func (s *step) footprint() models.Resources {
 	size := s.spec.Size
 	if s.spec.Fills {
@@ -34,7 +35,7 @@
 	return size
 }
 
-// account adds what a task has declared, or takes it away with sign -1.
+// account adds the task's declared resources, or subtracts them if sign is -1.
 func (w *worker) account(t *task, sign models.MilliCPU) {
 	spec := t.step.spec
 	size := t.step.footprint()
@@ -51,8 +52,8 @@
 	}
 }
 
-// free is the room that no task has declared.
+// free returns the resources that no task has declared.
 func (w *worker) free() models.Resources { return w.info.Capacity.Sub(w.used) }
 
-// cpuCapacity is the worker's processor time, to divide by.
+// cpuCapacity returns the worker's CPU as a divisor, which is never zero.
 func (w *worker) cpuCapacity() float64 { return float64(max(1, w.info.Capacity.CPU)) }
--- a/services/dispatch/score.go
+++ b/services/dispatch/score.go
@@ -5,16 +5,16 @@
 
 import "rillsail.example/rillsail/models/jobs"
 
-// Weights of a place's score beside the share of the worker that stays free, which is
-// at most 1: data far away doubles the time of the work, and so does a second rack.
+// Weights in the score of a place; the share of the worker that stays free counts at most 1. Remote data
+// doubles the duration of the work, and so does spreading a step over a second rack.
 const (
 	dataWeight = 2.0
 	rackWeight = 2.0
-	// avoidWeight is more than all else together.
+	// avoidWeight exceeds all other terms together.
 	avoidWeight = 100.0
 )
 
-// score is how good a place the worker is for a task of the step; the highest is taken.
+// score returns how good a place the worker is for a task of the step; the highest score wins.
 func (c *Core) score(w *worker, s *step) float64 {
 	spec := s.spec
 	capacity := w.cpuCapacity()
@@ -25,7 +25,7 @@
 	case spec.Lasts:
 		score = w.imageAffinity(spec.Image) - float64(w.free().CPU)/capacity
 	default:
-		score = -float64(w.free().CPU-spec.Size.CPU) / capacity // the tightest, so that large tasks find room as well
+		score = -float64(w.free().CPU-spec.Size.CPU) / capacity // best fit, which keeps large free blocks for large tasks
 	}
 	if spec.DataRack != "" && w.info.Rack == spec.DataRack {
 		score += dataWeight
@@ -39,9 +39,9 @@
 	return score
 }
 
-// imageAffinity is how well a serving image fits to those on the worker: workers whose serving
-// tasks are of one image leave room for all filling images that don't harm this one.
-// 2: only this image, 1: no serving task, below 1: others as well.
+// imageAffinity returns how well a serving image suits the images already on the worker: a worker whose serving
+// tasks share one image remains usable by all filler images that don't harm this image. The result is 2 if only
+// this image is there, 1 if there is no serving task, and less than 1 if there are other images as well.
 func (w *worker) imageAffinity(image jobs.ImageName) float64 {
 	same, all := 0, 0
 	for _, t := range w.tasks {
@@ -62,7 +62,7 @@
 	}
 }
 
-// onRack tells whether a task of the step is on the rack.
+// onRack reports whether a task of the step is on the rack.
 func (s *step) onRack(rack jobs.RackLabel) bool {
 	for i := range s.tasks {
 		if w := s.tasks[i].worker; w != nil && w.info.Rack == rack {
--- a/services/dispatch/speed.go
+++ b/services/dispatch/speed.go
@@ -11,31 +11,31 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Workers that stand still are found by comparing the progress of their tasks with what is
-// usual for the same queue: estimates are off, but alike on all workers. It keeps a job from
-// waiting for ever for a worker that reports and does nothing. Workers that are only slow are
-// left in peace: to move their tasks costs more than it brings.
+// Stalled workers are detected by comparing the progress of their tasks with the usual progress of the same
+// queue: estimates are inaccurate, but equally so on all workers. This keeps a job from waiting indefinitely
+// for a worker that reports and does nothing. Workers that are merely slow are left alone, since moving their
+// tasks costs more than it gains.
 const (
 	speedSampleInterval = 400 * time.Millisecond // between two samples of a task
-	// workerSpeedWeight is that of a new sample in a worker's speed, and minWorkerSamples are needed before
-	// a worker is judged: with fewer, sound workers are left alone for one slow task.
+	// workerSpeedWeight is the weight of a new sample in a worker's speed. minWorkerSamples samples are needed
+	// before a worker is judged: with fewer, sound workers were avoided because of a single slow task.
 	workerSpeedWeight = 0.2
 	minWorkerSamples  = 8
-	queueSpeedWeight  = 0.02                      // of a new sample in the usual speed
+	queueSpeedWeight  = 0.02                      // of a new sample in the usual speed of a queue
 	stalledBelow      = 0.05                      // of the usual speed
-	stalledPause      = 2500 * time.Millisecond   // until such a worker is tried again
-	minSampledPace    = 50 * jobs.FullSpeed / 100 // below it a task's progress says nothing of its worker
+	stalledPause      = 2500 * time.Millisecond   // until a stalled worker is tried again
+	minSampledPace    = 50 * jobs.FullSpeed / 100 // below it, a task's progress says nothing about its worker
 	restartGrace      = 300 * time.Millisecond    // a restart from a checkpoint makes no progress at first
-	minQueueSamples   = 20                        // samples before anything is compared
+	minQueueSamples   = 20                        // needed before a worker is compared with the queue's usual speed
 )
 
-// speed is an average with the number of its samples.
+// speed is a moving average with the number of its samples.
 type speed struct {
 	mean    float64
 	samples int
 }
 
-// add takes a sample with its weight against the former ones.
+// add adds a sample with the given weight relative to the previous ones.
 func (s *speed) add(sample, weight float64) {
 	if s.samples == 0 {
 		s.mean = sample
@@ -44,7 +44,7 @@
 	s.samples++
 }
 
-// sampleSpeed takes a task's progress into its worker's speed.
+// sampleSpeed adds a task's progress to the speeds of its queue and its worker.
 func (c *Core) sampleSpeed(w *worker, t *task, progress jobs.Percent, now time.Time) {
 	spec := t.step.spec
 	if spec.Lasts || spec.Estimate <= 0 || t.pace < minSampledPace || now.Sub(t.began) < restartGrace {
@@ -70,7 +70,7 @@
 	}
 }
 
-// queueSpeed is the speed of a queue's tasks over all workers.
+// queueSpeed returns the usual speed of a queue's tasks over all workers.
 func (c *Core) queueSpeed(queue jobs.QueueName) *speed {
 	s, ok := c.queueSpeeds[queue]
 	if !ok {
@@ -80,7 +80,8 @@
 	return s
 }
 
-// checkStalled leaves a worker alone that stands still, and moves its tasks.
+// checkStalled excludes a stalled worker from new tasks for a while, and stops its tasks so that they can run
+// elsewhere.
 func (c *Core) checkStalled(w *worker, now time.Time) {
 	if w.speed.samples < minWorkerSamples || w.speed.mean >= stalledBelow || now.Before(w.stalledUntil) {
 		return
@@ -91,7 +92,7 @@
 	w.speed = speed{}
 	for _, t := range w.tasks {
 		if t.state == taskRunning && !t.step.spec.Lasts {
-			c.stop(t, "its worker stands still")
+			c.stop(t, "its worker has stalled")
 		}
 	}
 }
--- a/services/dispatch/step.go
+++ b/services/dispatch/step.go
@@ -10,27 +10,27 @@
 	"rillsail.example/rillsail/services/contention"
 )
 
-// step is one step of one occurrence of a job.
+// step is one step in one occurrence of a job.
 type step struct {
 	job             *job
 	occurrence      int
 	number          int
 	spec            *jobs.Step
 	tasks           []task
-	done            int
-	waiting         int
-	opened          bool            // its earlier steps are done and its time has come
-	listed          bool            // in the core's open steps
-	backoff         time.Time       // no look for places before
-	stuck           time.Time       // since when no place is found for a waiting task; zero: one was
-	baseline        contention.Load // of a step that serves
-	aloneReportedAt time.Time       // when a task of it was last heard of that has nothing beside
+	done            int             // tasks that have succeeded
+	waiting         int             // tasks that are waiting
+	opened          bool            // the steps that it depends on are done, and its time has come
+	listed          bool            // is among the core's steps with waiting tasks
+	backoff         time.Time       // workers are not searched for its tasks before then
+	stuck           time.Time       // since when no worker can take a waiting task; zero: the last search found one
+	baseline        contention.Load // baseline load of a serving step
+	aloneReportedAt time.Time       // when a task of it without filler tasks beside it was last reported
 }
 
-// flat is the number of a step over all occurrences, as Progress counts.
+// flat returns the step's number counted over all occurrences, as jobs.Progress counts steps.
 func (s *step) flat() int { return s.occurrence*len(s.job.spec.Steps) + s.number }
 
-// predecessors are the steps that must be done before this one.
+// predecessors returns the steps that must be done before this one.
 func (s *step) predecessors() []*step {
 	first := s.occurrence * len(s.job.spec.Steps)
 	list := make([]*step, 0, len(s.spec.After))
@@ -40,7 +40,7 @@
 	return list
 }
 
-// mayOpen tells whether all earlier steps are done.
+// mayOpen reports whether all predecessors are done.
 func (s *step) mayOpen() bool {
 	for _, earlier := range s.predecessors() {
 		if earlier.done < len(earlier.tasks) {
@@ -50,7 +50,7 @@
 	return true
 }
 
-// openSteps opens the steps whose earlier steps are done.
+// openSteps opens the job's steps whose predecessors are done and whose time has come.
 func (c *Core) openSteps(j *job, now time.Time) {
 	for _, s := range j.steps {
 		if s.opened {
@@ -65,7 +65,7 @@
 	}
 }
 
-// listOpen puts an open step with waiting tasks among those to be placed.
+// listOpen adds an opened step with waiting tasks to the steps to be placed.
 func (c *Core) listOpen(s *step) {
 	if s.listed || !s.opened || s.waiting == 0 || s.job.end != "" || s.job.cancelled {
 		return
@@ -74,7 +74,7 @@
 	c.waitingSteps = append(c.waitingSteps, s)
 }
 
-// openDueOccurrences opens occurrences whose time has come.
+// openDueOccurrences opens occurrences of repeating jobs whose time has come.
 func (c *Core) openDueOccurrences(now time.Time) {
 	for _, j := range c.repeating {
 		c.openSteps(j, now)
--- a/services/dispatch/stop.go
+++ b/services/dispatch/stop.go
@@ -11,7 +11,7 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// stop begins the end of a task's run.
+// stop begins to stop a task's run. The stop itself is ordered by retryStops.
 func (c *Core) stop(t *task, reason string) {
 	if t.worker == nil || t.state == taskStopping || t.state == taskDone {
 		return
@@ -24,14 +24,14 @@
 	c.stopping[t] = struct{}{}
 }
 
-// orderStop orders the stop of a run, whether it has come to the worker yet or not.
+// orderStop orders a worker to stop a run, or to bar it if the run has not arrived there yet.
 func (c *Core) orderStop(w *worker, task jobs.TaskID, run jobs.RunID) {
 	c.orders = append(c.orders, StopOrder{
 		Worker: w.info, Call: jobs.StopCall{Task: task, Run: run, Fence: w.fence},
 	})
 }
 
-// stopPause is how long the answer to a stop is waited for before it is repeated.
+// stopPause is how long the answer to a stop is awaited before the stop is repeated.
 const stopPause = 800 * time.Millisecond
 
 // retryStops orders stops that are new or were not answered in time.
--- a/services/dispatch/stray.go
+++ b/services/dispatch/stray.go
@@ -12,18 +12,18 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// strayStopInterval is how long a stop of a stray run is given before it is repeated.
+// strayStopInterval is how long after a stop of a stray run the stop is repeated.
 const strayStopInterval = time.Second
 
-// stray is a run that should not be on its worker. Nothing starts there while it is,
-// because it takes room that isn't counted.
+// stray is a run that should not be on its worker. While it is there, nothing is started on the worker, because
+// the stray's resources are not accounted for.
 type stray struct {
 	noted   time.Time // when it was found
 	stopped time.Time // when its stop was last ordered
 	seen    bool      // in the latest report
 }
 
-// clearStraysSeen begins a report: none of the strays is seen in it yet.
+// clearStraysSeen prepares for a new report, which has not shown any of the strays yet.
 func (w *worker) clearStraysSeen() {
 	for task, s := range w.strays {
 		s.seen = false
@@ -31,13 +31,12 @@
 	}
 }
 
-// forgetStrays forgets the runs that a report doesn't show whose call was sent after they
-// were found.
+// forgetStrays forgets strays missing from a report whose call was sent after they were found.
 func (w *worker) forgetStrays(sent time.Time) {
 	maps.DeleteFunc(w.strays, func(_ jobs.TaskID, s stray) bool { return !s.seen && sent.After(s.noted) })
 }
 
-// stopStray stops a run that should not be there.
+// stopStray orders the stop of a run that should not be on its worker.
 func (c *Core) stopStray(w *worker, run jobs.Run, now time.Time) {
 	s := w.strays[run.Task]
 	s.seen = true
@@ -50,7 +49,7 @@
 	}
 	s.stopped = now
 	w.strays[run.Task] = s
-	c.config.Logger.Warn("run should not be there, it is stopped", zap.Stringer("task", run.Task),
+	c.config.Logger.Warn("stray run is stopped: another run, or none, is expected on its worker", zap.Stringer("task", run.Task),
 		zap.Uint64("run", uint64(run.Run)), zap.String("worker", string(w.info.ID)))
 	c.orderStop(w, run.Task, run.Run)
 }
--- a/services/dispatch/summary.go
+++ b/services/dispatch/summary.go
@@ -14,19 +14,19 @@
 // Summary is a core's state in figures.
 type Summary struct {
 	Jobs       int  `json:"jobs"`       // active
-	Waiting    int  `json:"waiting"`    // tasks whose turn has come
-	Running    int  `json:"running"`    // tasks on workers, starting and stopping ones included
-	OverTail   int  `json:"over_tail"`  // serving tasks whose tail is over its target
-	Throttled  int  `json:"throttled"`  // filling tasks below full pace
+	Waiting    int  `json:"waiting"`    // tasks ready to be placed
+	Running    int  `json:"running"`    // tasks on workers, including starting and stopping ones
+	OverTail   int  `json:"over_tail"`  // serving tasks whose tail latency is over its target
+	Throttled  int  `json:"throttled"`  // filler tasks below full pace
 	Workers    int  `json:"workers"`    // known
-	Usable     int  `json:"usable"`     // that may get new tasks
-	Unstored   int  `json:"unstored"`   // jobs with changes to store
+	Usable     int  `json:"usable"`     // workers that may get new tasks
+	Unstored   int  `json:"unstored"`   // jobs with changes to be stored
 	Recovering bool `json:"recovering"` // some tasks wait for workers that haven't reported since the takeover
-	// ReportAge is how old the reports of workers are, the middle one of those in the list.
+	// ReportAge is the median age of the reports of listed workers.
 	ReportAge models.Milli `json:"report_age_ms"`
 }
 
-// Summary sums the core up.
+// Summary returns the core's state in figures.
 func (c *Core) Summary(now time.Time) Summary {
 	s := Summary{Jobs: len(c.jobs), Workers: len(c.order), Unstored: len(c.dirty), Recovering: c.blind}
 	for _, step := range c.waitingSteps {
@@ -57,7 +57,7 @@
 	return s
 }
 
-// WorkerState is a worker as the core sees it.
+// WorkerState is the core's view of a worker.
 type WorkerState struct {
 	ID        jobs.WorkerID    `json:"id"`
 	Born      models.UnixMilli `json:"born,omitempty"` // see jobs.Worker
@@ -69,7 +69,7 @@
 	Tasks     []string         `json:"tasks,omitempty"`
 }
 
-// WorkerStates lists the workers.
+// WorkerStates returns the core's view of all workers.
 func (c *Core) WorkerStates(now time.Time) []WorkerState {
 	list := make([]WorkerState, 0, len(c.order))
 	for _, w := range c.order {
--- a/services/dispatch/task.go
+++ b/services/dispatch/task.go
@@ -9,67 +9,68 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// taskState is what is known of where a task runs.
+// taskState is what is known about where a task runs.
 type taskState uint8
 
 const (
 	taskWaiting  taskState = iota // proved not to run
-	taskUnknown                   // a former owner may have started it on a worker not heard of yet
-	taskStarting                  // the start is not answered yet
+	taskUnknown                   // a previous owner may have started it on a worker that has not reported yet
+	taskStarting                  // the start has not been answered yet
 	taskRunning
-	taskStopping // the stop is not proved yet
+	taskStopping // the stop has not been proved by a report yet
 	taskDone
-	taskMoving    // proved not to run; about to be handed to another cell
-	taskElsewhere // another cell has it
+	taskMoving    // proved not to run; being handed to another cell
+	taskElsewhere // assigned to another cell
 )
 
-// task is one task of an open or closed step, with its latest run.
+// task is one task of a step, with its latest run.
 type task struct {
 	step      *step
 	index     int
 	state     taskState
 	worker    *worker
-	position  int // in the worker's tasks
+	position  int // index in the worker's list of tasks
 	failures  jobs.Failures
 	suspicion jobs.Suspicion
-	weighedAt time.Time      // when its latest loss is weighed for good
-	byChance  []jobs.LostRun // losses that chance explains better, unless a later one is like them; this owner's alone
+	weighedAt time.Time      // when the evaluation of its latest loss becomes final
+	byChance  []jobs.LostRun // losses that chance explains better unless a later one is similar; known to this owner only
 	onTrial   bool           // a suspect that has not run for long enough yet
 	counted   uint64         // the job's version when a loss was last counted
-	unseen    int            // runs that may have been lost between two owners; see unseen.go
-	lapsed    jobs.RunID     // the latest run, when a worker has shown after the takeover that it has lapsed; 0: none has
+	unseen    int            // runs that may have been lost between two owners, not yet in suspicion.Unseen; see unseen.go
+	lapsed    jobs.RunID     // the latest run, if a worker has reported since the takeover that it lapsed; 0: no such report
 
 	run           jobs.RunID
-	starts        int          // in this epoch
-	ordered       bool         // this owner ordered the run, and knows since when it is under way
-	answeredAt    time.Time    // when the order in flight was answered; zero while it is not
+	starts        int          // starts ordered in this epoch
+	ordered       bool         // this owner ordered the run, and so knows when it began
+	answeredAt    time.Time    // when the pending order was answered; zero while it has no answer
 	orderedAt     time.Time    // when the last order was given
 	startSentAt   time.Time    // when its start was last ordered
 	retried       bool         // the start was repeated
-	open          bool         // a start of the run was ordered and is not answered; it may be carried out yet
-	barred        bool         // it was ordered at a former incarnation of the worker, and is to be barred at this one
-	waits         time.Time    // since when it waits, while it does; zero: for long, or for another cell
+	open          bool         // a start of the run has no answer and may still be carried out
+	barred        bool         // ordered at the worker's previous incarnation; has to be barred at the current one
+	waits         time.Time    // since when the task waits; zero: waiting for long, or moved from another cell
 	began         time.Time    // when the run was ordered, then when it was known to be under way
-	lastReport    uint64       // the worker's report that last showed it
-	saved         *saved       // what the next run goes on from; nil: it begins anew
+	lastReport    uint64       // number of the worker's report that last showed the run
+	saved         *saved       // where the next run resumes; nil: it starts from the beginning
 	pace          jobs.Percent // as ordered
-	pacedAt       time.Time    // when it began or its pace was last changed
-	paceUncertain bool         // an order had no answer: the pace in force may be higher
-	figure        int          // as last reported
+	pacedAt       time.Time    // when the run began or its pace was last changed
+	paceUncertain bool         // a pace order had no answer: the pace in force may be higher
+	figure        int          // as last reported; see jobs.Run
 
 	sampledAt       time.Time // when sampledProgress was taken for the worker's speed
 	sampledProgress jobs.Percent
 
 	shownLoad   float64 // load of a serving task in the latest report
-	averageLoad float64 // its average over the last few reports; zero: none yet
-	loadOffset  float64 // by which a serving task's load differs from that of its step's others
+	averageLoad float64 // moving average of shownLoad; zero: no report yet
+	loadOffset  float64 // how far a serving task's load differs from the baseline load of its step
 }
 
 func (t *task) id() jobs.TaskID {
 	return jobs.TaskID{Job: t.step.job.spec.ID, Occurrence: t.step.occurrence, Step: t.step.number, Index: t.index}
 }
 
-// initTask lets a task wait, or keeps it from starting while it may run unseen.
+// initTask sets a task of a new job to waiting, or to unknown while it may run on a worker that has not
+// reported yet.
 func (c *Core) initTask(t *task) {
 	switch {
 	case t.state == taskDone, t.state == taskElsewhere:
@@ -77,19 +78,19 @@
 		t.state = taskUnknown
 	default:
 		t.step.waiting++
-		// What comes from another cell has waited there: with that time forgotten, a task that lasts
-		// left room to short work anew in each cell it came to.
+		// A task from another cell has already waited there. When that time was not counted, a long-running
+		// task yielded capacity to short work anew in each cell that it came to.
 		if j := t.step.job; j.fresh && !j.fromOtherCell {
 			t.waits = c.now
 		}
 	}
 }
 
-// mayRunUnobserved tells whether a worker that has not answered since the takeover may know of runs of
-// the task.
+// mayRunUnobserved reports whether a worker that has not reported since the takeover may know of runs of the
+// task.
 func (c *Core) mayRunUnobserved(t *task) bool { return c.blind && !t.step.job.fresh }
 
-// finishTask marks a task as succeeded; it must not be on a worker.
+// finishTask marks a task as succeeded. The task must not be assigned to a worker.
 func (c *Core) finishTask(t *task) {
 	if t.state == taskDone {
 		return
@@ -102,7 +103,7 @@
 	}
 }
 
-// wait puts a task back among those to be placed; it is proved not to run.
+// wait returns a task that is proved not to run to the waiting ones.
 func (c *Core) wait(t *task) {
 	c.leave(t)
 	if t.state == taskDone {
@@ -110,8 +111,8 @@
 	}
 	c.closeRun(t)
 	t.pace = jobs.FullSpeed
-	// That this run has ended says nothing of those before it: a worker that has not answered
-	// may know of failures that leave the task no attempt. Tasks that last have no such bound.
+	// The end of this run says nothing about earlier ones: a worker that has not reported since the takeover
+	// may know of failures that use up the task's attempts. Long-running tasks have no such limit.
 	if c.mayRunUnobserved(t) && !t.step.spec.Lasts {
 		if t.state == taskWaiting {
 			t.step.waiting--
@@ -128,7 +129,7 @@
 	c.settle(t.step.job)
 }
 
-// leave takes a task off its worker.
+// leave removes a task from its worker.
 func (c *Core) leave(t *task) {
 	if t.worker == nil {
 		return
@@ -141,7 +142,7 @@
 	t.step.job.running--
 }
 
-// find finds a task of an active job that this cell has; nil when there is none.
+// find returns a task of an active job that this cell has; nil when there is none.
 func (c *Core) find(id jobs.TaskID) *task {
 	j, ok := c.jobs[id.Job]
 	if !ok || id.Step >= len(j.spec.Steps) || id.Occurrence >= j.spec.Occurrences() {
--- a/services/dispatch/throttle.go
+++ b/services/dispatch/throttle.go
@@ -12,22 +12,21 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// By how many standard deviations a serving task's load is taken to be higher than expected,
-// so that 0.8 allows for a chance of a fifth to get over the target, and 0.3 for two fifths.
+// A caution is the number of standard deviations by which a serving task's load is assumed to exceed its
+// prediction: 0.8 accepts a probability of one fifth that the load gets over the target, 0.3 one of two fifths.
 const (
-	placeCaution    = 0.8  // filling tasks are placed while the load stays below the target's
-	laterCaution    = 0.3  // the same at the end of the task's run, when it may be throttled
-	throttleCaution = 0.3  // from there on filling tasks are throttled
-	aimCaution      = 0.8  // what throttling aims at, and up to which speed is given back
-	shownMargin     = 0.10 // by which a load that is seen is over the target's to count as such: two standard deviations of a figure
+	placeCaution    = 0.8  // filler tasks are placed while the load stays below its target
+	laterCaution    = 0.3  // the same at the end of the new task's run, when it may be throttled
+	throttleCaution = 0.3  // above it, filler tasks are throttled
+	aimCaution      = 0.8  // the aim of throttling, and the limit up to which throttled tasks are sped up
+	shownMargin     = 0.10 // amount by which a load shown in a report must exceed the target to count: two standard deviations of a figure
 )
 
-// settleTime is how long the figures take to show a change of pace: they are of the last
-// half second, and a pace is in force a tenth of a second later.
+// settleTime is how long figures take to show a change of pace: they cover the last half second, and a pace
+// takes effect a tenth of a second after its order.
 const settleTime = 700 * time.Millisecond
 
-// throttle changes the pace of filling tasks where loads are too high, and gives speed
-// back where they are low.
+// throttle slows filler tasks down where loads are too high, and speeds them up again where loads are low.
 func (c *Core) throttle(now time.Time) {
 	for _, w := range c.order {
 		if w.fillerCPU == 0 || !w.hasSettled(now) {
@@ -43,26 +42,27 @@
 	}
 }
 
-// hasSettled tells whether the worker's figures are fresh and show the latest paces.
+// hasSettled reports whether the worker's figures are recent and reflect the latest paces.
 func (w *worker) hasSettled(now time.Time) bool {
 	return w.answered && now.Sub(w.throttledAt) >= settleTime && now.Sub(w.heard) <= settleTime
 }
 
-// hasThrottledTasks tells whether a task on the worker is below full pace.
+// hasThrottledTasks reports whether a task on the worker is below full pace.
 func (w *worker) hasThrottledTasks() bool {
 	return slices.ContainsFunc(w.tasks, func(t *task) bool { return t.pace < jobs.FullSpeed })
 }
 
-// filler is a filling task with the load it adds to a serving task at full pace.
+// filler is a filler task with the load that it adds to a serving task at full pace.
 type filler struct {
 	*task
 	adds float64
 }
 
-// addsNow is the load that the task adds at its pace.
+// addsNow returns the load that the task adds at its current pace.
 func (f filler) addsNow() float64 { return f.adds * float64(f.pace) / float64(jobs.FullSpeed) }
 
-// paceWithout is the pace at which the task adds so much less; 0 when it adds no more.
+// paceWithout returns the pace at which the task adds less load by excess; 0 if the task adds no more than
+// that.
 func (f filler) paceWithout(excess float64) jobs.Percent {
 	adds := f.addsNow()
 	if adds <= excess {
@@ -71,7 +71,7 @@
 	return jobs.Percent(float64(f.pace) * (1 - excess/adds))
 }
 
-// gainWithin is by how much the task's pace may rise where so much load may be added.
+// gainWithin returns by how much the task's pace may rise if the load may rise by left.
 func (f filler) gainWithin(left float64) jobs.Percent {
 	if f.adds <= 0 {
 		return jobs.FullSpeed
@@ -79,8 +79,8 @@
 	return jobs.Percent(min(1, max(0, left/f.adds)) * float64(jobs.FullSpeed))
 }
 
-// fillers are the worker's running filling tasks with what they add to a serving image,
-// those that add most first.
+// fillers returns the worker's running filler tasks with the load that they add to a serving image, the largest
+// first.
 func (c *Core) fillers(w *worker, serving jobs.ImageName) []filler {
 	var list []filler
 	service := c.model.Service(serving)
@@ -95,8 +95,8 @@
 	return list
 }
 
-// mostOverTarget gives the worker's serving image whose load, seen or expected, is most over that
-// at its target, and by how much; below zero it is under it.
+// mostOverTarget returns the worker's serving image whose load, reported or predicted, exceeds its target load
+// the most, and the excess; a negative excess means that the load is below the target.
 func (c *Core) mostOverTarget(w *worker, caution float64) (image jobs.ImageName, excess float64) {
 	excess = math.Inf(-1)
 	for _, s := range c.expectedLoads(w) {
@@ -107,13 +107,12 @@
 	return image, excess
 }
 
-// maxOverTarget is for how long a tail may be seen over its target before all filling beside
-// it is throttled to a standstill. The users count harm after four seconds; a report may
-// show it one second late, and the next one, and the pace it leads to, take half a second
-// each.
+// maxOverTarget is how long a tail latency may be reported over its target before all filler tasks beside it
+// are halted. The users count harm after four seconds; a report may show the excess one second late, and the
+// next report, and the pace order that follows, take half a second each.
 const maxOverTarget = 1200 * time.Millisecond
 
-// haltFillers throttles all filling tasks of the worker to a standstill.
+// haltFillers throttles all filler tasks of the worker to a halt.
 func (c *Core) haltFillers(w *worker, now time.Time) {
 	for _, t := range w.tasks {
 		if t.step.spec.Fills && t.state == taskRunning {
@@ -122,11 +121,11 @@
 	}
 }
 
-// minRelief is the least load at full pace for which a task is worth throttling.
+// minRelief is the smallest load at full pace that makes a task worth throttling.
 const minRelief = 0.01
 
-// slowDown throttles or moves filling tasks, those that add most first, until the highest
-// load is what throttling aims at.
+// slowDown throttles or moves filler tasks, those that add the most load first, until the highest load meets
+// the aim of throttling.
 func (c *Core) slowDown(w *worker, now time.Time) {
 	image, excess := c.mostOverTarget(w, aimCaution)
 	list := c.fillers(w, image)
@@ -144,22 +143,22 @@
 	}
 }
 
-// moveTask stops a task that has a place on another worker.
+// moveTask stops a task that can continue on another worker.
 func (c *Core) moveTask(w *worker, t *task, now time.Time) {
-	c.stop(t, "it goes on on a worker with room")
+	c.stop(t, "it can continue on a worker with free capacity")
 	w.throttledAt = now
 	w.expectedValid = false
 }
 
 const (
-	// moveBelow is a pace at which a task is better moved: a stop, a report and the restart
-	// from a checkpoint take about a second.
+	// moveBelow is the pace below which moving a task is better than throttling it: a stop, a report and the
+	// restart from a checkpoint take about a second.
 	moveBelow jobs.Percent = 40
-	// moveAfter is how long a task must have run to be moved, so that none goes in circles.
+	// moveAfter is how long a task must have run before it is moved, so that it does not move repeatedly.
 	moveAfter = 700 * time.Millisecond
 )
 
-// canMove tells whether a task can go on at full pace on another worker.
+// canMove reports whether the task can continue at full pace on another worker.
 func (c *Core) canMove(w *worker, t *task, now time.Time) bool {
 	if !t.step.spec.Checkpoints || now.Sub(t.began) < moveAfter {
 		return false
@@ -172,14 +171,14 @@
 	return false
 }
 
-// speedUp gives speed back to throttled tasks, those that add least first.
+// speedUp raises the paces of throttled tasks, those that add the least load first.
 func (c *Core) speedUp(w *worker, now time.Time) {
 	image, _ := c.mostOverTarget(w, aimCaution)
 	for _, f := range slices.Backward(c.fillers(w, image)) {
 		if f.pace >= jobs.FullSpeed {
 			continue
 		}
-		_, excess := c.mostOverTarget(w, aimCaution) // as raised so far
+		_, excess := c.mostOverTarget(w, aimCaution) // with the paces raised so far
 		pace := f.pace + f.gainWithin(-excess)
 		c.setPace(w, f.task, min(jobs.FullSpeed, pace), now)
 	}
--- a/services/dispatch/time_of_day.go
+++ b/services/dispatch/time_of_day.go
@@ -9,12 +9,12 @@
 	"rillsail.example/rillsail/models"
 )
 
-// The times that an owner gives count the suspensions of its VM (modules/clock), so that the time
-// of day which they show is ahead by those. What is stored, shown or due is the time of day. It is
-// asked for now only, and told of other times by how far they are from now: one from before a
-// suspension shows it without that suspension.
+// The times that an owner passes to the Core include the suspensions of its VM (modules/clock), so the time of
+// day that they show is ahead by the time spent suspended. Times that are stored, shown or due are times of
+// day. The time of day is queried for now only; other times are converted by their distance from now. A time
+// before a suspension is therefore converted without that suspension.
 
-// timeOfDay is the time of day now.
+// timeOfDay returns the current time of day.
 func (c *Core) timeOfDay(now time.Time) models.UnixMilli {
 	if c.config.TimeOfDay == nil {
 		return models.UnixMilliOf(now)
@@ -22,12 +22,12 @@
 	return c.config.TimeOfDay(now)
 }
 
-// timeOfDayThen is the time of day at another time of the owner.
+// timeOfDayThen returns the time of day at another time of the owner.
 func (c *Core) timeOfDayThen(then, now time.Time) models.UnixMilli {
 	return c.timeOfDay(now) + models.UnixMilli(then.Sub(now)/time.Millisecond)
 }
 
-// timeAt is the time of the owner at a time of day.
+// timeAt returns the owner's time at a time of day.
 func (c *Core) timeAt(then models.UnixMilli, now time.Time) time.Time {
 	return now.Add(time.Duration(then-c.timeOfDay(now)) * time.Millisecond)
 }
--- a/services/dispatch/urgency.go
+++ b/services/dispatch/urgency.go
@@ -10,15 +10,15 @@
 	"rillsail.example/rillsail/modules/compare"
 )
 
-// longRunningYield is for how long past its objective a task that lasts leaves room to ordinary
-// work of its priority that may still end in time: that takes the room for a second, the
-// other one for a minute.
+// longRunningYield is how long past its objective a long-running task still yields capacity to ordinary work of
+// its priority that can meet its objective: ordinary work takes the capacity for a second, the long-running
+// task for a minute.
 const longRunningYield = 10_000 // milliseconds
 
-// urgency is when a step's tasks come in the order of placement; lower comes first.
+// urgency determines the order in which steps' tasks are placed; lower comes first.
 type urgency struct {
 	priority int
-	late     bool // it can't end in time any more, or lasts and still leaves room to short work
+	late     bool // it can't meet its objective any more, or is long-running and still yields capacity to short work
 	due      models.UnixMilli
 }
 
@@ -27,7 +27,7 @@
 	return cmp.Or(cmp.Compare(u.priority, o.priority), compare.Bool(u.late, o.late), cmp.Compare(u.due, o.due))
 }
 
-// urgency gives the urgency of an open step.
+// urgency returns the urgency of an opened step.
 func (c *Core) urgency(s *step, now models.UnixMilli) urgency {
 	u := urgency{priority: c.terms(s.job).Priority, due: c.deadline(s.job)}
 	if s.spec.Lasts {
@@ -38,7 +38,7 @@
 	return u
 }
 
-// remainingEstimate estimates the longest chain from a step to its job's end.
+// remainingEstimate returns the longest chain of estimates from the step to the end of its job.
 func (c *Core) remainingEstimate(s *step) models.Milli {
 	steps := s.job.spec.Steps
 	longest := make([]models.Milli, len(steps))
--- a/services/dispatch/worker.go
+++ b/services/dispatch/worker.go
@@ -15,79 +15,79 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// silentAfter is when a worker that doesn't answer gets no new tasks: somewhat more than
-// the longest wait of a report with its way.
+// silentAfter is how long after its last report a worker gets no new tasks: slightly longer than the longest
+// wait of a report plus its transmission.
 const silentAfter = 2500 * time.Millisecond
 
 // worker is one incarnation of a worker of the cell.
 type worker struct {
 	info            jobs.Worker
-	fence           jobs.Fence // of all calls to it
-	listed          bool
-	enrolled        bool      // the stored roster names it
-	youngStored     bool      // its young runs are stored, for its address refuses connections
-	former          bool      // a former owner's roster named it
-	retired         bool      // it was silent until nothing ran there; the roster leaves it out
-	missing         time.Time // since when the list doesn't name it; zero: it does, or was not read yet
-	leaves          time.Time // when a draining worker may leave; zero: it doesn't drain
+	fence           jobs.Fence // sent with all calls to this incarnation
+	listed          bool       // the platform's list names it
+	enrolled        bool       // the stored roster names it
+	youngStored     bool       // its young runs are stored, because its address refuses connections
+	former          bool       // the roster of a previous owner named it
+	retired         bool       // left out of the roster, because it was silent until its lease was over
+	missing         time.Time  // since when the platform's list does not name it; zero: it does, or has not been read yet
+	leaves          time.Time  // when a draining worker may leave; zero: it does not drain
 	tasks           []*task
-	used            models.Resources // declared by its tasks; of filling ones the memory only
-	longRunningCPU  models.MilliCPU  // declared by those that last
-	fillerCPU       models.MilliCPU  // declared by those that fill
-	answered        bool             // reported in this epoch
-	heard           time.Time        // when the last report came
-	asked           time.Time        // when the call was sent that it answers
+	used            models.Resources // declared by its tasks; of filler tasks the memory only
+	longRunningCPU  models.MilliCPU  // declared by its long-running tasks
+	fillerCPU       models.MilliCPU  // declared by its filler tasks
+	answered        bool             // has reported in this epoch
+	heard           time.Time        // when the last report was received
+	asked           time.Time        // when the call that the last report answers was sent
 	overdue         bool             // the latest call that asked for a report was not answered
-	failed          time.Time        // when the first call after the last report turned out not to be answered; zero: none has
-	refused         bool             // that call was turned away at the worker's address
-	clock           models.Milli     // of that report
-	entry           *jobs.Worker     // what the list says of another incarnation with this id; nil: nothing
-	hurried         bool             // its next report is wanted at once
-	hurriedFor      models.UnixMilli // the start of the incarnation for whose entry it was last
-	since           time.Time        // calls that were sent before are answered by a former incarnation, if by another one
-	bornTold        bool             // that it can't be read was logged
-	reportDiscarded bool             // the latest report was not taken
-	granted         models.Milli     // the latest end of a lease that was sent, on its clock
-	renewing        bool             // the latest call that asked for a report prolongs the lease
-	renewed         bool             // the latest report answers a call that prolonged the lease
-	unwell          time.Time        // no starts before
-	avoidUntil      time.Time        // all others go before it until then
+	failed          time.Time        // when the first call since the last report was found to be unanswered; zero: none
+	refused         bool             // the worker's address refused that call's connection
+	clock           models.Milli     // the worker's clock in the last report
+	entry           *jobs.Worker     // the list's entry for another incarnation with this id; nil: none
+	hurried         bool             // its next report is to be requested without wait
+	hurriedFor      models.UnixMilli // start time of the incarnation whose list entry last requested an immediate report
+	since           time.Time        // another incarnation that answers a call sent before this is an earlier one
+	bornTold        bool             // that its start time can't be read was logged
+	reportDiscarded bool             // the latest report was discarded
+	granted         models.Milli     // the latest lease end that was sent, on the worker's clock
+	renewing        bool             // the latest call that asked for a report renews the lease
+	renewed         bool             // the latest report answers a call that renewed the lease
+	unwell          time.Time        // no tasks are started until then
+	avoidUntil      time.Time        // placed last until then
 	ends            []unacknowledgedEnd
-	lastEnd         uint64 // highest number applied
-	acked           uint64 // highest number that may be forgotten
-
-	strays      map[jobs.TaskID]stray // runs that should not be there
-	reportCount uint64
-
-	speed            speed     // of its tasks, compared with the usual
-	stalledUntil     time.Time // no new tasks before
-	failedAt         time.Time
-	failedJobs       []jobs.ID // different jobs that failed here since the last success
-	throttledAt      time.Time // when a pace was last changed, or a task moved away
-	maxLoad          float64   // the highest load of a serving task, of the last report
-	maxExcess        float64   // by how much a load is over that at its target, the most of all; below zero: none is
-	averageExcess    float64   // the same of the averages of the last few reports
-	overTargetSince  time.Time // since when a tail is over its target; zero: none
-	fillersChangedAt time.Time // when what fills there, or its pace, last changed
-	trials           int       // suspects on trial there; nothing else starts meanwhile
-	keptUntil        time.Time // nothing starts before but keptFor
-	keptFor          *task     // a suspect that waits
-
-	loadExpectations []servingTask // see Core.expectedLoads
+	lastEnd         uint64 // highest end number applied
+	acked           uint64 // highest end number that the worker may forget
+
+	strays      map[jobs.TaskID]stray // runs that should not be on the worker
+	reportCount uint64                // reports applied so far
+
+	speed            speed     // of its tasks, relative to the usual speed of their queues
+	stalledUntil     time.Time // no new tasks until then, because the worker has stalled
+	failedAt         time.Time // when a run last failed here
+	failedJobs       []jobs.ID // distinct jobs of which a run failed here since the last success
+	throttledAt      time.Time // when a pace was last changed or a task moved away
+	maxLoad          float64   // the highest load of a serving task in the last report
+	maxExcess        float64   // the largest amount by which a load in the last report exceeds its target load; negative: none does
+	averageExcess    float64   // the same for the moving averages of the loads
+	overTargetSince  time.Time // since when a tail latency is over its target; zero: none is
+	fillersChangedAt time.Time // when its filler tasks or their paces last changed
+	trials           int       // suspects on trial here; nothing else starts meanwhile
+	keptUntil        time.Time // reserved until then for the task in the next field
+	keptFor          *task     // a waiting suspect
+
+	loadExpectations []servingTask // cached by Core.expectedLoads
 	expectedValid    bool
 	expectedAt       time.Time
 }
 
-// noteFailed notes that a call which asks for a report was not answered; refused says that the worker's
-// address turned it away, so that it had ended just then and not at some time before.
+// noteFailed records that a call which asks for a report was not answered. refused says that the worker's
+// address refused the connection, so that the worker had ended by then.
 func (w *worker) noteFailed(refused bool, now time.Time) {
 	if w.failed.IsZero() {
 		w.failed, w.refused = now, refused
 	}
 }
 
-// lastAlive is the latest time at which the worker may have been alive: it can have ended no
-// later than the first call turned out not to be answered.
+// lastAlive returns the latest time at which the worker may have been alive: it ended no later than when the
+// first call was found to be unanswered.
 func (w *worker) lastAlive(now time.Time) time.Time {
 	if w.failed.IsZero() {
 		return now
@@ -95,8 +95,8 @@
 	return w.failed
 }
 
-// SetWorkers takes the platform's list. Workers that are missing in it stay until they
-// are proved to run nothing.
+// SetWorkers takes the platform's list of workers. Workers that the list does not name are kept until they are
+// proved to run nothing.
 func (c *Core) SetWorkers(list []jobs.Worker, now time.Time) {
 	for _, w := range c.workers {
 		w.listed, w.entry = false, nil
@@ -108,7 +108,7 @@
 		}
 		w, known := c.workers[info.ID]
 		if !known && info.Draining {
-			continue // it gets no starts; if a former owner started something there, the roster has it
+			continue // gets no starts; if a previous owner started tasks there, the roster names it
 		}
 		if !known {
 			w = c.addWorker(info, now)
@@ -130,7 +130,7 @@
 	}
 }
 
-// forgetReplaced forgets the incarnations proved to be gone that the list names no more.
+// forgetReplaced forgets incarnations proved to have ended that the list no longer names.
 func (c *Core) forgetReplaced(list []jobs.Worker) {
 	if len(c.replaced) == 0 {
 		return
@@ -145,12 +145,12 @@
 	})
 }
 
-// takeEntry takes what the list says of the worker.
+// takeEntry applies the list's entry for the worker.
 func (c *Core) takeEntry(w *worker, info jobs.Worker, now time.Time) {
 	before, born := w.leaves, w.info.Born
 	w.info = info
 	if born != 0 || w.answered {
-		w.info.Born = born // as it says itself in its reports
+		w.info.Born = born // the worker's own reports take precedence
 	}
 	w.listed = true
 	w.missing, w.leaves = time.Time{}, time.Time{}
@@ -159,12 +159,13 @@
 	}
 	w.leaves = now.Add(info.Remaining)
 	if !before.IsZero() && before.Before(w.leaves) {
-		w.leaves = before // the entry is older than what was known, as after an outage of the store
+		w.leaves = before // the entry is older than what is known, for example after an outage of the store
 	}
 	w.info.Leaves = c.rosterLeaveTime(w, now)
 }
 
-// rosterLeaveTime is when a draining worker may leave, as the roster says it; 0: it does not drain.
+// rosterLeaveTime returns the time of day at which a draining worker may leave, as stored in the roster; 0 if
+// the worker does not drain.
 func (c *Core) rosterLeaveTime(w *worker, now time.Time) models.UnixMilli {
 	if w.leaves.IsZero() {
 		return 0
@@ -172,7 +173,7 @@
 	return c.timeOfDayThen(w.leaves, now)
 }
 
-// addWorker takes a worker that was not known; it gets tasks once it is enrolled.
+// addWorker adds a worker that was not known. It gets tasks once the stored roster names it.
 func (c *Core) addWorker(info jobs.Worker, now time.Time) *worker {
 	c.workersAdded++
 	w := &worker{info: info, fence: c.config.Epoch.Fence(c.workersAdded), heard: now, strays: map[jobs.TaskID]stray{}}
@@ -185,7 +186,7 @@
 	return w
 }
 
-// Workers gives the workers that have to be called.
+// Workers returns the workers to be called.
 func (c *Core) Workers() []jobs.Worker {
 	list := make([]jobs.Worker, 0, len(c.order))
 	for _, w := range c.order {
@@ -194,7 +195,7 @@
 	return list
 }
 
-// Worker gives what is known of the worker that has an id now; it is empty when there is none.
+// Worker returns the worker that has the id now, or an empty one when there is none.
 func (c *Core) Worker(id jobs.WorkerID) jobs.Worker {
 	if w, ok := c.workers[id]; ok {
 		return w.info
@@ -202,15 +203,14 @@
 	return jobs.Worker{}
 }
 
-// A worker on which so many different jobs failed one after the other, with no success
-// between them, is left alone for a while: one job in fifty fails by its own fault, so
-// three by chance are rare.
+// A worker gets no tasks for failingPause when this many different jobs failed on it in a row without a success
+// in between. One job in fifty fails by its own fault, so three in a row by chance are rare.
 const (
 	failingJobs  = 3
 	failingPause = 3 * time.Second
 )
 
-// recordFailure notes that a run of the job failed here.
+// recordFailure records that a run of the job failed here.
 func (w *worker) recordFailure(j *job, now time.Time) {
 	w.failedAt = now
 	if !slices.Contains(w.failedJobs, j.spec.ID) {
@@ -218,15 +218,15 @@
 	}
 }
 
-// isFailing tells whether the worker seems to fail whatever it is given.
+// isFailing reports whether the worker appears to fail every task that it is given.
 func (w *worker) isFailing(now time.Time) bool {
 	return len(w.failedJobs) >= failingJobs && now.Sub(w.failedAt) < failingPause
 }
 
-// usable tells whether new tasks may start on the worker.
+// usable reports whether new tasks may start on the worker.
 func (c *Core) usable(w *worker, now time.Time) bool {
 	stays := w.listed && w.enrolled && !w.info.Draining
-	heard := w.renewed && now.Sub(w.heard) < silentAfter // a start alone carries no more than startWithin
+	heard := w.renewed && now.Sub(w.heard) < silentAfter // a start by itself is valid for no longer than startWithin
 	well := !w.isFailing(now) && now.After(w.unwell) && now.After(w.stalledUntil)
 	return stays && heard && well && len(w.strays) == 0
 }
