--- a/services/dispatch/bench_test.go
+++ b/services/dispatch/bench_test.go
@@ -18,10 +18,10 @@
 	testPool = jobs.PoolName("pool")
 )
 
-// servingStep is a step that serves, alone on its worker.
+// servingStep is a step of one serving task, which uses half of a worker.
 var servingStep = jobs.Step{Count: 1, Size: models.Resources{CPU: 2000, Memory: 10}, Lasts: true, Image: "serving", Target: 100}
 
-// fillingStep is a step of one task that fills what others leave unused, for a minute.
+// fillingStep is a step of one filler task with an estimate of a minute.
 var fillingStep = jobs.Step{Count: 1, Size: models.Resources{CPU: 1000, Memory: 10}, Estimate: 60_000, Image: "filling", Fills: true}
 
 // bench is a core with workers that have answered, and a clock.
@@ -53,11 +53,11 @@
 	report.Clock = models.MilliOf(b.now.Sub(time.Unix(1_000_000, 0)))
 	b.call(n, report)
 	if w := b.workers[b.ids[n]]; w != nil && !w.renewed {
-		b.call(n, report) // the first answer has told the worker's clock
+		b.call(n, report) // the first answer told the worker's clock, so this call renews the lease
 	}
 }
 
-// call asks a worker for a report, and prolongs its lease, as an owner does all the time.
+// call asks a worker for a report and renews its lease, as an owner does continuously.
 func (b *bench) call(n int, report jobs.Report) {
 	sent := b.now.Add(-time.Millisecond)
 	b.LeaseCall(b.ids[n], time.Second, sent)
@@ -81,7 +81,7 @@
 	return starts
 }
 
-// storedStarts gives the starts of an owner whose store takes all changes at once.
+// storedStarts returns the starts of an owner whose store accepts all changes at once.
 func (b *bench) storedStarts() []StartOrder {
 	starts := b.starts()
 	b.Stored(b.TakeChanges(10, b.now), b.now)
@@ -92,7 +92,7 @@
 
 func taskOf(index int) jobs.TaskID { return jobs.TaskID{Job: testJob, Index: index} }
 
-// setInterference lets the core know for sure what a filling image adds to the serving one.
+// setInterference makes the core certain of the interference factor of a filler image on the serving image.
 func (b *bench) setInterference(filling jobs.ImageName, factor float64) {
 	b.Core.model.Restore(jobs.Knowledge{Filling: []jobs.ImageName{filling}, Factors: []jobs.ImageKnowledge{{
 		Serving: servingStep.Image, Idle: 0.2, Free: 1000, Watched: 1000 * 0.2 / 0.55, Mean: []float64{factor}, Covariance: []float64{0},
--- a/services/dispatch/core_test.go
+++ b/services/dispatch/core_test.go
@@ -50,7 +50,7 @@
 	require.Len(t, starts, 1)
 	b.now = b.now.Add(time.Second)
 	b.Started(starts[0], Result{Outcome: OutcomeRefused, Refusal: jobs.RefusedLate}, b.now)
-	require.Empty(t, b.starts(), "the next would be as late: the worker's clock is known from the same report")
+	require.Empty(t, b.starts(), "a repetition would be as late: the worker's clock is known from the same report")
 	b.now = b.now.Add(fullPause)
 	b.report(0, jobs.Report{})
 	require.Len(t, b.starts(), 1)
@@ -69,7 +69,7 @@
 		for _, s := range starts {
 			progress := jobs.Percent(2 * tick)
 			if s.Worker.ID == b.ids[0] {
-				progress = 1 // stands still
+				progress = 1 // the worker has stalled
 			}
 			index := map[jobs.WorkerID]int{b.ids[0]: 0, b.ids[1]: 1, b.ids[2]: 2}[s.Worker.ID]
 			b.report(index, jobs.Report{Running: []jobs.Run{{Task: s.Call.Task, Run: s.Call.Run, Progress: min(99, progress), Figure: 3000}}})
@@ -96,17 +96,18 @@
 		w.speed.add(0, workerSpeedWeight)
 		b.checkStalled(w, b.now)
 	}
-	require.False(t, w.stalledUntil.IsZero(), "it has stood still all the time")
+	require.False(t, w.stalledUntil.IsZero(), "the worker has stalled all the time")
 
 	w.speed, w.stalledUntil = speed{mean: 1, samples: 2 * minWorkerSamples}, time.Time{}
-	for range 7 { // nearly three seconds of one task
+	for range 7 { // samples of nearly three seconds of one task
 		w.speed.add(0, workerSpeedWeight)
 		b.checkStalled(w, b.now)
 	}
-	require.True(t, w.stalledUntil.IsZero(), "it has been well until then")
+	require.True(t, w.stalledUntil.IsZero(), "the worker was sound until then")
 }
 
-// TestSlowWorkerKeepsItsTasks: to move them costs more than it brings.
+// TestSlowWorkerKeepsItsTasks checks that a worker that is merely slow is left alone: moving its tasks costs
+// more than it gains.
 func TestSlowWorkerKeepsItsTasks(t *testing.T) {
 	b := newBench(t, 1)
 	w := b.workers[b.ids[0]]
@@ -128,11 +129,11 @@
 		b.Started(first[0], Result{Outcome: OutcomeUnknown}, b.now)
 		again := b.starts()
 		require.Len(t, again, 1)
-		require.Equal(t, first[0], again[0], "the same run is asked for again")
+		require.Equal(t, first[0], again[0], "the start of the same run is repeated")
 		b.Started(again[0], second, b.now)
 		for _, order := range b.Decide(b.now) {
 			stop, ok := order.(StopOrder)
-			require.True(t, ok, "the first call may still be done: nothing starts elsewhere")
+			require.True(t, ok, "the first call may still be carried out: nothing starts elsewhere")
 			require.Equal(t, first[0].Call.Run, stop.Call.Run)
 		}
 	}
--- a/services/dispatch/end_test.go
+++ b/services/dispatch/end_test.go
@@ -15,10 +15,10 @@
 func TestFailuresAreCountedInAnyOrder(t *testing.T) {
 	b := newBench(t, 3)
 	b.AddJob(b.job(one), jobs.Progress{}, false, b.now)
-	for n, run := range []jobs.RunID{3, 1, 2} { // the reports of three workers after a takeover
+	for n, run := range []jobs.RunID{3, 1, 2} { // reports of three workers after a takeover
 		b.report(n, jobs.Report{Ended: []jobs.Ended{{Number: 1, Task: taskOf(0), Run: run, How: jobs.EndFailed}}})
 	}
-	require.Empty(t, b.starts(), "it has no attempt left")
+	require.Empty(t, b.starts(), "the task has no attempts left")
 	changes := b.TakeChanges(10, b.now)
 	require.Len(t, changes.Jobs, 1)
 	require.Equal(t, jobs.StateFailed, changes.Jobs[0].Ended.Ended)
@@ -29,7 +29,7 @@
 	b.AddJob(b.job(one), jobs.Progress{Failed: map[int]map[int]jobs.Failures{0: {0: {7}}}}, false, b.now)
 	b.report(0, jobs.Report{Ended: []jobs.Ended{{Number: 1, Task: taskOf(0), Run: 7, How: jobs.EndFailed}}})
 	require.Len(t, b.starts(), 1, "two attempts are left")
-	require.Empty(t, b.TakeChanges(10, b.now).Jobs, "nothing new is known")
+	require.Empty(t, b.TakeChanges(10, b.now).Jobs, "the failure was stored before")
 }
 
 func TestEndsAreAcknowledgedOnceStored(t *testing.T) {
--- a/services/dispatch/expect_test.go
+++ b/services/dispatch/expect_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTasksOfAStepTellEachOthersLoad: a worker on which one task of a serving step was just
-// started knows its load from the step's other tasks.
+// TestTasksOfAStepTellEachOthersLoad checks that the load of a serving task that has just been started is
+// predicted from the other tasks of its step.
 func TestTasksOfAStepTellEachOthersLoad(t *testing.T) {
 	b := newBench(t, 2)
 	s := &step{spec: &servingStep}
--- a/services/dispatch/knowledge_test.go
+++ b/services/dispatch/knowledge_test.go
@@ -16,8 +16,8 @@
 	"rillsail.example/rillsail/services/contention"
 )
 
-// learnedBench is a core that knows that "heavy" adds 1.4 to "serving", and that its serving
-// step has a load of 0.65.
+// learnedBench returns a core that has learned that "heavy" adds 1.4 to "serving", and that its serving step
+// has a load of 0.65.
 func learnedBench(t *testing.T) *bench {
 	t.Helper()
 	b := newBench(t, 1)
@@ -33,10 +33,10 @@
 	return b
 }
 
-// factor is what the core believes that "heavy" adds to "serving".
+// factor returns the interference factor of "heavy" on "serving" that the core has learned.
 func (b *bench) factor() jobs.Learned { return b.Learned()[0] }
 
-// stored is what a successor reads of the knowledge.
+// stored returns the parameters as a successor reads them from the store.
 func stored(t *testing.T, knowledge jobs.Knowledge) jobs.Knowledge {
 	t.Helper()
 	value, err := json.Marshal(knowledge)
@@ -70,17 +70,17 @@
 	}
 	soon, later, much := spreadAfter(time.Second), spreadAfter(time.Minute), spreadAfter(time.Hour)
 	require.Less(t, soon, later)
-	require.Greater(t, soon, former.factor().Spread, "a successor trusts its own eyes more")
+	require.Greater(t, soon, former.factor().Spread, "a successor trusts its own observations more")
 	fresh := newBench(t, 1)
 	fresh.model.Service("serving")
 	fresh.model.Index("heavy")
-	require.InDelta(t, fresh.factor().Spread, much, 1e-9, "after an hour nothing is known any more")
+	require.InDelta(t, fresh.factor().Spread, much, 1e-9, "after an hour the parameters have expired")
 	successor := newBench(t, 1)
 	successor.Restore(knowledge, former.now)
 	successor.AddJob(former.job(servingStep), jobs.Progress{}, false, former.now)
 	load, _ := successor.jobs[testJob].steps[0].baseline.Predict(former.now.Add(time.Minute))
 	unknown, _ := (&contention.Load{}).Predict(former.now)
-	require.InDelta(t, unknown, load, 1e-9, "a load swings within seconds")
+	require.InDelta(t, unknown, load, 1e-9, "a load changes within seconds")
 }
 
 func TestKnowledgeIsStoredWithOtherChangesOnly(t *testing.T) {
@@ -88,7 +88,7 @@
 	b.TakeChanges(10, b.now)
 	b.now = b.now.Add(parametersInterval)
 	require.False(t, b.HasChanges())
-	require.Nil(t, b.TakeChanges(10, b.now).Knowledge, "a call of its own would cost more than it brings")
+	require.Nil(t, b.TakeChanges(10, b.now).Knowledge, "a call of its own would cost more than it gains")
 	b.change(b.jobs[testJob])
 	require.NotNil(t, b.TakeChanges(10, b.now).Knowledge)
 	b.change(b.jobs[testJob])
--- a/services/dispatch/learn.go
+++ b/services/dispatch/learn.go
@@ -124,12 +124,12 @@
 
 // settleModel takes new observations into the model's predictions once per settleInterval.
 func (c *Core) settleModel(now time.Time) {
-	passed := now.Sub(c.modelSettledAt)
-	if passed < settleInterval {
+	elapsed := now.Sub(c.modelSettledAt)
+	if elapsed < settleInterval {
 		return
 	}
 	c.modelSettledAt = now
-	c.model.Settle(min(passed, time.Second).Seconds())
+	c.model.Settle(min(elapsed, time.Second).Seconds())
 }
 
 // LearnElsewhere takes what the owner of another cell has learned.
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -87,15 +87,15 @@
 
 // advanceAck finds the last end that the worker may forget: all ends up to it are stored.
 func (c *Core) advanceAck(w *worker) {
-	kept := 0
-	for _, u := range w.ends {
-		if u.job != nil && u.job.stored < u.version {
+	acknowledged := 0
+	for _, end := range w.ends {
+		if end.job != nil && end.job.stored < end.version {
 			break
 		}
-		w.acked = max(w.acked, u.number)
-		kept++
+		w.acked = max(w.acked, end.number)
+		acknowledged++
 	}
-	w.ends = w.ends[kept:]
+	w.ends = w.ends[acknowledged:]
 }
 
 // lapsed returns when everything on the worker has certainly been ended by the worker's own clock.
@@ -108,8 +108,8 @@
 	if !w.answered {
 		return c.formerLapsed()
 	}
-	left := time.Duration(float64((w.granted - w.clock).Duration()) * slowClock)
-	return w.heard.Add(max(left, 0) + clockMargin)
+	remaining := time.Duration(float64((w.granted - w.clock).Duration()) * slowClock)
+	return w.heard.Add(max(remaining, 0) + clockMargin)
 }
 
 // lateOrder is the longest time after which an unanswered order may still be carried out, as the users'
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -13,9 +13,9 @@
 // Load returns how full the cell is: the resources declared by its tasks, waiting ones included, relative to
 // the capacity of its usable workers.
 func (c *Core) Load(now time.Time) jobs.CellLoad {
-	var room, used, filling, capacity models.MilliCPU
+	var declared, used, filling, capacity models.MilliCPU
 	for _, w := range c.order {
-		room += w.used.CPU
+		declared += w.used.CPU
 		used += w.used.CPU - models.MilliCPU((1-longRunningUse)*float64(w.longRunningCPU))
 		filling += w.fillerCPU
 		if c.usable(w, now) {
@@ -27,10 +27,10 @@
 		if s.spec.Fills {
 			filling += waiting
 		} else {
-			room += waiting
+			declared += waiting
 			used += waiting
 		}
 	}
-	whole := float64(max(1, capacity))
-	return jobs.CellLoad{Room: float64(room) / whole, Filling: float64(used+filling) / whole, Capacity: capacity}
+	divisor := float64(max(1, capacity))
+	return jobs.CellLoad{Room: float64(declared) / divisor, Filling: float64(used+filling) / divisor, Capacity: capacity}
 }
--- a/services/dispatch/move_test.go
+++ b/services/dispatch/move_test.go
@@ -14,10 +14,10 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// oversizedStep is a step whose task finds room on no worker.
+// oversizedStep is a step whose tasks fit on no worker.
 var oversizedStep = jobs.Step{Count: 2, Size: models.Resources{CPU: 5000, Memory: 100}, Estimate: 500}
 
-// stuckJob adds a job for which there is no place, and waits until it may be moved.
+// stuckJob adds a job that fits on no worker, and waits until the job may be moved.
 func (b *bench) stuckJob(fresh bool, steps ...jobs.Step) {
 	record := b.job(steps...)
 	record.Version = 10
@@ -56,12 +56,12 @@
 	b.stuckJob(true, oversizedStep)
 	move := b.Movable(10, b.now)[0]
 	require.True(t, b.BeginMove(move))
-	require.False(t, b.BeginMove(move), "it is on its way already")
+	require.False(t, b.BeginMove(move), "the move has already begun")
 	b.workers["w0"].info.Capacity.CPU = 20_000
 	require.Empty(t, b.starts())
 	b.KeepMove(move, false)
 	b.now = b.now.Add(scanPause + time.Millisecond)
-	require.Len(t, b.starts(), 2, "it has not moved after all")
+	require.Len(t, b.starts(), 2, "the move was cancelled")
 }
 
 func TestRunOfATaskThatMovesIsStopped(t *testing.T) {
@@ -74,8 +74,8 @@
 	require.IsType(t, StopOrder{}, orders[0])
 }
 
-// movedOut is a core that has handed one of two lasting tasks to another cell, and the
-// record that the store holds since then.
+// movedOut returns a core that has handed one of two long-running tasks to another cell, and the record that
+// the store holds since then.
 func movedOut(t *testing.T) (*bench, jobs.Record) {
 	t.Helper()
 	b := newBench(t, 1)
@@ -96,7 +96,7 @@
 	old.Version = 10
 	b.AddJob(old, jobs.Progress{}, true, b.now)
 	b.AddJob(record, jobs.Progress{}, true, b.now)
-	require.Nil(t, b.find(taskOf(0)), "it is elsewhere")
+	require.Nil(t, b.find(taskOf(0)), "the task is in another cell")
 	require.NotNil(t, b.find(taskOf(1)))
 }
 
@@ -109,7 +109,7 @@
 	b.now = b.now.Add(scanPause + time.Millisecond)
 	starts := b.starts()
 	require.Len(t, starts, 2)
-	require.Greater(t, starts[0].Call.Run, jobs.RunID(1<<40), "above the runs in the other cell")
+	require.Greater(t, starts[0].Call.Run, jobs.RunID(1<<40), "above the run ids of the other cell")
 }
 
 func TestJobThatLeftIsNotTakenAgainFromAnOldRecord(t *testing.T) {
@@ -119,7 +119,7 @@
 	require.True(t, b.BeginMove(move))
 	b.Moved(move, 11)
 	_, known := b.State(testJob)
-	require.False(t, known, "the other cell knows it")
+	require.False(t, known, "the job is in the other cell")
 	old := b.job(oversizedStep)
 	old.Version = 10
 	b.AddJob(old, jobs.Progress{}, true, b.now)
@@ -135,7 +135,7 @@
 	b.Enrol(jobs.Roster{Workers: b.Workers()}, b.now)
 	b.AddJob(record, jobs.Progress{}, true, b.now)
 	b.report(0, jobs.Report{})
-	require.Empty(t, b.starts(), "a former owner may have started the first task on the other worker")
+	require.Empty(t, b.starts(), "a previous owner may have started the first task on the other worker")
 	b.report(1, jobs.Report{})
 	require.Len(t, b.starts(), 2)
 }
@@ -156,7 +156,7 @@
 	labelled.Step.Requires = "fast"
 	require.Equal(t, []int{0, 0}, b.Places([]jobs.Demand{elsewhere, labelled}, b.now))
 	b.now = b.now.Add(time.Minute)
-	require.Equal(t, []int{0}, b.Places([]jobs.Demand{of(1000, 1, 0)}, b.now), "no worker has been heard of")
+	require.Equal(t, []int{0}, b.Places([]jobs.Demand{of(1000, 1, 0)}, b.now), "no worker has reported recently")
 }
 
 func TestJobIsHeldForAShortWhileOnly(t *testing.T) {
@@ -166,10 +166,10 @@
 		b.AddJob(b.job(jobs.Step{Count: 5, Size: one.Size, Estimate: 500}), jobs.Progress{}, true, b.now)
 		b.report(0, jobs.Report{})
 		if !others {
-			require.Len(t, b.starts(), 4, "nobody else can run it")
+			require.Len(t, b.starts(), 4, "no other cell can run it")
 			continue
 		}
-		require.Empty(t, b.starts(), "four of five tasks find a place")
+		require.Empty(t, b.starts(), "only four of five tasks fit")
 		require.True(t, b.TakeHeld())
 		require.Len(t, b.Movable(10, b.now), 1)
 		b.now = b.now.Add(maxHold + time.Millisecond)
@@ -215,7 +215,7 @@
 	b.Enrol(jobs.Roster{Workers: b.Workers()}, b.now)
 	b.AddJob(b.job(jobs.Step{Count: 5, Size: one.Size, Estimate: 500}), jobs.Progress{}, true, b.now)
 	b.report(0, jobs.Report{})
-	require.Len(t, b.starts(), 4, "nothing is offered then")
+	require.Len(t, b.starts(), 4, "nothing is offered while the cell recovers")
 }
 
 func TestMoveThatFailedIsTriedAgainUnlessForGood(t *testing.T) {
@@ -245,11 +245,12 @@
 	record.Version = 11
 	require.False(t, b.StillMoving(move, record))
 	b.KeepMove(move, false)
-	require.Nil(t, b.find(taskOf(0)), "the other cell has it")
+	require.Nil(t, b.find(taskOf(0)), "the task is in the other cell")
 }
 
-// TestWorkerKeptForASuspectIsNoPlaceForOthers: its cell said that work of another cell had a place
-// there. The work came, found none, and was offered back after 0.4 s, again and again.
+// TestWorkerKeptForASuspectIsNoPlaceForOthers guards against offering capacity that is reserved for a suspect
+// to another cell: the work that came for it could not be placed, and was offered back after 0.4 s, again and
+// again.
 func TestWorkerKeptForASuspectIsNoPlaceForOthers(t *testing.T) {
 	b := newBench(t, 1)
 	b.report(0, jobs.Report{})
@@ -261,11 +262,11 @@
 	require.Equal(t, []int{0}, b.Places([]jobs.Demand{demand}, b.now))
 }
 
-// TestAllWaitingWorkIsOfferedInTurn tells of a task that lasts and waited in its cell for 9 s, while
-// the other one had a place for it. Some sixty jobs waited beside it, eight are offered at a time,
-// and a job may be offered again after 0.4 s: the sixteen most urgent were offered in turn, found no
-// place for what they ask for, and the others were never offered. What showed it: in those 9 s the lines
-// "work is handed to another cell" name the same few jobs, with 4.4 to 20.6 s without a place.
+// TestAllWaitingWorkIsOfferedInTurn guards against offering only the most urgent work to other cells. Of some
+// sixty waiting jobs eight were offered at a time, each again after 0.4 s: the sixteen most urgent, which no
+// cell could place, took turns, and a long-running task that the other cell could have placed waited for 9 s.
+// In the log, "work is handed to another cell" then names the same few jobs, with 4.4 to 20.6 s without a
+// place.
 func TestAllWaitingWorkIsOfferedInTurn(t *testing.T) {
 	const waiting, atOnce = 20, 3
 	b := newBench(t, 1)
--- a/services/dispatch/outcome.go
+++ b/services/dispatch/outcome.go
@@ -29,8 +29,8 @@
 		c.handleUnsent(t)
 		return
 	}
-	known := result.Outcome == OutcomeDone || result.Outcome == OutcomeRefused && result.Refusal == jobs.RefusedRun
-	if t.retried && !known {
+	outcomeKnown := result.Outcome == OutcomeDone || result.Outcome == OutcomeRefused && result.Refusal == jobs.RefusedRun
+	if t.retried && !outcomeKnown {
 		w.avoidUntil = now.Add(avoidPause)
 		c.stop(t, "its first start has no answer, and the second was not carried out")
 		return
--- a/services/dispatch/reserve.go
+++ b/services/dispatch/reserve.go
@@ -53,8 +53,8 @@
 		taken += w.used.CPU - w.longRunningCPU
 	}
 	current := float64(taken + c.waitingShortCPU())
-	fades := min(1, elapsed.Seconds()/demandWindow.Seconds())
-	s.demand = max(current, s.demand+fades*(current-s.demand))
+	fade := min(1, elapsed.Seconds()/demandWindow.Seconds())
+	s.demand = max(current, s.demand+fade*(current-s.demand))
 	s.at = now
 }
 
@@ -75,8 +75,8 @@
 	if now.Sub(t.waits) >= shortReserveTime {
 		return true
 	}
-	left := min(shortReserveFactor*c.shortWork.demand, maxShortReserve*float64(c.shortWork.capacity))
-	return float64(c.shortWork.free-t.step.spec.Size.CPU) >= left
+	reserve := min(shortReserveFactor*c.shortWork.demand, maxShortReserve*float64(c.shortWork.capacity))
+	return float64(c.shortWork.free-t.step.spec.Size.CPU) >= reserve
 }
 
 // takeShortCapacity deducts a starting long-running task from the capacity available to short work.
--- a/services/dispatch/reserve_test.go
+++ b/services/dispatch/reserve_test.go
@@ -13,12 +13,12 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// The pattern: workers leave at short notice, all tasks that last and were there look for
-// another place at once, and short jobs go on coming. The figures are those of the users' days
-// in small: of each worker's room tasks that last take three quarters, short work an eighth, and a
-// quarter of the workers leaves.
+// The scenario: workers leave at short notice, all their long-running tasks look for another worker at once,
+// and short jobs keep arriving. The proportions are those of the users' days, scaled down:
+// long-running tasks take three quarters of each worker, short work takes an eighth, and a quarter of the
+// workers leaves.
 
-// shortage is a core of four workers with tasks that last on all of them and short work.
+// shortage is a core of four workers with long-running tasks on all of them, and short work.
 type shortage struct {
 	*bench
 	t         *testing.T
@@ -27,7 +27,7 @@
 
 const (
 	lastingID = testJob
-	// each worker of the bench has 4000 thousandths of a core
+	// in thousandths of a core, of which each worker of the bench has 4000
 	lastingCPU = 1000
 	shortCPU   = 1000
 )
@@ -60,7 +60,7 @@
 	return n
 }
 
-// addShortJob adds a short job of so many tasks.
+// addShortJob adds a short job with the given number of tasks.
 func (s *shortage) addShortJob(tasks int) jobs.ID {
 	s.shortJobs++
 	record := s.job(jobs.Step{Count: tasks, Size: models.Resources{CPU: shortCPU, Memory: 10}, Estimate: 800})
@@ -69,7 +69,7 @@
 	return record.Spec.ID
 }
 
-// advance lets time pass in which the workers report what runs, and places what waits.
+// advance lets time pass while the workers report what runs, and starts what can be placed.
 func (s *shortage) advance(passed time.Duration) {
 	for end := s.now.Add(passed); s.now.Before(end); {
 		for n := range s.ids {
@@ -83,7 +83,7 @@
 	}
 }
 
-// rows are the runs on a worker as it reports them.
+// rows returns the runs on a worker as the worker reports them.
 func (s *shortage) rows(w *worker) []jobs.Run {
 	var rows []jobs.Run
 	for _, t := range w.tasks {
@@ -92,8 +92,8 @@
 	return rows
 }
 
-// TestTasksThatLostTheirWorkerLeaveRoomToShortWork lets a worker go that tasks that last had
-// filled. Of the three that are left two are full of them, and short work has half of the third.
+// TestTasksThatLostTheirWorkerLeaveRoomToShortWork loses a worker that was filled with long-running tasks. Of
+// the three remaining workers two are full of long-running tasks, and short work uses half of the third.
 func TestTasksThatLostTheirWorkerLeaveRoomToShortWork(t *testing.T) {
 	s := newShortage(t)
 	first := s.addShortJob(2)
@@ -103,15 +103,15 @@
 	lost := 12 - s.running(lastingID)
 	require.Positive(t, lost)
 	s.advance(time.Second)
-	require.Less(t, s.running(lastingID), 12, "they don't take all room that is left")
+	require.Less(t, s.running(lastingID), 12, "they don't take all remaining capacity")
 	second := s.addShortJob(1)
 	s.advance(400 * time.Millisecond)
-	require.Equal(t, 1, s.running(second), "short work that comes finds a place")
+	require.Equal(t, 1, s.running(second), "short work that arrives is placed")
 	s.advance(shortReserveTime)
-	require.Greater(t, s.running(lastingID), 12-lost, "they have waited for long enough")
+	require.Greater(t, s.running(lastingID), 12-lost, "they have waited long enough")
 }
 
-// TestTasksThatLastTakeRoomThatNobodyElseNeeds loses a worker when there is no short work.
+// TestTasksThatLastTakeRoomThatNobodyElseNeeds loses a worker while there is no short work.
 func TestTasksThatLastTakeRoomThatNobodyElseNeeds(t *testing.T) {
 	s := newShortage(t)
 	s.Replaced(s.ids[0], s.now)
@@ -119,7 +119,8 @@
 	require.Equal(t, 12, s.running(lastingID))
 }
 
-// TestDemandOfShortWorkIsForgotten: room is left for as long as it may be needed again.
+// TestDemandOfShortWorkIsForgotten checks that capacity is left to short work only as long as it may be needed
+// again.
 func TestDemandOfShortWorkIsForgotten(t *testing.T) {
 	s := newShortage(t)
 	s.shortWork.demand = 4000
@@ -130,9 +131,9 @@
 	require.Less(t, s.shortWork.demand, 200.0)
 }
 
-// TestRoomLeftToShortWorkIsOfferedToOtherCells: a task of another cell that found no place there
-// has waited, and may not be kept from the only room that there is. With the room kept back from
-// it as well, tasks that had lost their workers waited for 15 s.
+// TestRoomLeftToShortWorkIsOfferedToOtherCells guards against withholding capacity left to short work from
+// tasks of other cells. Such a task has already waited in its cell, and this capacity may be all there is:
+// tasks that had lost their workers waited for 15 s.
 func TestRoomLeftToShortWorkIsOfferedToOtherCells(t *testing.T) {
 	s := newShortage(t)
 	s.addShortJob(2)
@@ -144,7 +145,8 @@
 	require.Equal(t, []int{1}, s.Places([]jobs.Demand{demand}, s.now))
 }
 
-// TestTaskThatLeavesRoomIsNotOfferedToOtherCells: it has a place here, once it has waited.
+// TestTaskThatLeavesRoomIsNotOfferedToOtherCells checks that a task that waits in favour of short work is not
+// offered to other cells, since it can be placed here after its wait.
 func TestTaskThatLeavesRoomIsNotOfferedToOtherCells(t *testing.T) {
 	s := newShortage(t)
 	s.addShortJob(2)
@@ -157,12 +159,11 @@
 	}
 }
 
-// TestTaskFromAnotherCellDoesNotWaitAnew tells of a task that lasts and had lost its worker. Its cell
-// was full for 11 s; another one that had room left to short work said that it had a place, and got
-// the task, which waited there for 5 s more. Callers saw it not run while there was room for it. Why:
-// a task that lasts leaves room to short work for 5 s from when it begins to wait, and one that came
-// with the first record of its job in a cell was taken for new there. What showed it: "work is handed
-// to another cell" and the task's "run starts", 5.004 s later, with no line between.
+// TestTaskFromAnotherCellDoesNotWaitAnew guards against a long-running task that leaves capacity to short work
+// for 5 s in each cell it comes to. One that had lost its worker waited 11 s in its full cell, then 5 s more in
+// the cell that took it, because a task in the first record of its job in a cell was treated as new. Its
+// callers saw the task not run while there was capacity for it. In the log, "work is handed to another cell"
+// and the task's "run starts" are then 5.004 s apart, with no line between.
 func TestTaskFromAnotherCellDoesNotWaitAnew(t *testing.T) {
 	s := newShortage(t)
 	s.addShortJob(2)
--- a/services/dispatch/room_test.go
+++ b/services/dispatch/room_test.go
@@ -12,8 +12,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// TestRoomOfAWorkerFollowsTheList: a worker says that it has less room, or more again. Nothing
-// starts over what it has; what is being stopped counts until its end is reported.
+// TestRoomOfAWorkerFollowsTheList checks that nothing is started beyond a worker's capacity when the list says
+// that the capacity shrinks and grows. Tasks that are being stopped count until their ends are reported.
 func TestRoomOfAWorkerFollowsTheList(t *testing.T) {
 	b := newBench(t, 1)
 	step := one
@@ -21,7 +21,7 @@
 	b.AddJob(b.job(step), jobs.Progress{}, true, b.now)
 	b.report(0, jobs.Report{})
 	starts := b.storedStarts()
-	require.Len(t, starts, 4, "all that it has room for")
+	require.Len(t, starts, 4, "all that fit on the worker")
 	for _, start := range starts {
 		b.Started(start, Result{Outcome: OutcomeDone}, b.now)
 	}
@@ -39,11 +39,11 @@
 	}
 	say(2000)
 	b.report(0, jobs.Report{Running: rows(1), Ended: []jobs.Ended{{Number: 1, Task: starts[0].Call.Task, Run: starts[0].Call.Run, How: jobs.EndSucceeded}}})
-	require.Empty(t, b.starts(), "three run where there is room for two")
-	b.stop(b.find(starts[1].Call.Task), "a test stops it")
+	require.Empty(t, b.starts(), "three tasks run where two fit")
+	b.stop(b.find(starts[1].Call.Task), "stopped by the test")
 	b.report(0, jobs.Report{Running: rows(1)})
-	require.Empty(t, b.starts(), "what is being stopped counts")
+	require.Empty(t, b.starts(), "a task that is being stopped counts")
 	say(4000)
-	b.report(0, jobs.Report{Running: rows(1)}) // a look for places is due again
-	require.Len(t, b.starts(), 1, "room that is back is used")
+	b.report(0, jobs.Report{Running: rows(1)}) // the backoff of the search for workers is over
+	require.Len(t, b.starts(), 1, "regained capacity is used")
 }
--- a/services/dispatch/speed.go
+++ b/services/dispatch/speed.go
@@ -55,12 +55,12 @@
 		t.sampledAt, t.sampledProgress = now, progress
 		return
 	}
-	apart := now.Sub(t.sampledAt)
-	if apart < speedSampleInterval {
+	interval := now.Sub(t.sampledAt)
+	if interval < speedSampleInterval {
 		return
 	}
 	worked := float64(progress-t.sampledProgress) / float64(jobs.FullSpeed) * float64(spec.Estimate.Duration())
-	sample := worked / float64(apart)
+	sample := worked / float64(interval)
 	t.sampledAt, t.sampledProgress = now, progress
 	usual := c.queueSpeed(t.step.job.spec.Queue)
 	usual.add(sample, queueSpeedWeight)
--- a/services/dispatch/suspended_test.go
+++ b/services/dispatch/suspended_test.go
@@ -13,14 +13,14 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// TestTimesOfDayAreToldFromNow: what was known before the VM was suspended was written with what is
-// counted now, so that the roster said too early by the suspension when a worker leaves. A successor
-// that doesn't reach the worker would count it as gone while it still runs all that it has.
+// TestTimesOfDayAreToldFromNow guards against converting times of the owner to times of day without its VM's
+// suspensions: the roster then named a leave time of a draining worker that was too early by the suspension,
+// and a successor that could not reach the worker counted it as lost while all its tasks were still running.
 func TestTimesOfDayAreToldFromNow(t *testing.T) {
 	const day = models.UnixMilli(7_000_000)
 	b := newBench(t, 1)
 	b.config.TimeOfDay = func(now time.Time) models.UnixMilli {
-		require.Equal(t, b.now, now, "another time than now")
+		require.Equal(t, b.now, now, "only the time of day now may be queried")
 		return day
 	}
 	info := b.workers[b.ids[0]].info
--- a/services/dispatch/throttle.go
+++ b/services/dispatch/throttle.go
@@ -71,12 +71,12 @@
 	return jobs.Percent(float64(f.pace) * (1 - excess/adds))
 }
 
-// gainWithin returns by how much the task's pace may rise if the load may rise by left.
-func (f filler) gainWithin(left float64) jobs.Percent {
+// gainWithin returns by how much the task's pace may rise if the load may rise by allowance.
+func (f filler) gainWithin(allowance float64) jobs.Percent {
 	if f.adds <= 0 {
 		return jobs.FullSpeed
 	}
-	return jobs.Percent(min(1, max(0, left/f.adds)) * float64(jobs.FullSpeed))
+	return jobs.Percent(min(1, max(0, allowance/f.adds)) * float64(jobs.FullSpeed))
 }
 
 // fillers returns the worker's running filler tasks with the load that they add to a serving image, the largest
--- a/services/dispatch/throttle_test.go
+++ b/services/dispatch/throttle_test.go
@@ -47,7 +47,7 @@
 	tail(150)
 	last, orders := paces()
 	require.Positive(t, orders, "the tail is over its target")
-	require.Equal(t, jobs.FullSpeed, last, "and far below it afterwards")
+	require.Equal(t, jobs.FullSpeed, last, "and far below the target afterwards")
 }
 
 func TestOutcomeOfAnOlderOrderChangesNoPace(t *testing.T) {
@@ -71,9 +71,9 @@
 	require.Equal(t, now, running.pace)
 }
 
-// TestThrottledRunIsGivenSpeedBackByASuccessor holds what seed 202 of the soak found: a
-// former owner had throttled a run to a standstill, and its successor took it to be at full
-// pace for ever.
+// TestThrottledRunIsGivenSpeedBackByASuccessor guards against a successor that assumes full pace for a run that
+// the previous owner had throttled to a halt: the run then never progressed again. Found by the soak with seed
+// 202.
 func TestThrottledRunIsGivenSpeedBackByASuccessor(t *testing.T) {
 	b := newBench(t, 1)
 	filling := jobs.Step{Count: 2, Size: models.Resources{CPU: 1000, Memory: 10}, Estimate: 60_000, Image: "filling", Fills: true}
@@ -84,17 +84,17 @@
 		b.report(0, jobs.Report{Running: []jobs.Run{stands, works}})
 		for _, order := range b.Decide(b.now) {
 			pace, ok := order.(PaceOrder)
-			require.True(t, ok, "nothing else is to be done")
-			require.Equal(t, stands.Task, pace.Call.Task, "the other one works at full pace")
+			require.True(t, ok, "only pace orders are needed")
+			require.Equal(t, stands.Task, pace.Call.Task, "the other run is at full pace")
 			require.Equal(t, jobs.FullSpeed, pace.Call.Pace)
 			return
 		}
 	}
-	require.Fail(t, "it stands still for ever")
+	require.Fail(t, "the run stays halted")
 }
 
-// TestRunThatAnOldOrderThrottledGoesOn: an order to throttle may be done seconds late, after
-// the one that gave the speed back.
+// TestRunThatAnOldOrderThrottledGoesOn guards against a run that stays throttled because an order to throttle
+// was carried out seconds late, after the order that restored its pace.
 func TestRunThatAnOldOrderThrottledGoesOn(t *testing.T) {
 	b := newBench(t, 1)
 	b.AddJob(b.job(fillingStep), jobs.Progress{}, true, b.now)
@@ -114,11 +114,11 @@
 			return
 		}
 	}
-	require.Fail(t, "it stands still for ever")
+	require.Fail(t, "the run stays halted")
 }
 
-// TestHarmEndsInTime has a tail over its target that the model doesn't explain: what fills
-// beside it must be at a stand well before the four seconds after which harm counts.
+// TestHarmEndsInTime has a tail latency over its target that the model does not explain: the filler task beside
+// it must be halted well before the four seconds after which harm counts.
 func TestHarmEndsInTime(t *testing.T) {
 	b := newBench(t, 1)
 	serving := servingStep
@@ -137,7 +137,7 @@
 			}
 			running = append(running, jobs.Run{Task: s.Call.Task, Run: s.Call.Run, Figure: figure})
 		}
-		b.setInterference("filling", 0) // as if learned for sure
+		b.setInterference("filling", 0) // learned with certainty
 		b.report(0, jobs.Report{Running: running})
 	}
 	report()
@@ -156,11 +156,11 @@
 			}
 		}
 	}
-	require.Fail(t, "it fills on")
+	require.Fail(t, "the filler task was not halted")
 }
 
-// TestTailAtItsTargetEndsInTime has a tail that stays just over its target while its figures
-// differ to both sides, as they do: one below the target between two above it is no end.
+// TestTailAtItsTargetEndsInTime has a tail latency that stays just over its target while single figures vary to
+// both sides, as they do in practice: one figure below the target between two above it does not end the excess.
 func TestTailAtItsTargetEndsInTime(t *testing.T) {
 	b := newBench(t, 1)
 	b.AddJob(b.job(servingStep, fillingStep), jobs.Progress{}, true, b.now)
@@ -170,7 +170,7 @@
 	figures := []int{104, 97, 106, 95, 102, 98}
 	began := b.now
 	for n := 0; b.now.Sub(began) < 6*time.Second; n++ {
-		b.setInterference("filling", 0) // as if learned for sure
+		b.setInterference("filling", 0) // learned with certainty
 		b.now = b.now.Add(200 * time.Millisecond)
 		b.report(0, jobs.Report{Running: []jobs.Run{
 			{Task: starts[0].Call.Task, Run: starts[0].Call.Run, Figure: figures[n%len(figures)]},
@@ -183,5 +183,5 @@
 			}
 		}
 	}
-	require.Fail(t, "it fills on")
+	require.Fail(t, "the filler task was not halted")
 }
--- a/services/dispatch/unit_test.go
+++ b/services/dispatch/unit_test.go
@@ -13,8 +13,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// serveAlone lets a serving task with nothing beside it report for two swings of its load; its
-// tail without load is a part of its target. It gives the load as it is at the end.
+// serveAlone reports a serving task without filler tasks beside it for two periods of its load; part is its
+// tail latency at zero load as a part of its target. serveAlone returns the load at the end.
 func serveAlone(t *testing.T, part float64) (b *bench, load float64) {
 	t.Helper()
 	b = newBench(t, 1)
@@ -42,7 +42,8 @@
 	}
 }
 
-// TestCellsShareFactorsInUnitsOfTheirOwn: what an image adds to a service is the same in both.
+// TestCellsShareFactorsInUnitsOfTheirOwn checks that a factor learned in one cell is converted to the unit of
+// another: what an image adds to a service is the same in both.
 func TestCellsShareFactorsInUnitsOfTheirOwn(t *testing.T) {
 	here, _ := serveAlone(t, 0.2)
 	there, _ := serveAlone(t, 0.1)
--- a/services/dispatch/urgency_test.go
+++ b/services/dispatch/urgency_test.go
@@ -12,7 +12,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// TestTaskThatLastsLeavesRoomToShortWorkForAWhile: both fill the worker.
+// TestTaskThatLastsLeavesRoomToShortWorkForAWhile has a long-running and a short task that each fill the
+// worker.
 func TestTaskThatLastsLeavesRoomToShortWorkForAWhile(t *testing.T) {
 	first := func(waited time.Duration) jobs.ID {
 		b := newBench(t, 1)
@@ -31,5 +32,5 @@
 		return starts[0].Call.Task.Job
 	}
 	require.Equal(t, jobs.ID("00000000000000bb"), first(time.Second))
-	require.Equal(t, testJob, first(longRunningYield*time.Millisecond+2*time.Second), "it has waited for long enough")
+	require.Equal(t, testJob, first(longRunningYield*time.Millisecond+2*time.Second), "the long-running task has waited long enough")
 }
--- a/services/dispatch/worker.go
+++ b/services/dispatch/worker.go
@@ -226,7 +226,7 @@
 // usable reports whether new tasks may start on the worker.
 func (c *Core) usable(w *worker, now time.Time) bool {
 	stays := w.listed && w.enrolled && !w.info.Draining
-	heard := w.renewed && now.Sub(w.heard) < silentAfter // a start by itself is valid for no longer than startWithin
-	well := !w.isFailing(now) && now.After(w.unwell) && now.After(w.stalledUntil)
-	return stays && heard && well && len(w.strays) == 0
+	reachable := w.renewed && now.Sub(w.heard) < silentAfter // a start by itself is valid for no longer than startWithin
+	sound := !w.isFailing(now) && now.After(w.unwell) && now.After(w.stalledUntil)
+	return stays && reachable && sound && len(w.strays) == 0
 }
