--- a/services/dispatch/core.go
+++ b/services/dispatch/core.go
@@ -92,7 +92,7 @@
 	order        []*worker       // sorted by id
 	hurry        []jobs.WorkerID // workers to be asked for a report at once; see TakeHurried
 	workersAdded int             // how many workers were ever added; numbers their fences
-	queues       map[jobs.QueueName]jobs.Terms
+	queueTerms   map[jobs.QueueName]jobs.Terms
 	waitingSteps []*step // opened steps with waiting tasks
 	orders       []Order
 	dirty        []*job
@@ -150,7 +150,7 @@
 func New(config Config) *Core {
 	return &Core{
 		config: config, jobs: map[jobs.ID]*job{}, repeating: map[jobs.ID]*job{}, ended: map[jobs.ID]endedJob{}, movedOut: map[jobs.ID]movedOutJob{},
-		workers: map[jobs.WorkerID]*worker{}, queues: map[jobs.QueueName]jobs.Terms{}, stopping: map[*task]struct{}{},
+		workers: map[jobs.WorkerID]*worker{}, queueTerms: map[jobs.QueueName]jobs.Terms{}, stopping: map[*task]struct{}{},
 		formerLease: config.LongestLease, blind: true, proved: config.Taken, model: contention.NewModel(), queueSpeeds: map[jobs.QueueName]*speed{},
 		restoredLoads: map[stepKey]contention.Load{}, known: known{jobs: config.Taken, workers: config.Taken},
 		repeats: newRepeats(), startsLeft: math.MaxInt,
@@ -170,16 +170,16 @@
 
 // Configure sets the terms of the queues as configured now.
 func (c *Core) Configure(configuration *jobs.Configuration) {
-	clear(c.queues)
+	clear(c.queueTerms)
 	for _, queue := range configuration.Queues {
-		c.queues[queue.Name] = queue.Terms
+		c.queueTerms[queue.Name] = queue.Terms
 	}
 }
 
 // terms returns the terms of a job: those of its queue as configured now, or those that the job was accepted
 // with if its queue has been removed.
 func (c *Core) terms(j *job) jobs.Terms {
-	if terms, ok := c.queues[j.spec.Queue]; ok {
+	if terms, ok := c.queueTerms[j.spec.Queue]; ok {
 		return terms
 	}
 	return j.terms
--- a/services/dispatch/end.go
+++ b/services/dispatch/end.go
@@ -87,9 +87,9 @@
 	case t.worker != nil && !current:
 		// A later run is under way although an earlier one has succeeded.
 		c.stopStray(t.worker, jobs.Run{Task: t.id(), Run: t.run}, now)
-		c.leave(t)
+		c.unassign(t)
 	case t.worker != nil:
-		c.leave(t)
+		c.unassign(t)
 	case t.state == taskWaiting:
 		t.step.waiting--
 	}
--- a/services/dispatch/outcome.go
+++ b/services/dispatch/outcome.go
@@ -39,7 +39,7 @@
 	case OutcomeDone:
 		t.open = t.retried // if repeated, the first start still has no answer
 		c.repeats.earn()
-		c.confirm(t, now)
+		c.confirmRunning(t, now)
 		w.failed = time.Time{} // the answer shows that it is alive
 	case OutcomeUnknown:
 		c.handleUnanswered(t, order, now)
--- a/services/dispatch/place.go
+++ b/services/dispatch/place.go
@@ -40,7 +40,7 @@
 	kept := c.waitingSteps[:0]
 	for _, s := range c.waitingSteps {
 		if s.waiting == 0 || s.job.end != "" || s.job.cancelled {
-			s.listed = false
+			s.inWaitingSteps = false
 			continue
 		}
 		kept = append(kept, s)
--- a/services/dispatch/report.go
+++ b/services/dispatch/report.go
@@ -113,7 +113,7 @@
 		c.keepText(t, saved{text: run.Checkpoint, run: run.Run, worker: w.info.ID, row: rowRunning, at: now})
 	}
 	if t.state == taskStarting {
-		c.confirm(t, now)
+		c.confirmRunning(t, now)
 	}
 	c.noteSurvival(w, t, now)
 	if t.step.job.cancelled || t.step.job.end != "" {
@@ -165,8 +165,8 @@
 // or a report that shows the run first, it is only known that the run began after the start was ordered.
 const promptAnswer = 200 * time.Millisecond
 
-// confirm records that a run is under way.
-func (c *Core) confirm(t *task, now time.Time) {
+// confirmRunning records that a run is under way.
+func (c *Core) confirmRunning(t *task, now time.Time) {
 	t.state = taskRunning
 	t.answeredAt = now
 	if now.Sub(t.began) <= promptAnswer {
--- a/services/dispatch/step.go
+++ b/services/dispatch/step.go
@@ -20,7 +20,7 @@
 	done            int             // tasks that have succeeded
 	waiting         int             // tasks that are waiting
 	opened          bool            // the steps that it depends on are done, and its time has come
-	listed          bool            // is among the core's steps with waiting tasks
+	inWaitingSteps  bool            // is among the core's steps with waiting tasks
 	backoff         time.Time       // workers are not searched for its tasks before then
 	stuck           time.Time       // since when no worker can take a waiting task; zero: the last search found one
 	baseline        contention.Load // baseline load of a serving step
@@ -67,10 +67,10 @@
 
 // listOpen adds an opened step with waiting tasks to the steps to be placed.
 func (c *Core) listOpen(s *step) {
-	if s.listed || !s.opened || s.waiting == 0 || s.job.end != "" || s.job.cancelled {
+	if s.inWaitingSteps || !s.opened || s.waiting == 0 || s.job.end != "" || s.job.cancelled {
 		return
 	}
-	s.listed = true
+	s.inWaitingSteps = true
 	c.waitingSteps = append(c.waitingSteps, s)
 }
 
--- a/services/dispatch/task.go
+++ b/services/dispatch/task.go
@@ -105,7 +105,7 @@
 
 // wait returns a task that is proved not to run to the waiting ones.
 func (c *Core) wait(t *task) {
-	c.leave(t)
+	c.unassign(t)
 	if t.state == taskDone {
 		return
 	}
@@ -129,8 +129,8 @@
 	c.settle(t.step.job)
 }
 
-// leave removes a task from its worker.
-func (c *Core) leave(t *task) {
+// unassign removes a task from its worker.
+func (c *Core) unassign(t *task) {
 	if t.worker == nil {
 		return
 	}
