--- a/services/dispatch/pace.go
+++ b/services/dispatch/pace.go
@@ -63,7 +63,7 @@
 		return
 	}
 	if pace := inferPace(spec, t.figure); pace < stalledPace {
-		c.config.Logger.Info("run is slower than its ordered pace; its pace will be ordered again", zap.Stringer("task", t.id()), zap.Int("ordered", int(t.pace)),
+		c.config.Logger.Info("run is slower than its ordered pace; the observed pace is assumed from now on", zap.Stringer("task", t.id()), zap.Int("ordered", int(t.pace)),
 			zap.Int("figure", t.figure), zap.String("worker", string(w.info.ID)))
 		t.pace, t.pacedAt = pace, now
 		w.expectedValid = false
