--- a/services/dispatch/core.go
+++ b/services/dispatch/core.go
@@ -98,7 +98,7 @@
 	dirty        []*job
 	formerLease  time.Duration // longest lease that a previous owner may have granted; at most LongestLease
 	jobsHeld     bool          // jobs are held back until they have been offered to other cells
-	blind        bool          // recovering: workers that have not reported since the takeover may run tasks
+	blind        bool          // workers that have not reported since the takeover may run tasks
 	fenced       time.Time     // when more than half of the workers had reported in this epoch; zero: not yet
 	superseded   bool
 	proved       time.Time // when the latest transaction that proves ownership was begun; see mayOrder
--- a/services/dispatch/move.go
+++ b/services/dispatch/move.go
@@ -46,8 +46,8 @@
 	return c.jobs[move.Job] == j
 }
 
-// KeepMove returns the tasks of a move that certainly was not stored to waiting. With forGood, the job is not
-// offered as a whole again.
+// KeepMove lets the tasks of a move wait here again; the move certainly was not stored. With forGood, the job
+// is not offered as a whole again.
 func (c *Core) KeepMove(move Move, forGood bool) {
 	for _, t := range c.tasksOf(move.Job, move.Tasks) {
 		t.step.job.immovable = t.step.job.immovable || forGood
--- a/services/dispatch/outcome.go
+++ b/services/dispatch/outcome.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// handleUnsent returns a task whose start was not sent to waiting. If the unsent start was a repetition, the
-// run is barred, because the first start may have been carried out.
+// handleUnsent lets a task wait again whose start was not sent. If the unsent start was a repetition, the run
+// is barred, because the first start may have been carried out.
 func (c *Core) handleUnsent(t *task) {
 	if t.retried {
 		c.stop(t, "its first start has no answer, and the second was not sent")
--- a/services/dispatch/task.go
+++ b/services/dispatch/task.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// wait returns a task that is proved not to run to the waiting ones.
+// wait puts a task that is proved not to run back among the waiting tasks.
 func (c *Core) wait(t *task) {
 	c.unassign(t)
 	if t.state == taskDone {
