--- a/services/dispatch/expect_test.go
+++ b/services/dispatch/expect_test.go
@@ -10,15 +10,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTasksOfAStepTellEachOthersLoad: a worker on which one task of a serving step was just
-// started knows its load from the step's other tasks.
+// TestTasksOfAStepTellEachOthersLoad checks that the load of a serving task that has just been started is
+// predicted from the other tasks of its step.
 func TestTasksOfAStepTellEachOthersLoad(t *testing.T) {
 	b := newBench(t, 2)
 	s := &step{spec: &servingStep}
 	begin := b.now
 	for n := range 50 {
-		s.own.Advance(begin.Add(time.Duration(n) * 100 * time.Millisecond))
-		s.own.Correct(0.65, 0.05*0.05)
+		s.baseline.Advance(begin.Add(time.Duration(n) * 100 * time.Millisecond))
+		s.baseline.Correct(0.65, 0.05*0.05)
 	}
 	b.now = begin.Add(5 * time.Second)
 	b.Core.now = b.now
--- a/services/dispatch/figures.go
+++ b/services/dispatch/figures.go
@@ -10,10 +10,10 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// JobOutcome is the outcome of a job, as its caller sees it.
+// JobOutcome is the outcome of a job from its caller's point of view.
 type JobOutcome string
 
-// The outcomes of jobs.
+// Outcomes of jobs.
 const (
 	JobInTime    JobOutcome = "in_time"
 	JobLate      JobOutcome = "late" // succeeded after its objective
@@ -28,42 +28,42 @@
 	Age     time.Duration // since it was accepted
 }
 
-// FirstStart is the first start of any of a job's tasks.
+// FirstStart is the first start of any task of a job.
 type FirstStart struct {
 	Queue jobs.QueueName
 	Age   time.Duration // since the job was accepted
 }
 
-// JobFigures is what has become of jobs since it was last asked.
+// JobFigures are the job ends and first starts since TakeJobFigures was last called.
 type JobFigures struct {
 	Ends   []JobEnd
 	Starts []FirstStart
 }
 
-// mostFigures bounds what is kept for an operator's metrics, should nobody ask: some minutes
-// of jobs at the size that one cell is planned for.
-const mostFigures = 10_000
+// maxJobFigures bounds the figures kept for an operator's metrics in case nobody takes them: a few minutes of
+// jobs at the size for which one cell is planned.
+const maxJobFigures = 10_000
 
-// TakeJobFigures gives what has become of jobs since it was last asked.
+// TakeJobFigures returns the figures recorded since it was last called.
 func (c *Core) TakeJobFigures() JobFigures {
 	figures := c.figures
 	c.figures = JobFigures{}
 	return figures
 }
 
-// noteFirstStart notes the first start of a job's tasks by this owner. Jobs accepted before
-// it took the cell may have been started by a former one, and are left out.
-func (c *Core) noteFirstStart(j *job, now time.Time) {
-	if !j.fresh || j.noted || len(c.figures.Starts) >= mostFigures {
+// recordFirstStart records the first start of a job's tasks by this owner. Jobs accepted before this owner took
+// the cell are left out, because a previous owner may have started them.
+func (c *Core) recordFirstStart(j *job, now time.Time) {
+	if !j.fresh || j.firstStartNoted || len(c.figures.Starts) >= maxJobFigures {
 		return
 	}
-	j.noted = true
+	j.firstStartNoted = true
 	c.figures.Starts = append(c.figures.Starts, FirstStart{j.spec.Queue, ageOf(j, c.timeOfDay(now))})
 }
 
-// noteEnd notes the end of a job.
-func (c *Core) noteEnd(j *job, state jobs.State, now time.Time) {
-	if len(c.figures.Ends) >= mostFigures {
+// recordJobEnd records the end of a job.
+func (c *Core) recordJobEnd(j *job, state jobs.State, now time.Time) {
+	if len(c.figures.Ends) >= maxJobFigures {
 		return
 	}
 	outcome := JobInTime
@@ -72,13 +72,13 @@
 		outcome = JobFailed
 	case state == jobs.StateCancelled:
 		outcome = JobCancelled
-	case c.timeOfDay(now) > c.due(j):
+	case c.timeOfDay(now) > c.deadline(j):
 		outcome = JobLate
 	}
 	c.figures.Ends = append(c.figures.Ends, JobEnd{j.spec.Queue, outcome, ageOf(j, c.timeOfDay(now))})
 }
 
-// ageOf is how long ago a job was accepted, by another daemon's clock perhaps.
+// ageOf returns how long ago a job was accepted; the time of acceptance may be by another daemon's clock.
 func ageOf(j *job, now models.UnixMilli) time.Duration {
 	return max(0, time.Duration(now-j.accepted)*time.Millisecond)
 }
--- a/services/dispatch/knowledge_test.go
+++ b/services/dispatch/knowledge_test.go
@@ -16,27 +16,27 @@
 	"rillsail.example/rillsail/services/contention"
 )
 
-// learnedBench is a core that knows that "heavy" adds 1.4 to "serving", and that its serving
-// step has a load of 0.65.
+// learnedBench returns a core that has learned that "heavy" adds 1.4 to "serving", and that its serving step
+// has a load of 0.65.
 func learnedBench(t *testing.T) *bench {
 	t.Helper()
 	b := newBench(t, 1)
 	b.AddJob(b.job(servingStep), jobs.Progress{}, true, b.now)
-	b.adds("heavy", 1.4)
-	own := &b.jobs[testJob].steps[0].own
+	b.setInterference("heavy", 1.4)
+	own := &b.jobs[testJob].steps[0].baseline
 	for range 50 {
 		b.now = b.now.Add(100 * time.Millisecond)
 		own.Advance(b.now)
 		own.Correct(0.65, 0.05*0.05)
 	}
-	b.usualSpeed("q").add(0.8, usualWeight)
+	b.queueSpeed("q").add(0.8, queueSpeedWeight)
 	return b
 }
 
-// factor is what the core believes that "heavy" adds to "serving".
+// factor returns the interference factor of "heavy" on "serving" that the core has learned.
 func (b *bench) factor() jobs.Learned { return b.Learned()[0] }
 
-// stored is what a successor reads of the knowledge.
+// stored returns the parameters as a successor reads them from the store.
 func stored(t *testing.T, knowledge jobs.Knowledge) jobs.Knowledge {
 	t.Helper()
 	value, err := json.Marshal(knowledge)
@@ -50,19 +50,19 @@
 	former := learnedBench(t)
 	successor := newBench(t, 1)
 	successor.now = former.now.Add(500 * time.Millisecond)
-	successor.Restore(stored(t, former.Knowledge(former.now)), successor.now)
+	successor.Restore(stored(t, former.LearnedParameters(former.now)), successor.now)
 	successor.AddJob(former.job(servingStep), jobs.Progress{}, false, successor.now)
 	require.InDelta(t, 1.4, successor.factor().Factor, 1e-9)
-	load, variance := successor.jobs[testJob].steps[0].own.Predict(successor.now)
+	load, variance := successor.jobs[testJob].steps[0].baseline.Predict(successor.now)
 	require.InDelta(t, 0.65, load, 0.03)
 	require.Less(t, variance, 0.06*0.06)
-	require.InDelta(t, 0.8, successor.usualSpeed("q").mean, 1e-9)
-	require.Empty(t, successor.restored)
+	require.InDelta(t, 0.8, successor.queueSpeed("q").mean, 1e-9)
+	require.Empty(t, successor.restoredLoads)
 }
 
 func TestKnowledgeAges(t *testing.T) {
 	former := learnedBench(t)
-	knowledge := stored(t, former.Knowledge(former.now))
+	knowledge := stored(t, former.LearnedParameters(former.now))
 	spreadAfter := func(age time.Duration) float64 {
 		successor := newBench(t, 1)
 		successor.Restore(knowledge, former.now.Add(age))
@@ -70,29 +70,29 @@
 	}
 	soon, later, much := spreadAfter(time.Second), spreadAfter(time.Minute), spreadAfter(time.Hour)
 	require.Less(t, soon, later)
-	require.Greater(t, soon, former.factor().Spread, "a successor trusts its own eyes more")
+	require.Greater(t, soon, former.factor().Spread, "a successor trusts its own observations more")
 	fresh := newBench(t, 1)
 	fresh.model.Service("serving")
 	fresh.model.Index("heavy")
-	require.InDelta(t, fresh.factor().Spread, much, 1e-9, "after an hour nothing is known any more")
+	require.InDelta(t, fresh.factor().Spread, much, 1e-9, "after an hour the parameters have expired")
 	successor := newBench(t, 1)
 	successor.Restore(knowledge, former.now)
 	successor.AddJob(former.job(servingStep), jobs.Progress{}, false, former.now)
-	load, _ := successor.jobs[testJob].steps[0].own.Predict(former.now.Add(time.Minute))
+	load, _ := successor.jobs[testJob].steps[0].baseline.Predict(former.now.Add(time.Minute))
 	unknown, _ := (&contention.Load{}).Predict(former.now)
-	require.InDelta(t, unknown, load, 1e-9, "a load swings within seconds")
+	require.InDelta(t, unknown, load, 1e-9, "a load changes within seconds")
 }
 
 func TestKnowledgeIsStoredWithOtherChangesOnly(t *testing.T) {
 	b := learnedBench(t)
 	b.TakeChanges(10, b.now)
-	b.now = b.now.Add(knowledgeEvery)
+	b.now = b.now.Add(parametersInterval)
 	require.False(t, b.HasChanges())
-	require.Nil(t, b.TakeChanges(10, b.now).Knowledge, "a call of its own would cost more than it brings")
+	require.Nil(t, b.TakeChanges(10, b.now).Knowledge, "a call of its own would cost more than it gains")
 	b.change(b.jobs[testJob])
 	require.NotNil(t, b.TakeChanges(10, b.now).Knowledge)
 	b.change(b.jobs[testJob])
-	require.Nil(t, b.TakeChanges(10, b.now.Add(knowledgeEvery/2)).Knowledge)
+	require.Nil(t, b.TakeChanges(10, b.now.Add(parametersInterval/2)).Knowledge)
 }
 
 func TestKnowledgeThatDoesNotFitTogetherIsRejected(t *testing.T) {
--- a/services/dispatch/learn.go
+++ b/services/dispatch/learn.go
@@ -10,57 +10,58 @@
 	"rillsail.example/rillsail/services/contention"
 )
 
-// Figures are of the last half second, so they tell the mean of that time.
+// A reported figure covers the last half second, so it shows the mean of that time.
 const (
 	figureAge  = 250 * time.Millisecond
 	figureSpan = 600 * time.Millisecond // until a change shows in full, rounding included
 )
 
-// startsServing is for how long the figures of a new serving task say nothing.
-const startsServing = 1500 * time.Millisecond
+// servingWarmup is how long the figures of a new serving task are ignored as meaningless.
+const servingWarmup = 1500 * time.Millisecond
 
-// learn takes a worker's figures into the model: what serving tasks show is the load that
-// they have of their own and what the filling ones beside them add.
+// learn feeds a worker's figures into the interference model: the load that a serving task shows is its
+// baseline load plus what the filler tasks beside it add.
 func (c *Core) learn(w *worker, now time.Time) {
 	shares := c.measuredShares(w)
-	w.load, w.excess, w.steady = 0, -1, -1
+	w.maxLoad, w.maxExcess, w.averageExcess = 0, -1, -1
 	for _, t := range w.tasks {
 		if t.step.spec.Serves() && t.state == taskRunning && t.figure > 0 {
 			c.learnServing(w, t, shares, now)
 		}
 	}
-	c.shareInTime(now)
-	w.noteLoad(now)
+	c.settleModel(now)
+	w.updateOverTarget(now)
 }
 
-// learnServing takes the tail of a serving task into the model; shares are those of the
-// filling images beside it.
+// learnServing feeds the tail latency of a serving task into the model; shares are those of the filler images
+// beside it.
 func (c *Core) learnServing(w *worker, t *task, shares []float64, now time.Time) {
 	service := c.model.Service(t.step.spec.Image)
-	started := now.Sub(t.began) >= startsServing
+	started := now.Sub(t.began) >= servingWarmup
 	if started {
 		c.learnUnit(w, t, service, now)
 	}
 	load := service.LoadOf(t.figure, int(t.step.spec.Target))
 	t.noteShown(load)
-	w.load = max(w.load, load)
-	w.excess = max(w.excess, load-service.TargetLoad())
-	w.steady = max(w.steady, t.steady-service.TargetLoad())
+	w.maxLoad = max(w.maxLoad, load)
+	w.maxExcess = max(w.maxExcess, load-service.TargetLoad())
+	w.averageExcess = max(w.averageExcess, t.averageLoad-service.TargetLoad())
 	if started {
-		t.apart += service.Observe(&t.step.own, contention.Observation{
-			At: now.Add(-figureAge), Load: load, Shares: shares, Apart: t.apart, Unsettled: now.Sub(w.refilled) < figureSpan,
+		t.loadOffset += service.Observe(&t.step.baseline, contention.Observation{
+			At: now.Add(-figureAge), Load: load, Shares: shares, Apart: t.loadOffset, Unsettled: now.Sub(w.fillersChangedAt) < figureSpan,
 		})
 	}
 }
 
-// learnUnit takes a tail with nothing beside it, for as long as the figure covers, into the
-// unit of its service's loads, and tells them anew when the unit changes.
+// learnUnit uses a tail latency measured while no filler task was beside the serving task for the whole span of
+// the figure to estimate the unit in which its service's loads are expressed, and rescales the loads when the
+// unit changes.
 func (c *Core) learnUnit(w *worker, t *task, service *contention.Service, now time.Time) {
-	if w.filling > 0 || now.Sub(w.refilled) < figureSpan {
+	if w.fillerCPU > 0 || now.Sub(w.fillersChangedAt) < figureSpan {
 		return
 	}
-	seconds := now.Sub(t.step.aloneAt).Seconds()
-	t.step.aloneAt = now
+	seconds := now.Sub(t.step.aloneReportedAt).Seconds()
+	t.step.aloneReportedAt = now
 	scale := service.SeeAlone(t.figure, int(t.step.spec.Target), seconds)
 	if scale == 1 {
 		return
@@ -74,14 +75,14 @@
 	}
 }
 
-// rescale tells the loads of a serving step in another unit.
+// rescale converts the loads of a serving step to another unit.
 func (s *step) rescale(scale float64) {
-	s.own.Rescale(scale)
+	s.baseline.Rescale(scale)
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		t.apart *= scale
-		if t.steady != 0 {
-			t.shown, t.steady = contention.Rescaled(t.shown, scale), contention.Rescaled(t.steady, scale)
+		t.loadOffset *= scale
+		if t.averageLoad != 0 {
+			t.shownLoad, t.averageLoad = contention.Rescaled(t.shownLoad, scale), contention.Rescaled(t.averageLoad, scale)
 		}
 		if t.worker != nil {
 			t.worker.expectedValid = false
@@ -89,46 +90,46 @@
 	}
 }
 
-// steadyWeight is that of a new report in the average that says whether a tail stays over
-// its target: single figures differ by a fifth from what their task's users see, so one
-// below the target between others above it proves nothing.
-const steadyWeight = 0.4
+// averageWeight is the weight of a new report in the moving average that decides whether a tail latency stays
+// over its target. Single figures differ by a fifth from what the task's users see, so one figure below the
+// target between others above it proves nothing.
+const averageWeight = 0.4
 
-// noteShown takes the load that a serving task's figure shows.
+// noteShown records the load that a serving task's figure shows.
 func (t *task) noteShown(load float64) {
-	t.shown = load
-	if t.steady == 0 {
-		t.steady = load
+	t.shownLoad = load
+	if t.averageLoad == 0 {
+		t.averageLoad = load
 	}
-	t.steady += steadyWeight * (load - t.steady)
+	t.averageLoad += averageWeight * (load - t.averageLoad)
 }
 
-// steadyMargin is by how much the average of a load that is at its target may be below it:
-// half of the standard deviation of that average.
-const steadyMargin = 0.0125
+// averageMargin is how far below its target the moving average of a load must be to end an excess: half of that
+// average's standard deviation.
+const averageMargin = 0.0125
 
-// noteLoad notes since when a tail is over its target: one figure over it is enough, but only
-// the average ends it.
-func (w *worker) noteLoad(now time.Time) {
+// updateOverTarget records since when a tail latency is over its target. A single figure begins the excess, but
+// only the moving average ends it.
+func (w *worker) updateOverTarget(now time.Time) {
 	switch {
-	case w.excess >= 0 && w.over.IsZero():
-		w.over = now
-	case w.excess < 0 && w.steady < -steadyMargin:
-		w.over = time.Time{}
+	case w.maxExcess >= 0 && w.overTargetSince.IsZero():
+		w.overTargetSince = now
+	case w.maxExcess < 0 && w.averageExcess < -averageMargin:
+		w.overTargetSince = time.Time{}
 	}
 }
 
-// shareEvery is how often new observations come into force.
-const shareEvery = 200 * time.Millisecond
+// settleInterval is how often the model takes new observations into its predictions.
+const settleInterval = 200 * time.Millisecond
 
-// shareInTime lets new observations come into force from time to time.
-func (c *Core) shareInTime(now time.Time) {
-	passed := now.Sub(c.sharedAt)
-	if passed < shareEvery {
+// settleModel takes new observations into the model's predictions once per settleInterval.
+func (c *Core) settleModel(now time.Time) {
+	elapsed := now.Sub(c.modelSettledAt)
+	if elapsed < settleInterval {
 		return
 	}
-	c.sharedAt = now
-	c.model.Settle(min(passed, time.Second).Seconds())
+	c.modelSettledAt = now
+	c.model.Settle(min(elapsed, time.Second).Seconds())
 }
 
 // LearnElsewhere takes what the owner of another cell has learned.
@@ -136,5 +137,5 @@
 	c.model.LearnElsewhere(cell, learned)
 }
 
-// Learned lists what this cell has learned by itself of all pairs.
+// Learned returns what this cell has learned by itself about all pairs of images.
 func (c *Core) Learned() []jobs.Learned { return c.model.Learned() }
--- a/services/dispatch/report.go
+++ b/services/dispatch/report.go
@@ -12,19 +12,19 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Reported takes a worker's report; sent is when the call was sent that it answers. It
-// tells whether something changed that Decide should look at.
+// Reported applies a worker's report; sent is when the call that it answers was sent. Reported returns whether
+// something changed that Decide should look at.
 func (c *Core) Reported(id jobs.WorkerID, sent time.Time, report jobs.Report, now time.Time) bool {
 	w, ok := c.workers[id]
 	if !ok {
-		return false // dropped meanwhile
+		return false // the worker was dropped in the meantime
 	}
 	w, later := c.reporting(w, sent, report, now)
 	if !later {
-		c.passOver(w, report)
+		c.discardReport(w, report)
 		return false
 	}
-	w.passedOver = false
+	w.reportDiscarded = false
 	c.now = now
 	first := !w.answered
 	if w.retired {
@@ -32,65 +32,65 @@
 	}
 	w.beginReport(report, sent, now)
 	if first && w.former {
-		// The worker refuses former owners from now on, but what they granted holds.
+		// The worker refuses calls of previous owners from now on, but a lease that they granted remains valid.
 		w.granted = max(w.granted, report.Clock+models.MilliOf(c.formerLease))
 	}
 	if first {
 		c.noteAnswered(now)
 	}
-	newEnds := c.seeRows(w, report, now)
+	newEnds := c.applyRows(w, report, now)
 	if first {
 		c.closeOpenRuns(w)
 	}
-	c.missRuns(w, sent)
+	c.releaseMissingRuns(w, sent)
 	w.forgetStrays(sent)
 	if first {
 		c.checkBlind(now)
 	}
 	c.learn(w, now)
 	w.expectedValid = false
-	return first || newEnds || w.excess > seenMargin
+	return first || newEnds || w.maxExcess > shownMargin
 }
 
-// passOver counts a report that is not taken, and logs the first one of a row.
-func (c *Core) passOver(w *worker, report jobs.Report) {
+// discardReport counts a report that is not applied, and logs the first one of a series.
+func (c *Core) discardReport(w *worker, report jobs.Report) {
 	c.counts.ReportsPassedOver++
-	if w.passedOver {
+	if w.reportDiscarded {
 		return
 	}
-	w.passedOver = true
-	c.config.Logger.Warn("report is passed over, a later one has come", zap.String("worker", string(w.info.ID)),
+	w.reportDiscarded = true
+	c.config.Logger.Warn("report is discarded, a later one was already applied", zap.String("worker", string(w.info.ID)),
 		zap.Int64("clock", int64(report.Clock)), zap.Int64("of_the_later", int64(w.clock)),
 		zap.Int64("born", int64(report.Born)), zap.Int64("born_of_the_later", int64(w.info.Born)),
 		zap.Int("running", len(report.Running)), zap.Int("ended", len(report.Ended)))
 }
 
-// seeRows takes what a report says of runs, and tells whether it shows new ends.
-func (c *Core) seeRows(w *worker, report jobs.Report, now time.Time) (newEnds bool) {
+// applyRows applies the report's running and ended runs, and returns whether it shows new ends.
+func (c *Core) applyRows(w *worker, report jobs.Report, now time.Time) (newEnds bool) {
 	for _, run := range report.Running {
-		c.seeRun(w, run, now)
+		c.applyRunning(w, run, now)
 	}
 	for _, ended := range report.Ended {
 		if ended.Number > w.lastEnd {
-			c.seeEnd(w, ended, now)
+			c.recordEnd(w, ended, now)
 			newEnds = true
 		}
 	}
 	return newEnds
 }
 
-// beginReport notes that the worker has answered.
+// beginReport records that the worker has answered.
 func (w *worker) beginReport(report jobs.Report, sent, now time.Time) {
 	w.answered, w.overdue, w.failed, w.youngStored = true, false, time.Time{}, false
 	w.hurried = false
-	w.leased = w.granting
+	w.renewed = w.renewing
 	w.asked, w.heard, w.clock = sent, now, report.Clock
-	w.reports++
-	w.unseeStrays()
+	w.reportCount++
+	w.clearStraysSeen()
 }
 
-// seeRun takes one running row of a report.
-func (c *Core) seeRun(w *worker, run jobs.Run, now time.Time) {
+// applyRunning applies one running run of a report.
+func (c *Core) applyRunning(w *worker, run jobs.Run, now time.Time) {
 	t := c.find(run.Task)
 	if t != nil {
 		c.noteShown(t, run.Run)
@@ -105,7 +105,7 @@
 		c.stopStray(w, run, now)
 		return
 	}
-	t.seen = w.reports
+	t.lastReport = w.reportCount
 	t.figure = run.Figure
 	c.checkPace(w, t, now)
 	c.sampleSpeed(w, t, run.Progress, now)
@@ -113,7 +113,7 @@
 		c.keepText(t, saved{text: run.Checkpoint, run: run.Run, worker: w.info.ID, row: rowRunning, at: now})
 	}
 	if t.state == taskStarting {
-		c.confirm(t, now)
+		c.confirmRunning(t, now)
 	}
 	c.noteSurvival(w, t, now)
 	if t.step.job.cancelled || t.step.job.end != "" {
@@ -121,7 +121,7 @@
 	}
 }
 
-// adopt takes over a run that a former owner started, or that was thought not to be.
+// adopt takes over a run that a previous owner started, or that was assumed not to exist.
 func (c *Core) adopt(w *worker, t *task, run jobs.Run) {
 	if t.state == taskWaiting {
 		t.step.waiting--
@@ -129,10 +129,10 @@
 	t.state = taskRunning
 	t.run = run.Run
 	t.ordered = false
-	t.settled = c.now
+	t.answeredAt = c.now
 	t.began = c.now
-	t.pace, t.paceOpen = shownPace(t.step.spec, run.Figure), false
-	t.paced = c.now
+	t.pace, t.paceUncertain = inferPace(t.step.spec, run.Figure), false
+	t.pacedAt = c.now
 	t.step.job.running++
 	t.step.job.begun = true
 	w.add(t)
@@ -142,12 +142,12 @@
 	c.inferDone(t)
 }
 
-// inferDone concludes that the steps a running task waited for are done: their ends may
-// have been known to a former owner only.
+// inferDone concludes that the steps on which a running task depends are done: only a previous owner may have
+// learned of their ends.
 func (c *Core) inferDone(t *task) {
 	s := t.step
 	s.opened = true
-	for _, earlier := range s.earlier() {
+	for _, earlier := range s.predecessors() {
 		for i := range earlier.tasks {
 			o := &earlier.tasks[i]
 			if o.state == taskWaiting || o.state == taskUnknown {
@@ -161,30 +161,30 @@
 	}
 }
 
-// answeredSoon is how soon after a start an answer says when the run began. Of a later one, or of a report that
-// shows the run first, it is known only that it began after the start was ordered.
-const answeredSoon = 200 * time.Millisecond
+// promptAnswer is how soon after a start its answer must come to tell when the run began. After a later answer,
+// or a report that shows the run first, it is only known that the run began after the start was ordered.
+const promptAnswer = 200 * time.Millisecond
 
-// confirm notes that a run is under way.
-func (c *Core) confirm(t *task, now time.Time) {
+// confirmRunning records that a run is under way.
+func (c *Core) confirmRunning(t *task, now time.Time) {
 	t.state = taskRunning
-	t.settled = now
-	if now.Sub(t.began) <= answeredSoon {
+	t.answeredAt = now
+	if now.Sub(t.began) <= promptAnswer {
 		t.began = now
 	}
 	t.step.job.begun = true
 }
 
-// missRuns finds tasks that should be on the worker but that a report does not show,
-// although its call was sent after the last order was answered.
-func (c *Core) missRuns(w *worker, sent time.Time) {
+// releaseMissingRuns returns tasks to waiting that are assigned to the worker but missing from its report, if
+// the report's call was sent after their last order was answered.
+func (c *Core) releaseMissingRuns(w *worker, sent time.Time) {
 	for i := len(w.tasks) - 1; i >= 0; i-- {
 		t := w.tasks[i]
-		if t.seen == w.reports || t.settled.IsZero() || !sent.After(t.settled) {
+		if t.lastReport == w.reportCount || t.answeredAt.IsZero() || !sent.After(t.answeredAt) {
 			continue
 		}
 		if t.state == taskRunning {
-			c.config.Logger.Warn("run has gone without an end", zap.Stringer("task", t.id()), zap.String("worker", string(w.info.ID)))
+			c.config.Logger.Warn("run is missing from its worker's report without an end; its task waits again", zap.Stringer("task", t.id()), zap.String("worker", string(w.info.ID)))
 		}
 		c.wait(t)
 	}
--- a/services/dispatch/task.go
+++ b/services/dispatch/task.go
@@ -9,87 +9,88 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// taskState is what is known of where a task runs.
+// taskState is what is known about where a task runs.
 type taskState uint8
 
 const (
 	taskWaiting  taskState = iota // proved not to run
-	taskUnknown                   // a former owner may have started it on a worker not heard of yet
-	taskStarting                  // the start is not answered yet
+	taskUnknown                   // a previous owner may have started it on a worker that has not reported yet
+	taskStarting                  // the start has not been answered yet
 	taskRunning
-	taskStopping // the stop is not proved yet
+	taskStopping // the stop has not been proved by a report yet
 	taskDone
-	taskMoving    // proved not to run; about to be handed to another cell
-	taskElsewhere // another cell has it
+	taskMoving    // proved not to run; being handed to another cell
+	taskElsewhere // assigned to another cell
 )
 
-// task is one task of an open or closed step, with its latest run.
+// task is one task of a step, with its latest run.
 type task struct {
 	step      *step
 	index     int
 	state     taskState
 	worker    *worker
-	position  int // in the worker's tasks
+	position  int // index in the worker's list of tasks
 	failures  jobs.Failures
 	suspicion jobs.Suspicion
-	weighedAt time.Time      // when its latest loss is weighed for good
-	byChance  []jobs.LostRun // losses that chance explains better, unless a later one is like them; this owner's alone
+	weighedAt time.Time      // when the evaluation of its latest loss becomes final
+	byChance  []jobs.LostRun // losses that chance explains better unless a later one is similar; known to this owner only
 	onTrial   bool           // a suspect that has not run for long enough yet
 	counted   uint64         // the job's version when a loss was last counted
-	unseen    int            // runs that may have been lost between two owners; see unseen.go
-	lapsed    jobs.RunID     // the latest run, when a worker has shown after the takeover that it has lapsed; 0: none has
-
-	run      jobs.RunID
-	starts   int          // in this epoch
-	ordered  bool         // this owner ordered the run, and knows since when it is under way
-	settled  time.Time    // when the order in flight was answered; zero while it is not
-	tried    time.Time    // when the last order was given
-	sent     time.Time    // when its start was last ordered
-	retried  bool         // the start was repeated
-	open     bool         // a start of the run was ordered and is not answered; it may be carried out yet
-	barred   bool         // it was ordered at a former incarnation of the worker, and is to be barred at this one
-	waits    time.Time    // since when it waits, while it does; zero: for long, or for another cell
-	began    time.Time    // when the run was ordered, then when it was known to be under way
-	seen     uint64       // the worker's report that last showed it
-	saved    *saved       // what the next run goes on from; nil: it begins anew
-	pace     jobs.Percent // as ordered
-	paced    time.Time    // when it began or its pace was last changed
-	paceOpen bool         // an order had no answer: the pace in force may be higher
-	figure   int          // as last reported
-
-	sampled         time.Time // when sampledProgress was taken for the worker's speed
+	unseen    int            // runs that may have been lost between two owners, not yet in suspicion.Unseen; see unseen.go
+	lapsed    jobs.RunID     // the latest run, if a worker has reported since the takeover that it lapsed; 0: no such report
+
+	run           jobs.RunID
+	starts        int          // starts ordered in this epoch
+	ordered       bool         // this owner ordered the run, and so knows when it began
+	answeredAt    time.Time    // when the pending order was answered; zero while it has no answer
+	orderedAt     time.Time    // when the last order was given
+	startSentAt   time.Time    // when its start was last ordered
+	retried       bool         // the start was repeated
+	open          bool         // a start of the run has no answer and may still be carried out
+	barred        bool         // ordered at the worker's previous incarnation; has to be barred at the current one
+	waits         time.Time    // since when the task waits; zero: waiting for long, or moved from another cell
+	began         time.Time    // when the run was ordered, then when it was known to be under way
+	lastReport    uint64       // number of the worker's report that last showed the run
+	saved         *saved       // where the next run resumes; nil: it starts from the beginning
+	pace          jobs.Percent // as ordered
+	pacedAt       time.Time    // when the run began or its pace was last changed
+	paceUncertain bool         // a pace order had no answer: the pace in force may be higher
+	figure        int          // as last reported; see jobs.Run
+
+	sampledAt       time.Time // when sampledProgress was taken for the worker's speed
 	sampledProgress jobs.Percent
 
-	shown  float64 // load of a serving task in the latest report
-	steady float64 // its average over the last few reports; zero: none yet
-	apart  float64 // by which a serving task's load differs from that of its step's others
+	shownLoad   float64 // load of a serving task in the latest report
+	averageLoad float64 // moving average of shownLoad; zero: no report yet
+	loadOffset  float64 // how far a serving task's load differs from the baseline load of its step
 }
 
 func (t *task) id() jobs.TaskID {
 	return jobs.TaskID{Job: t.step.job.spec.ID, Occurrence: t.step.occurrence, Step: t.step.number, Index: t.index}
 }
 
-// initTask lets a task wait, or keeps it from starting while it may run unseen.
+// initTask sets a task of a new job to waiting, or to unknown while it may run on a worker that has not
+// reported yet.
 func (c *Core) initTask(t *task) {
 	switch {
 	case t.state == taskDone, t.state == taskElsewhere:
-	case c.unseen(t):
+	case c.mayRunUnobserved(t):
 		t.state = taskUnknown
 	default:
 		t.step.waiting++
-		// What comes from another cell has waited there: with that time forgotten, a task that lasts
-		// left room to short work anew in each cell it came to.
-		if j := t.step.job; j.fresh && !j.came {
+		// A task from another cell has already waited there. When that time was not counted, a long-running
+		// task yielded capacity to short work anew in each cell that it came to.
+		if j := t.step.job; j.fresh && !j.fromOtherCell {
 			t.waits = c.now
 		}
 	}
 }
 
-// unseen tells whether a worker that has not answered since the takeover may know of runs of
-// the task.
-func (c *Core) unseen(t *task) bool { return c.blind && !t.step.job.fresh }
+// mayRunUnobserved reports whether a worker that has not reported since the takeover may know of runs of the
+// task.
+func (c *Core) mayRunUnobserved(t *task) bool { return c.blind && !t.step.job.fresh }
 
-// finishTask marks a task as succeeded; it must not be on a worker.
+// finishTask marks a task as succeeded. The task must not be assigned to a worker.
 func (c *Core) finishTask(t *task) {
 	if t.state == taskDone {
 		return
@@ -98,21 +99,21 @@
 	t.step.done++
 	t.step.job.begun = true
 	if t.step.done == len(t.step.tasks) {
-		t.step.job.left--
+		t.step.job.remainingSteps--
 	}
 }
 
-// wait puts a task back among those to be placed; it is proved not to run.
+// wait puts a task that is proved not to run back among the waiting tasks.
 func (c *Core) wait(t *task) {
-	c.leave(t)
+	c.unassign(t)
 	if t.state == taskDone {
 		return
 	}
 	c.closeRun(t)
 	t.pace = jobs.FullSpeed
-	// That this run has ended says nothing of those before it: a worker that has not answered
-	// may know of failures that leave the task no attempt. Tasks that last have no such bound.
-	if c.unseen(t) && !t.step.spec.Lasts {
+	// The end of this run says nothing about earlier ones: a worker that has not reported since the takeover
+	// may know of failures that use up the task's attempts. Long-running tasks have no such limit.
+	if c.mayRunUnobserved(t) && !t.step.spec.Lasts {
 		if t.state == taskWaiting {
 			t.step.waiting--
 		}
@@ -128,20 +129,20 @@
 	c.settle(t.step.job)
 }
 
-// leave takes a task off its worker.
-func (c *Core) leave(t *task) {
+// unassign removes a task from its worker.
+func (c *Core) unassign(t *task) {
 	if t.worker == nil {
 		return
 	}
 	if t.step.spec.Fills {
-		t.worker.refilled = c.now
+		t.worker.fillersChangedAt = c.now
 	}
 	t.worker.remove(t)
 	t.worker = nil
 	t.step.job.running--
 }
 
-// find finds a task of an active job that this cell has; nil when there is none.
+// find returns a task of an active job that this cell has; nil when there is none.
 func (c *Core) find(id jobs.TaskID) *task {
 	j, ok := c.jobs[id.Job]
 	if !ok || id.Step >= len(j.spec.Steps) || id.Occurrence >= j.spec.Occurrences() {
