--- a/models/jobs/ids.go
+++ b/models/jobs/ids.go
@@ -69,15 +69,15 @@
 
 // Fences that an owner has for the incarnations that it meets; the last one holds for all further ones.
 const (
-	fenceBits  = 16
-	mostFences = 1<<fenceBits - 1
+	incarnationBits = 16
+	maxIncarnation  = 1<<incarnationBits - 1
 )
 
 // Fence is the owner's token for the n-th incarnation that it meets.
-func (e Epoch) Fence(n int) Fence { return Fence(e)<<fenceBits + Fence(min(n, mostFences)) }
+func (e Epoch) Fence(n int) Fence { return Fence(e)<<incarnationBits + Fence(min(n, maxIncarnation)) }
 
 // Epoch is that of the owner whose token it is.
-func (f Fence) Epoch() Epoch { return Epoch(f >> fenceBits) }
+func (f Fence) Epoch() Epoch { return Epoch(f >> incarnationBits) }
 
 // RunID numbers the runs of one task, rising, with gaps.
 type RunID uint64
--- a/models/jobs/part.go
+++ b/models/jobs/part.go
@@ -24,8 +24,8 @@
 	return n
 }
 
-// with gives the set with the tasks of another one.
-func (s TaskSet) with(other TaskSet) TaskSet {
+// union gives the set with the tasks of another one.
+func (s TaskSet) union(other TaskSet) TaskSet {
 	sum := TaskSet{}
 	maps.Copy(sum, s)
 	for flat, indexes := range other {
@@ -36,8 +36,8 @@
 	return sum
 }
 
-// without gives the set without the tasks of another one.
-func (s TaskSet) without(other TaskSet) TaskSet {
+// difference gives the set without the tasks of another one.
+func (s TaskSet) difference(other TaskSet) TaskSet {
 	rest := TaskSet{}
 	for flat, indexes := range s {
 		kept := slices.DeleteFunc(slices.Clone(indexes), func(i int) bool { return other.Has(flat, i) })
@@ -80,7 +80,7 @@
 // Without gives the record after tasks have been handed to another cell.
 func (r *Record) Without(tasks TaskSet) Record {
 	rest := *r
-	rest.Part, rest.Tasks, rest.Moved = true, r.Held().without(tasks), true
+	rest.Part, rest.Tasks, rest.Moved = true, r.Held().difference(tasks), true
 	return rest
 }
 
@@ -88,7 +88,7 @@
 // had numbers up to least.
 func (r *Record) WithTasks(tasks TaskSet, least RunID) Record {
 	sum := *r
-	sum.Tasks, sum.Moved = r.Held().with(tasks), true
+	sum.Tasks, sum.Moved = r.Held().union(tasks), true
 	if sum.Part = sum.Tasks.Len() < r.Spec.allTasks().Len(); !sum.Part {
 		sum.Tasks = nil
 	}
--- a/models/jobs/part_test.go
+++ b/models/jobs/part_test.go
@@ -12,14 +12,14 @@
 	"rillsail.example/rillsail/models"
 )
 
-func lastingSpec(count int) Spec {
+func longRunningSpec(count int) Spec {
 	step := Step{Count: count, Lasts: true, Size: models.Resources{CPU: 10, Memory: 1}}
 	return Spec{ID: "00000000000000aa", Queue: "q", Steps: []Step{step}}
 }
 
 func TestTasksAreInOneRecordAfterAMove(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		spec := lastingSpec(rapid.IntRange(1, 10).Draw(rt, "count"))
+		spec := longRunningSpec(rapid.IntRange(1, 10).Draw(rt, "count"))
 		whole := Record{Spec: spec}
 		moved := TaskSet{0: rapid.SliceOfNDistinct(rapid.IntRange(0, spec.Steps[0].Count-1), 1, spec.Steps[0].Count, rapid.ID).Draw(rt, "moved")}
 		rest, part := whole.Without(moved), whole.NewPart(moved, 7)
--- a/models/jobs/text.go
+++ b/models/jobs/text.go
@@ -23,8 +23,8 @@
 const (
 	firstHigh, firstLow, lastLow = 0xd800, 0xdc00, 0xdfff // surrogates
 
-	halfSize   = 3 // bytes of half a surrogate pair
-	escapeSize = 6 // bytes of an escape by four digits
+	surrogateSize = 3 // bytes of half a surrogate pair
+	escapeSize    = 6 // bytes of an escape by four digits
 )
 
 // shortEscapes are the escapes of one letter.
@@ -106,17 +106,17 @@
 	if unit < firstHigh || unit > lastLow {
 		return utf8.AppendRune(text, unit)
 	}
-	if before := len(text) - halfSize; unit >= firstLow && before >= 0 {
-		if high, ok := halfAt(string(text[before:])); ok && high < firstLow {
+	if before := len(text) - surrogateSize; unit >= firstLow && before >= 0 {
+		if high, ok := surrogateAt(string(text[before:])); ok && high < firstLow {
 			return utf8.AppendRune(text[:before], utf16.DecodeRune(high, unit))
 		}
 	}
 	return append(text, 0xe0|byte(unit>>12), 0x80|byte(unit>>6&0x3f), 0x80|byte(unit&0x3f))
 }
 
-// halfAt reads the half of a surrogate pair that the text begins with, if it does.
-func halfAt(text string) (unit rune, ok bool) {
-	if len(text) < halfSize || text[0] != 0xed || text[1]&0xe0 != 0xa0 || text[2]&0xc0 != 0x80 {
+// surrogateAt reads the half of a surrogate pair that the text begins with, if it does.
+func surrogateAt(text string) (unit rune, ok bool) {
+	if len(text) < surrogateSize || text[0] != 0xed || text[1]&0xe0 != 0xa0 || text[2]&0xc0 != 0x80 {
 		return 0, false
 	}
 	return firstHigh | rune(text[1]&0x1f)<<6 | rune(text[2]&0x3f), true
@@ -149,8 +149,8 @@
 			break
 		}
 		unit, size := rune(text[0]), 1
-		if half, ok := halfAt(text); ok {
-			unit, size = half, halfSize
+		if half, ok := surrogateAt(text); ok {
+			unit, size = half, surrogateSize
 		} else if unit >= utf8.RuneSelf {
 			return nil, errors.New("text is no UTF-8")
 		}
--- a/services/contention/contention.go
+++ b/services/contention/contention.go
@@ -30,14 +30,14 @@
 type Model struct {
 	index    map[jobs.ImageName]int // of the filling images
 	services map[jobs.ImageName]*Service
-	// elsewhere is what the owners of other cells have learned by themselves.
-	elsewhere map[jobs.CellName][]jobs.Learned
+	// remote is what the owners of other cells have learned by themselves.
+	remote map[jobs.CellName][]jobs.Learned
 }
 
 // NewModel makes a model that knows no images.
 func NewModel() *Model {
 	return &Model{
-		index: map[jobs.ImageName]int{}, services: map[jobs.ImageName]*Service{}, elsewhere: map[jobs.CellName][]jobs.Learned{},
+		index: map[jobs.ImageName]int{}, services: map[jobs.ImageName]*Service{}, remote: map[jobs.CellName][]jobs.Learned{},
 	}
 }
 
@@ -77,7 +77,7 @@
 // Settle brings the observations of the last seconds into force.
 func (m *Model) Settle(passed float64) {
 	for _, s := range m.services {
-		s.drift(passed)
+		s.addDrift(passed)
 	}
-	m.share()
+	m.combine()
 }
--- a/services/contention/idle_tail_test.go
+++ b/services/contention/idle_tail_test.go
@@ -24,7 +24,7 @@
 	excess := func() float64 {
 		mean, _ := own.Predict(begin.Add(6 * time.Second))
 		added, _ := s.AddedBy(heavy, 0.1)
-		return (mean + added - s.TargetLoad()) / s.idle.part
+		return (mean + added - s.TargetLoad()) / s.idle.fraction
 	}
 	before := excess()
 	scale := 1.0
@@ -33,6 +33,6 @@
 	}
 	own.Rescale(scale)
 	require.InDelta(t, before, excess(), 1e-9)
-	m.share()
+	m.combine()
 	require.InDelta(t, before, excess(), 1e-9)
 }
--- a/services/contention/knowledge.go
+++ b/services/contention/knowledge.go
@@ -11,9 +11,9 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// restoredVariance is added to the variance of a factor that a successor takes over, so
+// restoredFactorVariance is added to the variance of a factor that a successor takes over, so
 // that its own observations soon outweigh it.
-const restoredVariance = 0.05 * 0.05
+const restoredFactorVariance = 0.05 * 0.05
 
 // Knowledge is what was learned here of images; the caller adds the rest.
 func (m *Model) Knowledge() jobs.Knowledge {
@@ -21,7 +21,7 @@
 	for serving, s := range m.services {
 		s.grow(len(k.Filling))
 		known := jobs.ImageKnowledge{
-			Serving: serving, Observations: s.observations, Idle: s.idle.part, Free: s.idle.free, Watched: s.idle.watched,
+			Serving: serving, Observations: s.observations, Idle: s.idle.fraction, Free: s.idle.targetRatioSum, Watched: s.idle.observedSeconds,
 		}
 		for i, row := range s.covariance {
 			known.Mean = append(known.Mean, rounded(s.mean[i]))
@@ -47,13 +47,13 @@
 	for _, known := range k.Factors {
 		s := m.Service(known.Serving)
 		s.observations = known.Observations
-		s.idle = idleTail{part: known.Idle, free: known.Free, watched: known.Watched}
+		s.idle = idleTail{fraction: known.Idle, targetRatioSum: known.Free, observedSeconds: known.Watched}
 		for i := range n {
 			s.mean[i] = known.Mean[i]
 			copy(s.covariance[i], known.Covariance[i*n:(i+1)*n])
-			s.covariance[i][i] += restoredVariance
+			s.covariance[i][i] += restoredFactorVariance
 		}
-		s.drift(passed)
+		s.addDrift(passed)
 	}
-	m.share()
+	m.combine()
 }
--- a/services/contention/load.go
+++ b/services/contention/load.go
@@ -17,37 +17,37 @@
 // one without any; what each had expected of the reports says how much it counts.
 type Load struct {
 	at      time.Time // of the estimate; zero: nothing is known yet
-	swings  []swing
+	filters []oscillator
 	weights []float64 // of swings; their sum is 1
 }
 
 const (
-	// startOwn and ownSpread are the load of a step that nothing is known of, with its standard
+	// priorLoad and priorLoadStdDev are the load of a step that nothing is known of, with its standard
 	// deviation over time. They count for the first reports only.
-	startOwn  = 0.45
-	ownSpread = 0.16
-	// meanSpread is the standard deviation of the load around which it swings.
-	meanSpread = 0.08
+	priorLoad       = 0.45
+	priorLoadStdDev = 0.16
+	// meanStdDev is the standard deviation of the load around which it swings.
+	meanStdDev = 0.08
 	// Bounds of the level: estimates beyond them are errors of the model.
-	leastOwn = 0.05
-	mostOwn  = 0.95
-	// leastWeight is what a filter always counts, so that a load that begins to swing
+	minLoad = 0.05
+	maxLoad = 0.95
+	// minWeight is what a filter always counts, so that a load that begins to swing
 	// otherwise is followed within seconds.
-	leastWeight = 1e-3
+	minWeight = 1e-3
 )
 
 // Predict gives the mean and variance of the load at a time.
 func (l *Load) Predict(at time.Time) (mean, variance float64) {
 	if l.at.IsZero() {
-		return startOwn, ownSpread * ownSpread
+		return priorLoad, priorLoadStdDev * priorLoadStdDev
 	}
 	dt := max(0, at.Sub(l.at).Seconds())
 	var square, counted float64
-	for i := range l.swings {
-		if l.weights[i] <= 2*leastWeight {
+	for i := range l.filters {
+		if l.weights[i] <= 2*minWeight {
 			continue // it changes the result by less than a figure's rounding
 		}
-		next := l.swings[i]
+		next := l.filters[i]
 		next.advance(dt)
 		counted += l.weights[i]
 		mean += l.weights[i] * next.level
@@ -55,8 +55,8 @@
 	}
 	mean /= counted
 	variance = square/counted - mean*mean
-	if variance >= ownSpread*ownSpread {
-		return startOwn, ownSpread * ownSpread // too long without a report
+	if variance >= priorLoadStdDev*priorLoadStdDev {
+		return priorLoad, priorLoadStdDev * priorLoadStdDev // too long without a report
 	}
 	return mean, max(0, variance)
 }
@@ -72,10 +72,10 @@
 		return
 	}
 	l.at = to
-	for i := range l.swings {
-		l.swings[i].advance(dt)
+	for i := range l.filters {
+		l.filters[i].advance(dt)
 	}
-	if _, variance := l.Predict(to); variance >= ownSpread*ownSpread {
+	if _, variance := l.Predict(to); variance >= priorLoadStdDev*priorLoadStdDev {
 		l.reset(to)
 	}
 }
@@ -83,32 +83,32 @@
 // reset forgets what was known.
 func (l *Load) reset(at time.Time) {
 	l.at = at
-	l.swings = newSwings()
-	l.weights = make([]float64, len(l.swings))
+	l.filters = newFilters()
+	l.weights = make([]float64, len(l.filters))
 	for i := range l.weights {
 		l.weights[i] = 1 / float64(len(l.weights))
 	}
 }
 
-// now gives the mean and variance of the load at the time of the estimate.
-func (l *Load) now() (mean, variance float64) { return l.Predict(l.at) }
+// current gives the mean and variance of the load at the time of the estimate.
+func (l *Load) current() (mean, variance float64) { return l.Predict(l.at) }
 
 // Correct takes an observation of the load, and the variance that it has by itself.
 func (l *Load) Correct(seen, variance float64) {
 	sum := 0.0
-	for i := range l.swings {
-		s := &l.swings[i]
+	for i := range l.filters {
+		s := &l.filters[i]
 		difference, expected := seen-s.level, s.variance()+variance
 		l.weights[i] *= math.Exp(-difference*difference/expected/2) / math.Sqrt(expected)
 		sum += l.weights[i]
-		s.correct(bounded(difference, mostDeviations*math.Sqrt(expected)), expected)
+		s.correct(clamp(difference, maxDeviations*math.Sqrt(expected)), expected)
 	}
 	if sum <= 0 || math.IsNaN(sum) {
 		l.reset(l.at)
 		return
 	}
 	for i := range l.weights {
-		l.weights[i] = max(leastWeight, l.weights[i]/sum)
+		l.weights[i] = max(minWeight, l.weights[i]/sum)
 	}
 }
 
@@ -129,7 +129,7 @@
 		}
 		load.Weights = append(load.Weights, rounded(weight))
 	}
-	s := l.swings[most]
+	s := l.filters[most]
 	load.State = [3]float64{rounded(s.level), rounded(s.slope), rounded(s.mean)}
 	for i, row := range s.covariance {
 		for j, covariance := range row {
@@ -143,8 +143,8 @@
 func LoadOf(summary jobs.StepLoad, at time.Time) Load {
 	var l Load
 	l.reset(at)
-	for i := range l.swings {
-		s := &l.swings[i]
+	for i := range l.filters {
+		s := &l.filters[i]
 		s.level, s.slope, s.mean = summary.State[0], summary.State[1], summary.State[2]
 		s.covariance = summary.Covariance
 	}
--- a/services/contention/load_test.go
+++ b/services/contention/load_test.go
@@ -18,19 +18,19 @@
 	laterLead = 1800 * time.Millisecond
 )
 
-// swingOf is a load that swings around a mean, by a part of it to both sides.
-type swingOf struct {
-	mean, part, period float64
+// oscillation is a load that swings around a mean, by a part of it to both sides.
+type oscillation struct {
+	mean, amplitude, period float64
 }
 
-func (s swingOf) at(at time.Duration) float64 {
-	return s.mean * (1 + s.part*math.Sin(2*math.Pi*at.Seconds()/s.period))
+func (s oscillation) at(at time.Duration) float64 {
+	return s.mean * (1 + s.amplitude*math.Sin(2*math.Pi*at.Seconds()/s.period))
 }
 
 // TestOwnLoadFollowsASwing tries loads that nothing in the estimate is made for: what it
 // expects a step ahead must come close after two periods, whatever mean and period are.
 func TestOwnLoadFollowsASwing(t *testing.T) {
-	for _, load := range []swingOf{
+	for _, load := range []oscillation{
 		{0.45, 0.5, 14},
 		{0.45, 0.5, 20},
 		{0.45, 0.5, 6},
@@ -49,7 +49,7 @@
 		end := time.Duration(max(60, 5*load.period) * float64(time.Second))
 		for at := time.Duration(0); at < end; at += 100 * time.Millisecond { // six tasks, each heard of twice a second
 			own.Advance(begin.Add(at))
-			own.Correct(load.at(at)+0.03*random.NormFloat64(), noise*noise)
+			own.Correct(load.at(at)+0.03*random.NormFloat64(), figureStdDev*figureStdDev)
 			if at.Seconds() < max(5, 2*load.period) {
 				continue
 			}
@@ -65,7 +65,7 @@
 		}
 		require.Less(t, math.Sqrt(soon/n), 0.03, "%v", load)
 		require.Less(t, math.Sqrt(later/n), 0.045, "%v", load)
-		if load.part*load.mean/load.period > 0.005 {
+		if load.amplitude*load.mean/load.period > 0.005 {
 			require.Less(t, later, lagged/4, "%v: an average that lags as much as we look ahead is worse", load)
 		}
 	}
@@ -73,7 +73,7 @@
 
 // TestOwnLoadFollowsANewPeriod: what the users of a step do may change.
 func TestOwnLoadFollowsANewPeriod(t *testing.T) {
-	before, after := swingOf{0.45, 0.5, 20}, swingOf{0.5, 0.4, 8}
+	before, after := oscillation{0.45, 0.5, 20}, oscillation{0.5, 0.4, 8}
 	const change = 40 * time.Second
 	begin := time.Unix(1_000_000, 0)
 	var own Load
@@ -84,7 +84,7 @@
 			load = after
 		}
 		own.Advance(begin.Add(at))
-		own.Correct(load.at(at), noise*noise)
+		own.Correct(load.at(at), figureStdDev*figureStdDev)
 		if at > change+15*time.Second {
 			mean, _ := own.Predict(begin.Add(at + lead))
 			squares += math.Pow(mean-load.at(at+lead), 2)
@@ -99,11 +99,11 @@
 	var own Load
 	own.Advance(begin)
 	for range 20 {
-		own.Correct(0.7, noise*noise)
+		own.Correct(0.7, figureStdDev*figureStdDev)
 	}
 	mean, _ := own.Predict(begin)
 	require.InDelta(t, 0.7, mean, 0.05)
 	mean, variance := own.Predict(begin.Add(time.Minute))
-	require.InDelta(t, startOwn, mean, 1e-9)
-	require.InDelta(t, ownSpread*ownSpread, variance, 1e-9)
+	require.InDelta(t, priorLoad, mean, 1e-9)
+	require.InDelta(t, priorLoadStdDev*priorLoadStdDev, variance, 1e-9)
 }
--- a/services/contention/observe.go
+++ b/services/contention/observe.go
@@ -20,41 +20,41 @@
 
 // Standard deviations of a figure, as a load.
 const (
-	noise         = 0.05
-	unsettledness = 0.15 // of one that is unsettled
+	figureStdDev    = 0.05
+	unsettledStdDev = 0.15 // of one that is unsettled
 )
 
-// apartSpread is the standard deviation by which a task's load differs from that of its
+// offsetStdDev is the standard deviation by which a task's load differs from that of its
 // step's other tasks.
-const apartSpread = 0.02
+const offsetStdDev = 0.02
 
-// mostDeviations bounds what a single figure can change, in standard deviations.
-const mostDeviations = 3
+// maxDeviations bounds what a single figure can change, in standard deviations.
+const maxDeviations = 3
 
 // Observe takes a load into what is known of the service's pairs and of the step's own load.
 // It gives by how much Apart is to be corrected.
 func (s *Service) Observe(own *Load, o Observation) (apart float64) {
 	own.Advance(o.At)
-	added, addedVariance, gain := s.expectation(o.Shares)
-	level, levelVariance := own.now()
-	difference := min(o.Load, saturated) - level - o.Apart - added
-	if o.Load >= saturated && difference < 0 {
+	added, addedVariance, gain := s.predictAdded(o.Shares)
+	level, levelVariance := own.current()
+	difference := min(o.Load, saturatedLoad) - level - o.Apart - added
+	if o.Load >= saturatedLoad && difference < 0 {
 		return 0 // such a tail only says that the load is at least so high
 	}
-	variance := levelVariance + apartSpread*apartSpread + addedVariance + o.variance()
-	difference = bounded(difference, mostDeviations*math.Sqrt(variance))
+	variance := levelVariance + offsetStdDev*offsetStdDev + addedVariance + o.variance()
+	difference = clamp(difference, maxDeviations*math.Sqrt(variance))
 	s.correct(difference, variance, gain)
 	own.Correct(level+difference, variance-levelVariance)
-	return apartSpread * apartSpread / variance * difference
+	return offsetStdDev * offsetStdDev / variance * difference
 }
 
 // variance is that of the figure, as a load.
 func (o Observation) variance() float64 {
 	if o.Unsettled {
-		return unsettledness * unsettledness
+		return unsettledStdDev * unsettledStdDev
 	}
-	return noise * noise
+	return figureStdDev * figureStdDev
 }
 
-// bounded keeps a value within a bound on both sides.
-func bounded(value, bound float64) float64 { return min(bound, max(-bound, value)) }
+// clamp keeps a value within a bound on both sides.
+func clamp(value, bound float64) float64 { return min(bound, max(-bound, value)) }
--- a/services/contention/service.go
+++ b/services/contention/service.go
@@ -6,17 +6,17 @@
 import "math"
 
 const (
-	startFactor = 0.35 // of a pair that nothing is known of: the mean of the fitted ones
-	startSpread = 0.5  // its standard deviation
-	// startVariance is also the most that an estimate gets by drifting.
-	startVariance = startSpread * startSpread
-	// factorDrift is the variance that a factor gains in a second.
-	factorDrift = 5e-4
-	// unevenness is the standard deviation by which tasks of one filling image differ, as a
+	priorFactor       = 0.35 // of a pair that nothing is known of: the mean of the fitted ones
+	priorFactorStdDev = 0.5  // its standard deviation
+	// priorFactorVariance is also the most that an estimate gets by drifting.
+	priorFactorVariance = priorFactorStdDev * priorFactorStdDev
+	// factorDriftVariance is the variance that a factor gains in a second.
+	factorDriftVariance = 5e-4
+	// taskStdDev is the standard deviation by which tasks of one filling image differ, as a
 	// part of their factor.
-	unevenness = 0.35
-	// saturated is a load above which the tail says little more than that it is too long.
-	saturated = 0.95
+	taskStdDev = 0.35
+	// saturatedLoad is a load above which the tail says little more than that it is too long.
+	saturatedLoad = 0.95
 )
 
 // Service is what is known of one serving image: the factors of all filling images beside
@@ -26,28 +26,28 @@
 	covariance   [][]float64
 	observations int
 	idle         idleTail
-	// shared is the mean with what other cells have learned, and sharedVariance its variance;
+	// combined is the mean with what other cells have learned, and combinedVariance its variance;
 	// they are what decides.
-	shared, sharedVariance []float64
+	combined, combinedVariance []float64
 }
 
 // grow makes room for so many filling images.
 func (s *Service) grow(n int) {
 	for len(s.mean) < n {
-		s.mean = append(s.mean, startFactor)
-		s.shared = append(s.shared, startFactor)
-		s.sharedVariance = append(s.sharedVariance, startVariance)
+		s.mean = append(s.mean, priorFactor)
+		s.combined = append(s.combined, priorFactor)
+		s.combinedVariance = append(s.combinedVariance, priorFactorVariance)
 		for i := range s.covariance {
 			s.covariance[i] = append(s.covariance[i], 0)
 		}
 		row := make([]float64, len(s.mean))
-		row[len(row)-1] = startVariance
+		row[len(row)-1] = priorFactorVariance
 		s.covariance = append(s.covariance, row)
 	}
 }
 
-// spread is the standard deviation of a factor.
-func (s *Service) spread(i int) float64 { return math.Sqrt(max(0, s.covariance[i][i])) }
+// stdDev is the standard deviation of a factor.
+func (s *Service) stdDev(i int) float64 { return math.Sqrt(max(0, s.covariance[i][i])) }
 
 // Added is the load that shares of a worker add, with its variance.
 func (s *Service) Added(shares []float64) (mean, variance float64) {
@@ -66,12 +66,12 @@
 		return 0, 0
 	}
 	mean = s.Factor(i) * share
-	return mean, share*share*s.sharedVariance[i] + unevenness*unevenness*mean*mean
+	return mean, share*share*s.combinedVariance[i] + taskStdDev*taskStdDev*mean*mean
 }
 
-// expectation is what this cell's own estimates say that shares add, with its variance
+// predictAdded is what this cell's own estimates say that shares add, with its variance
 // and the covariances of each factor with it.
-func (s *Service) expectation(shares []float64) (mean, variance float64, gain []float64) {
+func (s *Service) predictAdded(shares []float64) (mean, variance float64, gain []float64) {
 	s.grow(len(shares))
 	gain = make([]float64, len(s.mean))
 	for i := range s.mean {
@@ -82,7 +82,7 @@
 	for i, share := range shares {
 		part := max(0, s.mean[i]) * share
 		mean += part
-		variance += share*gain[i] + unevenness*unevenness*part*part
+		variance += share*gain[i] + taskStdDev*taskStdDev*part*part
 	}
 	return mean, variance, gain
 }
@@ -99,13 +99,13 @@
 	s.observations++
 }
 
-// drift lets knowledge fade with time.
-func (s *Service) drift(passed float64) {
+// addDrift lets knowledge fade with time.
+func (s *Service) addDrift(passed float64) {
 	for i := range s.covariance {
-		s.covariance[i][i] = min(startVariance, s.covariance[i][i]+factorDrift*passed)
+		s.covariance[i][i] = min(priorFactorVariance, s.covariance[i][i]+factorDriftVariance*passed)
 	}
 }
 
 // Factor is the load that the filling image with an index adds when it uses a whole worker;
 // it is never negative.
-func (s *Service) Factor(i int) float64 { return max(0, s.shared[i]) }
+func (s *Service) Factor(i int) float64 { return max(0, s.combined[i]) }
--- a/services/contention/service_test.go
+++ b/services/contention/service_test.go
@@ -16,11 +16,11 @@
 	for n := range 200 {
 		shares := []float64{0.1, 0.1}
 		shares[n%2] = 0
-		expected, variance, gain := f.expectation(shares)
-		f.correct(1.4*shares[heavy]+0.1*shares[light]-expected, variance+noise*noise, gain)
+		expected, variance, gain := f.predictAdded(shares)
+		f.correct(1.4*shares[heavy]+0.1*shares[light]-expected, variance+figureStdDev*figureStdDev, gain)
 	}
-	m.share()
+	m.combine()
 	require.InDelta(t, 1.4, m.Service("serving").Factor(heavy), 0.1)
 	require.InDelta(t, 0.1, m.Service("serving").Factor(light), 0.1)
-	require.InDelta(t, startFactor, m.Service("other").Factor(heavy), 1e-9, "another serving image is another pair")
+	require.InDelta(t, priorFactor, m.Service("other").Factor(heavy), 1e-9, "another serving image is another pair")
 }
--- a/services/contention/sharing.go
+++ b/services/contention/sharing.go
@@ -16,7 +16,7 @@
 	for serving, service := range m.services {
 		for filling, i := range m.index {
 			if i < len(service.mean) {
-				list = append(list, jobs.Learned{Serving: serving, Filling: filling, Factor: max(0, service.mean[i]), Spread: service.spread(i), Idle: service.idle.part, Observations: service.observations})
+				list = append(list, jobs.Learned{Serving: serving, Filling: filling, Factor: max(0, service.mean[i]), Spread: service.stdDev(i), Idle: service.idle.fraction, Observations: service.observations})
 			}
 		}
 	}
@@ -28,31 +28,31 @@
 
 // LearnElsewhere takes what the owner of another cell has learned by itself.
 func (m *Model) LearnElsewhere(cell jobs.CellName, learned []jobs.Learned) {
-	m.elsewhere[cell] = learned
+	m.remote[cell] = learned
 	for _, l := range learned {
 		m.Service(l.Serving)
 		m.Index(l.Filling)
 	}
-	m.share()
+	m.combine()
 }
 
-// share puts all cells' estimates together, each weighted by its precision. What others
+// combine puts all cells' estimates together, each weighted by its precision. What others
 // send is only what they observed themselves, so nothing comes back to where it began.
-func (m *Model) share() {
+func (m *Model) combine() {
 	type sum struct{ weighted, weights float64 }
 	sums := map[jobs.ImageName][]sum{}
 	for serving, service := range m.services {
 		service.grow(len(m.index))
 		sums[serving] = make([]sum, len(service.mean))
 		for i := range service.mean {
-			precision := 1 / max(service.covariance[i][i], leastVariance)
+			precision := 1 / max(service.covariance[i][i], minFactorVariance)
 			sums[serving][i] = sum{service.mean[i] * precision, precision}
 		}
 	}
-	for _, learned := range m.elsewhere {
+	for _, learned := range m.remote {
 		for _, l := range learned {
-			scale := m.services[l.Serving].idle.part / l.Idle
-			precision := 1 / max(l.Spread*l.Spread*scale*scale, leastVariance)
+			scale := m.services[l.Serving].idle.fraction / l.Idle
+			precision := 1 / max(l.Spread*l.Spread*scale*scale, minFactorVariance)
 			s := &sums[l.Serving][m.index[l.Filling]]
 			s.weighted += l.Factor * scale * precision
 			s.weights += precision
@@ -60,11 +60,11 @@
 	}
 	for serving, service := range m.services {
 		for i, s := range sums[serving] {
-			service.shared[i] = s.weighted / s.weights
-			service.sharedVariance[i] = 1 / s.weights
+			service.combined[i] = s.weighted / s.weights
+			service.combinedVariance[i] = 1 / s.weights
 		}
 	}
 }
 
-// leastVariance bounds the trust in one cell's estimate.
-const leastVariance = 1e-4
+// minFactorVariance bounds the trust in one cell's estimate.
+const minFactorVariance = 1e-4
--- a/services/contention/swing.go
+++ b/services/contention/swing.go
@@ -5,11 +5,11 @@
 
 import "math"
 
-// swing is a Kalman filter of a load that swings around a mean with a given period, as an
+// oscillator is a Kalman filter of a load that swings around a mean with a given period, as an
 // oscillator that is pushed at random. Its state is the load, its slope and the mean.
-type swing struct {
+type oscillator struct {
 	frequency  float64 // radians per second; 0: the slope stays but for random changes
-	push       float64 // by which the slope changes at random within a second
+	slopeNoise float64 // by which the slope changes at random within a second
 	level      float64
 	slope      float64 // per second
 	mean       float64
@@ -26,39 +26,39 @@
 )
 
 const (
-	// swingPush lets the phase of a swing drift: the square root of the variance that its
+	// oscillatorSlopeNoise lets the phase of a swing drift: the square root of the variance that its
 	// slope gains in a second.
-	swingPush = 0.015
-	// freePush is the same of the filter without period, which has to follow whole swings.
-	freePush = 0.04
-	// slopeSpread is the standard deviation of the slope that nothing is known of.
-	slopeSpread = 0.08
+	oscillatorSlopeNoise = 0.015
+	// trendSlopeNoise is the same of the filter without period, which has to follow whole swings.
+	trendSlopeNoise = 0.04
+	// slopeStdDev is the standard deviation of the slope that nothing is known of.
+	slopeStdDev = 0.08
 )
 
-// newSwings makes the filters of a load that nothing is known of.
-func newSwings() []swing {
-	swings := []swing{newSwing(0, freePush)}
+// newFilters makes the filters of a load that nothing is known of.
+func newFilters() []oscillator {
+	swings := []oscillator{newOscillator(0, trendSlopeNoise)}
 	for period := shortestPeriod; period < longestPeriod; period *= periodStep {
-		swings = append(swings, newSwing(2*math.Pi/period, swingPush))
+		swings = append(swings, newOscillator(2*math.Pi/period, oscillatorSlopeNoise))
 	}
 	return swings
 }
 
-func newSwing(frequency, push float64) swing {
-	s := swing{frequency: frequency, push: push, level: startOwn, mean: startOwn}
-	s.covariance[0][0] = ownSpread * ownSpread
-	s.covariance[1][1] = slopeSpread * slopeSpread
-	s.covariance[2][2] = meanSpread * meanSpread
+func newOscillator(frequency, push float64) oscillator {
+	s := oscillator{frequency: frequency, slopeNoise: push, level: priorLoad, mean: priorLoad}
+	s.covariance[0][0] = priorLoadStdDev * priorLoadStdDev
+	s.covariance[1][1] = slopeStdDev * slopeStdDev
+	s.covariance[2][2] = meanStdDev * meanStdDev
 	s.covariance[0][2] = s.covariance[2][2]
 	s.covariance[2][0] = s.covariance[2][2]
 	return s
 }
 
 // variance is that of the level.
-func (s *swing) variance() float64 { return s.covariance[0][0] }
+func (s *oscillator) variance() float64 { return s.covariance[0][0] }
 
 // advance moves the state on by so many seconds.
-func (s *swing) advance(dt float64) {
+func (s *oscillator) advance(dt float64) {
 	if dt <= 0 {
 		return
 	}
@@ -66,17 +66,17 @@
 	level, slope := s.level, s.slope
 	s.level = f[0][0]*level + f[0][1]*slope + f[0][2]*s.mean
 	s.slope = f[1][0]*level + f[1][1]*slope + f[1][2]*s.mean
-	s.covariance = spread(f, s.covariance)
-	push := s.push * s.push * dt
+	s.covariance = propagate(f, s.covariance)
+	push := s.slopeNoise * s.slopeNoise * dt
 	s.covariance[0][0] += push * dt * dt / 3
 	s.covariance[0][1] += push * dt / 2
 	s.covariance[1][0] += push * dt / 2
 	s.covariance[1][1] += push
-	s.bound()
+	s.clampLevel()
 }
 
 // transition is how the state moves on within so many seconds when nothing pushes it.
-func (s *swing) transition(dt float64) [3][3]float64 {
+func (s *oscillator) transition(dt float64) [3][3]float64 {
 	if s.frequency == 0 {
 		return [3][3]float64{{1, dt, 0}, {0, 1, 0}, {0, 0, 1}}
 	}
@@ -85,8 +85,8 @@
 	return [3][3]float64{{cos, sin / w, 1 - cos}, {-w * sin, cos, w * sin}, {0, 0, 1}}
 }
 
-// spread is f c fᵀ for the covariance c, whose third row f leaves as it is.
-func spread(f, c [3][3]float64) [3][3]float64 {
+// propagate is f c fᵀ for the covariance c, whose third row f leaves as it is.
+func propagate(f, c [3][3]float64) [3][3]float64 {
 	var fc, result [3][3]float64
 	for i := range 3 {
 		for j := range 3 {
@@ -101,17 +101,17 @@
 	return result
 }
 
-// bound keeps the level within what is possible.
-func (s *swing) bound() {
-	if s.level < leastOwn || s.level > mostOwn {
-		s.level = min(mostOwn, max(leastOwn, s.level))
+// clampLevel keeps the level within what is possible.
+func (s *oscillator) clampLevel() {
+	if s.level < minLoad || s.level > maxLoad {
+		s.level = min(maxLoad, max(minLoad, s.level))
 		s.slope = 0
 	}
 }
 
 // correct takes an observation of the level: by how much it differs from what was
 // expected, and the variance of that difference.
-func (s *swing) correct(difference, variance float64) {
+func (s *oscillator) correct(difference, variance float64) {
 	gain := [3]float64{s.covariance[0][0] / variance, s.covariance[1][0] / variance, s.covariance[2][0] / variance}
 	s.level += gain[0] * difference
 	s.slope += gain[1] * difference
@@ -122,5 +122,5 @@
 			s.covariance[i][j] -= gain[i] * first[j]
 		}
 	}
-	s.bound()
+	s.clampLevel()
 }
