--- a/models/jobs/configuration.go
+++ b/models/jobs/configuration.go
@@ -9,37 +9,37 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Version numbers configurations, rising with gaps.
+// Version numbers configurations in increasing order, with gaps.
 type Version uint64
 
-// Queue is how jobs come in: by host and path prefix.
+// Queue accepts jobs that callers submit under its host and path prefix.
 type Queue struct {
 	Name   QueueName
 	Host   string
-	Prefix string // of the path, ends in a slash
+	Prefix string // of the path, with a trailing slash
 	Terms  Terms
 }
 
-// Pool is a set of workers.
+// Pool is a named set of workers.
 type Pool struct {
 	Name PoolName
-	// GuardsRoom: its workers refuse what does not fit; others start whatever they are
-	// told.
+	// GuardsRoom is set if the pool's workers refuse starts that exceed their free capacity. Other
+	// workers start every run that they are sent.
 	GuardsRoom bool
 }
 
-// Configuration is the operators' newest configuration, whole.
+// Configuration is the complete current configuration that operators have stored.
 type Configuration struct {
 	Version Version
 	Queues  []Queue
 	Pools   []Pool
-	// MaxBody bounds the bodies of callers' requests, in bytes; 0: the settings do.
+	// MaxBody is the maximum size of callers' request bodies in bytes; 0: the daemon's settings apply.
 	MaxBody int64
-	// Size is how many bytes the operators have stored; 0 where that is not known.
+	// Size is the size in bytes of the stored configuration; 0: not known.
 	Size int
 }
 
-// Check rejects a configuration whose queues can't be told apart.
+// Check rejects queues without name, host or prefix, and queues with the same host and prefix.
 func (c Configuration) Check() error {
 	seen := map[string]bool{}
 	for _, q := range c.Queues {
@@ -48,14 +48,14 @@
 		}
 		key := q.Host + q.Prefix
 		if seen[key] {
-			return errors.Newf("configuration %d: %s stands twice", c.Version, key)
+			return errors.Newf("configuration %d: more than one queue has the host and prefix %s", c.Version, key)
 		}
 		seen[key] = true
 	}
 	return nil
 }
 
-// Route finds the queue for a host and path: the one with the longest prefix.
+// Route returns the queue for a host and path; the queue with the longest matching prefix wins.
 func (c *Configuration) Route(host, path string) (Queue, bool) {
 	var best Queue
 	found := false
--- a/models/jobs/ids_test.go
+++ b/models/jobs/ids_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTaskHasOneName: what is read as a task's name is what String gives for it.
+// TestTaskHasOneName checks that ParseTaskID accepts only the text that String produces, so that no two texts
+// identify the same task.
 func TestTaskHasOneName(t *testing.T) {
 	for _, good := range []string{"5c0e7a21d94b36f8.0.1.17", "5c0e7a21d94b36f8.10.0.0"} {
 		id, err := ParseTaskID(good)
--- a/models/jobs/knowledge.go
+++ b/models/jobs/knowledge.go
@@ -9,73 +9,76 @@
 	"rillsail.example/rillsail/models"
 )
 
-// Knowledge is what the owner of a cell has learned from reports, as it is stored for its
-// successor. All loads and factors are shares of a whole worker.
+// Knowledge holds the parameters that the owner of a cell has learned from reports, as they are stored for its
+// successor. Loads and interference factors are fractions of a whole worker.
 type Knowledge struct {
-	// At is when it was taken, by the owner's clock.
+	// At is when the parameters were saved, by the owner's clock.
 	At models.UnixMilli `json:"at"`
-	// Filling are the filling images, in the order in which Factors lists them.
+	// Filling lists the images of filler tasks, in the order of the coefficients in Factors.
 	Filling []ImageName      `json:"filling,omitempty"`
 	Factors []ImageKnowledge `json:"factors,omitempty"`
 	Loads   []StepLoad       `json:"loads,omitempty"`
 	Speeds  []QueueSpeed     `json:"speeds,omitempty"`
 }
 
-// ImageKnowledge is how filling images add to the load of one serving image.
+// ImageKnowledge holds the interference factors of all filler images on one serving image.
 type ImageKnowledge struct {
 	Serving      ImageName `json:"serving"`
 	Mean         []float64 `json:"mean"`
-	Covariance   []float64 `json:"covariance"` // row by row
+	Covariance   []float64 `json:"covariance"` // in row-major order
 	Observations int       `json:"observations"`
-	// Idle is the tail without load that is assumed, as a part of the target; Free and Watched
-	// are the sums that it follows from.
-	Idle    float64 `json:"idle"`
-	Free    float64 `json:"free"`
+	// Idle is the assumed tail latency without load, as a fraction of the target. The fraction is
+	// computed from the two sums below.
+	Idle float64 `json:"idle"`
+	// Free is the sum of the target divided by the tail latency over tails without filler tasks
+	// beside, weighted by seconds.
+	Free float64 `json:"free"`
+	// Watched is the sum of these seconds.
 	Watched float64 `json:"watched"`
 }
 
-// StepLoad is the load that the tasks of a serving step have of their own.
+// StepLoad is the estimated baseline load of a serving step: the load of its tasks without filler tasks.
 type StepLoad struct {
 	Job    ID               `json:"job"`
-	Number int              `json:"number"` // of the step, over all occurrences
+	Number int              `json:"number"` // of the step, counted over all occurrences
 	At     models.UnixMilli `json:"at"`
-	// State is the load now, its slope per second, and the load around which it swings.
+	// State is the load at the time At, its slope per second, and the mean load around which it oscillates.
 	State      [3]float64    `json:"state"`
 	Covariance [3][3]float64 `json:"covariance"`
-	Weights    []float64     `json:"weights"` // of the periods that are tried
+	Weights    []float64     `json:"weights"` // of the filters, one per period
 }
 
-// QueueSpeed is how fast the tasks of a queue progress on most workers.
+// QueueSpeed is the usual speed of a queue's tasks over all workers.
 type QueueSpeed struct {
 	Queue   QueueName `json:"queue"`
-	Mean    float64   `json:"mean"` // estimated time over time taken
+	Mean    float64   `json:"mean"` // estimated run time divided by the actual run time
 	Samples int       `json:"samples"`
 }
 
-// Check rejects knowledge whose parts don't fit together.
+// Check rejects parameters whose dimensions don't match, and sums, variances or weights out of range.
 func (k Knowledge) Check() error {
 	for _, f := range k.Factors {
 		if len(f.Mean) != len(k.Filling) || len(f.Covariance) != len(k.Filling)*len(k.Filling) {
-			return errors.Newf("factors of %s are not those of %d images", f.Serving, len(k.Filling))
+			return errors.Newf("interference factors of %s do not match the %d filler images", f.Serving, len(k.Filling))
 		}
 		if !(f.Idle > 0) || !(f.Free > 0) || !(f.Watched > 0) {
-			return errors.Newf("factors of %s have no unit", f.Serving)
+			return errors.Newf("interference factors of %s: idle tail or one of its sums is not positive", f.Serving)
 		}
 		for i := range f.Mean {
 			if variance := f.Covariance[i*len(f.Mean)+i]; !(variance >= 0) {
-				return errors.Newf("factor %d of %s has the variance %g", i, f.Serving, variance)
+				return errors.Newf("interference factor %d of %s has the invalid variance %g", i, f.Serving, variance)
 			}
 		}
 	}
 	for _, l := range k.Loads {
 		for i := range l.State {
 			if !(l.Covariance[i][i] >= 0) {
-				return errors.Newf("load of step %d of %s has the variance %g", l.Number, l.Job, l.Covariance[i][i])
+				return errors.Newf("baseline load of step %d of %s has the invalid variance %g", l.Number, l.Job, l.Covariance[i][i])
 			}
 		}
 		for _, weight := range l.Weights {
 			if !(weight > 0) {
-				return errors.Newf("load of step %d of %s has the weight %g", l.Number, l.Job, weight)
+				return errors.Newf("baseline load of step %d of %s has the invalid filter weight %g", l.Number, l.Job, weight)
 			}
 		}
 	}
--- a/models/jobs/load.go
+++ b/models/jobs/load.go
@@ -9,18 +9,19 @@
 	"rillsail.example/rillsail/models"
 )
 
-// CellLoad is how full a cell is. Both loads count tasks that wait for a place and are
-// parts of the processor time that the cell's workers have.
+// CellLoad is the utilization of a cell. Both loads include tasks that wait for a place and are fractions of
+// the processor time that the cell's usable workers have.
 type CellLoad struct {
-	// Room is what tasks that need room of their own have declared.
+	// Room is the processor time that all tasks except filler tasks declare; they need free capacity for it.
 	Room float64 `json:"room"`
-	// Filling is what those are taken to use, with what filling tasks have declared.
+	// Filling is the processor time that the same tasks are expected to use, plus what filler tasks declare.
 	Filling float64 `json:"filling"`
-	// Capacity is the processor time that the workers have.
+	// Capacity is the processor time of the usable workers; 0 while the load is not known.
 	Capacity models.MilliCPU `json:"capacity"`
 }
 
-// Of is the load that counts for a job: Room if any of its tasks needs room of its own.
+// Of returns the load that decides for a job: the declared load if any of its tasks needs free capacity, and
+// the expected load if all of them are filler tasks.
 func (l CellLoad) Of(spec *Spec) float64 {
 	if spec.NeedsRoom() {
 		return l.Room
@@ -28,10 +29,10 @@
 	return l.Filling
 }
 
-// With adds a job to the loads, with all that its first steps declare.
+// With returns the load after a job is added, with the processor time that its first steps declare.
 func (l CellLoad) With(spec *Spec) CellLoad {
 	if l.Capacity <= 0 {
-		return l // not heard of yet, or nobody owns the cell
+		return l // the owner has not reported the load yet, or the cell has no owner
 	}
 	room, filling := spec.demand()
 	capacity := float64(l.Capacity)
@@ -40,13 +41,13 @@
 	return l
 }
 
-// NeedsRoom tells whether any task of the job needs room of its own on a worker.
+// NeedsRoom reports whether any task of the job needs free capacity on a worker, as all but filler tasks do.
 func (s *Spec) NeedsRoom() bool {
 	return slices.ContainsFunc(s.Steps, func(step Step) bool { return !step.Fills })
 }
 
-// demand is the processor time that the job's first steps declare, in room of their own
-// and in what others leave over.
+// demand returns the processor time that the steps without predecessors declare: room for tasks that need
+// free capacity, filling for filler tasks.
 func (s *Spec) demand() (room, filling models.MilliCPU) {
 	for _, step := range s.Steps {
 		size := step.Size.CPU * models.MilliCPU(step.Count)
--- a/models/jobs/part.go
+++ b/models/jobs/part.go
@@ -8,14 +8,13 @@
 	"slices"
 )
 
-// TaskSet is a set of a job's tasks: their indexes by step, steps counted over all
-// occurrences.
+// TaskSet is a set of a job's tasks: the tasks' indexes by step, where steps are counted over
+// all occurrences of the job.
 type TaskSet map[int][]int
 
-// Has tells whether a task is in the set.
-func (s TaskSet) Has(flat, index int) bool { return slices.Contains(s[flat], index) }
+// Has reports whether the set contains a task.
+func (s TaskSet) Has(step, index int) bool { return slices.Contains(s[step], index) }
 
-// Len is the number of tasks.
 func (s TaskSet) Len() int {
 	n := 0
 	for _, indexes := range s {
@@ -24,31 +23,31 @@
 	return n
 }
 
-// union gives the set with the tasks of another one.
+// union returns the tasks that are in either set.
 func (s TaskSet) union(other TaskSet) TaskSet {
 	sum := TaskSet{}
 	maps.Copy(sum, s)
-	for flat, indexes := range other {
-		all := append(slices.Clone(sum[flat]), indexes...)
+	for step, indexes := range other {
+		all := append(slices.Clone(sum[step]), indexes...)
 		slices.Sort(all)
-		sum[flat] = slices.Compact(all)
+		sum[step] = slices.Compact(all)
 	}
 	return sum
 }
 
-// difference gives the set without the tasks of another one.
+// difference returns the tasks of s that are not in other.
 func (s TaskSet) difference(other TaskSet) TaskSet {
 	rest := TaskSet{}
-	for flat, indexes := range s {
-		kept := slices.DeleteFunc(slices.Clone(indexes), func(i int) bool { return other.Has(flat, i) })
+	for step, indexes := range s {
+		kept := slices.DeleteFunc(slices.Clone(indexes), func(i int) bool { return other.Has(step, i) })
 		if len(kept) > 0 {
-			rest[flat] = kept
+			rest[step] = kept
 		}
 	}
 	return rest
 }
 
-// allTasks are all tasks of a job.
+// allTasks returns the set of all tasks of the job, in all occurrences.
 func (s *Spec) allTasks() TaskSet {
 	all := TaskSet{}
 	for occurrence := range s.Occurrences() {
@@ -63,7 +62,7 @@
 	return all
 }
 
-// Held are the tasks of an active job that the record's cell has.
+// Held returns the tasks of an active job that belong to the record's cell.
 func (r *Record) Held() TaskSet {
 	if r.Part {
 		return r.Tasks
@@ -71,43 +70,44 @@
 	return r.Spec.allTasks()
 }
 
-// Holds tells whether the record's cell has a task.
-func (r *Record) Holds(flat, index int) bool { return !r.Part || r.Tasks.Has(flat, index) }
+// Holds reports whether a task belongs to the record's cell.
+func (r *Record) Holds(step, index int) bool { return !r.Part || r.Tasks.Has(step, index) }
 
-// Left tells whether all tasks of the job have been handed to another cell.
+// Left reports whether the job is active and the record's cell has moved all of its tasks to other cells.
 func (r *Record) Left() bool { return r.Ended == "" && r.Part && len(r.Tasks) == 0 }
 
-// Without gives the record after tasks have been handed to another cell.
+// Without returns the record after tasks have been moved to another cell.
 func (r *Record) Without(tasks TaskSet) Record {
 	rest := *r
 	rest.Part, rest.Tasks, rest.Moved = true, r.Held().difference(tasks), true
 	return rest
 }
 
-// WithTasks gives the record after its cell has got tasks from another one, whose runs
-// had numbers up to least.
-func (r *Record) WithTasks(tasks TaskSet, least RunID) Record {
+// WithTasks returns the record after its cell has received tasks from another cell. The runs of the
+// tasks had numbers up to highestRun.
+func (r *Record) WithTasks(tasks TaskSet, highestRun RunID) Record {
 	sum := *r
 	sum.Tasks, sum.Moved = r.Held().union(tasks), true
 	if sum.Part = sum.Tasks.Len() < r.Spec.allTasks().Len(); !sum.Part {
 		sum.Tasks = nil
 	}
-	sum.LeastRun = max(r.LeastRun, least)
+	sum.LeastRun = max(r.LeastRun, highestRun)
 	return sum
 }
 
-// NewPart is the first record of tasks in a cell that had none of the job.
-func (r *Record) NewPart(tasks TaskSet, least RunID) Record {
-	none := *r
-	none.Part, none.Tasks = true, nil
-	none.Further, none.Home = nil, ""
-	part := none.WithTasks(tasks, least)
+// NewPart returns the record of a cell that receives tasks of the job and has had none before. The runs of the
+// tasks had numbers up to highestRun.
+func (r *Record) NewPart(tasks TaskSet, highestRun RunID) Record {
+	empty := *r
+	empty.Part, empty.Tasks = true, nil
+	empty.Further, empty.Home = nil, ""
+	part := empty.WithTasks(tasks, highestRun)
 	part.Moved, part.Came = false, true
 	return part
 }
 
-// Divisible tells whether each cell can run any of the job's tasks for itself: all of them
-// last, at once and wherever they are.
+// Divisible reports whether cells can run any subset of the job's tasks independently: the job is not repeated,
+// and all of its tasks are long-running and need not share a rack.
 func (s *Spec) Divisible() bool {
 	return s.Repeat.Count == 0 && !slices.ContainsFunc(s.Steps, func(step Step) bool {
 		return !step.Lasts || step.SameRack
--- a/models/jobs/part_test.go
+++ b/models/jobs/part_test.go
@@ -29,7 +29,7 @@
 		require.Equal(rt, moved.Len() == spec.Steps[0].Count, rest.Left())
 		require.Equal(rt, moved.Len() < spec.Steps[0].Count, part.Part)
 		back := rest.WithTasks(moved, 9)
-		require.False(rt, back.Part, "it has all tasks again")
+		require.False(rt, back.Part, "the record holds all tasks again")
 		require.True(rt, back.Moved)
 		require.EqualValues(rt, 9, back.LeastRun)
 	})
--- a/models/jobs/query.go
+++ b/models/jobs/query.go
@@ -7,28 +7,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxQueryJobs bounds the jobs, and the demands, of one query.
+// maxQueryJobs is the maximum number of jobs, and of demands, in a query.
 const maxQueryJobs = 1000
 
-// Query asks the owner of a cell about jobs and queues.
+// Query asks the owner of a cell about its jobs, queues, load, learned factors and free places.
 type Query struct {
 	Cell    CellName `json:"cell"`
 	Jobs    []ID     `json:"jobs,omitempty"`
-	Pending bool     `json:"pending,omitempty"` // of all queues
-	Learned bool     `json:"learned,omitempty"` // what the cell has learned of images
+	Pending bool     `json:"pending,omitempty"` // count the pending jobs of all queues
+	Learned bool     `json:"learned,omitempty"` // list the interference factors that the cell has learned
 	Load    bool     `json:"load,omitempty"`
-	Demands []Demand `json:"demands,omitempty"` // how many places there are for them
+	Demands []Demand `json:"demands,omitempty"` // count the places for each of them
 }
 
-// Demand is work that looks for a cell with places for it.
+// Demand describes tasks of a step for which an owner looks for places in other cells.
 type Demand struct {
 	Job    ID       `json:"job"`
-	Number int      `json:"number"` // of the step, over all occurrences
+	Number int      `json:"number"` // of the step, counted over all occurrences
 	Pool   PoolName `json:"pool"`
-	Step   Step     `json:"step"` // its count is the number of tasks
+	Step   Step     `json:"step"` // Count is the number of tasks that need a place
 }
 
-// Check rejects queries of too many jobs, and steps that can't be meant.
+// Check rejects a query without a cell, with too many jobs or demands, or with an invalid step.
 func (q Query) Check() error {
 	if q.Cell == "" || len(q.Jobs) > maxQueryJobs || len(q.Demands) > maxQueryJobs {
 		return errors.Newf("query names no cell, or more than %d jobs or demands", maxQueryJobs)
@@ -41,56 +41,57 @@
 	return nil
 }
 
-// Answer answers a query.
+// Answer is the answer to a Query.
 type Answer struct {
-	// Owner tells whether the daemon owns the cell and has recovered its jobs; when not,
-	// the rest is empty.
+	// Owner is set if the daemon owns the cell and has recovered its jobs. Otherwise the other
+	// fields are empty.
 	Owner  bool         `json:"owner"`
-	States map[ID]State `json:"states,omitempty"` // jobs that aren't known are missing
-	// Further are the further cells that have tasks of jobs, also of those that have left this cell.
+	States map[ID]State `json:"states,omitempty"` // jobs that the owner does not know are left out
+	// Further lists, by job, the cells with tasks of the job to which its id does not lead. Jobs whose tasks
+	// have all been moved away from this cell are included.
 	Further map[ID][]CellName `json:"further,omitempty"`
 	Pending map[QueueName]int `json:"pending,omitempty"`
 	Learned []Learned         `json:"learned,omitempty"`
 	Load    CellLoad          `json:"load"`
-	Places  []int             `json:"places,omitempty"` // as many as there are demands
+	Places  []int             `json:"places,omitempty"` // one count per demand, in their order
 }
 
-// Check rejects factors that are told in no unit.
+// Check rejects factors whose idle tail is not positive, as they can't be converted to another unit of load.
 func (a Answer) Check() error {
 	for _, l := range a.Learned {
 		if !(l.Idle > 0) {
-			return errors.Newf("factor of %s beside %s has no unit", l.Filling, l.Serving)
+			return errors.Newf("interference factor of %s on %s: idle tail is not positive", l.Filling, l.Serving)
 		}
 	}
 	return nil
 }
 
-// Learned is what is believed of a pair of images.
+// Learned is the estimated interference factor of a pair of images.
 type Learned struct {
 	Serving ImageName `json:"serving"`
 	Filling ImageName `json:"filling"`
-	// Factor is the load that the filling image adds when it uses a whole worker.
+	// Factor is the load that the filler image adds to the serving image when it uses a whole worker.
 	Factor float64 `json:"factor"`
 	// Spread is the standard deviation of the factor.
 	Spread float64 `json:"spread"`
-	// Idle is the tail without load that is assumed, as a part of the target: loads are told
-	// in its unit.
+	// Idle is the assumed tail latency without load, as a fraction of the target. It sets the unit of
+	// loads and factors.
 	Idle         float64 `json:"idle"`
-	Observations int     `json:"observations"` // of the serving image
+	Observations int     `json:"observations"` // of the serving image, beside any filler image
 }
 
-// Layout is the stored division into cells. It is written once; racks are added later.
+// Layout is the stored division of workers and jobs into cells. It is written once; only racks are added later.
 type Layout struct {
 	Cells int               `json:"cells"`
 	Racks map[RackLabel]int `json:"racks,omitempty"`
-	// Workers is how many there were when the layout was made; 0: not known.
+	// Workers is the number of workers when the layout was made; 0: not known.
 	Workers int `json:"workers,omitempty"`
 }
 
-// maxCells bounds the cells of a layout.
+// maxCells is the maximum number of cells in a layout.
 const maxCells = 4096
 
-// Check rejects a layout without cells.
+// Check rejects a layout with no cells or more than maxCells.
 func (l Layout) Check() error {
 	if l.Cells < 1 || l.Cells > maxCells {
 		return errors.Newf("layout has %d cells, 1 to %d are allowed", l.Cells, maxCells)
@@ -98,34 +99,34 @@
 	return nil
 }
 
-// Daemon is a daemon's own key in the store, under its lease. What the daemon accepts is
-// written on condition that the key is there, so that a write without answer can't be done
-// any more once the lease is over.
+// Daemon is the value of a daemon's own key in the store, which has the daemon's lease. Jobs that the
+// daemon accepts are written on condition that the key exists, so that a write with unknown
+// outcome can't take effect after the lease is over.
 type Daemon struct {
 	ID string `json:"id"`
-	// Processor is how many cores the daemon may use; weaker owners leave cells to it.
+	// Processor is the number of cores that the daemon may use. Daemons with fewer cores leave cells to it.
 	Processor float64 `json:"processor,omitempty"`
-	// Link is how many Mbit/s its VM may send and receive; 0: not known.
+	// Link is the bandwidth in Mbit/s with which the VM may send and receive; 0: not known.
 	Link float64 `json:"link,omitempty"`
 }
 
-// Check rejects an impossible amount.
+// Check rejects negative amounts.
 func (d Daemon) Check() error {
 	if d.Processor < 0 || d.Link < 0 {
-		return errors.Newf("daemon %s: processor or link is negative", d.ID)
+		return errors.Newf("daemon %s: number of cores or bandwidth is negative", d.ID)
 	}
 	return nil
 }
 
-// Owner is the stored owner of a cell; the key has the owner's lease, and its version is
+// Owner is the stored owner of a cell. The key has the owner's lease, and the key's version is
 // the epoch.
 type Owner struct {
 	Daemon  string `json:"daemon"`
-	Address string `json:"address"` // where the other daemons call
-	Claim   string `json:"claim"`   // unlike that of any other claim
+	Address string `json:"address"` // at which other daemons call the owner
+	Claim   string `json:"claim"`   // unique per claim
 }
 
-// Check rejects an owner that can't be called.
+// Check rejects an owner without address or claim.
 func (o Owner) Check() error {
 	if o.Address == "" || o.Claim == "" {
 		return errors.New("owner has no address or claim")
--- a/models/jobs/record.go
+++ b/models/jobs/record.go
@@ -9,7 +9,7 @@
 	"rillsail.example/rillsail/models"
 )
 
-// State is what a caller is told of a job.
+// State is the state of a job that callers are told.
 type State string
 
 // The states of a job.
@@ -17,33 +17,33 @@
 	StateQueued    State = "queued"
 	StateRunning   State = "running"
 	StateSucceeded State = "succeeded"
-	StateFailed    State = "failed" // a task failed as often as its queue allows
+	StateFailed    State = "failed" // a task has failed as often as its queue allows
 	StateCancelled State = "cancelled"
 )
 
-// StateBarred is the end of a job that was cancelled before it was stored: nobody is shown it,
-// and a write of the job that is still on its way meets its record.
+// StateBarred is the final state of a job that was cancelled before it was stored. Callers are never
+// told the state. The record bars a write of the job that is still in flight.
 const StateBarred State = "barred"
 
-// Ended tells whether nothing more will happen to the job.
+// Ended reports whether the state is final.
 func (s State) Ended() bool {
 	return s == StateSucceeded || s == StateFailed || s == StateCancelled || s == StateBarred
 }
 
-// Terms are the queue's terms at the time a job was accepted. They stay in force when
-// the queue is dropped from the configuration.
+// Terms are the queue's settings when a job was accepted. They stay in force when
+// the queue is removed from the configuration.
 type Terms struct {
 	Pool        PoolName     `json:"pool"`
-	Priority    int          `json:"priority,omitempty"` // 0 comes first
+	Priority    int          `json:"priority,omitempty"` // 0 is the most urgent
 	MaxAttempts int          `json:"max_attempts,omitempty"`
-	Slack       models.Milli `json:"slack_ms,omitempty"` // part of the latency objective that doesn't depend on the work
-	Stretch     float64      `json:"stretch,omitempty"`  // the objective is Stretch times the longest chain, and Slack
+	Slack       models.Milli `json:"slack_ms,omitempty"` // constant part of the latency objective
+	Stretch     float64      `json:"stretch,omitempty"`  // the objective is Stretch times the job's critical path, plus Slack
 	HasAdviser  bool         `json:"adviser,omitempty"`  // only an adviser knows which workers may run a step
 }
 
-// Record is what the store holds of a job in one of its cells. The daemon that accepts the
-// job writes it; the owner of the cell replaces it by an ended one. When an owner hands
-// tasks to another cell, it writes the records of both cells in one transaction.
+// Record is the stored record of a job in one of its cells. The daemon that accepts the job
+// writes the record, and the owner of the cell replaces it with an ended record. An owner that
+// moves tasks to another cell writes the records of both cells in one transaction.
 type Record struct {
 	Spec     Spec             `json:"spec"`
 	Terms    Terms            `json:"terms"`
@@ -51,67 +51,68 @@
 	Ended    State            `json:"ended,omitempty"`    // empty while the job is active
 	EndedAt  models.UnixMilli `json:"end_time,omitempty"` // by the owner's clock
 
-	// Part says that the cell has only those of the job's tasks that Tasks names.
+	// Part is set if the cell has only the tasks of the job that are listed in Tasks.
 	Part  bool    `json:"part,omitempty"`
 	Tasks TaskSet `json:"tasks,omitempty"`
-	// Moved says that an active record was written again, so that its age doesn't tell which
-	// owner may have started its tasks.
+	// Moved is set if an active record has been rewritten. The age of such a record does not tell
+	// which owners may have started the tasks.
 	Moved bool `json:"moved,omitempty"`
-	// Came says that the tasks come from another cell, where they have waited already.
+	// Came is set if the tasks come from another cell, where they have already waited.
 	Came bool `json:"came,omitempty"`
-	// LeastRun is the highest number of a run that a cell had given before it handed tasks over.
+	// LeastRun is the highest run number that a cell had assigned before it moved tasks away. Later runs
+	// get higher numbers.
 	LeastRun RunID `json:"least_run,omitempty"`
-	// Suspected is what was known against tasks when they came from another cell.
+	// Suspected holds the suspicions against tasks when they came from another cell.
 	Suspected Suspicions `json:"suspected,omitempty"`
 
-	// Further are the further cells that have tasks of the job, beside those that follow from its id, as far as
-	// they got them by this record; each is named once.
+	// Further lists cells that have tasks of the job and to which the job's id does not lead. A cell is listed if
+	// it received its tasks by way of this record, and is listed in one record only.
 	Further []CellName `json:"further,omitempty"`
-	// Home is, in the record of such a further cell, the cell whose record names it.
+	// Home is set in the record of a cell to which the job's id does not lead: the cell whose record lists it.
 	Home CellName `json:"home,omitempty"`
-	// Closed says that the job is cancelled, in more cells than one transaction can change: none of its tasks
-	// moves any more.
+	// Closed is set if the job is cancelled while it has tasks in more cells than one transaction can change. From
+	// then on none of its tasks moves between cells.
 	Closed bool `json:"closed,omitempty"`
 
-	// Version is that of the record's key, filled in when it is read; 0: not known.
+	// Version is the version of the record's key, set when the record is read; 0: not known.
 	Version uint64 `json:"-"`
 }
 
-// Check rejects a record that holds no valid job, or an end that is none. Ended records
-// keep the id and the queue only.
+// Check rejects a record with an invalid job or with an end that is not a final state. Of an ended job only
+// the id is checked, as ended records keep just the id and the queue of the specification.
 func (r Record) Check() error {
 	if r.Ended == "" {
 		return r.Spec.Check()
 	}
 	if !r.Ended.Ended() {
-		return errors.Newf("job %s: %q is no end", r.Spec.ID, r.Ended)
+		return errors.Newf("job %s: %q is not a final state", r.Spec.ID, r.Ended)
 	}
 	return r.Spec.ID.Check()
 }
 
-// Progress is what the store holds of an active job's ended tasks, so that a worker may
-// forget them. Tasks that last have no ends in it.
+// Progress is the stored outcome of an active job's tasks, so that workers may forget their ended
+// runs. Long-running tasks have no outcomes there.
 type Progress struct {
-	Done   map[int][]int            `json:"done,omitempty"`   // by step, over all occurrences: indexes of tasks that succeeded
-	Failed map[int]map[int]Failures `json:"failed,omitempty"` // by step and index
-	// Suspected are tasks under which workers were lost, also of those that last.
+	Done   map[int][]int            `json:"done,omitempty"`   // indexes of succeeded tasks, by step over all occurrences
+	Failed map[int]map[int]Failures `json:"failed,omitempty"` // counted failures by step and index
+	// Suspected holds the suspicions against tasks whose workers were lost, long-running tasks included.
 	Suspected Suspicions `json:"suspected,omitempty"`
 }
 
-// Empty tells whether there is nothing to store.
+// Empty reports whether there is nothing to store.
 func (p Progress) Empty() bool { return len(p.Done)+len(p.Failed)+len(p.Suspected) == 0 }
 
-// Failures are the failed runs of a task that were counted. They are kept one by one,
-// because after a takeover the reports of several workers come in any order.
+// Failures lists the failed runs of a task that have been counted. The runs are listed one by one
+// because reports of several workers may arrive in any order after a takeover.
 type Failures []RunID
 
-// Check is there for the decoder; indexes outside the job are ignored when applied.
+// Check accepts all values; the decoder requires the method. Indexes outside the job are ignored when applied.
 func (p Progress) Check() error { return nil }
 
-// Cancellation is the stored wish to end a job.
+// Cancellation is the stored request to cancel a job.
 type Cancellation struct {
 	At models.UnixMilli `json:"at"`
 }
 
-// Check is there for the decoder; every value is allowed.
+// Check accepts all values; the decoder requires the method.
 func (c Cancellation) Check() error { return nil }
--- a/models/jobs/spec.go
+++ b/models/jobs/spec.go
@@ -11,57 +11,57 @@
 	"rillsail.example/rillsail/models"
 )
 
-// Bounds of what one job may ask for.
+// Limits of a job specification.
 const (
-	MaxPayload     = 4000 // bytes of the text as UTF-8, escapes resolved; the most that workers take with a start
+	MaxPayload     = 4000 // bytes of UTF-8 with escapes resolved; the most that workers accept with a start
 	MaxSteps       = 64
 	MaxStepTasks   = 10_000
 	MaxOccurrences = 10_000
 	maxEstimate    = models.Milli(7 * 24 * time.Hour / time.Millisecond)
-	maxLabel       = 200 // bytes of a label or image
+	maxLabel       = 200 // bytes of a label or image name
 )
 
-// Step is a number of equal tasks of a job. They start once all tasks of the steps in
+// Step is a group of identical tasks of a job. The tasks start once all tasks of the steps in
 // After have succeeded.
 type Step struct {
 	Count    int              `json:"count"`
 	Size     models.Resources `json:"size"` // of each task
 	Estimate models.Milli     `json:"estimate_ms,omitempty"`
-	After    []int            `json:"after,omitempty"` // numbers of earlier steps
+	After    []int            `json:"after,omitempty"` // numbers of earlier steps of the job
 
-	Checkpoints bool      `json:"checkpoints,omitempty"`  // a run can go on where a former one stopped
-	Gang        bool      `json:"gang,omitempty"`         // the tasks work only together
-	SameRack    bool      `json:"same_rack,omitempty"`    // slower when spread over racks
-	Requires    string    `json:"requires,omitempty"`     // label that the worker must have
-	DataRack    RackLabel `json:"data_rack,omitempty"`    // work is slower anywhere else
-	PerWorker   int       `json:"per_worker,omitempty"`   // most tasks of the step on one worker; 0: any number
-	SideBySide  bool      `json:"side_by_side,omitempty"` // copies of a task may run at once, the first end counts
+	Checkpoints bool      `json:"checkpoints,omitempty"`  // a run can resume from the checkpoint of an earlier run
+	Gang        bool      `json:"gang,omitempty"`         // the tasks make progress only together
+	SameRack    bool      `json:"same_rack,omitempty"`    // the tasks are slower when spread over racks
+	Requires    string    `json:"requires,omitempty"`     // label that the task's worker must have
+	DataRack    RackLabel `json:"data_rack,omitempty"`    // rack of the data; tasks are slower elsewhere
+	PerWorker   int       `json:"per_worker,omitempty"`   // maximum number of the step's tasks on a worker; 0: no limit
+	SideBySide  bool      `json:"side_by_side,omitempty"` // copies of a task may run at once; the first to end counts
 
-	Lasts   bool         `json:"lasts,omitempty"` // runs until the job is cancelled
+	Lasts   bool         `json:"lasts,omitempty"` // tasks run until the job is cancelled
 	Image   ImageName    `json:"image,omitempty"`
-	Target  models.Milli `json:"target_ms,omitempty"` // of the tail latency of a task that lasts; 0: none
-	Fills   bool         `json:"fills,omitempty"`     // takes the processor time that others leave unused
-	MayMiss int          `json:"may_miss,omitempty"`  // tasks that may be away at once by our doing
+	Target  models.Milli `json:"target_ms,omitempty"` // tail latency target of a long-running task; 0: none
+	Fills   bool         `json:"fills,omitempty"`     // filler tasks: they use processor time that others leave unused
+	MayMiss int          `json:"may_miss,omitempty"`  // maximum number of tasks that the scheduler may take down at once
 }
 
-// Repeat is a job's repetition in time.
+// Repeat is the schedule of a repeated job.
 type Repeat struct {
-	Count int              `json:"count,omitempty"` // 0: the steps run once, at once
+	Count int              `json:"count,omitempty"` // 0: the steps run once, immediately
 	First models.UnixMilli `json:"first,omitempty"`
 	Every models.Milli     `json:"every_ms,omitempty"`
 }
 
-// Spec is a job as a caller hands it in.
+// Spec is the specification of a job that a caller submits.
 type Spec struct {
 	ID      ID        `json:"id"`
 	Queue   QueueName `json:"queue"`
-	Payload Text      `json:"payload"` // handed to each task unchanged
+	Payload Text      `json:"payload"` // passed to each task unchanged
 	Steps   []Step    `json:"steps"`
 	Repeat  Repeat    `json:"repeat"`
 }
 
-// Check rejects jobs that can't be meant: no steps, impossible amounts, steps that
-// wait for themselves or for later ones.
+// Check rejects invalid jobs: without steps, with amounts out of bounds, or with steps that
+// wait for themselves or for later steps.
 func (s Spec) Check() error {
 	if err := s.ID.Check(); err != nil {
 		return err
@@ -117,10 +117,10 @@
 	return s.Size.Check()
 }
 
-// Occurrences is how many times the steps run.
+// Occurrences returns how many times the steps run.
 func (s Spec) Occurrences() int { return max(1, s.Repeat.Count) }
 
-// DueAt is when an occurrence may start; zero means at once.
+// DueAt returns when an occurrence may start; 0: immediately.
 func (s Spec) DueAt(occurrence int) models.UnixMilli {
 	if s.Repeat.Count == 0 {
 		return 0
@@ -128,7 +128,8 @@
 	return s.Repeat.First + models.UnixMilli(occurrence)*models.UnixMilli(s.Repeat.Every)
 }
 
-// Chain is the longest chain of the steps' estimates.
+// Chain returns the length of the critical path: the largest sum of estimates along a chain of dependent steps.
+// Long-running steps count as 0.
 func (s Spec) Chain() time.Duration {
 	var longest models.Milli
 	ends := make([]models.Milli, len(s.Steps))
@@ -144,11 +145,11 @@
 	return longest.Duration()
 }
 
-// Serves tells whether the step's tasks have a target for their tail latency.
+// Serves reports whether the step is a serving step: its tasks are long-running and have a tail latency target.
 func (s *Step) Serves() bool { return s.Lasts && s.Target > 0 }
 
-// Unsupported says what of the job can't be run yet under its queue's terms; empty when
-// all of it can.
+// Unsupported returns the reason why the job can't be run under its queue's terms, or an empty
+// string if it can.
 func (s Spec) Unsupported(terms Terms) string {
 	if terms.HasAdviser {
 		return "queues with an adviser are not served yet"
--- a/models/jobs/suspicion.go
+++ b/models/jobs/suspicion.go
@@ -12,46 +12,48 @@
 	"rillsail.example/rillsail/models"
 )
 
-// Suspicion is what is known against a task under which workers were lost.
+// Suspicion holds the evidence that a task crashes its workers: the runs that were, or may have been, lost with
+// their workers.
 type Suspicion struct {
 	Lost []LostRun `json:"lost,omitempty"`
-	// Open is a run that may be lost and whose outcome isn't known yet: should the owner go, its
-	// successor counts it when the worker turns out to be gone. Nil: there is none.
+	// Open is a run that may be lost and whose outcome is not known yet, so that a successor of the
+	// owner counts the run if its worker turns out to be lost; nil: none.
 	Open *OpenRun `json:"open,omitempty"`
-	// Unseen is how many more runs may have been lost with their workers, seen by no owner.
+	// Unseen is how many more runs may have been lost with their workers, observed by no owner.
 	Unseen int `json:"unseen,omitempty"`
-	// UnseenRuns are the numbers of those runs, as far as they are known.
+	// UnseenRuns lists the numbers of these runs, as far as they are known.
 	UnseenRuns []RunID `json:"unseen_runs,omitempty"`
-	// Counted is the latest epoch whose takeover is counted: a run that was lost then is among those above,
-	// or none was; 0: none is.
+	// Counted is the latest epoch whose takeover is taken into account: if the task lost a run at that
+	// takeover, the run is included above; 0: no takeover is.
 	Counted Epoch `json:"counted,omitempty"`
-	// Cleared is the epoch in which a run of the task went on for so long that no loss before it
-	// counts any more; 0: none has.
+	// Cleared is the epoch in which a run of the task lasted so long that no earlier loss counts any
+	// more; 0: no run has.
 	Cleared Epoch `json:"cleared,omitempty"`
 }
 
-// Suspicions are what is known against a job's tasks, by step and index; steps are counted over
-// all occurrences.
+// Suspicions holds the suspicions against a job's tasks by step and index, where steps are counted
+// over all occurrences of the job.
 type Suspicions map[int]map[int]Suspicion
 
-// Set notes what is known against a task.
-func (s Suspicions) Set(flat, index int, suspicion Suspicion) {
-	if s[flat] == nil {
-		s[flat] = map[int]Suspicion{}
+// Set records the suspicion against a task.
+func (s Suspicions) Set(step, index int, suspicion Suspicion) {
+	if s[step] == nil {
+		s[step] = map[int]Suspicion{}
 	}
-	s[flat][index] = suspicion
+	s[step][index] = suspicion
 }
 
-// With gives what either of both has, the other one's first.
+// With returns the suspicions of both sets. Of a task that is in both, the suspicion in other is kept. If other is
+// empty, the result is s itself.
 func (s Suspicions) With(other Suspicions) Suspicions {
 	if len(other) == 0 {
 		return s
 	}
 	sum := Suspicions{}
 	for _, each := range []Suspicions{s, other} {
-		for flat, suspicions := range each {
+		for step, suspicions := range each {
 			for index, suspicion := range suspicions {
-				sum.Set(flat, index, suspicion)
+				sum.Set(step, index, suspicion)
 			}
 		}
 	}
@@ -61,58 +63,63 @@
 // LostRun is a run that was lost with its worker.
 type LostRun struct {
 	Run RunID `json:"run"`
-	// Ran is for how long it had run at most; 0: nobody saw.
+	// Ran is the longest time for which the run may have lasted; 0: no owner observed its duration.
 	Ran models.Milli `json:"ran_ms,omitempty"`
-	// Doubt is what the loss says against the task compared with chance alone, Weight compared with
-	// all that ran beside it too: logarithms of likelihoods; below zero they speak for it.
-	Doubt  float64 `json:"doubt,omitempty"`
+	// Doubt is the log-likelihood ratio of the loss with the task as its cause against chance alone. Negative values
+	// speak for the task.
+	Doubt float64 `json:"doubt,omitempty"`
+	// Weight is the log-likelihood ratio of the loss with the task as its cause against chance or the other tasks on
+	// the worker as its cause. Negative values speak for the task.
 	Weight float64 `json:"weight,omitempty"`
-	// With is the loss of a worker that it was lost in; 0: not known.
+	// With identifies the loss of the worker with which the run was lost; 0: not known.
 	With WorkerLoss `json:"on,omitempty"`
 }
 
-// WorkerLoss names the loss of an incarnation of a worker: all runs that were lost with it have the same
-// cause. It is a hash, for an id and a start would be most of what is stored of a lost run.
+// WorkerLoss identifies the loss of a worker's incarnation; all runs lost with the incarnation have the same
+// cause. The type is a hash because a worker id and a start time would be most of the stored size of a lost run.
 type WorkerLoss uint32
 
-// Loss names the incarnation's loss.
+// Loss returns the identifier of the incarnation's loss.
 func (i Incarnation) Loss() WorkerLoss {
 	loss := WorkerLoss(xxhash.Sum64String(string(i.ID) + "/" + strconv.FormatInt(int64(i.Born), 10)))
-	return max(loss, 1) // 0 names none
+	return max(loss, 1) // 0 means no loss
 }
 
-// OpenRun is a run that counts as lost if its worker is gone.
+// OpenRun is a run that counts as lost if its worker turns out to be lost.
 type OpenRun struct {
 	LostRun
 	Worker WorkerID `json:"worker"`
-	// Born is when the incarnation of the worker started; 0: not known.
+	// Born is the start time of the worker's incarnation; 0: not known.
 	Born models.UnixMilli `json:"born,omitempty"`
-	// Began is when the run began, while it is not known for how long it had run: the later the
-	// worker turns out to be gone, the likelier that is by chance. 0: LostRun says it.
+	// Began is when the run began, set while its duration is not known: the later the worker turns
+	// out to be lost, the more likely it was lost by chance. 0: the duration is in LostRun.
 	Began models.UnixMilli `json:"began,omitempty"`
-	// Chance and Beside are how many workers were lost a second then, by chance and by what else ran there.
+	// Chance is the expected rate of worker losses by chance when the run began, in losses per second.
 	Chance float64 `json:"chance,omitempty"`
+	// Beside is the expected rate of losses caused by the other tasks on the worker, in losses per second.
 	Beside float64 `json:"beside,omitempty"`
-	// Unseen says that nobody will know whether the worker crashed: it was silent until its lease
-	// was over.
+	// Unseen is set if it can't be established whether the worker crashed, because the worker was
+	// silent until its lease was over.
 	Unseen bool `json:"unseen,omitempty"`
 }
 
-// Empty tells whether nothing is known of the task.
+// Empty reports whether nothing needs to be stored of the task: no evidence against it and no epoch.
 func (s Suspicion) Empty() bool { return s.Clean() && s.Since() == 0 }
 
-// Since is the epoch after which takeovers may have lost runs of the task that are not counted; 0: all may.
+// Since returns the epoch after which takeovers may have lost runs of the task that are not counted; 0: all
+// takeovers may have.
 func (s Suspicion) Since() Epoch { return max(s.Cleared, s.Counted) }
 
-// Clean tells whether nothing is known against the task.
+// Clean reports whether there is no evidence against the task.
 func (s Suspicion) Clean() bool { return len(s.Lost) == 0 && s.Open == nil && s.Unseen == 0 }
 
-// Has tells whether a run is among those that were lost, or may have been.
+// Has reports whether a run is counted as lost or as possibly lost.
 func (s Suspicion) Has(run RunID) bool {
 	return slices.Contains(s.UnseenRuns, run) || slices.ContainsFunc(s.Lost, func(lost LostRun) bool { return lost.Run == run })
 }
 
-// Without gives the suspicion without a run that was not lost after all. Its slices are not shared.
+// Without returns the suspicion without a run that was not lost after all. The result shares no slice of runs
+// with s.
 func (s Suspicion) Without(run RunID) Suspicion {
 	s.Lost = slices.DeleteFunc(slices.Clone(s.Lost), func(lost LostRun) bool { return lost.Run == run })
 	s.Unseen -= len(s.UnseenRuns)
@@ -121,7 +128,7 @@
 	return s
 }
 
-// Doubt sums up what all lost runs say compared with chance.
+// Doubt returns the evidence of all lost runs against the task, compared with chance alone.
 func (s Suspicion) Doubt() float64 {
 	sum := 0.0
 	for _, lost := range s.Lost {
@@ -130,7 +137,7 @@
 	return sum
 }
 
-// Weight sums up what all lost runs say.
+// Weight returns the evidence of all lost runs against the task, compared with chance and the tasks beside it.
 func (s Suspicion) Weight() float64 {
 	sum := 0.0
 	for _, lost := range s.Lost {
--- a/models/jobs/text.go
+++ b/models/jobs/text.go
@@ -13,27 +13,27 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Text is a text of callers or workers that is handed on as it came: nobody here reads it. It
-// holds whatever a JSON string can say, as UTF-8, and halves of surrogate pairs in the form of
-// three bytes that UTF-8 would give them, so that equal texts are equal strings. Only its own
-// JSON methods keep such halves: encoding/json reads and writes them in strings as U+FFFD, and a
-// start would bring another text than the caller or the worker has handed out.
+// Text is an opaque text of callers or workers, such as a payload or a checkpoint, which is passed on
+// unchanged. A Text can hold every JSON string, as UTF-8 in which an unpaired surrogate is encoded as the
+// three bytes that UTF-8 would use for its code point, so that equal texts are equal strings. Only the JSON
+// methods of Text preserve unpaired surrogates: encoding/json reads and writes them in strings as U+FFFD, so
+// that a run would start with another text than the caller or the worker has sent.
 type Text string
 
 const (
 	firstHigh, firstLow, lastLow = 0xd800, 0xdc00, 0xdfff // surrogates
 
-	surrogateSize = 3 // bytes of half a surrogate pair
-	escapeSize    = 6 // bytes of an escape by four digits
+	surrogateSize = 3 // bytes of an encoded surrogate
+	escapeSize    = 6 // bytes of an escape with four hexadecimal digits, as \u00e9
 )
 
-// shortEscapes are the escapes of one letter.
+// shortEscapes maps the character after the backslash in a two-character escape to the byte that it stands for.
 var shortEscapes = map[byte]byte{
 	'"': '"', '\\': '\\', '/': '/', 'b': '\b', 'f': '\f', 'n': '\n', 'r': '\r', 't': '\t',
 }
 
-// ParseText reads a JSON string. What is none, as bytes that are no UTF-8, is an error: it could
-// not be written as JSON again, and must not be replaced by something like it.
+// ParseText decodes a JSON string literal. Anything else is an error, as are bytes that are not valid UTF-8:
+// they can't be written as JSON again, and must not be replaced by a similar text.
 func ParseText(literal []byte) (Text, error) {
 	if len(literal) < 2 || literal[0] != '"' || literal[len(literal)-1] != '"' {
 		return "", errors.New("text is no JSON string")
@@ -64,7 +64,7 @@
 	}
 }
 
-// cutEscape cuts the part before the first escape.
+// cutEscape splits the part before its first escape.
 func cutEscape(part []byte) (plain, escaped []byte, found bool) {
 	at := bytes.IndexByte(part, '\\')
 	if at < 0 {
@@ -73,7 +73,7 @@
 	return part[:at], part[at:], true
 }
 
-// checkPlain rejects what can't stand in a JSON string without escape.
+// checkPlain rejects control characters and quotes, which need an escape in a JSON string, and invalid UTF-8.
 func checkPlain(part []byte) error {
 	for _, b := range part {
 		if b < ' ' || b == '"' {
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// readEscape reads the escape that the part begins with: a code unit of UTF-16.
+// readEscape decodes the escape at the start of the part: the UTF-16 code unit that it stands for, and the
+// size of the escape in bytes.
 func readEscape(part []byte) (unit rune, size int, err error) {
 	if len(part) > 1 && shortEscapes[part[1]] != 0 {
 		return rune(shortEscapes[part[1]]), 2, nil
@@ -101,7 +102,8 @@
 	return rune(digits[0])<<8 | rune(digits[1]), escapeSize, nil
 }
 
-// appendUnit adds a code unit; the second half of a pair completes the first.
+// appendUnit appends a UTF-16 code unit. A low surrogate after a high surrogate replaces it by the code point of
+// the pair.
 func appendUnit(text []byte, unit rune) []byte {
 	if unit < firstHigh || unit > lastLow {
 		return utf8.AppendRune(text, unit)
@@ -114,7 +116,7 @@
 	return append(text, 0xe0|byte(unit>>12), 0x80|byte(unit>>6&0x3f), 0x80|byte(unit&0x3f))
 }
 
-// surrogateAt reads the half of a surrogate pair that the text begins with, if it does.
+// surrogateAt decodes the encoded surrogate at the start of the text; ok is false if there is none.
 func surrogateAt(text string) (unit rune, ok bool) {
 	if len(text) < surrogateSize || text[0] != 0xed || text[1]&0xe0 != 0xa0 || text[2]&0xc0 != 0x80 {
 		return 0, false
@@ -122,7 +124,7 @@
 	return firstHigh | rune(text[1]&0x1f)<<6 | rune(text[2]&0x3f), true
 }
 
-// UnmarshalJSON reads a JSON string; null changes nothing.
+// UnmarshalJSON decodes a JSON string; null leaves the text unchanged.
 func (t *Text) UnmarshalJSON(literal []byte) (err error) {
 	if string(literal) == "null" {
 		return nil
@@ -131,13 +133,13 @@
 	return err
 }
 
-// MarshalJSON writes a JSON string that ParseText reads as the same text.
+// MarshalJSON encodes the text as a JSON string that ParseText decodes to the same text.
 func (t Text) MarshalJSON() ([]byte, error) {
 	return t.AppendJSON(make([]byte, 0, len(t)+len(`""`)))
 }
 
-// AppendJSON appends the text as a JSON string that ParseText reads as the same text. What is no
-// text, as bytes that are no UTF-8, is an error.
+// AppendJSON appends the text as a JSON string that ParseText decodes to the same text. Bytes that are neither
+// valid UTF-8 nor an encoded surrogate are an error.
 func (t Text) AppendJSON(literal []byte) ([]byte, error) {
 	text := string(t)
 	literal = append(literal, '"')
@@ -160,7 +162,7 @@
 	return append(literal, '"'), nil
 }
 
-// plainPrefix is how many bytes at the beginning can stand in a JSON string as they are.
+// plainPrefix returns the length of the prefix that a JSON string can contain unescaped.
 func plainPrefix(text string) int {
 	for i := 0; i < len(text); {
 		b := text[i]
--- a/models/jobs/text_test.go
+++ b/models/jobs/text_test.go
@@ -13,7 +13,8 @@
 	"rillsail.example/rillsail/modules/codeunits"
 )
 
-// TestTextThatIsNoneIsNotWritten: a replacement would be another text.
+// TestTextThatIsNoneIsNotWritten checks that invalid UTF-8 is an error when it is encoded. Replacement characters
+// would turn the text into another one.
 func TestTextThatIsNoneIsNotWritten(t *testing.T) {
 	for _, text := range []jobs.Text{"\xff", "a\xc3", "\xed\xa0", "\xf4\x90\x80\x80"} {
 		_, err := json.Marshal(text)
@@ -21,7 +22,8 @@
 	}
 }
 
-// TestPayloadCountsAsUTF8: escapes count as what they say, half a surrogate pair as three bytes.
+// TestPayloadCountsAsUTF8 checks that a text is as long as its decoded UTF-8: an escape counts as the character it
+// stands for, and an unpaired surrogate as three bytes.
 func TestPayloadCountsAsUTF8(t *testing.T) {
 	for literal, size := range map[string]int{`"\u0041"`: 1, `"\u00e9"`: 2, `"\ud800"`: 3, `"\ud83d\ude00"`: 4, `"<"`: 1} {
 		text, err := jobs.ParseText([]byte(literal))
@@ -36,8 +38,8 @@
 	require.Equal(t, jobs.Text("a"), text)
 }
 
-// FuzzText: whatever is a JSON string is read, written as the same code units and read as the
-// same text; nothing else is read.
+// FuzzText checks that every JSON string is decoded, encoded with the same code units and decoded to the same
+// text again, and that nothing else is decoded.
 func FuzzText(f *testing.F) {
 	for _, seed := range []string{`""`, `"a\ud800"`, `"\udc00\ud800"`, `"\ud83d\ude00é\/\u0000<"`, `"`, `"""`, "\"\xff\"", `"\x"`, "\"\n\"", `"\`} {
 		f.Add([]byte(seed))
--- a/models/jobs/worker.go
+++ b/models/jobs/worker.go
@@ -9,7 +9,7 @@
 	"rillsail.example/rillsail/models"
 )
 
-// Worker is one incarnation of a worker, as the platform's list shows it.
+// Worker is one incarnation of a worker as the platform's worker list describes it.
 type Worker struct {
 	ID       WorkerID             `json:"id"`
 	Pool     PoolName             `json:"pool"`
@@ -17,45 +17,46 @@
 	Domain   models.FailureDomain `json:"domain,omitempty"`
 	Capacity models.Resources     `json:"capacity"`
 	Labels   []string             `json:"labels,omitempty"`
-	Rack     RackLabel            `json:"rack,omitempty"` // one of the labels
+	Rack     RackLabel            `json:"rack,omitempty"` // the label that names the rack
 	Draining bool                 `json:"-"`
-	// Remaining is the least time that a draining worker stays; 0 when not known.
+	// Remaining is the minimum time for which a draining worker stays; 0: not known.
 	Remaining time.Duration `json:"-"`
-	// Leaves is when a draining worker may leave at the earliest, by its owner's clock; it
-	// stands in the roster, so that a successor knows why the worker is not there any more.
+	// Leaves is the earliest time at which a draining worker may leave, by the owner's clock. The
+	// roster stores the time, so that a successor knows why the worker is no longer listed.
 	Leaves models.UnixMilli `json:"leaves,omitempty"`
-	// Born is when the incarnation started, by its own time of day; 0: it doesn't say. It tells
-	// incarnations with the same id apart, not which of them came first.
+	// Born is the incarnation's start time by the worker's own time of day; 0: not reported. The time
+	// distinguishes incarnations with the same id, but does not order them.
 	Born models.UnixMilli `json:"born,omitempty"`
 }
 
-// Incarnation names one start of a worker. The next one knows nothing of it: it runs nothing, has seen
-// no epoch, and its clock and the numbers of its ends begin anew.
+// Incarnation identifies one start of a worker. A new incarnation keeps no state of the previous one: it runs
+// nothing and has seen no epoch, and its clock and the numbers of its ended runs start over.
 type Incarnation struct {
 	ID   WorkerID
 	Born models.UnixMilli // 0: not known
 }
 
-// Incarnation is which one the worker is.
+// Incarnation returns the identity of the incarnation that w describes.
 func (w Worker) Incarnation() Incarnation { return Incarnation{w.ID, w.Born} }
 
-// Differs tells whether both are known and are not the same.
+// Differs reports whether the incarnations certainly are not the same: their ids differ, or both start times
+// are known and differ.
 func (i Incarnation) Differs(other Incarnation) bool {
 	return i.ID != other.ID || i.Born != 0 && other.Born != 0 && i.Born != other.Born
 }
 
-// Roster is the stored list of a cell's workers: those that its owners may have started
-// something on.
+// Roster is the stored list of the workers on which the owners of a cell may have started
+// runs.
 type Roster struct {
 	Workers []Worker `json:"workers"`
-	// Lease is the longest that owners of the cell have given; 0: not known.
+	// Lease is the longest lease that owners of the cell have granted to workers; 0: not known.
 	Lease models.Milli `json:"lease_ms,omitempty"`
-	// Unseen are the latest epochs whose owners found workers gone that had not answered them: of
-	// each task that was accepted before, a run may have been lost there that no owner knows of.
+	// Unseen are the latest epochs whose owners found workers lost that had never answered them. Each
+	// task accepted before such an epoch may have lost a run with them that no owner knows of.
 	Unseen []Epoch `json:"unseen,omitempty"`
 }
 
-// Check checks each worker's capacity.
+// Check validates the capacity of each worker.
 func (r Roster) Check() error {
 	for _, w := range r.Workers {
 		if err := w.Capacity.Check(); err != nil {
@@ -65,61 +66,61 @@
 	return nil
 }
 
-// End is how a run ended.
+// End says how a run ended.
 type End string
 
 // The ends of a run.
 const (
 	EndSucceeded End = "succeeded"
-	EndFailed    End = "failed"     // by its own fault or the worker's
-	EndStopped   End = "stopped"    // by our order
-	EndLapsed    End = "lapsed"     // nobody prolonged the worker's lease
-	EndBroken    End = "broken"     // another member of its gang ended
-	EndUngrouped End = "incomplete" // its gang did not come together in time
+	EndFailed    End = "failed"     // by a fault of the task or of the worker
+	EndStopped   End = "stopped"    // by an order of the owner
+	EndLapsed    End = "lapsed"     // the worker's lease was not renewed in time
+	EndBroken    End = "broken"     // another task of its gang ended
+	EndUngrouped End = "incomplete" // its gang was not complete in time
 )
 
-// Run is one run on a worker, as the worker reports it.
+// Run is a run in progress as its worker reports it.
 type Run struct {
 	Task       TaskID
 	Run        RunID
 	Checkpoint Text    // the latest; empty: none
-	Progress   Percent // of its work; 100 for a task that lasts and is at work
-	// Figure lags by half a second: the tail latency in milliseconds of a task that
-	// lasts, thousandths of a core in use of any other.
+	Progress   Percent // of its work; 100 for a long-running task at work
+	// Figure is measured over the last half second: the tail latency in milliseconds of a
+	// long-running task, or the thousandths of a core that any other task uses.
 	Figure int
 }
 
-// Ended is a run that has ended on a worker, as the worker reports it until it is
+// Ended is a run that has ended. Its worker reports the run until the end is
 // acknowledged.
 type Ended struct {
-	Number     uint64 // rising within one incarnation
+	Number     uint64 // increases within an incarnation
 	Task       TaskID
 	Run        RunID
 	How        End
 	Checkpoint Text
 }
 
-// Report is a worker's answer to a prolonged lease.
+// Report is a worker's answer to a LeaseCall.
 type Report struct {
-	Clock   models.Milli // the worker's own
+	Clock   models.Milli // on the worker's own clock
 	Running []Run
 	Ended   []Ended
-	// Unreadable counts the checkpoints that can't be handed on as they came; the rows have none.
+	// Unreadable counts the checkpoints that can't be passed on unchanged; their runs have an empty Checkpoint.
 	Unreadable int
-	// Born is when the incarnation that reports started, as in Worker.
+	// Born is the start time of the reporting incarnation, as in Worker.
 	Born models.UnixMilli
-	// BornUnreadable says that the report has a time for that which makes no sense; Born is 0.
+	// BornUnreadable is set if the reported start time is not a valid time; Born is 0 then.
 	BornUnreadable bool
 }
 
-// LeaseCall prolongs the lease of all that runs on a worker and asks for a report.
+// LeaseCall renews the lease of all runs on a worker and asks for a report.
 type LeaseCall struct {
 	Fence Fence
-	// Until is on the worker's clock; 0 leaves the lease as it is.
+	// Until is when the lease ends, on the worker's clock; 0 leaves the lease unchanged.
 	Until models.Milli
-	// Acknowledged is the last end that is stored and may be forgotten.
+	// Acknowledged is the number of the last ended run that is stored, up to which the worker may forget ended runs.
 	Acknowledged uint64
-	// Wait lets the answer wait for an end, in whole milliseconds.
+	// Wait is how long the worker may delay its answer until a run ends; sent in whole milliseconds.
 	Wait time.Duration
 }
 
@@ -134,7 +135,7 @@
 	Ticket     string
 }
 
-// StopCall stops a run, or bars it for good if it has not come yet.
+// StopCall stops a run. If the start of the run has not arrived yet, the worker refuses it from then on.
 type StopCall struct {
 	Task  TaskID
 	Run   RunID
@@ -149,15 +150,15 @@
 	Pace  Percent
 }
 
-// Refusal is why a worker did nothing.
+// Refusal is the reason why a worker did not carry out a call.
 type Refusal string
 
-// The refusals of a worker.
+// The reasons for which a worker refuses a call.
 const (
-	RefusedFence  Refusal = "fence"  // a call with a higher fence has come, of a later owner or for a later incarnation
-	RefusedRun    Refusal = "run"    // this run, or a later one, was stopped or ended there
-	RefusedLate   Refusal = "late"   // the lease it was sent with is over
-	RefusedRoom   Refusal = "room"   // the worker is full
-	RefusedTicket Refusal = "ticket" // the adviser's ticket is missing or no longer good
-	RefusedOther  Refusal = "other"  // malformed, or a reason that isn't known
+	RefusedFence  Refusal = "fence"  // a call with a higher fence has arrived: from a later owner or for a later incarnation
+	RefusedRun    Refusal = "run"    // this run or a later run of the task was stopped or has ended on the worker
+	RefusedLate   Refusal = "late"   // the lease in the call is over
+	RefusedRoom   Refusal = "room"   // the worker has no free capacity
+	RefusedTicket Refusal = "ticket" // the adviser's ticket is missing or no longer valid
+	RefusedOther  Refusal = "other"  // the refusal is malformed or names an unknown reason
 )
