--- a/services/contention/contention.go
+++ b/services/contention/contention.go
@@ -2,46 +2,48 @@
 // Copyright The Rillsail Authors
 
 // Package contention learns from reports how tasks that share a worker slow each other down,
-// and foresees loads with their uncertainty. It decides nothing and reads no clock.
+// and predicts loads with their variance. The package makes no scheduling decisions and reads no clock.
 //
-// A serving task behaves like a queue: its tail is idle / (1 - load), where idle is the tail
-// of a task without load. The load has two parts. One is the step's own, which swings with
-// what its users do (Load). The other comes from what fills beside it, in proportion to the
-// processor time that this uses as a share of the worker; the factor depends on the pair of
-// images (Service). Fitted to quiet days of the users' sites
-// (docs/measurements/interference-platform.md), most factors are 0.05 to 0.25 and one to
-// three of nine images have 1.0 to 1.7 beside a given serving image.
+// A serving task is modelled as a queue: its tail latency is idle / (1 - load), where idle is the
+// tail latency without load. The load is the sum of two parts. The baseline load of the step
+// oscillates with its users' demand. The added load is caused by the filler tasks on the same worker:
+// the share of the worker's processor time that they use, times an interference factor that
+// depends on the pair of serving and filler image (Service). Fitted to quiet days of the users' sites
+// (docs/measurements/interference-platform.md), most factors are 0.05 to 0.25, and one to
+// three of nine filler images have factors of 1.0 to 1.7 on a given serving image.
+//
+// Observations change a model's estimates at once, but predictions only after the factors have been refreshed.
+// The learned parameters can be saved for a successor, which restores them.
 //
 // # Usage
 //
 //	model := contention.NewModel()
 //	service := model.Service("serving")
-//	shares := make([]float64, model.Index("filling")+1) // by the images' indexes
-//	apart := service.Observe(&load, contention.Observation{…})
-//	model.Settle(passed)                                // observations come into force
-//	own, variance := load.Predict(at)
-//	added, addedVariance := service.Added(shares)
-//	knowledge := model.Knowledge()                      // for a successor: Restore
+//	filler := model.Index("filling")
+//	correction := service.Observe(&load, contention.Observation{…})
+//	baseline, variance := load.Predict(at)
+//	added, addedVariance := service.AddedBy(filler, share)
 package contention
 
 import "rillsail.example/rillsail/models/jobs"
 
-// Model is what is known of how filling images add to the load of serving ones.
+// Model holds the interference factors of filler images on serving images.
 type Model struct {
-	index    map[jobs.ImageName]int // of the filling images
+	index    map[jobs.ImageName]int // of filler images
 	services map[jobs.ImageName]*Service
-	// remote is what the owners of other cells have learned by themselves.
+	// remote holds the factors that the owners of other cells have learned from their own reports.
 	remote map[jobs.CellName][]jobs.Learned
 }
 
-// NewModel makes a model that knows no images.
+// NewModel returns a model without images.
 func NewModel() *Model {
 	return &Model{
 		index: map[jobs.ImageName]int{}, services: map[jobs.ImageName]*Service{}, remote: map[jobs.CellName][]jobs.Learned{},
 	}
 }
 
-// Service gives what is known of a serving image; a new one starts with the users' mean.
+// Service returns the parameters of a serving image. A new image starts with the prior factors and idle tail,
+// which are means of the users' sites.
 func (m *Model) Service(image jobs.ImageName) *Service {
 	s, ok := m.services[image]
 	if !ok {
@@ -52,7 +54,7 @@
 	return s
 }
 
-// Index gives the index of a filling image; a new one gets the next.
+// Index returns the index of a filler image. A new image is assigned the next index.
 func (m *Model) Index(image jobs.ImageName) int {
 	i, ok := m.index[image]
 	if !ok {
@@ -65,7 +67,7 @@
 	return i
 }
 
-// images are the filling images in the order of their indexes.
+// images returns the filler images in the order of their indexes.
 func (m *Model) images() []jobs.ImageName {
 	images := make([]jobs.ImageName, len(m.index))
 	for image, i := range m.index {
@@ -74,7 +76,7 @@
 	return images
 }
 
-// Settle brings the observations of the last seconds into force.
+// Settle makes new observations take effect in predictions and adds drift variance for the seconds passed.
 func (m *Model) Settle(passed float64) {
 	for _, s := range m.services {
 		s.addDrift(passed)
--- a/services/contention/idle_tail.go
+++ b/services/contention/idle_tail.go
@@ -5,36 +5,35 @@
 
 import "math"
 
-// A tail tells a load only if the tail without load is known, and that one is never seen.
-// Nothing that follows depends on it alone: it sets the unit in which loads, factors and
-// the room below the target are told. So the unit is chosen: a serving image's mean load
-// with nothing beside is taken for assumedMeanLoad, and its idle tail follows from the tails seen
-// then. Services whose targets are three idle tails and ones whose are ten differ in nothing
-// but idleTail.fraction.
+// idleTail estimates the tail latency of a serving image without load. A load can be computed from a tail only if
+// the idle tail is known, but the idle tail can't be observed. No decision depends on its value alone: the idle tail
+// only sets the unit of loads, factors and the headroom below the target. The unit is therefore chosen such that the
+// image's mean load without filler tasks is assumedMeanLoad, and the idle tail is computed from the tails observed
+// without filler tasks. Services whose targets are three and ten idle tails differ only in idleTail.fraction.
 type idleTail struct {
-	fraction        float64 // of the target
-	targetRatioSum  float64 // sum of target over tail with nothing beside, weighted by time
-	observedSeconds float64 // sum of the weights: seconds, over all steps of the image
+	fraction        float64 // idle tail as a fraction of the target
+	targetRatioSum  float64 // sum of target / tail without filler tasks beside, weighted by seconds
+	observedSeconds float64 // sum of the weights over all steps of the image
 }
 
 const (
-	// assumedMeanLoad is the mean load of serving tasks on the users' sites.
+	// assumedMeanLoad is the mean baseline load of serving tasks on the users' sites.
 	assumedMeanLoad = 0.45
-	// priorIdleFraction is the idle tail of an image that nothing is known of, as a part of its target:
-	// that of the users' sites. It counts like priorSeconds seconds of one step.
+	// priorIdleFraction is the idle tail of an image without observations, as a fraction of its target:
+	// the value on the users' sites. The prior weighs as much as priorSeconds seconds of one step.
 	priorIdleFraction = 0.2
 	priorSeconds      = 5.0
-	// maxObservedSeconds bounds the memory, so that an image that changes is followed: some swings of
-	// a few steps.
+	// maxObservedSeconds limits the weight of past observations, so that the estimate follows an image that
+	// changes: it covers some oscillation periods of a few steps.
 	maxObservedSeconds = 200.0
-	// Bounds of the part: a service whose tail is above half of its target with nothing beside
-	// has no room to fill.
+	// Bounds of the fraction: a service whose idle tail is above half of its target has no free capacity
+	// for filler tasks.
 	minIdleFraction = 0.04
 	maxIdleFraction = 0.5
-	// minRescale is the relative change of the unit from which on all that is told in it is
-	// told anew: a third of the spread of a factor that is well known.
+	// minRescale is the minimum relative change of the unit at which all values expressed in the unit are
+	// converted: a third of the standard deviation of a well-known factor.
 	minRescale = 0.03
-	// maxObservationSeconds is the most that a single figure counts, in seconds.
+	// maxObservationSeconds is the maximum weight of a single observation, in seconds.
 	maxObservationSeconds = 1.0
 )
 
@@ -42,17 +41,17 @@
 	return idleTail{fraction: priorIdleFraction, targetRatioSum: priorSeconds * (1 - assumedMeanLoad) / priorIdleFraction, observedSeconds: priorSeconds}
 }
 
-// targetLoad is the load at which the tail reaches its target.
+// targetLoad returns the load at which the tail reaches its target.
 func (i *idleTail) targetLoad() float64 { return 1 - i.fraction }
 
-// loadFromTail gives the load that a tail shows.
+// loadFromTail returns the load that corresponds to a tail; the load is 0 for a tail below the idle tail.
 func (i *idleTail) loadFromTail(tail, target int) float64 {
 	idle := i.fraction * float64(target)
 	return 1 - idle/max(float64(tail), idle)
 }
 
-// observe takes a tail with nothing beside it that counts for so many seconds, and gives the part
-// that follows.
+// observe adds a tail observed without filler tasks beside, with a weight in seconds, and returns the new
+// estimate of the fraction.
 func (i *idleTail) observe(tail, target int, seconds float64) float64 {
 	i.targetRatioSum += seconds * float64(target) / float64(tail)
 	i.observedSeconds += seconds
@@ -63,15 +62,15 @@
 	return min(maxIdleFraction, max(minIdleFraction, (1-assumedMeanLoad)*i.observedSeconds/i.targetRatioSum))
 }
 
-// TargetLoad is the load at which the service's tail reaches its target.
+// TargetLoad returns the load at which the service's tail reaches its target.
 func (s *Service) TargetLoad() float64 { return s.idle.targetLoad() }
 
-// LoadOf gives the load that a tail shows.
+// LoadOf returns the load that corresponds to a tail.
 func (s *Service) LoadOf(tail, target int) float64 { return s.idle.loadFromTail(tail, target) }
 
-// SeeAlone takes a tail with nothing beside it that counts for so many seconds. When the
-// unit of the service's loads changes, scale is by what all loads below 1 are to be told
-// anew (Rescaled, Load.Rescale); otherwise it is 1.
+// SeeAlone adds a tail observed without filler tasks beside, with a weight in seconds. If the unit of the
+// service's loads changes, scale is the factor by which the caller must convert all loads (Rescaled,
+// Load.Rescale); otherwise scale is 1.
 func (s *Service) SeeAlone(tail, target int, seconds float64) (scale float64) {
 	part := s.idle.observe(tail, target, min(maxObservationSeconds, seconds))
 	scale = part / s.idle.fraction
@@ -83,10 +82,11 @@
 	return scale
 }
 
-// Rescaled is a load in a unit that is so many times as large for what is free.
+// Rescaled converts a load to a unit in which the idle tail is larger by the factor scale: 1 - load, the part
+// that is free, is multiplied by scale.
 func Rescaled(load, scale float64) float64 { return 1 - scale*(1-load) }
 
-// rescale tells the factors in another unit.
+// rescale converts the factors to another unit.
 func (s *Service) rescale(scale float64) {
 	for i := range s.mean {
 		s.mean[i] *= scale
@@ -98,14 +98,14 @@
 	}
 }
 
-// Rescale tells the load in another unit.
+// Rescale converts the estimate to another unit.
 func (l *Load) Rescale(scale float64) {
 	for i := range l.filters {
 		l.filters[i].rescale(scale)
 	}
 }
 
-// rescale tells the load in another unit.
+// rescale converts the state to another unit.
 func (s *oscillator) rescale(scale float64) {
 	s.level, s.mean = Rescaled(s.level, scale), Rescaled(s.mean, scale)
 	s.slope *= scale
--- a/services/contention/idle_tail_test.go
+++ b/services/contention/idle_tail_test.go
@@ -10,19 +10,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestUnitChangesNothingThatIsDecided: what the unit of loads is must not matter to how far a
-// service is from its target, in tails without load.
+// TestUnitChangesNothingThatIsDecided checks that a change of the unit of loads does not change how far a service
+// is from its target, measured in idle tails.
 func TestUnitChangesNothingThatIsDecided(t *testing.T) {
 	m := NewModel()
 	s := m.Service("serving")
 	heavy := m.Index("heavy")
 	begin := time.Unix(1_000_000, 0)
-	var own Load
+	var baseline Load
 	for n := range 50 {
-		s.Observe(&own, Observation{At: begin.Add(time.Duration(n) * 100 * time.Millisecond), Load: 0.6})
+		s.Observe(&baseline, Observation{At: begin.Add(time.Duration(n) * 100 * time.Millisecond), Load: 0.6})
 	}
 	excess := func() float64 {
-		mean, _ := own.Predict(begin.Add(6 * time.Second))
+		mean, _ := baseline.Predict(begin.Add(6 * time.Second))
 		added, _ := s.AddedBy(heavy, 0.1)
 		return (mean + added - s.TargetLoad()) / s.idle.fraction
 	}
@@ -31,7 +31,7 @@
 	for scale == 1 {
 		scale = s.SeeAlone(100, 200, 1) // twice as long as the users' at their usual load
 	}
-	own.Rescale(scale)
+	baseline.Rescale(scale)
 	require.InDelta(t, before, excess(), 1e-9)
 	m.combine()
 	require.InDelta(t, before, excess(), 1e-9)
--- a/services/contention/knowledge.go
+++ b/services/contention/knowledge.go
@@ -11,11 +11,11 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// restoredFactorVariance is added to the variance of a factor that a successor takes over, so
-// that its own observations soon outweigh it.
+// restoredFactorVariance is added to the variance of each restored factor, so that the
+// successor's own observations soon outweigh the restored estimate.
 const restoredFactorVariance = 0.05 * 0.05
 
-// Knowledge is what was learned here of images; the caller adds the rest.
+// Knowledge returns the learned parameters of the images; the caller adds the time, the loads and the speeds.
 func (m *Model) Knowledge() jobs.Knowledge {
 	k := jobs.Knowledge{Filling: m.images()}
 	for serving, s := range m.services {
@@ -35,10 +35,10 @@
 	return k
 }
 
-// rounded leaves five decimals, a hundredth of the least spread that matters.
+// rounded rounds to five decimals, a hundredth of the smallest standard deviation that matters.
 func rounded(value float64) float64 { return math.Round(value*1e5) / 1e5 }
 
-// Restore takes the knowledge of a former owner that is so many seconds old.
+// Restore loads the parameters that a previous owner saved, given their age in seconds.
 func (m *Model) Restore(k jobs.Knowledge, passed float64) {
 	for _, image := range k.Filling {
 		m.Index(image)
--- a/services/contention/load.go
+++ b/services/contention/load.go
@@ -10,33 +10,33 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Load estimates the load that the tasks of a serving step have of their own, that is
-// with nothing filling beside them. They serve the same users, so their loads swing
-// together: all their reports go into one estimate. How fast it swings is not known
-// beforehand, so a bank of filters runs side by side, one for each period of a grid and
-// one without any; what each had expected of the reports says how much it counts.
+// Load estimates the baseline load of a serving step: the load of its tasks without filler tasks
+// beside them. The tasks serve the same users, so their loads oscillate together, and the reports of
+// all tasks update one estimate. The period of the oscillation is not known in advance. Therefore
+// a bank of filters runs in parallel, one for each period of a grid and one without a period. The
+// weight of a filter follows from the likelihood of the reports under its predictions.
 type Load struct {
-	at      time.Time // of the estimate; zero: nothing is known yet
+	at      time.Time // time of the estimate; zero: there is none yet
 	filters []oscillator
-	weights []float64 // of swings; their sum is 1
+	weights []float64 // of the filters; their sum is 1
 }
 
 const (
-	// priorLoad and priorLoadStdDev are the load of a step that nothing is known of, with its standard
-	// deviation over time. They count for the first reports only.
+	// priorLoad and priorLoadStdDev are the load of a step without reports and its standard deviation
+	// over time. They matter for the first reports only.
 	priorLoad       = 0.45
 	priorLoadStdDev = 0.16
-	// meanStdDev is the standard deviation of the load around which it swings.
+	// meanStdDev is the prior standard deviation of the mean around which a load oscillates.
 	meanStdDev = 0.08
-	// Bounds of the level: estimates beyond them are errors of the model.
+	// Bounds of the estimated load: estimates outside them are errors of the model.
 	minLoad = 0.05
 	maxLoad = 0.95
-	// minWeight is what a filter always counts, so that a load that begins to swing
-	// otherwise is followed within seconds.
+	// minWeight is the minimum weight of a filter, so that the estimate follows within seconds a load
+	// whose period changes.
 	minWeight = 1e-3
 )
 
-// Predict gives the mean and variance of the load at a time.
+// Predict returns the mean and variance of the load at a time.
 func (l *Load) Predict(at time.Time) (mean, variance float64) {
 	if l.at.IsZero() {
 		return priorLoad, priorLoadStdDev * priorLoadStdDev
@@ -45,7 +45,7 @@
 	var square, counted float64
 	for i := range l.filters {
 		if l.weights[i] <= 2*minWeight {
-			continue // it changes the result by less than a figure's rounding
+			continue // changes the result by less than the rounding of a reported tail
 		}
 		next := l.filters[i]
 		next.advance(dt)
@@ -56,12 +56,12 @@
 	mean /= counted
 	variance = square/counted - mean*mean
 	if variance >= priorLoadStdDev*priorLoadStdDev {
-		return priorLoad, priorLoadStdDev * priorLoadStdDev // too long without a report
+		return priorLoad, priorLoadStdDev * priorLoadStdDev // the last report is too long ago
 	}
 	return mean, max(0, variance)
 }
 
-// Advance moves the estimate to a later time.
+// Advance moves the estimate forward to a later time.
 func (l *Load) Advance(to time.Time) {
 	if l.at.IsZero() {
 		l.reset(to)
@@ -80,7 +80,7 @@
 	}
 }
 
-// reset forgets what was known.
+// reset discards all observations.
 func (l *Load) reset(at time.Time) {
 	l.at = at
 	l.filters = newFilters()
@@ -90,15 +90,15 @@
 	}
 }
 
-// current gives the mean and variance of the load at the time of the estimate.
+// current returns the mean and variance of the load at the time of the estimate.
 func (l *Load) current() (mean, variance float64) { return l.Predict(l.at) }
 
-// Correct takes an observation of the load, and the variance that it has by itself.
-func (l *Load) Correct(seen, variance float64) {
+// Correct updates the estimate with an observed load and the variance of the observation.
+func (l *Load) Correct(observed, variance float64) {
 	sum := 0.0
 	for i := range l.filters {
 		s := &l.filters[i]
-		difference, expected := seen-s.level, s.variance()+variance
+		difference, expected := observed-s.level, s.variance()+variance
 		l.weights[i] *= math.Exp(-difference*difference/expected/2) / math.Sqrt(expected)
 		sum += l.weights[i]
 		s.correct(clamp(difference, maxDeviations*math.Sqrt(expected)), expected)
@@ -112,14 +112,14 @@
 	}
 }
 
-// Known tells whether anything was observed.
+// Known reports whether anything has been observed.
 func (l *Load) Known() bool { return !l.at.IsZero() }
 
-// At is when it was last observed.
+// At returns when the load was last observed.
 func (l *Load) At() time.Time { return l.at }
 
-// Summary is what a successor needs beside the time At of the estimate: the state of the filter that counts
-// most, and how much each counts.
+// Summary returns the state that a successor needs to restore the estimate, besides the time At: the state of the
+// filter with the largest weight, and the weights of all filters.
 func (l *Load) Summary() jobs.StepLoad {
 	var load jobs.StepLoad
 	most := 0
@@ -139,7 +139,7 @@
 	return load
 }
 
-// LoadOf is the estimate that a summary tells of, as of a time.
+// LoadOf restores an estimate from its summary and its time.
 func LoadOf(summary jobs.StepLoad, at time.Time) Load {
 	var l Load
 	l.reset(at)
--- a/services/contention/load_test.go
+++ b/services/contention/load_test.go
@@ -12,13 +12,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Times ahead that callers look at.
+// Prediction horizons of the callers.
 const (
 	lead      = 600 * time.Millisecond
 	laterLead = 1800 * time.Millisecond
 )
 
-// oscillation is a load that swings around a mean, by a part of it to both sides.
+// oscillation is a load that oscillates around a mean; the amplitude is a fraction of the mean.
 type oscillation struct {
 	mean, amplitude, period float64
 }
@@ -27,8 +27,8 @@
 	return s.mean * (1 + s.amplitude*math.Sin(2*math.Pi*at.Seconds()/s.period))
 }
 
-// TestOwnLoadFollowsASwing tries loads that nothing in the estimate is made for: what it
-// expects a step ahead must come close after two periods, whatever mean and period are.
+// TestOwnLoadFollowsASwing tries loads with means and periods to which the filters are not tuned. After two periods,
+// the predictions for both horizons must be close to the load.
 func TestOwnLoadFollowsASwing(t *testing.T) {
 	for _, load := range []oscillation{
 		{0.45, 0.5, 14},
@@ -44,17 +44,17 @@
 	} {
 		random := rand.New(rand.NewPCG(1, uint64(load.period)))
 		begin := time.Unix(1_000_000, 0)
-		var own Load
+		var baseline Load
 		var soon, later, lagged, n float64
 		end := time.Duration(max(60, 5*load.period) * float64(time.Second))
-		for at := time.Duration(0); at < end; at += 100 * time.Millisecond { // six tasks, each heard of twice a second
-			own.Advance(begin.Add(at))
-			own.Correct(load.at(at)+0.03*random.NormFloat64(), figureStdDev*figureStdDev)
+		for at := time.Duration(0); at < end; at += 100 * time.Millisecond { // reports of six tasks, two per second each
+			baseline.Advance(begin.Add(at))
+			baseline.Correct(load.at(at)+0.03*random.NormFloat64(), figureStdDev*figureStdDev)
 			if at.Seconds() < max(5, 2*load.period) {
 				continue
 			}
 			square := func(ahead time.Duration, spread float64) float64 {
-				mean, variance := own.Predict(begin.Add(at + ahead))
+				mean, variance := baseline.Predict(begin.Add(at + ahead))
 				require.Less(t, variance, spread*spread, "%v", load)
 				return math.Pow(mean-load.at(at+ahead), 2)
 			}
@@ -66,27 +66,28 @@
 		require.Less(t, math.Sqrt(soon/n), 0.03, "%v", load)
 		require.Less(t, math.Sqrt(later/n), 0.045, "%v", load)
 		if load.amplitude*load.mean/load.period > 0.005 {
-			require.Less(t, later, lagged/4, "%v: an average that lags as much as we look ahead is worse", load)
+			require.Less(t, later, lagged/4, "%v: the squared error must be below a quarter of that of an average that lags by the horizon", load)
 		}
 	}
 }
 
-// TestOwnLoadFollowsANewPeriod: what the users of a step do may change.
+// TestOwnLoadFollowsANewPeriod checks that the estimate follows a load whose mean, amplitude and period change, as
+// the demand of a step's users may.
 func TestOwnLoadFollowsANewPeriod(t *testing.T) {
 	before, after := oscillation{0.45, 0.5, 20}, oscillation{0.5, 0.4, 8}
 	const change = 40 * time.Second
 	begin := time.Unix(1_000_000, 0)
-	var own Load
+	var baseline Load
 	var squares, n float64
 	for at := time.Duration(0); at < 2*change; at += 100 * time.Millisecond {
 		load := before
 		if at >= change {
 			load = after
 		}
-		own.Advance(begin.Add(at))
-		own.Correct(load.at(at), figureStdDev*figureStdDev)
+		baseline.Advance(begin.Add(at))
+		baseline.Correct(load.at(at), figureStdDev*figureStdDev)
 		if at > change+15*time.Second {
-			mean, _ := own.Predict(begin.Add(at + lead))
+			mean, _ := baseline.Predict(begin.Add(at + lead))
 			squares += math.Pow(mean-load.at(at+lead), 2)
 			n++
 		}
@@ -96,14 +97,14 @@
 
 func TestOwnLoadIsForgottenWithoutReports(t *testing.T) {
 	begin := time.Unix(1_000_000, 0)
-	var own Load
-	own.Advance(begin)
+	var baseline Load
+	baseline.Advance(begin)
 	for range 20 {
-		own.Correct(0.7, figureStdDev*figureStdDev)
+		baseline.Correct(0.7, figureStdDev*figureStdDev)
 	}
-	mean, _ := own.Predict(begin)
+	mean, _ := baseline.Predict(begin)
 	require.InDelta(t, 0.7, mean, 0.05)
-	mean, variance := own.Predict(begin.Add(time.Minute))
+	mean, variance := baseline.Predict(begin.Add(time.Minute))
 	require.InDelta(t, priorLoad, mean, 1e-9)
 	require.InDelta(t, priorLoadStdDev*priorLoadStdDev, variance, 1e-9)
 }
--- a/services/contention/observe.go
+++ b/services/contention/observe.go
@@ -8,47 +8,47 @@
 	"time"
 )
 
-// Observation is the load that a serving task's figure shows.
+// Observation is the load of a serving task, computed from the tail latency that its worker reports.
 type Observation struct {
 	At     time.Time
 	Load   float64
-	Shares []float64 // of the worker that the filling images beside it use, by their indexes
-	Apart  float64   // by which the task's load differs from that of its step, as known so far
-	// Unsettled says that what fills beside it, or its pace, has just changed.
+	Shares []float64 // of the worker, used by the filler images beside the task, by their indexes
+	Apart  float64   // difference between the task's load and the load of its step, as estimated so far
+	// Unsettled is set if the filler tasks beside the task, or their pace, have just changed.
 	Unsettled bool
 }
 
-// Standard deviations of a figure, as a load.
+// Standard deviations of a reported tail, expressed as a load.
 const (
 	figureStdDev    = 0.05
-	unsettledStdDev = 0.15 // of one that is unsettled
+	unsettledStdDev = 0.15 // of an unsettled observation
 )
 
-// offsetStdDev is the standard deviation by which a task's load differs from that of its
-// step's other tasks.
+// offsetStdDev is the standard deviation between the load of a task and the loads of its step's
+// other tasks.
 const offsetStdDev = 0.02
 
-// maxDeviations bounds what a single figure can change, in standard deviations.
+// maxDeviations limits the effect of a single observation, in standard deviations of the expected difference.
 const maxDeviations = 3
 
-// Observe takes a load into what is known of the service's pairs and of the step's own load.
-// It gives by how much Apart is to be corrected.
-func (s *Service) Observe(own *Load, o Observation) (apart float64) {
-	own.Advance(o.At)
+// Observe updates the service's factors and the step's baseline load with an observed load.
+// Observe returns the correction of the task's offset.
+func (s *Service) Observe(baseline *Load, o Observation) (correction float64) {
+	baseline.Advance(o.At)
 	added, addedVariance, gain := s.predictAdded(o.Shares)
-	level, levelVariance := own.current()
+	level, levelVariance := baseline.current()
 	difference := min(o.Load, saturatedLoad) - level - o.Apart - added
 	if o.Load >= saturatedLoad && difference < 0 {
-		return 0 // such a tail only says that the load is at least so high
+		return 0 // a saturated tail gives only a lower bound of the load
 	}
 	variance := levelVariance + offsetStdDev*offsetStdDev + addedVariance + o.variance()
 	difference = clamp(difference, maxDeviations*math.Sqrt(variance))
 	s.correct(difference, variance, gain)
-	own.Correct(level+difference, variance-levelVariance)
+	baseline.Correct(level+difference, variance-levelVariance)
 	return offsetStdDev * offsetStdDev / variance * difference
 }
 
-// variance is that of the figure, as a load.
+// variance returns the variance of the observed load.
 func (o Observation) variance() float64 {
 	if o.Unsettled {
 		return unsettledStdDev * unsettledStdDev
@@ -56,5 +56,5 @@
 	return figureStdDev * figureStdDev
 }
 
-// clamp keeps a value within a bound on both sides.
+// clamp limits a value to the range from -bound to bound.
 func clamp(value, bound float64) float64 { return min(bound, max(-bound, value)) }
--- a/services/contention/service.go
+++ b/services/contention/service.go
@@ -6,32 +6,32 @@
 import "math"
 
 const (
-	priorFactor       = 0.35 // of a pair that nothing is known of: the mean of the fitted ones
-	priorFactorStdDev = 0.5  // its standard deviation
-	// priorFactorVariance is also the most that an estimate gets by drifting.
+	priorFactor       = 0.35 // of a pair without observations: the mean of the fitted factors
+	priorFactorStdDev = 0.5  // standard deviation of priorFactor
+	// priorFactorVariance is also the maximum variance that an estimate reaches by drift.
 	priorFactorVariance = priorFactorStdDev * priorFactorStdDev
-	// factorDriftVariance is the variance that a factor gains in a second.
+	// factorDriftVariance is the variance that a factor gains per second.
 	factorDriftVariance = 5e-4
-	// taskStdDev is the standard deviation by which tasks of one filling image differ, as a
-	// part of their factor.
+	// taskStdDev is the standard deviation between tasks of the same filler image, as a fraction
+	// of their factor.
 	taskStdDev = 0.35
-	// saturatedLoad is a load above which the tail says little more than that it is too long.
+	// saturatedLoad is the load above which a tail shows little more than that it is too long.
 	saturatedLoad = 0.95
 )
 
-// Service is what is known of one serving image: the factors of all filling images beside
-// it, estimated by Bayesian linear regression, and the unit of its loads.
+// Service holds the parameters of one serving image: the interference factors of all filler
+// images on it, estimated by Bayesian linear regression, and the idle tail, which sets the unit of its loads.
 type Service struct {
 	mean         []float64
 	covariance   [][]float64
 	observations int
 	idle         idleTail
-	// combined is the mean with what other cells have learned, and combinedVariance its variance;
-	// they are what decides.
+	// combined holds the means combined with the factors of other cells, and combinedVariance their
+	// variances. Predictions use these two.
 	combined, combinedVariance []float64
 }
 
-// grow makes room for so many filling images.
+// grow extends the parameters to n filler images.
 func (s *Service) grow(n int) {
 	for len(s.mean) < n {
 		s.mean = append(s.mean, priorFactor)
@@ -46,10 +46,11 @@
 	}
 }
 
-// stdDev is the standard deviation of a factor.
+// stdDev returns the standard deviation of this cell's own estimate of a factor.
 func (s *Service) stdDev(i int) float64 { return math.Sqrt(max(0, s.covariance[i][i])) }
 
-// Added is the load that shares of a worker add, with its variance.
+// Added returns the load that filler images add by using shares of a worker, and its variance. The shares are in
+// the order of the images' indexes.
 func (s *Service) Added(shares []float64) (mean, variance float64) {
 	for i, share := range shares {
 		m, v := s.AddedBy(i, share)
@@ -59,8 +60,8 @@
 	return mean, variance
 }
 
-// AddedBy is the load that a share of the filling image with an index adds, with its
-// variance.
+// AddedBy returns the load that the filler image with index i adds by using a share of a worker, and
+// its variance.
 func (s *Service) AddedBy(i int, share float64) (mean, variance float64) {
 	if share == 0 {
 		return 0, 0
@@ -69,8 +70,8 @@
 	return mean, share*share*s.combinedVariance[i] + taskStdDev*taskStdDev*mean*mean
 }
 
-// predictAdded is what this cell's own estimates say that shares add, with its variance
-// and the covariances of each factor with it.
+// predictAdded returns the added load that this cell's own estimates predict for shares of a worker, its
+// variance, and the covariance of each factor with the prediction.
 func (s *Service) predictAdded(shares []float64) (mean, variance float64, gain []float64) {
 	s.grow(len(shares))
 	gain = make([]float64, len(s.mean))
@@ -87,8 +88,8 @@
 	return mean, variance, gain
 }
 
-// correct takes an observation: by how much it differs from what was expected, the
-// variance of that difference, and the gain that expectation gave.
+// correct updates the factors with an observation: the difference between observation and prediction, the
+// variance of the difference, and the covariances that predictAdded returned as gain.
 func (s *Service) correct(difference, variance float64, gain []float64) {
 	for i := range gain {
 		s.mean[i] += gain[i] * difference / variance
@@ -99,13 +100,13 @@
 	s.observations++
 }
 
-// addDrift lets knowledge fade with time.
+// addDrift increases the variances of the factors, which may have changed in the seconds passed.
 func (s *Service) addDrift(passed float64) {
 	for i := range s.covariance {
 		s.covariance[i][i] = min(priorFactorVariance, s.covariance[i][i]+factorDriftVariance*passed)
 	}
 }
 
-// Factor is the load that the filling image with an index adds when it uses a whole worker;
-// it is never negative.
+// Factor returns the load that the filler image with index i adds when it uses a whole worker. The factor
+// is never negative.
 func (s *Service) Factor(i int) float64 { return max(0, s.combined[i]) }
--- a/services/contention/service_test.go
+++ b/services/contention/service_test.go
@@ -22,5 +22,5 @@
 	m.combine()
 	require.InDelta(t, 1.4, m.Service("serving").Factor(heavy), 0.1)
 	require.InDelta(t, 0.1, m.Service("serving").Factor(light), 0.1)
-	require.InDelta(t, priorFactor, m.Service("other").Factor(heavy), 1e-9, "another serving image is another pair")
+	require.InDelta(t, priorFactor, m.Service("other").Factor(heavy), 1e-9, "factors are learned per pair: another serving image keeps the prior")
 }
--- a/services/contention/sharing.go
+++ b/services/contention/sharing.go
@@ -10,7 +10,7 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Learned lists what was learned here of all pairs.
+// Learned lists the factors of all pairs of images that this cell has learned from its own reports.
 func (m *Model) Learned() []jobs.Learned {
 	var list []jobs.Learned
 	for serving, service := range m.services {
@@ -26,7 +26,7 @@
 	return list
 }
 
-// LearnElsewhere takes what the owner of another cell has learned by itself.
+// LearnElsewhere replaces the factors of another cell, which its owner has learned from its own reports.
 func (m *Model) LearnElsewhere(cell jobs.CellName, learned []jobs.Learned) {
 	m.remote[cell] = learned
 	for _, l := range learned {
@@ -36,8 +36,8 @@
 	m.combine()
 }
 
-// combine puts all cells' estimates together, each weighted by its precision. What others
-// send is only what they observed themselves, so nothing comes back to where it began.
+// combine computes the factors used for predictions: the means of all cells' estimates, weighted by precision.
+// Cells send only the estimates from their own reports, so no estimate returns to the cell where it originated.
 func (m *Model) combine() {
 	type sum struct{ weighted, weights float64 }
 	sums := map[jobs.ImageName][]sum{}
@@ -66,5 +66,5 @@
 	}
 }
 
-// minFactorVariance bounds the trust in one cell's estimate.
+// minFactorVariance limits the weight of a single cell's estimate.
 const minFactorVariance = 1e-4
--- a/services/contention/swing.go
+++ b/services/contention/swing.go
@@ -5,20 +5,20 @@
 
 import "math"
 
-// oscillator is a Kalman filter of a load that swings around a mean with a given period, as an
-// oscillator that is pushed at random. Its state is the load, its slope and the mean.
+// oscillator is a Kalman filter of a load that oscillates around a mean with a given period and is driven
+// by random changes of its slope. The state of the filter is the load, its slope and the mean.
 type oscillator struct {
-	frequency  float64 // radians per second; 0: the slope stays but for random changes
-	slopeNoise float64 // by which the slope changes at random within a second
+	frequency  float64 // radians per second; 0: no period, the slope is constant except for random changes
+	slopeNoise float64 // standard deviation of the slope's random change within a second
 	level      float64
 	slope      float64 // per second
 	mean       float64
-	covariance [3][3]float64 // of level, slope and mean
+	covariance [3][3]float64 // of level, slope and mean, in this order
 }
 
-// The periods that are tried: loads of users' services swing within some seconds to half a
-// minute, and what swings more slowly is followed without a period. Neighbours differ by a
-// quarter; a period between two is followed by both.
+// Grid of the filters' periods. Loads of the users' services oscillate with periods from some seconds to half a
+// minute; the filter without a period follows slower changes. Adjacent periods differ by a quarter, and the two
+// adjacent filters follow a period between them.
 const (
 	shortestPeriod = 5.0 // seconds
 	longestPeriod  = 32.0
@@ -26,26 +26,26 @@
 )
 
 const (
-	// oscillatorSlopeNoise lets the phase of a swing drift: the square root of the variance that its
-	// slope gains in a second.
+	// oscillatorSlopeNoise is the slope noise of the filters with a period, which lets the phase drift: the square
+	// root of the variance that the slope gains per second.
 	oscillatorSlopeNoise = 0.015
-	// trendSlopeNoise is the same of the filter without period, which has to follow whole swings.
+	// trendSlopeNoise is the slope noise of the filter without a period, which has to follow whole oscillations.
 	trendSlopeNoise = 0.04
-	// slopeStdDev is the standard deviation of the slope that nothing is known of.
+	// slopeStdDev is the prior standard deviation of the slope.
 	slopeStdDev = 0.08
 )
 
-// newFilters makes the filters of a load that nothing is known of.
+// newFilters returns the bank of filters for a load without observations.
 func newFilters() []oscillator {
-	swings := []oscillator{newOscillator(0, trendSlopeNoise)}
+	filters := []oscillator{newOscillator(0, trendSlopeNoise)}
 	for period := shortestPeriod; period < longestPeriod; period *= periodStep {
-		swings = append(swings, newOscillator(2*math.Pi/period, oscillatorSlopeNoise))
+		filters = append(filters, newOscillator(2*math.Pi/period, oscillatorSlopeNoise))
 	}
-	return swings
+	return filters
 }
 
-func newOscillator(frequency, push float64) oscillator {
-	s := oscillator{frequency: frequency, slopeNoise: push, level: priorLoad, mean: priorLoad}
+func newOscillator(frequency, slopeNoise float64) oscillator {
+	s := oscillator{frequency: frequency, slopeNoise: slopeNoise, level: priorLoad, mean: priorLoad}
 	s.covariance[0][0] = priorLoadStdDev * priorLoadStdDev
 	s.covariance[1][1] = slopeStdDev * slopeStdDev
 	s.covariance[2][2] = meanStdDev * meanStdDev
@@ -54,10 +54,10 @@
 	return s
 }
 
-// variance is that of the level.
+// variance returns the variance of the level.
 func (s *oscillator) variance() float64 { return s.covariance[0][0] }
 
-// advance moves the state on by so many seconds.
+// advance predicts the state dt seconds later.
 func (s *oscillator) advance(dt float64) {
 	if dt <= 0 {
 		return
@@ -67,15 +67,15 @@
 	s.level = f[0][0]*level + f[0][1]*slope + f[0][2]*s.mean
 	s.slope = f[1][0]*level + f[1][1]*slope + f[1][2]*s.mean
 	s.covariance = propagate(f, s.covariance)
-	push := s.slopeNoise * s.slopeNoise * dt
-	s.covariance[0][0] += push * dt * dt / 3
-	s.covariance[0][1] += push * dt / 2
-	s.covariance[1][0] += push * dt / 2
-	s.covariance[1][1] += push
+	slopeVariance := s.slopeNoise * s.slopeNoise * dt
+	s.covariance[0][0] += slopeVariance * dt * dt / 3
+	s.covariance[0][1] += slopeVariance * dt / 2
+	s.covariance[1][0] += slopeVariance * dt / 2
+	s.covariance[1][1] += slopeVariance
 	s.clampLevel()
 }
 
-// transition is how the state moves on within so many seconds when nothing pushes it.
+// transition returns the matrix that advances the state by dt seconds without random changes.
 func (s *oscillator) transition(dt float64) [3][3]float64 {
 	if s.frequency == 0 {
 		return [3][3]float64{{1, dt, 0}, {0, 1, 0}, {0, 0, 1}}
@@ -85,7 +85,7 @@
 	return [3][3]float64{{cos, sin / w, 1 - cos}, {-w * sin, cos, w * sin}, {0, 0, 1}}
 }
 
-// propagate is f c fᵀ for the covariance c, whose third row f leaves as it is.
+// propagate returns f c fᵀ, the covariance c after the transition f. The third row of f is that of the identity.
 func propagate(f, c [3][3]float64) [3][3]float64 {
 	var fc, result [3][3]float64
 	for i := range 3 {
@@ -101,7 +101,7 @@
 	return result
 }
 
-// clampLevel keeps the level within what is possible.
+// clampLevel limits the level to the range from minLoad to maxLoad. At a bound the slope becomes 0.
 func (s *oscillator) clampLevel() {
 	if s.level < minLoad || s.level > maxLoad {
 		s.level = min(maxLoad, max(minLoad, s.level))
@@ -109,8 +109,8 @@
 	}
 }
 
-// correct takes an observation of the level: by how much it differs from what was
-// expected, and the variance of that difference.
+// correct updates the state with an observation of the level: the difference between observation and
+// prediction, and the variance of the difference.
 func (s *oscillator) correct(difference, variance float64) {
 	gain := [3]float64{s.covariance[0][0] / variance, s.covariance[1][0] / variance, s.covariance[2][0] / variance}
 	s.level += gain[0] * difference
