--- a/models/jobs/part.go
+++ b/models/jobs/part.go
@@ -15,6 +15,7 @@
 // Has reports whether the set contains a task.
 func (s TaskSet) Has(step, index int) bool { return slices.Contains(s[step], index) }
 
+// Len returns the number of tasks in the set.
 func (s TaskSet) Len() int {
 	n := 0
 	for _, indexes := range s {
--- a/models/jobs/suspicion.go
+++ b/models/jobs/suspicion.go
@@ -65,8 +65,8 @@
 	Run RunID `json:"run"`
 	// Ran is the longest time for which the run may have lasted; 0: no owner observed its duration.
 	Ran models.Milli `json:"ran_ms,omitempty"`
-	// Doubt is the log-likelihood ratio of the loss with the task as its cause against chance alone. Negative values
-	// speak for the task.
+	// Doubt is the log-likelihood ratio of the loss with the task as its cause against chance alone. Negative
+	// values speak for the task.
 	Doubt float64 `json:"doubt,omitempty"`
 	// Weight is the log-likelihood ratio of the loss with the task as its cause against chance or the other tasks on
 	// the worker as its cause. Negative values speak for the task.
--- a/services/contention/idle_tail.go
+++ b/services/contention/idle_tail.go
@@ -72,17 +72,17 @@
 // service's loads changes, scale is the factor by which the caller must convert all loads (Rescaled,
 // Load.Rescale); otherwise scale is 1.
 func (s *Service) SeeAlone(tail, target int, seconds float64) (scale float64) {
-	part := s.idle.observe(tail, target, min(maxObservationSeconds, seconds))
-	scale = part / s.idle.fraction
+	fraction := s.idle.observe(tail, target, min(maxObservationSeconds, seconds))
+	scale = fraction / s.idle.fraction
 	if math.Abs(scale-1) < minRescale {
 		return 1
 	}
-	s.idle.fraction = part
+	s.idle.fraction = fraction
 	s.rescale(scale)
 	return scale
 }
 
-// Rescaled converts a load to a unit in which the idle tail is larger by the factor scale: 1 - load, the part
+// Rescaled converts a load to a unit in which the idle tail is larger by the factor scale: 1 - load, the fraction
 // that is free, is multiplied by scale.
 func Rescaled(load, scale float64) float64 { return 1 - scale*(1-load) }
 
