--- a/models/jobs/query.go
+++ b/models/jobs/query.go
@@ -60,7 +60,7 @@
 func (a Answer) Check() error {
 	for _, l := range a.Learned {
 		if !(l.Idle > 0) {
-			return errors.Newf("interference factor of %s on %s: idle tail is not positive", l.Filling, l.Serving)
+			return errors.Newf("factor of %s beside %s has no unit", l.Filling, l.Serving)
 		}
 	}
 	return nil
--- a/models/jobs/record.go
+++ b/models/jobs/record.go
@@ -85,7 +85,7 @@
 		return r.Spec.Check()
 	}
 	if !r.Ended.Ended() {
-		return errors.Newf("job %s: %q is not a final state", r.Spec.ID, r.Ended)
+		return errors.Newf("job %s: %q is no end", r.Spec.ID, r.Ended)
 	}
 	return r.Spec.ID.Check()
 }
