--- a/models/jobs/knowledge.go
+++ b/models/jobs/knowledge.go
@@ -45,7 +45,7 @@
 	// State is the load at the time At, its slope per second, and the mean load around which it oscillates.
 	State      [3]float64    `json:"state"`
 	Covariance [3][3]float64 `json:"covariance"`
-	Weights    []float64     `json:"weights"` // of the filters, one per period
+	Weights    []float64     `json:"weights"` // of the filters: the one without a period first, then one per period
 }
 
 // QueueSpeed is the usual speed of a queue's tasks over all workers.
--- a/models/jobs/query.go
+++ b/models/jobs/query.go
@@ -17,7 +17,7 @@
 	Pending bool     `json:"pending,omitempty"` // count the pending jobs of all queues
 	Learned bool     `json:"learned,omitempty"` // list the interference factors that the cell has learned
 	Load    bool     `json:"load,omitempty"`
-	Demands []Demand `json:"demands,omitempty"` // count the places for each of them
+	Demands []Demand `json:"demands,omitempty"` // count the places for them, one demand after the other
 }
 
 // Demand describes tasks of a step for which an owner looks for places in other cells.
@@ -77,7 +77,7 @@
 	// Idle is the assumed tail latency without load, as a fraction of the target. It sets the unit of
 	// loads and factors.
 	Idle         float64 `json:"idle"`
-	Observations int     `json:"observations"` // of the serving image, beside any filler image
+	Observations int     `json:"observations"` // of the serving image
 }
 
 // Layout is the stored division of workers and jobs into cells. It is written once; only racks are added later.
--- a/models/jobs/spec.go
+++ b/models/jobs/spec.go
@@ -148,7 +148,7 @@
 // Serves reports whether the step is a serving step: its tasks are long-running and have a tail latency target.
 func (s *Step) Serves() bool { return s.Lasts && s.Target > 0 }
 
-// Unsupported returns the reason why the job can't be run under its queue's terms, or an empty
+// Unsupported returns the reason why the job can't be run yet under its queue's terms, or an empty
 // string if it can.
 func (s Spec) Unsupported(terms Terms) string {
 	if terms.HasAdviser {
--- a/services/contention/contention.go
+++ b/services/contention/contention.go
@@ -12,8 +12,8 @@
 // (docs/measurements/interference-platform.md), most factors are 0.05 to 0.25, and one to
 // three of nine filler images have factors of 1.0 to 1.7 on a given serving image.
 //
-// Observations change a model's estimates at once, but predictions only after the factors have been refreshed.
-// The learned parameters can be saved for a successor, which restores them.
+// Observations update the baseline load and the cell's own factors at once. They take effect in predicted added
+// loads only when the caller refreshes the factors. A successor can restore the learned parameters.
 //
 // # Usage
 //
--- a/services/contention/idle_tail.go
+++ b/services/contention/idle_tail.go
@@ -69,8 +69,8 @@
 func (s *Service) LoadOf(tail, target int) float64 { return s.idle.loadFromTail(tail, target) }
 
 // SeeAlone adds a tail observed without filler tasks beside, with a weight in seconds. If the unit of the
-// service's loads changes, scale is the factor by which the caller must convert all loads (Rescaled,
-// Load.Rescale); otherwise scale is 1.
+// service's loads changes, scale is the factor by which the distances of all loads below 1 change, and the caller
+// must convert the loads (Rescaled, Load.Rescale); otherwise scale is 1.
 func (s *Service) SeeAlone(tail, target int, seconds float64) (scale float64) {
 	fraction := s.idle.observe(tail, target, min(maxObservationSeconds, seconds))
 	scale = fraction / s.idle.fraction
