--- a/services/control/abandoned.go
+++ b/services/control/abandoned.go
@@ -16,42 +16,42 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// A process that has ended leaves its key as the owner behind until its lease in the store runs
-// out, 2 s later. Whoever asks it meanwhile is told at once by its VM that nobody listens, and
-// removes the key, so that the cell has another owner within some tenths of a second. It takes
-// no proof: the next owner fences a former one that lives after all, as it does one that was
-// frozen. VMs without power say nothing; there the lease has to run out.
+// When a daemon's process has ended, its owner keys stay until its lease in the store expires, 2 s later. A
+// daemon that calls it meanwhile gets a refused connection from its VM at once and removes the keys, so that
+// the cell has another owner within some tenths of a second. Proof is not needed: the next owner fences a
+// previous owner that is still running, as it fences one that was frozen. A VM without power refuses nothing;
+// there the lease has to expire.
 
-// Bounds for cuts that look the same, between daemons that all reach the store: a cell changes
-// its owner because of them every minOwnerAge at most.
+// Limits for network failures that look the same between daemons that all reach the store: they change the
+// owner of a cell once in minOwnerAge at most.
 const (
-	// confirmPause is the pause before an owner at which nobody listened is asked again.
+	// confirmPause is the pause before an owner that refused a connection is called again.
 	confirmPause = 50 * time.Millisecond
-	// minOwnerAge is for how long an owner must have been known.
+	// minOwnerAge is how long an owner must have been known before its keys may be removed.
 	minOwnerAge = 5 * time.Second
 )
 
 // nobodyListens tells whether a call failed because no process listens at the address.
 func nobodyListens(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// suspect notes that nobody listened at the address of a cell's owner, and lets the loop that
-// claims cells look.
+// suspect marks the owner of a cell as suspected because its address refused a connection, and wakes the loop
+// that claims cells.
 func (c *Cells) suspect(cell jobs.CellName, claim string) {
 	c.mu.Lock()
 	record, ok := c.owners[cell]
-	news := ok && record.Claim == claim && !record.suspected && c.config.Clock.Since(record.since) >= minOwnerAge
-	if news {
+	changed := ok && record.Claim == claim && !record.suspected && c.config.Clock.Since(record.since) >= minOwnerAge
+	if changed {
 		record.suspected = true
 		c.owners[cell] = record
 	}
 	c.mu.Unlock()
-	if news {
+	if changed {
 		c.nudge()
 	}
 }
 
-// suspectedOwners are the cells whose owners may have ended, with the versions of their keys. A
-// daemon that would hold back from them leaves them to others.
+// suspectedOwners returns the cells whose owners may have ended, with the versions of their keys. It returns
+// none if this daemon would delay its claim of a free cell, and so leaves the removal to other daemons.
 func (c *Cells) suspectedOwners() map[jobs.CellName]platform.Version {
 	if c.holdBack(0) > 0 {
 		return nil
@@ -67,7 +67,7 @@
 	return cells
 }
 
-// removeAbandoned removes the keys of owners that have ended, once for each.
+// removeAbandoned calls each suspected owner again and removes the keys of those that have ended.
 func (c *Cells) removeAbandoned(ctx context.Context) {
 	for cell, version := range c.suspectedOwners() {
 		sleep(ctx, confirmPause)
@@ -79,12 +79,12 @@
 		}
 		err = c.removeOwner(ctx, cell, version)
 		c.health.note(err)
-		c.config.Logger.Info("owner has ended, its key is removed", append(log.Err(err), zap.String("cell", string(cell)),
+		c.config.Logger.Info("owner has ended, its keys are removed", append(log.Err(err), zap.String("cell", string(cell)),
 			zap.Uint64("epoch", uint64(version)))...)
 	}
 }
 
-// recordOwnerCheck notes that a suspected owner was asked again, and what that says.
+// recordOwnerCheck records the result of the second call to a suspected owner.
 func (c *Cells) recordOwnerCheck(cell jobs.CellName, version platform.Version, ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/services/control/cancel.go
+++ b/services/control/cancel.go
@@ -16,8 +16,8 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Cancel ends a job: the wish is stored in each cell that has tasks of it, then their owners
-// act on it. A job that is not stored is barred.
+// Cancel cancels a job: the request is stored in each cell that has tasks of the job, and the owners of the
+// cells act on it. A job that is not stored is barred, so that it can't be stored later.
 func (s *Service) Cancel(ctx context.Context, id jobs.ID) platform.Outcome {
 	ctx, cancel := withoutCancel(ctx)
 	defer cancel()
@@ -26,57 +26,57 @@
 	return outcome
 }
 
-// cancel tries until the job's entries do not change between a read and the write.
+// cancel retries until the job's entries do not change between the read and the write.
 func (s *Service) cancel(ctx context.Context, id jobs.ID) platform.Outcome {
 	layout := s.Cells.layout()
 	switch {
-	case id.Check() != nil: // its keys could be those of something else
+	case id.Check() != nil: // the keys of an invalid ID could be those of something else
 		return noSuchJob
 	case layout == nil:
 		return platform.NotDone{Reason: "cells are not laid out yet", RetryAfter: shortRetryAfter}
 	}
-	unsure := false // an earlier write of this call may have been done: what is read next tells
-	partly := false // the job is cancelled in some of its cells
+	unknownOutcome := false // an earlier write of this call may have taken effect; the next read tells
+	partial := false        // the job is cancelled in some of its cells
 	for {
 		entries, err := s.entriesOf(ctx, id, layout)
 		switch {
-		case err != nil && (unsure || partly):
+		case err != nil && (unknownOutcome || partial):
 			return platform.MaybeDone{Cause: err}
 		case err != nil:
 			return platform.NotDone{Reason: "store can't be read: " + err.Error(), RetryAfter: shortRetryAfter}
 		case entries.known() && entries.state().Ended() && len(entries.open()) == 0:
-			return platform.Done{} // the wish has been stored before, or comes too late
+			return platform.Done{} // the cancellation is already stored, or the job had ended before
 		case !entries.known() && entries.barred():
 			return noSuchJob
 		}
-		outcome, tried := s.tryCancel(ctx, id, entries)
+		outcome, attempt := s.tryCancel(ctx, id, entries)
 		refused, isRefused := outcome.(platform.NotDone)
 		switch {
-		case isRefused && partly:
+		case isRefused && partial:
 			return platform.MaybeDone{Cause: errors.New(refused.Reason)}
 		case outcome != nil:
 			return outcome
 		}
-		unsure, partly = tried.unknownOutcome, partly || tried.partial
-		if ctx.Err() != nil { // tasks move between cells, or the job ends
+		unknownOutcome, partial = attempt.unknownOutcome, partial || attempt.partial
+		if ctx.Err() != nil { // tasks kept moving between cells, or the job is ending
 			return platform.MaybeDone{Cause: errConcurrentChange}
 		}
 		sleep(ctx, cancelRetry)
 	}
 }
 
-// noSuchJob says that a job is not stored, and will not be by an earlier write.
+// noSuchJob reports that a job is not stored, and that no earlier write will store it.
 var noSuchJob = platform.NotDone{Reason: "no such job", Why: platform.RefusedNoJob}
 
-// errConcurrentChange says that a job changed again and again while it was to be cancelled.
+// errConcurrentChange reports that a job changed at each attempt to cancel it.
 var errConcurrentChange = errors.New("job changes while it is cancelled")
 
-// cancelRetry is the pause before a cancellation is tried again that met a change of the job:
-// a move, which is one transaction of some milliseconds, is over by then.
+// cancelRetry is the pause before a cancellation is retried that conflicted with a change of the job. A
+// move is one transaction of some milliseconds, so it is over by then.
 const cancelRetry = 20 * time.Millisecond
 
-// tryCancel cancels or bars a job whose entries are as they were read. Without an outcome they
-// have changed, or there is more to do.
+// tryCancel cancels or bars a job, on condition that its entries are as they were read. The outcome is nil
+// if the entries have changed, or if further transactions are needed.
 func (s *Service) tryCancel(ctx context.Context, id jobs.ID, entries jobEntries) (platform.Outcome, cancelAttempt) {
 	var txn platform.Txn
 	var err error
@@ -107,39 +107,41 @@
 	case unsettled:
 		return platform.MaybeDone{Cause: w.cause}, cancelAttempt{}
 	}
-	return platform.MaybeDone{Cause: platform.ErrUnknown}, cancelAttempt{} // the set is closed
+	return platform.MaybeDone{Cause: platform.ErrUnknown}, cancelAttempt{} // unreachable: the set of results is closed
 }
 
-// cancelAttempt is what a try of a cancellation leaves behind that has no outcome yet.
+// cancelAttempt describes an attempt to cancel a job that has no final outcome.
 type cancelAttempt struct {
-	unknownOutcome bool // it may have been done, or may still be
+	unknownOutcome bool // the write may have taken effect, or may still do so
 	partial        bool // the job is cancelled in some of its cells
 }
 
-// cancellationOf stores a job's cancellation on condition that its entries are as they were read: in all cells at
-// once, or, where they are more than a transaction can change, in several; more tells whether others follow.
+// cancellationOf returns a transaction that stores a job's cancellation on condition that its entries are as they
+// were read. If one transaction can't cover all cells, more tells that further ones have to follow.
 func cancellationOf(id jobs.ID, entries jobEntries) (txn platform.Txn, more bool, err error) {
-	wish := jobs.Cancellation{At: models.UnixMilliOf(time.Now())}
-	txn, err = cancelTxn(id, entries, entries.open(), wish)
+	request := jobs.Cancellation{At: models.UnixMilliOf(time.Now())}
+	txn, err = cancelTxn(id, entries, entries.open(), request)
 	switch {
 	case err != nil || txn.Entries() <= platform.MaxTxnEntries:
 		return txn, false, err
 	case entries.hasMovableTasks():
-		txn, err = closeMovesTxn(id, entries, wish)
+		txn, err = closeMovesTxn(id, entries, request)
 		return txn, true, err
 	default:
 		open := entries.open()
 		open = open[:min(len(open), maxCancellationsPerTxn)]
-		txn, err = cancelTxn(id, open, open, wish)
+		txn, err = cancelTxn(id, open, open, request)
 		return txn, true, err
 	}
 }
 
-// maxCancellationsPerTxn is in how many cells a transaction can store a cancellation: two conditions and a write each.
+// maxCancellationsPerTxn is the number of cells in which one transaction can store a cancellation. Each cell takes
+// two conditions and a write.
 const maxCancellationsPerTxn = platform.MaxTxnEntries / 3
 
-// cancelTxn stores the cancellation in some cells, on condition that entries are as they were read.
-func cancelTxn(id jobs.ID, entries, in jobEntries, wish jobs.Cancellation) (platform.Txn, error) {
+// cancelTxn returns a transaction that stores the cancellation in the cells of the entries in, on condition that
+// entries are as they were read.
+func cancelTxn(id jobs.ID, entries, in jobEntries, request jobs.Cancellation) (platform.Txn, error) {
 	var txn platform.Txn
 	for _, entry := range entries {
 		txn.Require = append(txn.Require, platform.Precondition{
@@ -150,26 +152,27 @@
 	for _, entry := range in {
 		key := cancelKey(entry.cell, id)
 		txn.Require = append(txn.Require, platform.Precondition{Key: key})
-		puts = append(puts, put{key, wish})
+		puts = append(puts, put{key, request})
 	}
 	writes, err := encode(puts)
 	txn.Put = writes
 	return txn, err
 }
 
-// hasMovableTasks tells whether tasks of the job may still move between cells while it is being cancelled.
+// hasMovableTasks tells whether tasks of the job may still move between cells during its cancellation.
 func (e jobEntries) hasMovableTasks() bool {
 	return slices.ContainsFunc(e, jobEntry.tasksMayMove)
 }
 
-// tasksMayMove tells whether further cells that the entry names may move tasks.
+// tasksMayMove tells whether the further cells that the entry names may move tasks.
 func (e jobEntry) tasksMayMove() bool { return len(e.record.Further) > 0 && !e.record.Closed }
 
-// closeMovesTxn cancels a job in the cells that follow from its id, and keeps its tasks from moving: each move by
-// one of the other cells requires the record that names it. What follows meets entries that don't change.
-func closeMovesTxn(id jobs.ID, entries jobEntries, wish jobs.Cancellation) (platform.Txn, error) {
+// closeMovesTxn returns a transaction that cancels a job in the cells that its ID maps to and stops further moves
+// of its tasks: each move by a further cell is conditioned on the record that names that cell. The transactions
+// that follow then read entries that no longer change.
+func closeMovesTxn(id jobs.ID, entries jobEntries, request jobs.Cancellation) (platform.Txn, error) {
 	own := slices.DeleteFunc(slices.Clone(entries), func(entry jobEntry) bool { return entry.record.Home != "" })
-	txn, err := cancelTxn(id, own, own.open(), wish)
+	txn, err := cancelTxn(id, own, own.open(), request)
 	if err != nil {
 		return txn, err
 	}
@@ -186,9 +189,9 @@
 	return txn, err
 }
 
-// barOf stores in place of a job that there is none: "no such job" promises that nothing of it
-// starts later, and a write of it by another daemon may still be on its way. The owner of the
-// cell removes the record as it does those of jobs that have ended long ago.
+// barOf returns a transaction that stores a record which bars a job. The answer "no such job" promises that the
+// job does not start later, but a write of it by another daemon may still be in flight. The owner of the cell
+// removes the record like those of jobs that ended long ago.
 func barOf(id jobs.ID, entries jobEntries) (platform.Txn, error) {
 	var txn platform.Txn
 	for _, entry := range entries {
@@ -200,16 +203,16 @@
 	return txn, err
 }
 
-// recordCancel counts and logs what became of a cancellation.
+// recordCancel counts and logs the outcome of a cancellation.
 func (s *Service) recordCancel(id jobs.ID, outcome platform.Outcome) {
 	job := zap.String("job", string(id))
 	switch o := outcome.(type) {
 	case platform.Done:
-		s.config.Scope.Counter("jobs_cancelled").Inc(1) // by queue when they have ended
+		s.config.Scope.Counter("jobs_cancelled").Inc(1) // jobs are counted by queue when they end
 		s.config.Logger.Info("job's cancellation is stored", job)
 	case platform.NotDone:
 		s.config.Logger.Info("job is not cancelled", job, zap.String("reason", o.Reason), zap.Duration("retry_after", o.RetryAfter))
 	case platform.MaybeDone:
-		s.config.Logger.Warn("job may be cancelled, the store has not said so", job, zap.Error(o.Cause))
+		s.config.Logger.Warn("outcome of a job's cancellation is unknown: the store did not confirm the write", job, zap.Error(o.Cause))
 	}
 }
--- a/services/control/carry.go
+++ b/services/control/carry.go
@@ -14,20 +14,19 @@
 	"rillsail.example/rillsail/modules/log"
 )
 
-// A cell is as large as an owner carries, for one that is full can't take room from others;
-// and no larger, for an owner that can't keep up leaves workers idle. What an owner needs grows
-// with the starts and reports of its workers, 2.7 of each a second for one of 16 cores with
-// tasks of one to three seconds.
+// Cells are as large as one owner can manage, because a full cell can't use free capacity of other cells; they are
+// no larger, because an owner that can't keep up leaves workers idle. The load of an owner grows with the starts and
+// reports of its workers: 2.7 of each per second for a worker of 16 cores with tasks of one to three seconds.
 const (
-	// workersPerCore is less than half of what an owner's processor time carries: its busiest second
-	// takes 0.7 milliseconds for each worker.
+	// workersPerCore uses less than half of an owner's processor time: its busiest second takes 0.7 ms of it for
+	// each worker.
 	workersPerCore = 600
-	// workersPerMbit is half of what its link does: a start takes 1.5 kB and a call for a
-	// report 0.3, so that a worker takes 40 kbit/s of it each way.
+	// workersPerMbit uses half of an owner's link: a start takes 1.5 kB and a call for a report 0.3 kB, so that a
+	// worker takes 40 kbit/s in each direction.
 	workersPerMbit = 12
 )
 
-// carries is how many workers a daemon can own.
+// carries returns how many workers a daemon can own, by its processor time and link.
 func carries(d jobs.Daemon) int {
 	most := math.Inf(1)
 	if d.Processor > 0 {
@@ -39,13 +38,12 @@
 	return int(min(most, math.MaxInt32))
 }
 
-// capableDaemonsPerCell is how many daemons there should be for each cell that carry one, so that half
-// of them may be lost.
+// capableDaemonsPerCell is how many daemons able to own a cell there should be for each cell, so that half of
+// them may be lost.
 const capableDaemonsPerCell = 2
 
-// cellsFor is into how many cells so many workers are laid out: as few as the settings allow
-// of which there are daemons enough to carry each, and if there never are, as many as there
-// are daemons for.
+// cellsFor returns the number of cells for a number of workers: the smallest that the settings allow and for which
+// enough daemons can own cells of that size. If there is none, the cells are as many as the daemons can share.
 func cellsFor(workers, perCell int, daemons []jobs.Daemon) int {
 	least := max(1, ceilDiv(workers, perCell))
 	most := max(least, len(daemons)/capableDaemonsPerCell)
@@ -59,13 +57,13 @@
 	return most
 }
 
-// self is this daemon as it is registered.
+// self returns this daemon's registration record.
 func (c *Cells) self() jobs.Daemon {
 	s := c.config.Settings
 	return jobs.Daemon{ID: c.config.Self, Processor: s.Processor, Link: s.Link}
 }
 
-// cellSize is about how many workers a cell has.
+// cellSize returns the average number of workers in a cell.
 func (c *Cells) cellSize() int {
 	layout := c.layout()
 	if layout == nil || layout.Workers == 0 {
@@ -74,15 +72,15 @@
 	return ceilDiv(layout.Workers, layout.Cells)
 }
 
-// ceilDiv divides and rounds up.
+// ceilDiv returns n divided by by, rounded up.
 func ceilDiv(n, by int) int { return (n + by - 1) / by }
 
-// countDaemons is how many daemons are such.
-func countDaemons(daemons []jobs.Daemon, which func(jobs.Daemon) bool) int {
-	return len(slices.DeleteFunc(slices.Clone(daemons), func(d jobs.Daemon) bool { return !which(d) }))
+// countDaemons returns the number of daemons that match.
+func countDaemons(daemons []jobs.Daemon, matches func(jobs.Daemon) bool) int {
+	return len(slices.DeleteFunc(slices.Clone(daemons), func(d jobs.Daemon) bool { return !matches(d) }))
 }
 
-// registeredDaemons are the daemons that are there now, as the store says.
+// registeredDaemons reads the daemons that are registered in the store now.
 func (c *Cells) registeredDaemons(ctx context.Context) ([]jobs.Daemon, error) {
 	records, _, err := c.config.Store.List(ctx, daemonPrefix)
 	if err != nil {
@@ -92,7 +90,7 @@
 	for _, record := range records {
 		daemon, err := decode[jobs.Daemon](record)
 		if err != nil {
-			c.config.Logger.Error("stored daemon can't be read", append(log.Err(err), zap.String("key", record.Key))...)
+			c.config.Logger.Error("daemon's stored registration can't be decoded", append(log.Err(err), zap.String("key", record.Key))...)
 			continue
 		}
 		daemons = append(daemons, daemon)
--- a/services/control/fate.go
+++ b/services/control/fate.go
@@ -12,36 +12,36 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// storedStatus is what the store says of a job that was handed in.
+// storedStatus is what the store holds of a submitted job.
 type storedStatus uint8
 
 const (
-	statusUnknown storedStatus = iota // it can't be read, or a write may still follow
+	statusUnknown storedStatus = iota // the store can't be read, or a write may still store the job
 	statusStored
-	statusBarred // it was cancelled before it was stored, and never will be
-	statusAbsent // it is not stored, and no write of this daemon can store it any more
+	statusBarred // the job was cancelled before it was stored, and never will be stored
+	statusAbsent // the job is not stored, and no write of this daemon can store it any more
 )
 
-// errUnresolvedWrite says that a write without answer may have stored a job.
+// errUnresolvedWrite reports that a write of unknown outcome may have stored a job.
 var errUnresolvedWrite = errors.New("an earlier write of the job had no answer and may have stored it")
 
-// result is what a caller is told of a job that is not certainly absent, given the version
-// that a write in doubt depends on.
-func (f storedStatus) result(doubt platform.Version) submitResult {
-	switch f {
+// result returns the result of a submission whose job is not known to be absent. unresolved is the version
+// that a write of unknown outcome is conditioned on.
+func (s storedStatus) result(unresolved platform.Version) submitResult {
+	switch s {
 	case statusStored:
 		return submitResult{outcome: platform.Done{}}
 	case statusBarred:
 		return unfit("job was cancelled before it was accepted")
 	default:
-		return submitResult{outcome: platform.MaybeDone{Cause: errUnresolvedWrite}, unresolved: doubt}
+		return submitResult{outcome: platform.MaybeDone{Cause: errUnresolvedWrite}, unresolved: unresolved}
 	}
 }
 
-// nextOutcome reads what became of a job whose writes depend on a version of this daemon's key. The
-// key is read first: once it has changed, no such write can follow, so that a job that is not
-// found after it will not be there later. A job that moves between its cells is found, for a
-// record stays in the cell that it leaves; and none is removed before it has ended long ago.
+// storedStatusOf reads the status of a job whose writes are conditioned on a version of this daemon's key.
+// The key is read first: once it has changed, no such write can follow, so a job that is not found
+// afterwards will not appear later. A job that moves between cells is always found, because a record stays
+// in the cell that it leaves, and records are removed only long after the job has ended.
 func (s *Service) storedStatusOf(ctx context.Context, id jobs.ID, registered platform.Version) storedStatus {
 	layout := s.Cells.layout()
 	if layout == nil || !s.health.good() {
@@ -63,7 +63,7 @@
 	}
 }
 
-// registrationChanged tells whether this daemon's own key is certainly not there any more in a version.
+// registrationChanged tells whether this daemon's own key certainly no longer has the given version.
 func (s *Service) registrationChanged(ctx context.Context, registered platform.Version) bool {
 	record, err := s.config.Store.Get(ctx, daemonKey(s.config.Self))
 	s.health.note(err)
--- a/services/control/load.go
+++ b/services/control/load.go
@@ -12,11 +12,11 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// loadEvery is how often the owners are asked for their cells' loads: a job changes the
-// load of a cell of a hundred workers by less than a hundredth.
+// loadEvery is how often the owners are asked for the loads of their cells. A job changes the load of a cell of a
+// hundred workers by less than one percent.
 const loadEvery = 1500 * time.Millisecond
 
-// loadLoop keeps the loads of all cells, where there are several to choose from.
+// loadLoop keeps the known loads of all cells current if there is more than one cell.
 func (c *Cells) loadLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, loadEvery)
@@ -29,7 +29,7 @@
 	}
 }
 
-// queryLoad asks the owner of a cell for the cell's load and keeps it.
+// queryLoad asks the owner of a cell for the cell's load and stores it.
 func (c *Cells) queryLoad(ctx context.Context, cell jobs.CellName) {
 	answer, err := c.ask(ctx, jobs.Query{Cell: cell, Load: true})
 	load := answer.Load
@@ -41,21 +41,21 @@
 	c.loads[cell] = load
 }
 
-// loadWithoutOwner is the load of a cell whose owner doesn't answer: a job goes elsewhere
-// unless all of its cells are full.
+// loadWithoutOwner is the assumed load of a cell whose owner doesn't answer: jobs avoid the cell unless all of their
+// cells are full.
 const loadWithoutOwner = 1.5
 
-// Loads at which a cell is full for jobs of each kind.
+// Loads at which a cell is full, by the kind of the job.
 const (
 	fullLoad       = 1.0
-	fullFillerLoad = 1.3 // what is declared and not used is filled as well
+	fullFillerLoad = 1.3 // filler tasks also use capacity that is declared but not used
 )
 
-// minHeadroom is what a full cell is taken to have: some jobs go there nevertheless, and
-// where all cells are full, they share the jobs evenly.
+// minHeadroom is the assumed headroom of a full cell: some jobs still go there, and if all cells are full, they
+// share the jobs evenly.
 const minHeadroom = 0.02
 
-// fullLoadFor is the load at which a cell is full for the job.
+// fullLoadFor returns the load at which a cell is full for the job.
 func fullLoadFor(spec *jobs.Spec) float64 {
 	if spec.NeedsRoom() {
 		return fullLoad
@@ -63,9 +63,9 @@
 	return fullFillerLoad
 }
 
-// chooseCell chooses from the cells that a job may be in, in proportion to the square of
-// their headroom: all daemons know the same loads, and would fill the same cell until they
-// hear of the next.
+// chooseCell chooses one of the cells that a job may be in at random, in proportion to the square of their headroom.
+// All daemons know the same loads; choosing the least loaded cell would send all jobs there until the loads are next
+// read.
 func (c *Cells) chooseCell(cells []jobs.CellName, spec *jobs.Spec) jobs.CellName {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,7 +80,7 @@
 	return cell
 }
 
-// drawWeighted gives the index that a draw from 0 to 1 falls on, in proportion to weights.
+// drawWeighted returns the index that a draw from 0 to 1 falls on, in proportion to weights.
 func drawWeighted(weights []float64, draw float64) int {
 	sum := 0.0
 	for _, weight := range weights {
@@ -96,7 +96,7 @@
 	return last
 }
 
-// placementDraw is a number from 0 to 1 that is always the same for a job.
+// placementDraw returns a number from 0 to 1 that depends on the job's ID alone.
 func placementDraw(id jobs.ID) float64 {
 	return float64(xxhash.Sum64String("cell of "+string(id))) / (1 << 64)
 }
--- a/services/control/move.go
+++ b/services/control/move.go
@@ -17,37 +17,37 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// move is work on its way to another cell.
+// move is a move of work to another cell that is not finished.
 type move struct {
 	dispatch.Move
-	// further: the other cell does not follow from the job's id.
+	// further tells that the job's ID does not map to the other cell.
 	further bool
-	// unresolved: a transaction without answer may have moved it, or may still do so.
+	// unresolved tells that a transaction of unknown outcome may have moved the work, or may still do so.
 	unresolved bool
 }
 
-// moveOutcome is what became of all tries of a move together: moveDone, moveJobGone, moveRejected or
-// moveUnresolved. The set is closed, and a value is one of them only, so that the denial of the last
-// try can't be taken for that of an earlier one without answer.
+// moveOutcome is the combined outcome of all attempts of a move: moveDone, moveJobGone, moveRejected or
+// moveUnresolved. The set is closed and each value is exactly one of them, so that the refusal of the last
+// attempt can't be mistaken for that of an earlier attempt of unknown outcome.
 type moveOutcome interface {
-	// cause is the error of the last try, if it had one.
+	// cause is the error of the last attempt, if any.
 	cause() error
 }
 
-// moveDone: the move is stored, with that version of the job's key.
+// moveDone tells that the move is stored; version is that of the job's key.
 type moveDone struct{ version platform.Version }
 
-// moveJobGone: the store does not hold the job any more; it has ended, here or there.
+// moveJobGone tells that the store no longer holds the job: it has ended, in this cell or the other one.
 type moveJobGone struct{}
 
-// moveRejected: no try has done it, and none that is still on its way can.
+// moveRejected tells that no attempt has moved the work, and that none still in flight can.
 type moveRejected struct {
 	err error
-	// permanent: the job can't be moved there as a whole.
+	// permanent tells that the job as a whole can never be moved to that cell.
 	permanent bool
 }
 
-// moveUnresolved: a try may have done it, or may still do so.
+// moveUnresolved tells that an attempt may have moved the work, or may still do so.
 type moveUnresolved struct{ err error }
 
 func (moveDone) cause() error         { return nil }
@@ -55,7 +55,7 @@
 func (o moveRejected) cause() error   { return o.err }
 func (o moveUnresolved) cause() error { return o.err }
 
-// failure is the outcome after a try that was certainly not done.
+// failure returns the outcome after an attempt that certainly had no effect.
 func (m *move) failure(err error) moveOutcome {
 	if m.unresolved {
 		return moveUnresolved{err}
@@ -63,7 +63,7 @@
 	return moveRejected{err: err}
 }
 
-// carryOutMoves stores moves one by one, as part of the owner's chain of transactions.
+// carryOutMoves stores the pending moves one by one, as part of the owner's chain of transactions.
 func (o *Owner) carryOutMoves(ctx context.Context) {
 	o.mu.Lock()
 	moves := slices.Clone(o.moves)
@@ -80,8 +80,8 @@
 	}
 }
 
-// finishMove draws from the outcome of a move where the work is now. A move whose outcome
-// isn't known stays, and is tried again with what the store says then.
+// finishMove tells the core in which cell the work is after a move. A move of unknown outcome stays in the list
+// and is retried with the records that the store holds then.
 func (o *Owner) finishMove(m *move, outcome moveOutcome) {
 	switch outcome := outcome.(type) {
 	case moveUnresolved:
@@ -93,25 +93,25 @@
 		o.core.MoveGone(m.Move)
 	case moveRejected:
 		o.core.KeepMove(m.Move, outcome.permanent)
-		o.config.Logger.Info("work is not handed to another cell", append(log.Err(outcome.err), zap.String("job", string(m.Job)),
+		o.config.Logger.Info("work is not moved to another cell", append(log.Err(outcome.err), zap.String("job", string(m.Job)),
 			zap.String("cell", string(m.To)))...)
 	}
 	o.moves = slices.DeleteFunc(o.moves, func(other *move) bool { return other == m })
 }
 
-// errJobEnded says that a job has ended in one of the cells.
+// errJobEnded reports that a job has ended in one of the cells.
 var errJobEnded = errors.New("job has ended")
 
-// errPreviouslyInCell says that a job as a whole was in the other cell before.
+// errPreviouslyInCell reports that the other cell already has a record of a job that moves as a whole.
 var errPreviouslyInCell = errors.New("job has been in the other cell before")
 
-// executeMove hands work to another cell: in one transaction the record here loses the tasks
-// and the one there gets them.
+// executeMove moves work to another cell: one transaction takes the tasks out of the record in this cell and
+// adds them to the record in the other cell.
 func (o *Owner) executeMove(ctx context.Context, m *move) moveOutcome {
-	// The other records are read before the one here: if they bar the move, no earlier try can be
-	// done from then on, and the record here shows afterwards whether one was done before. In the
-	// other order, one that is done between the reads, and whose work ends at once, would be
-	// taken for one that can't be done.
+	// The other records are read before the record in this cell. If they forbid the move, no earlier attempt
+	// can take effect from then on, and the record in this cell then shows whether one did before. In the
+	// other order, an attempt that takes effect between the reads, and whose work ends at once, would be
+	// mistaken for one that can't take effect.
 	records, err := o.readRecords(ctx, m)
 	if err != nil {
 		return m.failure(err)
@@ -119,10 +119,10 @@
 	switch here := records[o.cell]; {
 	case here.Version == 0:
 		return moveJobGone{}
-	case here.Ended != "": // by this owner: the job was cancelled here, which bars all tries
+	case here.Ended != "": // ended by this owner: the job was cancelled here, which forbids all attempts
 		return moveRejected{err: errJobEnded}
 	case !o.stillMoving(m, here):
-		return moveDone{platform.Version(here.Version)} // a transaction without answer has done it
+		return moveDone{platform.Version(here.Version)} // done by a transaction of unknown outcome
 	case records.forbidMove():
 		return moveRejected{err: errJobEnded}
 	case m.Whole && records[m.To].Version != 0:
@@ -131,11 +131,11 @@
 	return o.tryMove(ctx, m, records)
 }
 
-// moveRecords are a job's records that a move depends on, by cell: of the one that has the tasks, the one that
-// gets them, and the one whose record names the former, if the former is a further cell.
+// moveRecords are the records of a job that a move depends on, by cell: those of the source cell and the target
+// cell and, if the source is a further cell, that of the cell whose record names the source.
 type moveRecords map[jobs.CellName]jobs.Record
 
-// readRecords reads them, the one here last.
+// readRecords reads the records that a move depends on, that of this cell last.
 func (o *Owner) readRecords(ctx context.Context, m *move) (moveRecords, error) {
 	records := moveRecords{}
 	for _, cell := range []jobs.CellName{m.To, cmp.Or(m.Home, o.cell), o.cell} {
@@ -148,7 +148,7 @@
 	return records, nil
 }
 
-// forbidMove tells whether the job has ended in one of the cells, or is closed.
+// forbidMove tells whether the job has ended in one of the cells, or is closed to moves.
 func (r moveRecords) forbidMove() bool {
 	for _, record := range r {
 		if record.Ended != "" || record.Closed {
@@ -158,14 +158,14 @@
 	return false
 }
 
-// stillMoving tells whether the tasks of a move are still here, by the record as it is now.
+// stillMoving tells whether the tasks of a move are still in this cell, by its current record.
 func (o *Owner) stillMoving(m *move, here jobs.Record) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.core.StillMoving(m.Move, here)
 }
 
-// tryMove tries a move between the records as they were read.
+// tryMove attempts a move on condition that the records are as they were read.
 func (o *Owner) tryMove(ctx context.Context, m *move, records moveRecords) moveOutcome {
 	txn, err := o.moveTxn(m, records)
 	if err != nil {
@@ -181,8 +181,8 @@
 	return m.failure(err)
 }
 
-// moveTxn is the transaction of a move. A cancellation, here or there, bars it: the daemon
-// that stores one has seen where the job was.
+// moveTxn returns the transaction of a move. A cancellation in either cell forbids the move: the daemon that
+// stored it has read which cells had the job.
 func (o *Owner) moveTxn(m *move, records moveRecords) (platform.Txn, error) {
 	var txn platform.Txn
 	for cell, record := range records {
@@ -194,7 +194,7 @@
 	after := records.afterMove(m, o.cell)
 	var puts []put
 	for cell, record := range after {
-		if record.Home != "" && record.Left() { // a further cell is named no more, and keeps nothing
+		if record.Home != "" && record.Left() { // a further cell that has no tasks left keeps no keys
 			txn.Delete = append(txn.Delete, jobKey(cell, m.Job), progressKey(cell, m.Job))
 			continue
 		}
@@ -205,39 +205,40 @@
 	return txn, err
 }
 
-// afterMove gives the records that a move changes as they are after it.
+// afterMove returns the records that a move changes, as they are after it.
 func (r moveRecords) afterMove(m *move, from jobs.CellName) moveRecords {
 	here := r[from]
-	rest, sum := here.Without(m.Tasks), r.receivingRecord(m, from)
-	naming := cmp.Or(m.Home, from)
-	comes := m.further && r[m.To].Version == 0
-	if comes {
-		sum.Home = naming
+	rest, received := here.Without(m.Tasks), r.receivingRecord(m, from)
+	namingCell := cmp.Or(m.Home, from)
+	entersFurther := m.further && r[m.To].Version == 0
+	if entersFurther {
+		received.Home = namingCell
 	}
-	after := moveRecords{from: rest, m.To: sum}
-	if comes {
-		after.setFurther(r, naming, func(cells []jobs.CellName) []jobs.CellName { return append(cells, m.To) })
+	after := moveRecords{from: rest, m.To: received}
+	if entersFurther {
+		after.setFurther(r, namingCell, func(cells []jobs.CellName) []jobs.CellName { return append(cells, m.To) })
 	}
 	if m.Home != "" && rest.Left() {
-		after.setFurther(r, naming, func(cells []jobs.CellName) []jobs.CellName {
+		after.setFurther(r, namingCell, func(cells []jobs.CellName) []jobs.CellName {
 			return slices.DeleteFunc(cells, func(cell jobs.CellName) bool { return cell == from })
 		})
 	}
 	return after
 }
 
-// receivingRecord is the record of the cell that gets the tasks.
+// receivingRecord returns the record of the target cell after the move.
 func (r moveRecords) receivingRecord(m *move, from jobs.CellName) jobs.Record {
 	here, there := r[from], r[m.To]
-	sum := here.NewPart(m.Tasks, m.LeastRun)
+	received := here.NewPart(m.Tasks, m.LeastRun)
 	if there.Version != 0 {
-		sum = there.WithTasks(m.Tasks, m.LeastRun)
+		received = there.WithTasks(m.Tasks, m.LeastRun)
 	}
-	sum.Suspected = sum.Suspected.With(m.Suspected)
-	return sum
+	received.Suspected = received.Suspected.With(m.Suspected)
+	return received
 }
 
-// setFurther changes which further cells a cell's record names; as it was before, if the move has not changed it yet.
+// setFurther changes the list of further cells that a cell's record names. A record that the move has not changed
+// yet is taken from before.
 func (r moveRecords) setFurther(before moveRecords, cell jobs.CellName, change func([]jobs.CellName) []jobs.CellName) {
 	record, changed := r[cell]
 	if !changed {
@@ -248,7 +249,7 @@
 	r[cell] = record
 }
 
-// readRecord reads a job's record in a cell; one with version 0 when there is none.
+// readRecord reads a job's record in a cell; its version is 0 if there is none.
 func (o *Owner) readRecord(ctx context.Context, cell jobs.CellName, id jobs.ID) (jobs.Record, error) {
 	record, version, err := readVersion[jobs.Record](ctx, o.config.Store, jobKey(cell, id))
 	record.Version = uint64(version)
--- a/services/control/offer.go
+++ b/services/control/offer.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// moveInterval is how often work without a place is looked for: twice in the time after which
-	// package dispatch lists it.
+	// moveInterval is how often the owner checks for unplaced work: twice within the time after which package
+	// dispatch lists such work.
 	moveInterval = 200 * time.Millisecond
-	// moveBatchPause lets some jobs gather that wait to be offered.
+	// moveBatchPause lets several waiting jobs accumulate, so that they are offered in one query.
 	moveBatchPause = 10 * time.Millisecond
-	// maxOffersPerQuery bounds the jobs that one call asks about: the other cell's owner looks at all its
-	// workers for each. With some hundred jobs waiting, each has its turn within a second.
+	// maxOffersPerQuery limits the jobs in one query, because the other cell's owner checks all its workers for
+	// each job. With some hundred jobs waiting, each has its turn within a second.
 	maxOffersPerQuery = 32
-	// maxMovesInProgress bounds the jobs that move at once: each costs two reads and a transaction of
-	// some milliseconds, between which nothing else of the cell is stored.
+	// maxMovesInProgress limits the jobs that move at once. Each costs two reads and a transaction of some
+	// milliseconds, during which nothing else of the cell is stored.
 	maxMovesInProgress = 8
 )
 
-// moveLoop offers work that finds no place here to the other cells that it may be in, and cancels jobs in
-// further cells that a daemon has left behind.
+// moveLoop offers work that finds no place in this cell to other cells, and finishes cancellations that another
+// daemon has left unfinished.
 func (o *Owner) moveLoop(ctx context.Context) {
 	if !o.cells.several() {
 		return
@@ -50,8 +50,8 @@
 	}
 }
 
-// offerAll offers work to one cell after the other, until all of it is on its way: first to those that follow
-// from the job's id, where it is found without being looked for.
+// offerAll offers work to one cell after the other until all of it is being moved. The cells that the job's ID maps
+// to come first, because a job is found there without reading which further cells it has.
 func (o *Owner) offerAll(ctx context.Context, layout *jobs.Layout) {
 	offers := o.movableWork()
 	for _, further := range []bool{false, true} {
@@ -66,11 +66,12 @@
 // offerTarget is a cell that work is offered to.
 type offerTarget struct {
 	cell jobs.CellName
-	// further: work is offered to it whose job's id does not lead there, otherwise work whose id does.
+	// further tells that the cell is offered jobs whose ID does not map to it, instead of jobs whose ID does.
 	further bool
 }
 
-// accepts tells whether work is offered to the cell. A job that moves as a whole stays where it is looked for.
+// accepts tells whether work may be offered to the cell. A job that moves as a whole stays in the cells that its ID
+// maps to.
 func (t offerTarget) accepts(offer dispatch.Move, layout *jobs.Layout) bool {
 	if t.further && offer.Whole {
 		return false
@@ -78,7 +79,7 @@
 	return slices.Contains(cellsOf(offer.Job, layout), t.cell) != t.further
 }
 
-// movableWork lists work to be offered; none while a move is not over.
+// movableWork lists the work to offer; it is empty while moves are in progress.
 func (o *Owner) movableWork() []dispatch.Move {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -88,40 +89,40 @@
 	return o.core.Movable(maxOffersPerQuery, o.config.Clock.Now())
 }
 
-// offerTo asks the owner of a cell how much of the work that may go there finds a place, begins to move
-// that, and gives the other work.
+// offerTo asks the owner of a cell how much of the work finds a place there, starts to move that part, and returns
+// the rest.
 func (o *Owner) offerTo(ctx context.Context, to offerTarget, offers []dispatch.Move, layout *jobs.Layout) []dispatch.Move {
-	var fitting, others []dispatch.Move
+	var fitting, rest []dispatch.Move
 	query := jobs.Query{Cell: to.cell}
 	for _, offer := range offers {
 		if !to.accepts(offer, layout) {
-			others = append(others, offer)
+			rest = append(rest, offer)
 			continue
 		}
 		fitting = append(fitting, offer)
 		query.Demands = append(query.Demands, offer.Demand)
 	}
 	if len(fitting) == 0 {
-		return others
+		return rest
 	}
 	answer, err := o.cells.ask(ctx, query)
 	if err != nil || len(answer.Places) != len(fitting) {
-		return offers // its owner can't be asked now; the work is offered again
+		return offers // the owner can't be asked now; the work is offered again later
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for i, offer := range fitting {
 		if !o.startMove(offer, to, answer.Places[i]) {
-			others = append(others, offer)
+			rest = append(rest, offer)
 		}
 	}
 	if len(o.moves) > 0 {
 		wake(o.wakeStore)
 	}
-	return others
+	return rest
 }
 
-// startMove begins to move as much of the work as finds a place in the other cell.
+// startMove starts to move as much of the work as finds a place in the other cell. It returns false if none does.
 func (o *Owner) startMove(offer dispatch.Move, to offerTarget, places int) bool {
 	if places == 0 || offer.Whole && places < offer.Demand.Step.Count || len(o.moves) >= maxMovesInProgress {
 		return false
@@ -137,7 +138,7 @@
 	return true
 }
 
-// finishCancellations goes on with the cancellation of closed jobs: the daemon that has begun it may have gone.
+// finishCancellations continues the cancellation of closed jobs, because the daemon that began it may be lost.
 func (o *Owner) finishCancellations(ctx context.Context) {
 	o.mu.Lock()
 	closed := o.closed
--- a/services/control/state.go
+++ b/services/control/state.go
@@ -13,8 +13,8 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// State tells the state of a job: its owner knows it best, the store knows it when the
-// owner can't be asked.
+// State returns the state of a job. The owners of its cells have the latest state; the store is read when
+// no owner knows the job or can be asked.
 func (s *Service) State(ctx context.Context, id jobs.ID) (jobs.State, error) {
 	if id.Check() != nil {
 		return "", platform.ErrNotFound
@@ -24,7 +24,7 @@
 		return "", platform.ErrUnavailable
 	}
 	known, further := s.queryState(ctx, id, cellsOf(id, layout))
-	if (known == "" || known == jobs.StateQueued) && len(further) > 0 { // its tasks may run there alone
+	if (known == "" || known == jobs.StateQueued) && len(further) > 0 { // all running tasks may be in further cells
 		there, _ := s.queryState(ctx, id, further)
 		known = cmp.Or(there, known)
 	}
@@ -34,8 +34,8 @@
 	return s.storedState(ctx, id, layout)
 }
 
-// queryState asks the owners of cells for the state of a job; empty: none of them knows it. Other cells that
-// have tasks of it are named.
+// queryState asks the owners of cells for the state of a job; the state is empty if none of them knows the job.
+// It also returns the further cells that they name.
 func (s *Service) queryState(ctx context.Context, id jobs.ID, cells []jobs.CellName) (known jobs.State, further []jobs.CellName) {
 	for _, cell := range cells {
 		answer, err := s.Cells.ask(ctx, jobs.Query{Cell: cell, Jobs: []jobs.ID{id}})
@@ -48,30 +48,30 @@
 		case state != jobs.StateQueued:
 			return state, nil
 		default:
-			known = state // tasks in another cell may run
+			known = state // tasks in another cell may be running
 		}
 	}
 	return known, further
 }
 
-// storedState finds a job's state in the store.
+// storedState reads a job's state from the store.
 func (s *Service) storedState(ctx context.Context, id jobs.ID, layout *jobs.Layout) (jobs.State, error) {
-	// Asked before the store is read: a write that ends in between is in what is read.
-	follows, doubt := s.submissions.pendingWrite(id)
+	// Checked before the store is read: a write that completes in between is then included in the read.
+	pending, unresolved := s.submissions.pendingWrite(id)
 	entries, err := s.entriesOf(ctx, id, layout)
 	switch {
 	case err != nil:
 		return "", err
 	case entries.known():
 		return entries.state(), nil
-	case follows == writeInFlight, follows == writeUnresolved && s.storedStatusOf(ctx, id, doubt) != statusAbsent:
+	case pending == writeInFlight, pending == writeUnresolved && s.storedStatusOf(ctx, id, unresolved) != statusAbsent:
 		return "", errors.Mark(errors.New("job is being handed in, or its acceptance is in doubt"), platform.ErrUnavailable)
 	default:
 		return "", platform.ErrNotFound
 	}
 }
 
-// Pending counts a queue's jobs that have no task begun, over all cells.
+// Pending counts the jobs of a queue, over all cells, of which no task has started.
 func (s *Service) Pending(ctx context.Context, queue jobs.QueueName) (int, error) {
 	layout := s.Cells.layout()
 	if layout == nil {
--- a/services/control/submissions.go
+++ b/services/control/submissions.go
@@ -13,34 +13,33 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// submissions are the jobs that this daemon can't refuse whatever the store says of the next
-// write: a write is under way, one has ended without an answer, or the job was accepted here.
-// A doubt ends only by what the store holds, read once no write can follow any more.
+// submissions tracks the jobs that this daemon must not refuse, whatever the store answers to the next
+// write: a write is in flight, a write has an unknown outcome, or this daemon has accepted the job. An
+// unknown outcome is resolved only by reading the store once no write can follow any more.
 type submissions struct {
 	mu         sync.Mutex
 	byID       map[jobs.ID]*submission
-	lastPruned time.Time // when old ones were dropped last
+	lastPruned time.Time // when expired submissions were last removed
 }
 
-// newSubmissions makes an empty set.
 func newSubmissions() *submissions { return &submissions{byID: map[jobs.ID]*submission{}} }
 
-// submission is one of them.
+// submission is the state of a job in submissions.
 type submission struct {
-	call *submitCall // under way; nil: none is
-	// unresolved is the version of this daemon's key that a write without answer depends on; 0: no
-	// write is in doubt, and the job is accepted unless a call is under way.
+	call *submitCall // the call in progress; nil: none
+	// unresolved is the version of this daemon's key that a write of unknown outcome is conditioned on. 0
+	// means that there is no such write; unless a call is in progress, the job has then been accepted.
 	unresolved platform.Version
-	since      time.Time // of the doubt or the acceptance
+	since      time.Time // when the outcome became unknown, or the job was accepted
 }
 
-// submitCall is one time that a job is handed in.
+// submitCall is one attempt to submit a job.
 type submitCall struct {
 	ended   chan struct{}
-	outcome platform.Outcome // once ended is closed
+	outcome platform.Outcome // valid once ended is closed
 }
 
-// wait gives the outcome of a call that somebody else makes.
+// wait waits for a call made by another goroutine and returns its outcome.
 func (c *submitCall) wait(ctx context.Context) platform.Outcome {
 	select {
 	case <-c.ended:
@@ -51,17 +50,18 @@
 }
 
 const (
-	// submissionRetention is how long a job is kept that nobody hands in again: as long as the store
-	// keeps the records of jobs that have ended.
+	// submissionRetention is how long a job is tracked after its last submission: as long as the store
+	// keeps the records of ended jobs.
 	submissionRetention = dispatch.Remembered
-	// pruneInterval is how often old ones are looked for: looking costs a pass over some hundreds.
+	// pruneInterval is the least time between two removals of expired submissions. Each removal is a
+	// pass over some hundred entries.
 	pruneInterval = time.Second
 )
 
-// begin begins a call for a job, and gives the version that an earlier write in doubt depends
-// on. Another call that is under way or has been accepted is given in its place: both concern
-// the same record, so that both have its outcome.
-func (s *submissions) begin(id jobs.ID) (call *submitCall, doubt platform.Version, first bool) {
+// begin starts a call for a job. It returns the version that an earlier write of unknown outcome is
+// conditioned on, if there is one. If another call is in progress or the job has been accepted, begin
+// returns that call with first false: both calls concern the same record and share its outcome.
+func (s *submissions) begin(id jobs.ID) (call *submitCall, unresolved platform.Version, first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.prune(time.Now())
@@ -79,14 +79,15 @@
 	return known.call, known.unresolved, true
 }
 
-// acceptedCall is a call that has ended with an acceptance.
+// acceptedCall is a finished call whose job was accepted.
 var acceptedCall = func() *submitCall {
 	c := &submitCall{ended: make(chan struct{}), outcome: platform.Done{}}
 	close(c.ended)
 	return c
 }()
 
-// finish ends a call. What was accepted or is in doubt is kept.
+// finish records the result of a call. The submission stays if the job was accepted or the outcome of a
+// write is unknown.
 func (s *submissions) finish(id jobs.ID, result submitResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +101,7 @@
 	}
 }
 
-// prune drops those that were kept for long enough.
+// prune removes the submissions whose retention is over.
 func (s *submissions) prune(now time.Time) {
 	if now.Sub(s.lastPruned) < pruneInterval {
 		return
@@ -113,16 +114,17 @@
 	}
 }
 
-// pendingWriteState is whether a write of a job may still store it.
+// pendingWriteState tells whether a write of this daemon may still store a job.
 type pendingWriteState uint8
 
 const (
-	noPendingWrite  pendingWriteState = iota // none of this daemon, as far as it knows
-	writeInFlight                            // one is under way
-	writeUnresolved                          // one had no answer
+	noPendingWrite  pendingWriteState = iota // none that this daemon knows of
+	writeInFlight                            // a write is in flight
+	writeUnresolved                          // the outcome of a write is unknown
 )
 
-// pendingWrite tells whether a write of the job may follow, and which version one in doubt depends on.
+// pendingWrite tells whether a write may still store the job. For a write of unknown outcome it also
+// returns the version that the write is conditioned on.
 func (s *submissions) pendingWrite(id jobs.ID) (pendingWriteState, platform.Version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/services/control/submit.go
+++ b/services/control/submit.go
@@ -15,38 +15,38 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Pauses that callers are asked to make.
+// Retry delays returned to callers.
 const (
-	outageRetryAfter = 2 * time.Second // the store's outages take seconds
+	outageRetryAfter = 2 * time.Second // outages of the store last seconds
 	shortRetryAfter  = time.Second
 )
 
-// Submit accepts a job for good: the daemon that is asked writes it itself. Handed in
-// again, also at another daemon, the job meets its own key.
+// Submit stores a job durably; the daemon that receives the call writes the record itself. A repeated
+// submission, also at another daemon, finds the key of the first one.
 func (s *Service) Submit(ctx context.Context, spec jobs.Spec, queue jobs.Queue) platform.Outcome {
 	began := time.Now()
-	if ctx.Err() != nil { // a request that was read late: its caller has left, and may have asked again
+	if ctx.Err() != nil { // the request was read late: the caller has left and may have retried
 		return refused("caller has left before anything was sent", shortRetryAfter).outcome
 	}
-	call, doubt, first := s.submissions.begin(spec.ID)
+	call, unresolved, first := s.submissions.begin(spec.ID)
 	if !first {
 		return call.wait(ctx)
 	}
-	// A caller that leaves ends its own wait, not the write: cut off, the write's answer would
-	// be lost, and with it what to tell the caller when it comes back.
+	// A caller that disconnects must not cancel the write: its answer would be lost, and a retry of the
+	// caller could not be answered.
 	ctx, cancel := withoutCancel(ctx)
 	defer cancel()
-	// Should the call end by a panic, others must not wait for it, nor take it for a refusal.
-	result := statusUnknown.result(max(doubt, s.Cells.registration()))
+	// If the call panics, concurrent calls must neither wait for it nor treat it as a refusal.
+	result := statusUnknown.result(max(unresolved, s.Cells.registration()))
 	defer func() {
 		s.submissions.finish(spec.ID, result)
 		s.recordSubmit(spec, result, time.Since(began))
 	}()
-	result = s.submit(ctx, spec, queue, doubt)
+	result = s.submit(ctx, spec, queue, unresolved)
 	return result.outcome
 }
 
-// withoutCancel is a context that ends with the deadline of ctx, not before it.
+// withoutCancel returns a context that keeps the deadline of ctx but is not cancelled with it.
 func withoutCancel(ctx context.Context) (context.Context, context.CancelFunc) {
 	if deadline, ok := ctx.Deadline(); ok {
 		return context.WithDeadline(context.WithoutCancel(ctx), deadline)
@@ -54,31 +54,31 @@
 	return context.WithCancel(context.WithoutCancel(ctx))
 }
 
-// submitResult is what became of a job that was handed in.
+// submitResult is the result of a submission.
 type submitResult struct {
 	outcome platform.Outcome
-	// unresolved is the version of this daemon's key that a write without answer depends on; 0: no
-	// write is in doubt.
+	// unresolved is the version of this daemon's key that a write of unknown outcome is conditioned on;
+	// 0: there is no such write.
 	unresolved platform.Version
-	cell       jobs.CellName // that was chosen for the job; empty: none was
+	cell       jobs.CellName // the cell chosen for the job; empty: none
 }
 
-// refused is the result of a job of which nothing was written.
+// refused is the result for a job of which nothing was written.
 func refused(reason string, after time.Duration) submitResult {
 	return submitResult{outcome: platform.NotDone{Reason: reason, RetryAfter: after}}
 }
 
-// unfit is the result of a job that can never be run.
+// unfit is the result for a job that can never run.
 func unfit(reason string) submitResult {
 	return submitResult{outcome: platform.NotDone{Reason: reason, Why: platform.RefusedUnfit}}
 }
 
-// submit accepts or refuses a job, given the version that an earlier write of it in doubt
-// depends on. Nothing is refused before that doubt has ended.
-func (s *Service) submit(ctx context.Context, spec jobs.Spec, queue jobs.Queue, doubt platform.Version) submitResult {
-	if doubt != 0 {
-		if fate := s.storedStatusOf(ctx, spec.ID, doubt); fate != statusAbsent {
-			return fate.result(doubt)
+// submit accepts or refuses a job. If an earlier write has an unknown outcome, unresolved is the version
+// that the write is conditioned on, and the job is not refused until that outcome is known.
+func (s *Service) submit(ctx context.Context, spec jobs.Spec, queue jobs.Queue, unresolved platform.Version) submitResult {
+	if unresolved != 0 {
+		if status := s.storedStatusOf(ctx, spec.ID, unresolved); status != statusAbsent {
+			return status.result(unresolved)
 		}
 	}
 	if reason := spec.Unsupported(queue.Terms); reason != "" {
@@ -99,8 +99,8 @@
 	return result
 }
 
-// accept writes a job on condition that it is in none of its cells, and that this daemon's
-// own key is as it was: once the key has changed, no write that depends on it can follow.
+// accept writes a job on condition that none of its cells has a record of it, and that this daemon's own
+// key is unchanged. Once the key has changed, no write conditioned on the old version can follow.
 func (s *Service) accept(ctx context.Context, id jobs.ID, absent []string, job put) submitResult {
 	writes, err := encode([]put{job})
 	if err != nil {
@@ -117,15 +117,15 @@
 		case turnedAway:
 			return submitResult{outcome: refusalFor(w)}
 		case conflicting:
-			fate := s.storedStatusOf(ctx, id, registered)
-			if fate == statusStored || fate == statusBarred {
-				return fate.result(registered)
+			status := s.storedStatusOf(ctx, id, registered)
+			if status == statusStored || status == statusBarred {
+				return status.result(registered)
 			}
 			s.Cells.unregistered(registered)
-			if fate == statusUnknown {
-				return fate.result(registered)
+			if status == statusUnknown {
+				return status.result(registered)
 			}
-			// The key has changed and the job is nowhere: tried again if it has been written anew.
+			// The key has changed and no record of the job exists: retried if the daemon has registered again.
 		case unsettled:
 			s.Cells.unregistered(registered)
 			return submitResult{outcome: platform.MaybeDone{Cause: w.cause}, unresolved: registered}
@@ -133,7 +133,7 @@
 	}
 }
 
-// acceptanceTxn is the transaction that stores a job.
+// acceptanceTxn returns the transaction that stores a job.
 func acceptanceTxn(self string, registered platform.Version, absent []string, writes []platform.Write) platform.Txn {
 	txn := platform.Txn{Require: []platform.Precondition{{Key: self, Version: registered}}, Put: writes}
 	for _, k := range absent {
@@ -142,7 +142,7 @@
 	return txn
 }
 
-// refusalFor is what a caller is told of a change that the store turned away.
+// refusalFor returns the refusal for a change that the store rejected.
 func refusalFor(w turnedAway) platform.NotDone {
 	switch {
 	case errors.Is(w.cause, platform.ErrLimited):
@@ -154,7 +154,7 @@
 	}
 }
 
-// recordSubmit counts and logs what became of a job that was handed in.
+// recordSubmit counts and logs the result of a submission.
 func (s *Service) recordSubmit(spec jobs.Spec, result submitResult, took time.Duration) {
 	scope := s.ofQueue(spec.Queue)
 	fields := []zap.Field{
@@ -170,6 +170,6 @@
 		s.config.Logger.Info("job is refused", append(fields, zap.String("reason", o.Reason), zap.Duration("retry_after", o.RetryAfter))...)
 	case platform.MaybeDone:
 		scope.Counter("jobs_in_doubt").Inc(1)
-		s.config.Logger.Warn("job may be accepted, the store has not said so", append(fields, zap.Error(o.Cause))...)
+		s.config.Logger.Warn("outcome of a job's acceptance is unknown: the store did not confirm the write", append(fields, zap.Error(o.Cause))...)
 	}
 }
--- a/services/control/yield.go
+++ b/services/control/yield.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// sufficientCapacity is how many a daemon carries that need not leave its only cell to another
-	// one: somewhat more than the largest cells have.
+	// sufficientCapacity is the worker capacity at which a daemon keeps its only cell: somewhat more workers
+	// than the largest cells have.
 	sufficientCapacity = 420
-	// yieldInterval is how often an owner looks for a daemon that has more for one of its cells.
+	// yieldInterval is how often an owner looks for a daemon with more capacity for one of its cells.
 	yieldInterval = time.Second
-	// yieldPause is the least time between two handovers, in case nobody takes the cells.
+	// yieldPause is the least time between two handovers, in case no daemon claims the cells.
 	yieldPause = 5 * time.Second
-	// minCapacityRatio is how many times the workers that an owner carries for each of its cells
-	// another daemon must carry for one more: for the time of a handover nothing starts in the cell.
+	// minCapacityRatio is the least ratio of the capacity that another daemon would have for each of its cells,
+	// with one more, to this owner's capacity for each of its cells. Nothing starts in a cell during a handover.
 	minCapacityRatio = 2.0
 )
 
-// yieldLoop hands a cell over when another daemon has far more processor time, or a far wider
-// link, for it: holding back when a cell is free is not enough after an outage, when daemons come back
-// one after the other. That goes for a weak daemon as for one that took several cells: an owner that
-// can't keep up acts on what is old.
+// yieldLoop hands a cell over when another daemon has far more processor time, or a far faster link, for it.
+// Delaying the claim of a free cell is not enough after an outage, when daemons come back one after the other.
+// This applies to a weak daemon and to one that took several cells alike: an owner that can't keep up acts on
+// stale information.
 func (c *Cells) yieldLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, yieldInterval)
@@ -41,14 +41,14 @@
 		cell := slices.Min(slices.Collect(maps.Keys(owned)))
 		now := c.config.Clock.Now()
 		c.yielded.Store(&now)
-		err := c.handOver(ctx, cell, owned[cell], "another daemon carries far more")
+		err := c.handOver(ctx, cell, owned[cell], "another daemon has far more capacity")
 		c.config.Logger.Info("cell is handed over", append(log.Err(err), zap.String("cell", string(cell)))...)
 		sleep(ctx, yieldPause)
 	}
 }
 
-// strongerDaemonExists tells whether a daemon that is registered now would carry far more for a cell
-// than this one does for each of those that it owns.
+// strongerDaemonExists tells whether a daemon that is registered now would have far more capacity for one more
+// cell than this daemon has for each cell that it owns.
 func (c *Cells) strongerDaemonExists(ctx context.Context, owned int) bool {
 	self := carries(c.self())
 	if owned == 1 && self >= sufficientCapacity {
@@ -57,7 +57,7 @@
 	daemons, err := c.registeredDaemons(ctx)
 	c.health.note(err)
 	if err != nil {
-		return false // looked for again in a second
+		return false // retried after yieldInterval
 	}
 	cells := c.cellsByDaemon()
 	mine := float64(self) / float64(owned)
@@ -71,7 +71,7 @@
 	return false
 }
 
-// cellsByDaemon counts the cells that each daemon owns, as the store says.
+// cellsByDaemon counts the cells that each daemon owns, as last read from the store.
 func (c *Cells) cellsByDaemon() map[string]int {
 	count := map[string]int{}
 	for _, owner := range c.knownOwners() {
