--- a/services/control/abandoned_test.go
+++ b/services/control/abandoned_test.go
@@ -15,22 +15,22 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// TestCellOfAProcessThatEndedHasAnotherOwnerAtOnce: callers ask for their jobs all the time, and
-// the first that does so after the end finds out that nobody listens. Without that the cell
-// had no owner for as long as the lease runs, and short work that came was late.
+// TestCellOfAProcessThatEndedHasAnotherOwnerAtOnce guards against a cell that stays without owner until the lease of
+// an ended process expires, so that short work is late. Callers query their jobs all the time, and the first call
+// after the end gets a refused connection.
 func TestCellOfAProcessThatEndedHasAnotherOwnerAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, 3, nil)
 		w.eventually(10*time.Second, "cell has an owner", func() bool { return w.owner() != nil })
-		former := w.owner()
+		previous := w.owner()
 		other := w.daemons[0]
-		if other == former {
+		if other == previous {
 			other = w.daemons[1]
 		}
 		w.submit(other, lasting(1, 3))
-		w.eventually(10*time.Second, "its tasks run", func() bool { return w.grid.Running(jobID(1)) == 3 })
+		w.eventually(10*time.Second, "its tasks are running", func() bool { return w.grid.Running(jobID(1)) == 3 })
 		time.Sleep(minOwnerAge)
-		former.end()
+		previous.end()
 		ended := time.Now()
 		w.state(other, jobID(1))
 		w.eventually(time.Second, "another owner", func() bool { return w.owner() != nil })
@@ -42,15 +42,14 @@
 	})
 }
 
-// TestOwnerIsNotReplacedAgainAndAgain puts a cut between all daemons that looks as if nobody
-// listened, while all reach the store and the workers: a cell changes its owner seldom, and
-// nothing runs twice.
+// TestOwnerIsNotReplacedAgainAndAgain refuses all connections between the daemons, while all of them reach the store
+// and the workers: a cell changes its owner seldom, and nothing runs twice.
 func TestOwnerIsNotReplacedAgainAndAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, 4, nil)
 		w.eventually(10*time.Second, "cell has an owner", func() bool { return w.owner() != nil })
 		w.submit(w.daemons[0], lasting(1, 3))
-		w.eventually(10*time.Second, "its tasks run", func() bool { return w.grid.Running(jobID(1)) == 3 })
+		w.eventually(10*time.Second, "its tasks are running", func() bool { return w.grid.Running(jobID(1)) == 3 })
 		time.Sleep(minOwnerAge)
 		for _, d := range w.daemons {
 			d.set(func() { d.ended = true })
@@ -71,7 +70,7 @@
 	})
 }
 
-// TestNobodyListensIsSeenThroughTheCallsOfPeers asks a port that was just closed.
+// TestNobodyListensIsSeenThroughTheCallsOfPeers calls a port that was just closed.
 func TestNobodyListensIsSeenThroughTheCallsOfPeers(t *testing.T) {
 	server := httptest.NewServer(nil)
 	address := server.Listener.Addr().(*net.TCPAddr).String()
--- a/services/control/cancel_test.go
+++ b/services/control/cancel_test.go
@@ -16,8 +16,8 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// firstAnswerLost is a store that does the first write and loses its answer. It answers the
-// second; from then on it turns reads of jobs away.
+// firstAnswerLost is a store that performs the first write but loses its answer. It answers the second write; from
+// then on it rejects reads of jobs until readable is set.
 type firstAnswerLost struct {
 	platform.TxnStore
 	writes   int
@@ -40,7 +40,7 @@
 	return s.TxnStore.List(ctx, prefix)
 }
 
-// loseFirstAnswer puts such a store before a daemon's callers.
+// loseFirstAnswer makes a daemon handle its callers with a firstAnswerLost store, and returns the store.
 func (d *testDaemon) loseFirstAnswer() *firstAnswerLost {
 	store := &firstAnswerLost{TxnStore: d.config.Store}
 	d.config.Store = store
@@ -53,7 +53,7 @@
 		w.submit(idle, lasting(2, 1))
 		idle.loseFirstAnswer()
 		require.IsType(t, platform.MaybeDone{}, idle.Cancel(w.ctx, jobID(2)))
-		w.eventually(5*time.Second, "it was done", func() bool { return w.state(owner, jobID(2)) == jobs.StateCancelled })
+		w.eventually(5*time.Second, "the job is cancelled", func() bool { return w.state(owner, jobID(2)) == jobs.StateCancelled })
 		w.noBreach()
 	})
 }
@@ -75,7 +75,7 @@
 		w.submit(idle, lasting(2, 1))
 		idle.holdUp(1500 * time.Millisecond)
 		require.IsType(t, platform.MaybeDone{}, idle.Cancel(w.ctx, jobID(2)))
-		w.eventually(5*time.Second, "it is done late", func() bool { return w.state(owner, jobID(2)) == jobs.StateCancelled })
+		w.eventually(5*time.Second, "the delayed cancellation takes effect", func() bool { return w.state(owner, jobID(2)) == jobs.StateCancelled })
 		w.noBreach()
 	})
 }
@@ -92,14 +92,13 @@
 	})
 }
 
-// TestCancellationOfWhatIsNoIDWritesNothing asks for ids under whose keys other things are:
-// the marker of a cell's owner, without which the cell could not be claimed, and the
-// cancellation of another job.
+// TestCancellationOfWhatIsNoIDWritesNothing cancels IDs whose keys hold something else: the marker of a cell's owner,
+// whose change would keep the cell from being claimed, and the cancellation of another job.
 func TestCancellationOfWhatIsNoIDWritesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, idle, owner := newTwoDaemons(t)
 		w.submit(idle, lasting(2, 1))
-		w.cores = 0.001 // it carries no worker, and holds back from a cell that is free
+		w.cores = 0.001 // without capacity for any worker, it delays its claims of free cells
 		weak := w.startDaemon()
 		w.eventually(10*time.Second, "ready", weak.Ready)
 		idle.kill()
@@ -117,14 +116,14 @@
 	})
 }
 
-// delayedJobWrites is a store that does the writes of jobs late and without an answer, and takes no
-// registration of a daemon.
+// delayedJobWrites is a store that performs writes of jobs after a delay and without an answer, and rejects
+// registrations of daemons.
 type delayedJobWrites struct {
 	platform.TxnStore
 	delay time.Duration
 }
 
-// isJobKey tells whether a key is among the jobs of a cell, and not its owner's marker there.
+// isJobKey tells whether a key belongs to a job, and is not the marker of a cell's owner among the jobs.
 func isJobKey(key string) bool {
 	return strings.HasPrefix(key, jobPrefix) && !strings.HasSuffix(key, markerName)
 }
@@ -132,7 +131,7 @@
 func (s *delayedJobWrites) Commit(ctx context.Context, txn platform.Txn) (platform.Version, error) {
 	switch key := txn.Put[0].Key; {
 	case isJobKey(key):
-		time.AfterFunc(s.delay, func() { _, _ = s.TxnStore.Commit(context.Background(), txn) }) // nobody hears of it
+		time.AfterFunc(s.delay, func() { _, _ = s.TxnStore.Commit(context.Background(), txn) }) // the result reaches nobody
 		sleep(ctx, callTime)
 		return 0, platform.ErrUnknown
 	case strings.HasPrefix(key, daemonPrefix):
--- a/services/control/carry_test.go
+++ b/services/control/carry_test.go
@@ -29,8 +29,8 @@
 	Cells int `json:"cells"`
 }
 
-// TestCellsAreLaidOutForWhatDaemonsCarry holds the sizes of the users' fleets: cells stay as
-// large as strong daemons carry, and become smaller only where there are none.
+// TestCellsAreLaidOutForWhatDaemonsCarry checks layouts of the users' fleet sizes: cells are as large as strong
+// daemons can own, and smaller only where there are no strong daemons.
 func TestCellsAreLaidOutForWhatDaemonsCarry(t *testing.T) {
 	for _, c := range casefile.Read[[]cellsForCase](t, "testdata/cells_for.json") {
 		t.Run(c.Name, func(t *testing.T) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestFreeCellGoesToADaemonThatCarriesIt ends the owner. A daemon that carries no worker has
-// been there for longer than the one that carries the cell, which takes it.
+// TestFreeCellGoesToADaemonThatCarriesIt kills the owner. A daemon with capacity for the cell claims it, although a
+// daemon without capacity for any worker has been running for longer.
 func TestFreeCellGoesToADaemonThatCarriesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, 1, nil)
@@ -60,12 +60,13 @@
 		time.Sleep(time.Second)
 		ended := time.Now()
 		first.kill()
-		w.eventually(5*time.Second, "the daemon that carries the cell owns it", func() bool { return w.owner() == able })
-		require.Less(t, time.Since(ended), testSettings.OwnerLease+claimEvery, "it does not hold back")
+		w.eventually(5*time.Second, "the daemon with capacity for the cell owns it", func() bool { return w.owner() == able })
+		require.Less(t, time.Since(ended), testSettings.OwnerLease+claimEvery, "its claim is not delayed")
 	})
 }
 
-// TestNoCellIsLeftWithoutWorkers guards against jobs that go to a cell which has none, for a rack is not divided.
+// TestNoCellIsLeftWithoutWorkers guards against jobs accepted for a cell without workers. A rack is not divided, so
+// there can't be more cells than racks.
 func TestNoCellIsLeftWithoutWorkers(t *testing.T) {
 	var workers []jobs.Worker
 	for n, rack := range []jobs.RackLabel{"a", "a", "a", "b", "b", "c"} {
--- a/services/control/crash_mix_test.go
+++ b/services/control/crash_mix_test.go
@@ -17,8 +17,8 @@
 	"rillsail.example/rillsail/services/standin/grid"
 )
 
-// crashMix is a case of testdata/crashes.json: a share of the jobs has a task that ends its
-// workers, and workers are lost for other reasons.
+// crashMix is a case of testdata/crashes.json: a share of the jobs has a task that crashes its workers, and workers are
+// lost for other reasons as well.
 type crashMix struct {
 	Name      string       `json:"name"`
 	Bad       float64      `json:"bad"`
@@ -29,37 +29,35 @@
 
 const (
 	mixWorkers = 48
-	mixLasting = 12 // jobs of three tasks that last
+	mixLasting = 12 // jobs of three long-running tasks
 	mixShort   = 250
 	mixFirst   = 100                    // number of the first short job
-	mixEvery   = 125 * time.Millisecond // the fleet is three quarters full
+	mixEvery   = 125 * time.Millisecond // uses three quarters of the workers' capacity
 	mixAfter   = 25 * time.Second
 )
 
-// mixRun is a play of a case.
+// mixRun is one run of a case.
 type mixRun struct {
 	*world
 	mix      crashMix
 	draw     *rand.Rand
-	crashing map[jobs.ID]bool // written before the first start
-	nextLoss time.Time        // when workers are lost again
+	crashing map[jobs.ID]bool // filled before the first start
+	nextLoss time.Time        // when the next workers are lost
 }
 
-// TestOnlyTasksThatCrashWorkersAreGivenUp plays mixes of both for 25 seconds of traffic: each
-// job with such a task fails within the bound on its starts, no other does, and all that last
-// run in the end.
+// TestOnlyTasksThatCrashWorkersAreGivenUp runs mixes of crashing tasks and lost workers. Each job with a crashing task
+// fails within the limit on its starts, no other job fails, and all long-running tasks run in the end.
 func TestOnlyTasksThatCrashWorkersAreGivenUp(t *testing.T) { runMixes(t, "testdata/crashes.json") }
 
-// TestLateCrashesBesideLostWorkers plays a mix in which 0.15 of the workers go every 2 s, and one job in
-// fifty crashes its worker after 1 s. Of seven tasks two or three were started a sixth time. Why: a second
-// loss after as long as the first says far more, but 1 s stood for a time that nobody had seen, so that
-// of losses after exactly 1 s none was compared. What showed it: "run is lost with its worker" for two
-// tasks, the one with ran_ms 867, 1000, 1000 and weights 1.1, 3.2, 3.3, the other with 1000 five times and
-// 0.7 to 1.3. And the bursts made
-// every loss look like one by chance, also that of a worker that went by itself.
+// TestLateCrashesBesideLostWorkers guards against a crashing task that is started a sixth time while other workers are
+// lost: 15 percent of the workers are lost every 2 s, and one job in fifty crashes its worker after 1 s. Two or three of
+// seven crashing tasks were. A second loss after the same run time as the first is strong evidence, but a run time of 1 s
+// was reserved for unknown, so that losses after exactly 1 s were not compared: one task, with run times of 867, 1000
+// and 1000 ms, got weights of 1.1, 3.2 and 3.3, another with 1000 ms five times got only 0.7 to 1.3. In addition the
+// bursts made every loss look accidental, also that of a worker that was lost alone.
 func TestLateCrashesBesideLostWorkers(t *testing.T) { runMixes(t, "testdata/crashes_late.json") }
 
-// runMixes plays the mixes of a file.
+// runMixes runs the mixes of a file.
 func runMixes(t *testing.T, file string) {
 	for n, mix := range casefile.Read[[]crashMix](t, file) {
 		t.Run(mix.Name, func(t *testing.T) {
@@ -100,7 +98,7 @@
 	}
 	p.nextLoss = time.Now()
 	for n := range mixShort {
-		// Longer than any crash takes to come about.
+		// The work takes longer than any crash takes to happen.
 		spec := twoSteps(mixFirst+n, 1100*time.Millisecond+time.Duration(p.draw.IntN(900))*time.Millisecond)
 		spec.Steps[0].Count = 6
 		p.submit(p.daemons[0], spec)
@@ -110,7 +108,7 @@
 	time.Sleep(mixAfter)
 }
 
-// loseWorkers ends some workers when it is time to.
+// loseWorkers crashes some workers whenever the interval of the mix has passed.
 func (p *mixRun) loseWorkers() {
 	if p.mix.Lost == 0 || time.Now().Before(p.nextLoss) {
 		return
@@ -131,9 +129,9 @@
 		if p.crashing[id] {
 			want = jobs.StateFailed
 		}
-		require.Equal(p.t, want, p.state(p.daemons[0], id), "job %s, bad: %v", id, p.crashing[id])
+		require.Equal(p.t, want, p.state(p.daemons[0], id), "job %s, crashing: %v", id, p.crashing[id])
 	}
 	for n := range mixLasting {
-		require.Equal(p.t, 3, p.grid.Running(jobID(1+n)), "tasks that last")
+		require.Equal(p.t, 3, p.grid.Running(jobID(1+n)), "long-running tasks")
 	}
 }
--- a/services/control/crash_test.go
+++ b/services/control/crash_test.go
@@ -16,20 +16,16 @@
 	"rillsail.example/rillsail/services/standin/grid"
 )
 
-// Tasks that end the process of every worker that starts them.
-//
-// What was seen: workers went by the dozen, each 4 to 10 ms after a start, and came back 3.3 s
-// later as other incarnations. Two tasks had been started three times more after three workers
-// had crashed under each; the tasks beside them, 6 to 12 on each worker, lost their work over and
-// over. How it came about: a worker's end puts its tasks back among those that wait, and they
-// start on the next worker. What caused it: runs that fail are counted, runs that are lost with
-// their workers were not, by anybody. What proved that: all starts were one owner's, in one
-// epoch, seconds apart and on different workers, so that nothing was forgotten or repeated.
+// The tests below guard against tasks that crash every worker on which they start. A crash puts the tasks of a worker
+// back into the queue, and they start on the next worker. Failed runs were counted, but runs lost with their workers
+// were not, so that two tasks were started three more times after three crashes each; all starts were of one owner in
+// one epoch. Each crash came 4 to 10 ms after a start, cost the 6 to 12 other tasks of the worker their work, and kept
+// the worker away for 3.3 s, after which it returned as a new incarnation.
 
-// workerDowntime is how long a crashed worker is away here: as on the users' platform.
+// workerDowntime is how long a crashed worker is down, as on the users' platform.
 const workerDowntime = 3300 * time.Millisecond
 
-// newCrashWorld makes a world in which the first task of some jobs ends its worker.
+// newCrashWorld makes a world in which the first task of each job in bad crashes its worker.
 func newCrashWorld(t *testing.T, workers, daemons int, after time.Duration, bad ...jobs.ID) *world {
 	t.Helper()
 	w := newWorldWith(t, daemons, testSettings.WorkersPerCell, grid.Config{
@@ -43,9 +39,8 @@
 	return w
 }
 
-// TestTaskThatCrashesItsWorkersIsGivenUp: its job fails before the bound on its starts, and
-// whatever runs beside it is done. The crash comes before the start is answered, right after it,
-// and late in the run.
+// TestTaskThatCrashesItsWorkersIsGivenUp checks that the job of a crashing task fails within the limit on its starts,
+// and that all other jobs succeed. The crash comes before the start is answered, right after it, or late in the run.
 func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	for name, after := range map[string]time.Duration{
 		"at once": 0, "after 10 ms": 10 * time.Millisecond, "after 0.2 s": 200 * time.Millisecond, "after 1 s": time.Second,
@@ -60,12 +55,12 @@
 					w.submit(d, twoSteps(n, 2*time.Second))
 				}
 				w.submit(d, lasting(8, 3))
-				w.eventually(40*time.Second, "job is given up", func() bool { return w.state(d, bad) == jobs.StateFailed })
-				require.Equal(t, jobs.StateFailed, w.state(w.daemons[1], bad), "each daemon says so")
+				w.eventually(40*time.Second, "crashing job has failed", func() bool { return w.state(d, bad) == jobs.StateFailed })
+				require.Equal(t, jobs.StateFailed, w.state(w.daemons[1], bad), "each daemon reports the failure")
 				for n := 2; n <= 7; n++ {
-					w.eventually(20*time.Second, "other job is done", func() bool { return w.state(d, jobID(n)) == jobs.StateSucceeded })
+					w.eventually(20*time.Second, "other job has succeeded", func() bool { return w.state(d, jobID(n)) == jobs.StateSucceeded })
 				}
-				w.eventually(20*time.Second, "lasting job runs", func() bool { return w.grid.Running(jobID(8)) == 3 })
+				w.eventually(20*time.Second, "long-running job is running", func() bool { return w.grid.Running(jobID(8)) == 3 })
 				time.Sleep(20 * time.Second)
 				require.Equal(t, jobs.StateRunning, w.state(d, jobID(8)))
 				require.Zero(t, w.grid.Running(bad))
@@ -76,7 +71,7 @@
 	t.Run("task that lasts", testLongRunningTaskIsAbandoned)
 }
 
-// testLongRunningTaskIsAbandoned: runs of tasks that last have no bound otherwise.
+// testLongRunningTaskIsAbandoned checks the same for long-running tasks, whose runs have no other limit.
 func testLongRunningTaskIsAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bad := jobID(1)
@@ -84,14 +79,14 @@
 		d := w.daemons[0]
 		w.submit(d, lasting(2, 4))
 		w.submit(d, lasting(1, 3))
-		w.eventually(40*time.Second, "job is given up", func() bool { return w.state(d, bad) == jobs.StateFailed })
-		w.eventually(20*time.Second, "the other job runs", func() bool { return w.grid.Running(jobID(2)) == 4 })
+		w.eventually(40*time.Second, "crashing job has failed", func() bool { return w.state(d, bad) == jobs.StateFailed })
+		w.eventually(20*time.Second, "the other job is running", func() bool { return w.grid.Running(jobID(2)) == 4 })
 		w.noBreach()
 	})
 }
 
-// TestTasksBesideACrashAreNotGivenUp: a wide step has one task that ends its workers, and whoever
-// is started together with it is lost with it. Only that one job fails.
+// TestTasksBesideACrashAreNotGivenUp guards against jobs that fail because their tasks are lost together with a crashing
+// task of a wide step. Only the job of the crashing task fails.
 func TestTasksBesideACrashAreNotGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bad := jobID(1)
@@ -105,16 +100,16 @@
 		for n := 1; n <= 6; n++ {
 			w.submit(d, small(n, 12))
 		}
-		w.eventually(40*time.Second, "job is given up", func() bool { return w.state(d, bad) == jobs.StateFailed })
+		w.eventually(40*time.Second, "crashing job has failed", func() bool { return w.state(d, bad) == jobs.StateFailed })
 		for n := 2; n <= 6; n++ {
-			w.eventually(30*time.Second, "other job is done", func() bool { return w.state(d, jobID(n)) == jobs.StateSucceeded })
+			w.eventually(30*time.Second, "other job has succeeded", func() bool { return w.state(d, jobID(n)) == jobs.StateSucceeded })
 		}
 		w.noBreach()
 	})
 }
 
-// TestWorkersThatCrashByThemselvesCostNoJob: half of the workers crash every few seconds, beside
-// short tasks and some that last. Everything goes on, nothing is given up.
+// TestWorkersThatCrashByThemselvesCostNoJob crashes half of the workers every few seconds, while short and long-running
+// tasks run. No job fails.
 func TestWorkersThatCrashByThemselvesCostNoJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCrashWorld(t, 8, 1, 0)
@@ -128,16 +123,16 @@
 			time.Sleep(700 * time.Millisecond)
 		}
 		for n := 1; n <= 24; n++ {
-			w.eventually(40*time.Second, "job is done", func() bool { return w.state(d, jobID(n)) == jobs.StateSucceeded })
+			w.eventually(40*time.Second, "job has succeeded", func() bool { return w.state(d, jobID(n)) == jobs.StateSucceeded })
 		}
-		w.eventually(20*time.Second, "lasting job runs", func() bool { return w.grid.Running(jobID(100)) == 4 })
+		w.eventually(20*time.Second, "long-running job is running", func() bool { return w.grid.Running(jobID(100)) == 4 })
 		require.Equal(t, jobs.StateRunning, w.state(d, jobID(100)))
 		w.noBreach()
 	})
 }
 
-// TestCrashesAreRememberedOverTakeovers kills the owner after each crash: what is known of a
-// task's crashes is the successor's too.
+// TestCrashesAreRememberedOverTakeovers kills the owner after each crash: the successor must know the recorded losses of
+// a task.
 func TestCrashesAreRememberedOverTakeovers(t *testing.T) {
 	for name, pause := range map[string]time.Duration{"at once": 20 * time.Millisecond, "soon": time.Second, "once it is known": 4 * time.Second} {
 		t.Run(name, func(t *testing.T) {
@@ -146,7 +141,7 @@
 				w := newCrashWorld(t, 6, 2, 10*time.Millisecond, bad)
 				w.submit(w.daemons[0], twoSteps(1, 2*time.Second))
 				for crashes := 1; crashes <= 3; crashes++ {
-					w.eventually(30*time.Second, "crash or end", func() bool {
+					w.eventually(30*time.Second, "crash, or failure of the job", func() bool {
 						return w.grid.Crashes(bad) >= crashes || w.state(w.daemons[len(w.daemons)-1], bad) == jobs.StateFailed
 					})
 					if w.grid.Crashes(bad) < crashes {
@@ -159,7 +154,7 @@
 					}
 				}
 				last := w.daemons[len(w.daemons)-1]
-				w.eventually(60*time.Second, "job is given up", func() bool { return w.state(last, bad) == jobs.StateFailed })
+				w.eventually(60*time.Second, "crashing job has failed", func() bool { return w.state(last, bad) == jobs.StateFailed })
 				w.noBreach()
 			})
 		})
--- a/services/control/failures_test.go
+++ b/services/control/failures_test.go
@@ -12,19 +12,19 @@
 	"testing"
 )
 
-// failureLogs are the files of the scripts that have failed in this process, by test.
+// failureLogs holds the paths of the files with the scripts that failed in this process, by test name.
 var failureLogs = map[string]string{}
 
-// saveFailure writes a script that has failed and its whole log to a file of its own outside the
-// repository, for what a test prints is cut, and tells where. While a random test makes its script
-// smaller, the first failure stays, as it was drawn, and the latest one beside it.
+// saveFailure writes a failed script and its whole log to a file outside the repository, because the output of a test
+// is truncated, and returns the path. While a random test shrinks its script, the first failure is kept as it was
+// drawn, and the latest one is written beside it.
 func saveFailure(t *testing.T, script any, failure, log string) string {
 	data, err := json.MarshalIndent(script, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	path, known := failureLogs[t.Name()]
-	if !known {
+	path, saved := failureLogs[t.Name()]
+	if !saved {
 		name := strings.NewReplacer("/", "-", " ", "-").Replace(t.Name())
 		dir, err := os.MkdirTemp("", "rillsail-"+name+"-")
 		if err != nil {
--- a/services/control/fated_store_test.go
+++ b/services/control/fated_store_test.go
@@ -17,85 +17,85 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// callOutcome is what becomes of one call to the store.
+// callOutcome is the outcome of one call to the store, as a script plans it.
 type callOutcome string
 
 const (
 	outcomeDone        callOutcome = "done"
-	outcomeSlow        callOutcome = "slow"        // done, and the answer takes longer than a move of a job
-	outcomeLost        callOutcome = "lost"        // done, without answer
-	outcomeSilent      callOutcome = "silent"      // not done, without answer
-	outcomeUnavailable callOutcome = "unavailable" // not done, and the answer says so
-	outcomeLimited     callOutcome = "limited"     // likewise
-	outcomeLate        callOutcome = "late"        // held up and done later, without answer
-	// outcomeWritesLimited is of the weather only: writes are limited, and reads are done.
+	outcomeSlow        callOutcome = "slow"        // performed; the answer takes longer than a move of a job
+	outcomeLost        callOutcome = "lost"        // performed, without answer
+	outcomeSilent      callOutcome = "silent"      // not performed, without answer
+	outcomeUnavailable callOutcome = "unavailable" // not performed; the answer says so
+	outcomeLimited     callOutcome = "limited"     // not performed; the answer says so
+	outcomeLate        callOutcome = "late"        // performed after a delay, without answer
+	// outcomeWritesLimited is a default outcome only: writes are rate-limited, reads are performed.
 	outcomeWritesLimited callOutcome = "writes limited"
 )
 
-// refuses tells whether the store does nothing of a call with this fate.
+// refuses tells whether the store performs nothing for a call with this outcome.
 func (f callOutcome) refuses() bool {
 	return f == outcomeSilent || f == outcomeUnavailable || f == outcomeLimited
 }
 
-// plannedCall is the fate of one call about one job.
+// plannedCall is the planned outcome of one call about one job.
 type plannedCall struct {
 	Outcome callOutcome   `json:"fate"`
 	Late    time.Duration `json:"late,omitempty"` // of outcomeLate
 }
 
-// Times of the calls to the store.
+// Latencies of calls to the store.
 const (
 	storeLatency      = 3 * time.Millisecond // each way
 	slowLatency       = 250 * time.Millisecond
-	daemonLatencyStep = 113 * time.Microsecond // more for each daemon, so that calls arrive in the same order each time
+	daemonLatencyStep = 113 * time.Microsecond // added for each daemon, so that calls arrive in the same order in each run
 )
 
-// commitRecorder sees every transaction that the store does, and knows which daemon sent it and when.
+// commitRecorder records the transactions that the store performs, with the daemon that sent each and when.
 type commitRecorder struct {
 	store *kv.Service
 
 	mu        sync.Mutex
-	lastSeq   int // counts what happens, so that two things at the same time have an order
+	lastSeq   int // number of events so far; it orders events that happen at the same time
 	creations []creation
-	removed   []jobs.ID // records that were deleted before their jobs had ended
+	removed   []jobs.ID // jobs whose records were deleted before the job had ended
 	starts    []runStart
 }
 
-// creation is a transaction that gave a job its first record.
+// creation is a transaction that stored the first record of a job.
 type creation struct {
 	job     jobs.ID
 	daemon  string
 	call    *refusalCall
-	sentSeq int // the moment
+	sentSeq int // sequence number of the event
 }
 
-// runStart is a run that a worker began.
+// runStart is the start of a run on a worker.
 type runStart struct {
 	job jobs.ID
 	at  time.Time
 }
 
-// nextSeq gives the number of something that happens now.
-func (l *commitRecorder) nextSeq() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.lastSeq++
-	return l.lastSeq
+// nextSeq returns the sequence number of an event that happens now.
+func (r *commitRecorder) nextSeq() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lastSeq++
+	return r.lastSeq
 }
 
-// taskWork is the work of the grid's tasks; it notes their starts.
-func (l *commitRecorder) taskWork(task jobs.TaskID, _ jobs.RunID) (time.Duration, jobs.End) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.starts = append(l.starts, runStart{task.Job, time.Now()})
+// taskWork is the work function of the grid's tasks; it records their starts.
+func (r *commitRecorder) taskWork(task jobs.TaskID, _ jobs.RunID) (time.Duration, jobs.End) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.starts = append(r.starts, runStart{task.Job, time.Now()})
 	return scriptTaskTime, jobs.EndSucceeded
 }
 
-// records are the keys of a job's records in all cells, without those that bar it.
-func (l *commitRecorder) records(id jobs.ID) []string {
-	local := &kv.Local{Service: l.store, Fault: kv.NoFault}
+// records returns the keys of a job's records in all cells, except records that bar it.
+func (r *commitRecorder) records(id jobs.ID) []string {
+	local := &kv.Local{Service: r.store, Fault: kv.NoFault}
 	var keys []string
-	for _, key := range l.store.KeysWith(jobPrefix) {
+	for _, key := range r.store.KeysWith(jobPrefix) {
 		if !strings.HasSuffix(key, "/"+string(id)) {
 			continue
 		}
@@ -107,9 +107,9 @@
 	return keys
 }
 
-// stored gives a job's entries as the store holds them.
-func (l *commitRecorder) stored(id jobs.ID, layout *jobs.Layout) jobEntries {
-	local := &kv.Local{Service: l.store, Fault: kv.NoFault}
+// stored returns a job's entries as the store holds them.
+func (r *commitRecorder) stored(id jobs.ID, layout *jobs.Layout) jobEntries {
+	local := &kv.Local{Service: r.store, Fault: kv.NoFault}
 	reader := &Service{config: Config{Store: local}, health: newStoreHealth(zap.NewNop(), clock.New(clock.Config{}))}
 	entries, err := reader.entriesOf(context.Background(), id, layout)
 	if err != nil {
@@ -118,35 +118,35 @@
 	return entries
 }
 
-// commit carries out a transaction and notes what it means for the job it is about.
-func (l *commitRecorder) commit(d *testDaemon, by *refusalCall, sent int, txn platform.Txn) (platform.Version, error) {
-	local := &kv.Local{Service: l.store, Fault: kv.NoFault}
+// commit performs a transaction and records whether it creates or removes a job.
+func (r *commitRecorder) commit(d *testDaemon, by *refusalCall, sent int, txn platform.Txn) (platform.Version, error) {
+	local := &kv.Local{Service: r.store, Fault: kv.NoFault}
 	id := jobOfTxn(txn)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	before := l.records(id)
-	l.noteRemoval(d, txn)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	before := r.records(id)
+	r.noteRemoval(d, txn)
 	version, err := local.Commit(context.Background(), txn)
-	if err == nil && id != "" && len(before) == 0 && len(l.records(id)) > 0 {
-		l.creations = append(l.creations, creation{job: id, daemon: d.name, call: by, sentSeq: sent})
+	if err == nil && id != "" && len(before) == 0 && len(r.records(id)) > 0 {
+		r.creations = append(r.creations, creation{job: id, daemon: d.name, call: by, sentSeq: sent})
 	}
 	return version, err
 }
 
-// noteRemoval notes records of jobs that have not ended and are about to be deleted.
-func (l *commitRecorder) noteRemoval(d *testDaemon, txn platform.Txn) {
+// noteRemoval records jobs that have not ended and whose records a transaction deletes.
+func (r *commitRecorder) noteRemoval(d *testDaemon, txn platform.Txn) {
 	for _, key := range txn.Delete {
 		id := jobOfStoreKey(key)
 		if id == "" || strings.HasSuffix(key, cancelSuffix) {
 			continue
 		}
-		if entries := l.stored(id, d.Cells.layout()); entries.known() && !entries.state().Ended() {
-			l.removed = append(l.removed, id)
+		if entries := r.stored(id, d.Cells.layout()); entries.known() && !entries.state().Ended() {
+			r.removed = append(r.removed, id)
 		}
 	}
 }
 
-// jobOfStoreKey is the job that a key among a cell's jobs is about; empty: none.
+// jobOfStoreKey returns the job of a key among a cell's jobs; empty if there is none.
 func jobOfStoreKey(key string) jobs.ID {
 	rest, ok := strings.CutPrefix(key, jobPrefix)
 	parts := strings.Split(rest, "/")
@@ -156,7 +156,7 @@
 	return jobs.ID(parts[1])
 }
 
-// jobOfTxn is the first job that a transaction writes something of; empty: none.
+// jobOfTxn returns the first job of which a transaction writes a key; empty if there is none.
 func jobOfTxn(txn platform.Txn) jobs.ID {
 	for _, w := range txn.Put {
 		if id := jobOfStoreKey(w.Key); id != "" {
@@ -166,31 +166,31 @@
 	return ""
 }
 
-// faultyStore is a daemon's way to the store, on which each call about a job has the fate
-// that was planned for it, and all others that of the weather.
+// faultyStore is a daemon's connection to the store. Each call about a job has the outcome that was planned for it, all
+// others the default outcome.
 type faultyStore struct {
 	platform.TxnStore
 	daemon       *testDaemon
 	recorder     *commitRecorder
-	extraLatency time.Duration // of each trip
+	extraLatency time.Duration // added to the latency in each direction
 
 	mu             sync.Mutex
-	dead           bool // the daemon was killed: it sends nothing more
+	dead           bool // the daemon was killed and sends nothing more
 	defaultOutcome callOutcome
-	since          time.Time // of the weather
+	since          time.Time // when the default outcome last changed
 	writes         map[jobs.ID][]plannedCall
 	reads          map[jobs.ID][]plannedCall
 }
 
-func newFaultyStore(d *testDaemon, l *commitRecorder) *faultyStore {
+func newFaultyStore(d *testDaemon, r *commitRecorder) *faultyStore {
 	return &faultyStore{
-		TxnStore: &kv.Local{Service: l.store, Fault: kv.NoFault, Wait: time.Second}, daemon: d, recorder: l,
+		TxnStore: &kv.Local{Service: r.store, Fault: kv.NoFault, Wait: time.Second}, daemon: d, recorder: r,
 		extraLatency:   time.Duration(d.world.made) * daemonLatencyStep,
 		defaultOutcome: outcomeDone, writes: map[jobs.ID][]plannedCall{}, reads: map[jobs.ID][]plannedCall{},
 	}
 }
 
-// plan adds the fates of a daemon's next calls about a job.
+// plan adds the outcomes of the daemon's next calls about a job.
 func (s *faultyStore) plan(id jobs.ID, writes, reads []plannedCall) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,22 +198,22 @@
 	s.reads[id] = append(s.reads[id], reads...)
 }
 
-// setDefaultOutcome changes the fate of all calls; one that is done leaves the plans in force.
-func (s *faultyStore) setDefaultOutcome(weather callOutcome) {
+// setDefaultOutcome changes the outcome of all calls; with outcomeDone the planned outcomes apply.
+func (s *faultyStore) setDefaultOutcome(outcome callOutcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.defaultOutcome != weather {
-		s.defaultOutcome, s.since = weather, time.Now()
+	if s.defaultOutcome != outcome {
+		s.defaultOutcome, s.since = outcome, time.Now()
 	}
-	// The list of the workers is the store's as well.
-	s.daemon.set(func() { s.daemon.storeCut = weather == outcomeUnavailable || weather == outcomeSilent })
+	// The list of workers is kept in the store as well.
+	s.daemon.set(func() { s.daemon.storeCut = outcome == outcomeUnavailable || outcome == outcomeSilent })
 }
 
-// unusable tells whether the store has done nothing for the daemon for so long.
-func (s *faultyStore) unusable(since time.Duration) bool {
+// unusable tells whether the store has performed nothing for the daemon for the given time.
+func (s *faultyStore) unusable(atLeast time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.defaultOutcome.refuses() && time.Since(s.since) >= since
+	return s.defaultOutcome.refuses() && time.Since(s.since) >= atLeast
 }
 
 func (s *faultyStore) kill() {
@@ -228,7 +228,7 @@
 	return s.dead
 }
 
-// nextOutcome takes the fate of the next call; id is empty when it is about no job.
+// nextOutcome takes the outcome of the next call; id is empty if the call is about no job.
 func (s *faultyStore) nextOutcome(plans map[jobs.ID][]plannedCall, id jobs.ID, write bool) plannedCall {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -253,14 +253,14 @@
 	err   error
 }
 
-// callWithOutcome makes a call that has a fate. Once it is on its way, it is done whether or not
-// anybody waits for the answer.
+// callWithOutcome makes a call with a planned outcome. A call in flight is performed whether or not the caller still
+// waits for the answer.
 func callWithOutcome[T any](ctx context.Context, s *faultyStore, planned plannedCall, perform func() (T, error)) (T, error) {
 	var zero T
 	if ctx.Err() != nil {
 		return zero, platform.ErrUnknown
 	}
-	trip := storeLatency + s.extraLatency
+	latency := storeLatency + s.extraLatency
 	switch planned.Outcome {
 	case outcomeUnavailable:
 		sleep(ctx, 2*storeLatency)
@@ -272,14 +272,14 @@
 		sleep(ctx, callTime)
 		return zero, platform.ErrUnknown
 	case outcomeLate:
-		trip = planned.Late
+		latency = planned.Late
 	case outcomeSlow:
-		trip = slowLatency
+		latency = slowLatency
 	}
 	answered := make(chan callResult[T], 1)
-	time.AfterFunc(trip, func() {
+	time.AfterFunc(latency, func() {
 		value, err := perform()
-		time.AfterFunc(trip, func() { answered <- callResult[T]{value, err} })
+		time.AfterFunc(latency, func() { answered <- callResult[T]{value, err} })
 	})
 	if planned.Outcome == outcomeLost || planned.Outcome == outcomeLate {
 		sleep(ctx, callTime)
@@ -298,7 +298,7 @@
 	sent := s.recorder.nextSeq()
 	by, ok := ctx.Value(callContextKey{}).(*refusalCall)
 	if !ok {
-		by = &refusalCall{endedSeq: sent} // no call waits for it
+		by = &refusalCall{endedSeq: sent} // not on behalf of a call
 	}
 	return callWithOutcome(ctx, s, s.nextOutcome(s.writes, jobOfTxn(txn), true), func() (platform.Version, error) {
 		return s.recorder.commit(s.daemon, by, sent, txn)
@@ -312,7 +312,7 @@
 	})
 }
 
-// listing is what a read of several keys gives.
+// listing is the result of a read of several keys.
 type listing struct {
 	records []platform.Record
 	at      platform.Version
--- a/services/control/further_test.go
+++ b/services/control/further_test.go
@@ -17,19 +17,19 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// newSpreadWorld makes cells of two workers each, and runs a job that lasts with a task on each worker but one, so that
-// most of its tasks are in cells that do not follow from its id.
+// newSpreadWorld makes cells of two workers each, and runs a long-running job with a task on each worker but one, so
+// that most of its tasks are in cells that its ID does not map to.
 func newSpreadWorld(t *testing.T, cells, daemons int) (w *world, spec jobs.Spec) {
 	t.Helper()
 	w = newWorldOf(t, 2*cells, daemons, 2, nil)
 	spec = lasting(1, 2*cells-1)
 	spec.Steps[0].PerWorker = 1
 	w.submit(w.daemons[0], spec)
-	w.eventually(40*time.Second, "all tasks run", func() bool { return w.grid.Running(spec.ID) == spec.Steps[0].Count })
+	w.eventually(40*time.Second, "all tasks are running", func() bool { return w.grid.Running(spec.ID) == spec.Steps[0].Count })
 	return w, spec
 }
 
-// keysOf are the keys in the store that name a job.
+// keysOf lists the keys in the store that name a job.
 func (w *world) keysOf(id jobs.ID) []string {
 	var keys []string
 	for _, prefix := range []string{jobPrefix, progressPrefix} {
@@ -44,10 +44,10 @@
 	return keys
 }
 
-// everyDaemonShows waits until each daemon shows a job's state.
+// everyDaemonShows waits until each daemon reports the given state of a job.
 func (w *world) everyDaemonShows(id jobs.ID, state jobs.State) {
 	w.t.Helper()
-	w.eventually(5*time.Second, "each daemon shows "+string(state), func() bool {
+	w.eventually(5*time.Second, "each daemon reports "+string(state), func() bool {
 		for _, d := range w.daemons {
 			if w.state(d, id) != state {
 				return false
@@ -57,15 +57,15 @@
 	})
 }
 
-// TestJobInManyCellsIsCancelledAndForgotten guards against tasks of further cells that run on, records that
-// stay for ever, and a cancellation that doesn't fit into a transaction of the store.
+// TestJobInManyCellsIsCancelledAndForgotten guards against tasks in further cells that keep running, records that are
+// never removed, and a cancellation that exceeds the size of a transaction.
 func TestJobInManyCellsIsCancelledAndForgotten(t *testing.T) {
 	for name, cells := range map[string]int{"four": 4, "seven": 7, "fourteen": 14} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w, spec := newSpreadWorld(t, cells, 2)
 				w.everyDaemonShows(spec.ID, jobs.StateRunning)
-				w.submit(w.daemons[1], spec) // accepted before, so that nothing happens
+				w.submit(w.daemons[1], spec) // already accepted, so the second submission has no effect
 				time.Sleep(3 * time.Second)
 				require.Equal(t, spec.Steps[0].Count, w.grid.Running(spec.ID))
 				require.Equal(t, platform.Done{}, w.daemons[1].Cancel(w.ctx, spec.ID))
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestCancellationInManyCellsGoesOnWithoutItsDaemon guards against a job that is cancelled in some cells and
-// runs on in others, for the daemon that was asked has gone between two transactions.
+// TestCancellationInManyCellsGoesOnWithoutItsDaemon guards against a job that is cancelled in some cells and keeps
+// running in others because the daemon that handles the cancellation is lost between two transactions.
 func TestCancellationInManyCellsGoesOnWithoutItsDaemon(t *testing.T) {
 	for commits := 1; commits <= 2; commits++ {
 		synctest.Test(t, func(t *testing.T) {
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestFurtherCellGivesTasksBack guards against tasks that stay in a further cell whose workers go, and against
-// records there that nobody removes.
+// TestFurtherCellGivesTasksBack guards against tasks that stay in a further cell whose workers are lost, and against
+// records there that are never removed.
 func TestFurtherCellGivesTasksBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, spec := newSpreadWorld(t, 5, 3)
@@ -132,7 +132,7 @@
 			w.grid.SetFaults(place, noFaults)
 			w.grid.SetListed(place, true)
 		}
-		w.eventually(20*time.Second, "all tasks run again", func() bool { return w.grid.Running(spec.ID) == 9 })
+		w.eventually(20*time.Second, "all tasks are running again", func() bool { return w.grid.Running(spec.ID) == 9 })
 		require.Equal(t, platform.Done{}, w.daemons[0].Cancel(w.ctx, spec.ID))
 		w.eventually(2*time.Second, "all tasks are stopped", func() bool { return w.grid.Running(spec.ID) == 0 })
 		time.Sleep(170 * time.Second)
@@ -141,25 +141,25 @@
 	})
 }
 
-// The scenes with more cells than a job's id leads to, of two workers each. A spread job takes all workers but
-// one; three more tasks that last leave it room.
+// Scenarios with more cells than a job's ID maps to, of two workers each. A spread job has a task on each worker but
+// one; three more long-running tasks leave capacity for it.
 var (
 	fourCellScenario = scenario{workers: 8, perCell: 2, maxLongRunning: 3}
 	sixCellScenario  = scenario{workers: 12, perCell: 2, maxLongRunning: 3}
 )
 
-// spreadStepKinds are those of random scripts, and a job with a task on each worker but one.
+// spreadStepKinds are the step kinds of random scripts, and the submission of a job with a task on each worker but one.
 var spreadStepKinds = append([]string{"submit spread", "submit spread", "submit spread", "submit spread"}, faultStepKinds...)
 
-// TestRandomFaultsInManyCells plays random scripts where tasks of a job are in more cells than its id leads to.
+// TestRandomFaultsInManyCells runs random scripts in which a job has tasks in more cells than its ID maps to.
 func TestRandomFaultsInManyCells(t *testing.T) {
 	draw := func(rt *rapid.T) scriptStep { return drawStep(rt, spreadStepKinds) }
 	t.Run("four cells", func(t *testing.T) { checkRandomScripts(t, fourCellScenario, draw) })
 	t.Run("six cells", func(t *testing.T) { checkRandomScripts(t, sixCellScenario, draw) })
 }
 
-// TestRandomCrashesInManyCells does the same with tasks that end their workers.
+// TestRandomCrashesInManyCells does the same with tasks that crash their workers.
 func TestRandomCrashesInManyCells(t *testing.T) {
-	whats := append([]string{"submit spread", "submit spread", "submit spread", "submit spread"}, crashStepKinds...)
-	checkRandomScripts(t, fourCellScenario, func(rt *rapid.T) scriptStep { return drawStep(rt, whats) })
+	kinds := append([]string{"submit spread", "submit spread", "submit spread", "submit spread"}, crashStepKinds...)
+	checkRandomScripts(t, fourCellScenario, func(rt *rapid.T) scriptStep { return drawStep(rt, kinds) })
 }
--- a/services/control/move_test.go
+++ b/services/control/move_test.go
@@ -15,13 +15,13 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// newTwoCellWorld is a world of two cells with two workers each, of which a job that lasts fills
-// one; full is the number of that cell.
+// newTwoCellWorld makes a world of two cells with two workers each, one of which is filled by a long-running job; full
+// is the number of that cell.
 func newTwoCellWorld(t *testing.T) (w *world, full int) {
 	t.Helper()
 	w = newWorldOf(t, 4, 3, 2, nil)
 	w.submit(w.daemons[0], lasting(1, 4))
-	w.eventually(10*time.Second, "tasks run", func() bool { return w.grid.Running(jobID(1)) == 4 })
+	w.eventually(10*time.Second, "tasks are running", func() bool { return w.grid.Running(jobID(1)) == 4 })
 	if w.busyWorkers(cellName(0)) == 0 {
 		full = 1
 	}
@@ -29,7 +29,7 @@
 	return w, full
 }
 
-// ownerOfCell gives the daemon that owns a cell; nil when none does.
+// ownerOfCell returns the daemon that owns a cell; nil if none does.
 func (w *world) ownerOfCell(cell jobs.CellName) *testDaemon {
 	for _, d := range w.daemons {
 		if d.Cells.Answer(jobs.Query{Cell: cell}).Owner {
@@ -50,7 +50,7 @@
 	return busy
 }
 
-// workersOfCell gives the places in the grid of a cell's workers.
+// workersOfCell returns the places in the grid of a cell's workers.
 func (w *world) workersOfCell(number int) []int {
 	list, _, err := w.grid.JobWorkers(w.ctx)
 	require.NoError(w.t, err)
@@ -63,17 +63,17 @@
 	return places
 }
 
-// loseWorker cuts a worker with two tasks of the first job off for good.
+// loseWorker disconnects a worker with two tasks of the first job permanently.
 func (w *world) loseWorker(place int) {
 	w.grid.SetFaults(place, faultsCut)
 	w.grid.SetListed(place, false)
-	w.eventually(8*time.Second, "what ran there has lapsed", func() bool { return w.grid.Running(jobID(1)) == 2 })
+	w.eventually(8*time.Second, "the tasks on the lost worker have lapsed", func() bool { return w.grid.Running(jobID(1)) == 2 })
 }
 
-// requireLostTasksMoved waits until the tasks of the first job that a lost worker ran are run elsewhere.
+// requireLostTasksMoved waits until the tasks of the first job that ran on a lost worker run elsewhere.
 func (w *world) requireLostTasksMoved() {
 	w.t.Helper()
-	w.eventually(5*time.Second, "lost tasks run in the other cell", func() bool { return w.grid.Running(jobID(1)) == 4 })
+	w.eventually(5*time.Second, "lost tasks are running in the other cell", func() bool { return w.grid.Running(jobID(1)) == 4 })
 	time.Sleep(3 * time.Second)
 	require.Equal(w.t, 4, w.grid.Running(jobID(1)))
 	for _, d := range w.daemons {
@@ -95,7 +95,7 @@
 	})
 }
 
-// submitTo accepts a job for one of its cells, whatever the loads.
+// submitTo accepts a job for a given one of its cells, regardless of the loads.
 func (w *world) submitTo(number int, spec jobs.Spec) {
 	w.t.Helper()
 	spec.Queue = testQueue
@@ -107,7 +107,7 @@
 	require.Equal(w.t, platform.Done{}, accepted.outcome)
 }
 
-// largeJob is a job of two steps for whose tasks a worker with two lasting ones has no room.
+// largeJob returns a job of two steps whose tasks don't fit on a worker that runs two long-running tasks.
 func largeJob(n int) jobs.Spec {
 	spec := twoSteps(n, time.Second)
 	for i := range spec.Steps {
@@ -121,13 +121,13 @@
 		w, full := newTwoCellWorld(t)
 		w.submitTo(full, largeJob(2))
 		w.eventually(5*time.Second, "job succeeds in the other cell", func() bool { return w.state(w.daemons[1], jobID(2)) == jobs.StateSucceeded })
-		w.submit(w.daemons[2], largeJob(2)) // accepted before, so that nothing happens
+		w.submit(w.daemons[2], largeJob(2)) // already accepted, so the second submission has no effect
 		time.Sleep(5 * time.Second)
 		for _, d := range w.daemons {
 			require.Equal(t, jobs.StateSucceeded, w.state(d, jobID(2)))
 		}
 		_, err := w.daemons[0].config.Store.Get(w.ctx, jobKey(cellName(full), jobID(2)))
-		require.NoError(t, err, "the record stays, so that no daemon takes the job for unknown in the middle of a move")
+		require.NoError(t, err, "the record stays, so that no daemon reports the job as unknown during a move")
 		time.Sleep(170 * time.Second)
 		for n := range 2 {
 			_, err := w.daemons[0].config.Store.Get(w.ctx, jobKey(cellName(n), jobID(2)))
@@ -142,7 +142,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, full := newTwoCellWorld(t)
 		w.submitTo(full, largeJob(2))
-		w.eventually(5*time.Second, "job runs", func() bool { return w.grid.Running(jobID(2)) == 3 })
+		w.eventually(5*time.Second, "job is running", func() bool { return w.grid.Running(jobID(2)) == 3 })
 		require.Equal(t, platform.Done{}, w.daemons[1].Cancel(w.ctx, jobID(2)))
 		w.eventually(2*time.Second, "tasks are stopped", func() bool { return w.grid.Running(jobID(2)) == 0 })
 		for _, d := range w.daemons {
@@ -163,7 +163,7 @@
 				w.eventually(15*time.Second, "both cells have owners", func() bool {
 					return w.ownerOfCell(cellName(0)) != nil && w.ownerOfCell(cellName(1)) != nil
 				})
-				w.eventually(15*time.Second, "all tasks run", func() bool { return w.grid.Running(jobID(1)) == 4 })
+				w.eventually(15*time.Second, "all tasks are running", func() bool { return w.grid.Running(jobID(1)) == 4 })
 				time.Sleep(10 * time.Second)
 				require.Equal(t, 4, w.grid.Running(jobID(1)))
 				d := w.daemons[len(w.daemons)-1]
@@ -176,7 +176,7 @@
 	}
 }
 
-// loseDaemons kills daemons, and starts new ones when none would be left.
+// loseDaemons kills the given daemons, and starts new ones if none would be left.
 func (w *world) loseDaemons(which string, full int) {
 	switch which {
 	case "owner that handed over":
@@ -192,8 +192,7 @@
 	}
 }
 
-// silentWorkerWait is somewhat more than the longest time after a takeover in which an owner waits
-// for workers that don't answer.
+// silentWorkerWait is somewhat longer than an owner waits, after a takeover, for workers that don't answer.
 const silentWorkerWait = 40 * time.Second
 
 func TestMoveWithoutAnswerIsDoneOnce(t *testing.T) {
@@ -204,14 +203,14 @@
 				owner := w.ownerOfCell(cellName(full))
 				w.loseWorker(w.workersOfCell(full)[0])
 				owner.mu.Lock()
-				owner.heldFor = late // from now on its transactions are done so much later
+				owner.heldFor = late // from now on its transactions take effect with this delay
 				owner.mu.Unlock()
 				time.Sleep(late)
 				owner.mu.Lock()
 				owner.heldFor = 0
 				owner.mu.Unlock()
-				// The longer ones cost the owner its lease: the next one waits for the lost worker.
-				w.eventually(silentWorkerWait, "all tasks run", func() bool { return w.grid.Running(jobID(1)) == 4 })
+				// With the longer delays the owner loses its lease; the next owner waits for the lost worker.
+				w.eventually(silentWorkerWait, "all tasks are running", func() bool { return w.grid.Running(jobID(1)) == 4 })
 				time.Sleep(10 * time.Second)
 				require.Equal(t, 4, w.grid.Running(jobID(1)))
 				w.noBreach()
@@ -223,15 +222,15 @@
 func TestJobMovesBeforeAPartOfItStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, full := newTwoCellWorld(t)
-		w.submitTo(full, twoSteps(2, 5*time.Second)) // two of its three tasks would find a place there
-		w.eventually(time.Second, "all tasks of the first step run", func() bool { return w.grid.Running(jobID(2)) == 3 })
+		w.submitTo(full, twoSteps(2, 5*time.Second)) // two of its three tasks would fit there
+		w.eventually(time.Second, "all tasks of the first step are running", func() bool { return w.grid.Running(jobID(2)) == 3 })
 		w.noBreach()
 	})
 }
 
-// TestWaitingTasksThatLastGetTheRoomThatComesFree fills two cells with tasks that last and with short
-// work, lets others that last wait in both, and then gives up room in one of them. Within a second
-// all that there is room for runs, whichever cell it waited in.
+// TestWaitingTasksThatLastGetTheRoomThatComesFree fills two cells with long-running and short tasks, lets further
+// long-running tasks wait in both, and then frees capacity in one of them. Within a second all tasks that fit are
+// running, whichever cell they waited in.
 func TestWaitingTasksThatLastGetTheRoomThatComesFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorldOf(t, 4, 3, 2, func(jobs.TaskID, jobs.RunID) (time.Duration, jobs.End) {
@@ -251,27 +250,28 @@
 		for n := 3; n <= 6; n++ {
 			w.submit(d, lasting(n, 1))
 		}
-		for n := range 12 { // short work, a task of which finds room beside two that last
+		for n := range 12 { // short jobs; one of their tasks fits beside two long-running ones
 			w.submit(d, twoSteps(100+n, 300*time.Millisecond))
 			time.Sleep(600 * time.Millisecond)
 		}
 		require.Equal(t, 8, running())
 		require.Equal(t, platform.Done{}, d.Cancel(w.ctx, jobID(1)))
-		w.eventually(2*time.Second, "what was cancelled is stopped", func() bool { return w.grid.Running(jobID(1)) == 0 })
-		w.eventually(time.Second, "those that waited run", func() bool { return running() == 8 })
+		w.eventually(2*time.Second, "the cancelled tasks are stopped", func() bool { return w.grid.Running(jobID(1)) == 0 })
+		w.eventually(time.Second, "the waiting tasks are running", func() bool { return running() == 8 })
 		w.noBreach()
 	})
 }
 
-// TestTasksOfOneWorkerEachFindRoomInAnyCell guards against a job that is bound to two cells: it lasts and has
-// five tasks, at most one on a worker, and three cells have two workers each. Four tasks ran, the fifth
-// waited for ever beside two idle workers.
+// TestTasksOfOneWorkerEachFindRoomInAnyCell guards against a job that is confined to two of three cells of two workers
+// each: of its five long-running tasks, at most one on a worker, four ran and the fifth waited for ever beside two
+// idle workers.
 func TestTasksOfOneWorkerEachFindRoomInAnyCell(t *testing.T) { testOneTaskPerWorker(t, 3, 5) }
 
-// TestTasksOfOneWorkerEachFindRoomInManyCells guards against the same of a job that is bound to three cells.
+// TestTasksOfOneWorkerEachFindRoomInManyCells guards against the same with a job that is confined to three of four
+// cells.
 func TestTasksOfOneWorkerEachFindRoomInManyCells(t *testing.T) { testOneTaskPerWorker(t, 4, 7) }
 
-// testOneTaskPerWorker hands in a job that lasts with so many tasks, at most one on a worker, where cells have
+// testOneTaskPerWorker submits a long-running job with the given number of tasks, at most one on a worker, to cells of
 // two workers each.
 func testOneTaskPerWorker(t *testing.T, cells, tasks int) {
 	synctest.Test(t, func(t *testing.T) {
@@ -279,7 +279,7 @@
 		spec := lasting(1, tasks)
 		spec.Steps[0].PerWorker = 1
 		w.submit(w.daemons[0], spec)
-		w.eventually(20*time.Second, "all tasks run", func() bool { return w.grid.Running(jobID(1)) == tasks })
+		w.eventually(20*time.Second, "all tasks are running", func() bool { return w.grid.Running(jobID(1)) == tasks })
 		w.noBreach()
 	})
 }
--- a/services/control/owner_fate_test.go
+++ b/services/control/owner_fate_test.go
@@ -21,17 +21,17 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// The cells of the tests below, which no daemon claims.
+// Cells of the tests below, which no daemon claims.
 const (
 	cellHere  jobs.CellName = "here"
 	cellThere jobs.CellName = "there"
 )
 
-// hookStore is a store whose next calls a test can replace.
+// hookStore is a store whose calls a test can intercept.
 type hookStore struct {
 	*kv.Local
-	commit func(txn platform.Txn) (platform.Version, error) // nil: done as asked
-	get    func(key string) error                           // called before each read; nil: nothing
+	commit func(txn platform.Txn) (platform.Version, error) // nil: commits as usual
+	get    func(key string) error                           // called before each read; nil: no call
 }
 
 func (s *hookStore) Commit(ctx context.Context, txn platform.Txn) (platform.Version, error) {
@@ -50,7 +50,7 @@
 	return s.Local.Get(ctx, key)
 }
 
-// manualOwner is an owner of the cell cellHere without loops: the test makes its calls.
+// manualOwner is an owner of cellHere without loops; the test makes the calls of the loops.
 type manualOwner struct {
 	*Owner
 	t     *testing.T
@@ -68,7 +68,7 @@
 	return &manualOwner{newOwner(service.Cells, cellHere, jobs.Epoch(epoch), time.Now()), t, store}
 }
 
-// put stores a job's record in a cell, whatever is there.
+// put stores a job's record in a cell unconditionally.
 func (h *manualOwner) put(cell jobs.CellName, record jobs.Record) platform.Version {
 	h.t.Helper()
 	writes, err := encode([]put{{jobKey(cell, record.Spec.ID), record}})
@@ -78,7 +78,7 @@
 	return version
 }
 
-// beginMove accepts a job here and begins to move it to cellThere as a whole.
+// beginMove accepts a job in cellHere and begins to move it as a whole to cellThere.
 func (h *manualOwner) beginMove() jobs.Spec {
 	h.t.Helper()
 	spec := twoSteps(1, time.Second)
@@ -92,7 +92,7 @@
 	return spec
 }
 
-// withholdCommit lets the next transaction have no answer, and gives what does it late.
+// withholdCommit withholds the next transaction and answers it with an error; late performs the transaction.
 func (h *manualOwner) withholdCommit(answer error) (late func()) {
 	var held platform.Txn
 	h.store.commit = func(txn platform.Txn) (platform.Version, error) {
@@ -105,14 +105,15 @@
 	}
 }
 
-// TestMoveDoneLateIsNotTakenBackAfterTheOtherCellHasEndedTheJob: the first try has no answer and
-// is done while a second one looks where the job is; the other cell runs the job at once.
+// TestMoveDoneLateIsNotTakenBackAfterTheOtherCellHasEndedTheJob guards against tasks that run again in this cell. The
+// first attempt of the move has no answer and takes effect while the second one reads the records; the other cell runs
+// and ends the job at once.
 func TestMoveDoneLateIsNotTakenBackAfterTheOtherCellHasEndedTheJob(t *testing.T) {
 	h := newManualOwner(t)
 	spec := h.beginMove()
 	late := h.withholdCommit(platform.ErrUnknown)
 	h.carryOutMoves(t.Context())
-	require.Len(t, h.moves, 1, "its outcome is not known")
+	require.Len(t, h.moves, 1, "its outcome is unknown")
 	h.store.get = func(key string) error {
 		if key == jobKey(cellThere, spec.ID) {
 			h.store.get = nil
@@ -128,8 +129,8 @@
 	require.False(t, known, "its tasks would run again here")
 }
 
-// TestForgottenJobIsNotTakenBack: a move without answer was done, and the other cell has run and
-// forgotten the job by the next try.
+// TestForgottenJobIsNotTakenBack guards against the same when the other cell has run and forgotten the job before the
+// next attempt.
 func TestForgottenJobIsNotTakenBack(t *testing.T) {
 	h := newManualOwner(t)
 	spec := h.beginMove()
@@ -144,8 +145,8 @@
 	require.False(t, known, "its tasks would run again here")
 }
 
-// TestMoveIsOffOnlyIfTheStoreSaysSo: an error that names no class may be that of a write that
-// was or will be done.
+// TestMoveIsOffOnlyIfTheStoreSaysSo guards against a move that counts as rejected after an error of no class, although
+// its write took effect or may still do so.
 func TestMoveIsOffOnlyIfTheStoreSaysSo(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer error
@@ -170,7 +171,8 @@
 	}
 }
 
-// TestMoveStaysOpenWhenItsNextTryIsTurnedAway: that says nothing of the first one.
+// TestMoveStaysOpenWhenItsNextTryIsTurnedAway guards against a refusal of the second attempt that is taken for one of
+// the first attempt, whose outcome is unknown.
 func TestMoveStaysOpenWhenItsNextTryIsTurnedAway(t *testing.T) {
 	for _, second := range []error{platform.ErrUnavailable, platform.ErrLimited, platform.ErrConflict} {
 		h := newManualOwner(t)
@@ -188,8 +190,8 @@
 	}
 }
 
-// TestTransactionOfUnknownFateIsNothingElse: the read that should tell what became of it says
-// nothing of the transaction when it is turned away itself.
+// TestTransactionOfUnknownFateIsNothingElse guards against the error of the read that should resolve an unknown outcome
+// being taken for the outcome of the transaction.
 func TestTransactionOfUnknownFateIsNothingElse(t *testing.T) {
 	h := newManualOwner(t)
 	h.withholdCommit(platform.ErrUnknown)
@@ -199,8 +201,8 @@
 	require.False(t, errors.Is(err, platform.ErrUnavailable), "%v", err)
 }
 
-// TestConflictIsNothingElse: likewise, a read without answer leaves no doubt about a transaction
-// whose conditions failed.
+// TestConflictIsNothingElse guards against a read without answer making the outcome unknown of a transaction whose
+// conditions failed.
 func TestConflictIsNothingElse(t *testing.T) {
 	h := newManualOwner(t)
 	spec := h.beginMove()
@@ -213,11 +215,11 @@
 	}
 	h.carryOutMoves(t.Context())
 	require.Empty(t, h.moves)
-	require.Equal(t, 1, h.core.Pending()[spec.Queue], "it waits here again")
+	require.Equal(t, 1, h.core.Pending()[spec.Queue], "the job waits in this cell again")
 }
 
-// TestWorkerThatSaysThatItIsNotWellHasNotLeft: a worker that drains may stay longer than it has
-// said, and its entry may be lost; what runs there may start elsewhere only once it is gone.
+// TestWorkerThatSaysThatItIsNotWellHasNotLeft guards against tasks that start elsewhere while their worker is still
+// there: a draining worker may stay longer than announced, and its entry in the list may be missing.
 func TestWorkerThatSaysThatItIsNotWellHasNotLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newManualOwner(t)
@@ -229,14 +231,14 @@
 		h.core.SetWorkers(nil, time.Now())
 		time.Sleep(2 * time.Second)
 		h.takeReport(worker, 0, time.Now(), jobs.Report{}, platform.ErrOverloaded)
-		require.Len(t, h.core.Workers(), 1, "it has answered")
+		require.Len(t, h.core.Workers(), 1, "the worker has answered")
 		h.takeReport(worker, 0, time.Now(), jobs.Report{}, platform.ErrUnreached)
-		require.Empty(t, h.core.Workers(), "it is not reached any more")
+		require.Empty(t, h.core.Workers(), "the worker can't be reached any more")
 	})
 }
 
-// TestFailedCallForAFormerIncarnationSaysNothing guards against a worker that counts as gone or silent for
-// what became of a call to the incarnation before.
+// TestFailedCallForAFormerIncarnationSaysNothing guards against a worker that counts as lost or silent because of a
+// failed call to its previous incarnation.
 func TestFailedCallForAFormerIncarnationSaysNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newManualOwner(t)
@@ -251,8 +253,8 @@
 	})
 }
 
-// TestRemovalOfAFormerOwnersKeyLosesNoCell: a watch that is behind tells of it after the cell was
-// taken.
+// TestRemovalOfAFormerOwnersKeyLosesNoCell guards against a new owner that gives its cell up because a lagging watch
+// reports the removal of the previous owner's key.
 func TestRemovalOfAFormerOwnersKeyLosesNoCell(t *testing.T) {
 	h := newManualOwner(t)
 	h.cells.owned[cellHere] = h.Owner
--- a/services/control/refusals_play_test.go
+++ b/services/control/refusals_play_test.go
@@ -18,31 +18,30 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// refusalCall is one call of a caller.
+// refusalCall is one call of a caller, with its reply.
 type refusalCall struct {
 	kind     string
 	job      jobs.ID
 	daemon   string
 	reply    reply
-	beganSeq int // the moment
+	beganSeq int // sequence number of the event, see commitRecorder.nextSeq
 	endedSeq int
-	// When the call began and when it was over.
+	// When the call began and ended.
 	beganAt, endedAt time.Time
 	daemonKilled     bool // the daemon was killed before it could answer
-	delivered        bool // the caller was there for the answer, and the daemon to give it
-	// storeUnusable: the store had done nothing for the daemon for a while, and the daemon had not
-	// been asked about the job before.
+	delivered        bool // the daemon was running to give the answer, and the caller was still waiting for it
+	// storeUnusable tells that the store had performed nothing for the daemon for a while when the call began, and that
+	// the daemon had not got a call about the job before.
 	storeUnusable bool
-	violation     string // what the store held at the answer that must not be
+	violation     string // what was wrong with the store's content when the call was answered; empty: nothing
 }
 
-// callContextKey is the key of the call on whose behalf something is sent to the store.
+// callContextKey is the context key of the refusalCall on whose behalf a request is sent to the store.
 type callContextKey struct{}
 
-// took is how long the call took.
-func (t *refusalCall) took() time.Duration { return t.endedAt.Sub(t.beganAt) }
+func (c *refusalCall) took() time.Duration { return c.endedAt.Sub(c.beganAt) }
 
-// refusalRun is a script under way.
+// refusalRun is one run of a script.
 type refusalRun struct {
 	*scriptRun
 	recorder *commitRecorder
@@ -80,12 +79,12 @@
 
 func newRefusalRun(t *testing.T, perCell int) *refusalRun {
 	t.Helper()
-	l := &commitRecorder{}
-	w := newWorldOf(t, scriptWorkers, 0, perCell, l.taskWork)
-	l.store = w.store
-	p := &refusalRun{scriptRun: &scriptRun{world: w}, recorder: l, stores: map[string]*faultyStore{}}
+	recorder := &commitRecorder{}
+	w := newWorldOf(t, scriptWorkers, 0, perCell, recorder.taskWork)
+	recorder.store = w.store
+	p := &refusalRun{scriptRun: &scriptRun{world: w}, recorder: recorder, stores: map[string]*faultyStore{}}
 	w.wrapStore = func(d *testDaemon, _ platform.TxnStore) platform.TxnStore {
-		store := newFaultyStore(d, l)
+		store := newFaultyStore(d, recorder)
 		p.stores[d.name] = store
 		return store
 	}
@@ -99,7 +98,7 @@
 	return p
 }
 
-// refusalJob is one of the jobs of the scripts; every second one is wide.
+// refusalJob returns one of the jobs of the scripts; every second job is wide.
 func refusalJob(n int) jobs.Spec {
 	spec := twoSteps(n, scriptTaskTime)
 	spec.Queue = testQueue
@@ -128,63 +127,63 @@
 	}
 }
 
-// revokeLease ends a daemon's lease in the store.
+// revokeLease revokes a daemon's lease in the store.
 func (p *refusalRun) revokeLease(d *testDaemon) {
 	d.Cells.mu.Lock()
 	lease := d.Cells.lease
 	d.Cells.mu.Unlock()
 	local := &kv.Local{Service: p.store, Fault: kv.NoFault}
-	_ = local.Revoke(p.ctx, lease) // it never fails
+	_ = local.Revoke(p.ctx, lease) // never fails
 }
 
-// startCall makes a caller's call; it doesn't wait for its end.
+// startCall starts a caller's call without waiting for its end.
 func (p *refusalRun) startCall(d *testDaemon, step refusalStep) {
 	store := p.stores[d.name]
-	try := &refusalCall{kind: step.What, job: jobID(step.Job), daemon: d.name, beganSeq: p.recorder.nextSeq()}
+	call := &refusalCall{kind: step.What, job: jobID(step.Job), daemon: d.name, beganSeq: p.recorder.nextSeq()}
 	p.mu.Lock()
-	asked := slices.ContainsFunc(p.calls, func(t *refusalCall) bool { return t.job == try.job && t.daemon == try.daemon })
-	p.calls = append(p.calls, try)
+	asked := slices.ContainsFunc(p.calls, func(t *refusalCall) bool { return t.job == call.job && t.daemon == call.daemon })
+	p.calls = append(p.calls, call)
 	p.mu.Unlock()
-	try.storeUnusable = !asked && store.unusable(storeUnusableAfter)
-	p.group.Go(func() { p.runCall(d, step, try) })
+	call.storeUnusable = !asked && store.unusable(storeUnusableAfter)
+	p.group.Go(func() { p.runCall(d, step, call) })
 }
 
-// runCall makes a call and notes what came of it.
-func (p *refusalRun) runCall(d *testDaemon, step refusalStep, try *refusalCall) {
-	ctx, cancel := context.WithTimeout(context.WithValue(p.ctx, callContextKey{}, try), callerTimeout)
+// runCall makes a call and records the reply and its circumstances.
+func (p *refusalRun) runCall(d *testDaemon, step refusalStep, call *refusalCall) {
+	ctx, cancel := context.WithTimeout(context.WithValue(p.ctx, callContextKey{}, call), callerTimeout)
 	defer cancel()
 	if step.Leaves > 0 {
 		defer time.AfterFunc(step.Leaves, cancel).Stop()
 	}
-	try.beganAt = time.Now()
-	if try.kind == stepSubmit {
-		try.reply = submitReply(ctx, d.Service, refusalJob(step.Job))
+	call.beganAt = time.Now()
+	if call.kind == stepSubmit {
+		call.reply = submitReply(ctx, d.Service, refusalJob(step.Job))
 	} else {
-		try.reply = cancelReply(ctx, d.Service, try.job)
+		call.reply = cancelReply(ctx, d.Service, call.job)
 	}
-	try.endedAt = time.Now()
-	try.daemonKilled = p.stores[d.name].killed()
-	try.delivered = !try.daemonKilled && (step.Leaves == 0 || try.took() < step.Leaves)
-	if try.reply.kind == replyDone {
-		try.violation = p.missingInStore(d, try)
+	call.endedAt = time.Now()
+	call.daemonKilled = p.stores[d.name].killed()
+	call.delivered = !call.daemonKilled && (step.Leaves == 0 || call.took() < step.Leaves)
+	if call.reply.kind == replyDone {
+		call.violation = p.missingInStore(d, call)
 	}
-	try.endedSeq = p.recorder.nextSeq()
+	call.endedSeq = p.recorder.nextSeq()
 }
 
-// missingInStore tells what the store lacks of a change that is said to be done.
-func (p *refusalRun) missingInStore(d *testDaemon, try *refusalCall) string {
-	entries := p.recorder.stored(try.job, d.Cells.layout())
+// missingInStore tells what the store lacks of a change that was reported as done; empty if nothing.
+func (p *refusalRun) missingInStore(d *testDaemon, call *refusalCall) string {
+	entries := p.recorder.stored(call.job, d.Cells.layout())
 	if !entries.known() {
 		return "there is no record of it"
 	}
 	open := func(entry jobEntry) bool { return entry.active() && !entry.cancelled }
-	if try.kind == stepCancel && !entries.state().Ended() && slices.ContainsFunc(entries, open) {
-		return "a cell has tasks of it and no word of its end"
+	if call.kind == stepCancel && !entries.state().Ended() && slices.ContainsFunc(entries, open) {
+		return "a cell has tasks of it, and neither its end nor its cancellation is stored there"
 	}
 	return ""
 }
 
-// settle ends all faults and waits until every job has ended that the store knows.
+// settle ends all faults and waits until every job in the store has ended.
 func (p *refusalRun) settle() {
 	for _, store := range p.stores {
 		store.setDefaultOutcome(outcomeDone)
@@ -195,12 +194,12 @@
 	}
 	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); time.Sleep(200 * time.Millisecond) {
 		if time.Until(deadline) < settleTimeout-6*time.Second && p.unfinished() == "" {
-			return // also writes that were held up are done by now
+			return // delayed writes have taken effect by now as well
 		}
 	}
 }
 
-// unfinished tells which job that the store knows has not ended.
+// unfinished describes a job in the store that has not ended; empty if there is none.
 func (p *refusalRun) unfinished() string {
 	for n := range refusalJobs {
 		id := jobID(n + 1)
@@ -209,7 +208,7 @@
 		}
 		for _, d := range p.daemons {
 			if state := p.state(d, id); !p.stores[d.name].killed() && (!state.Ended() || p.grid.Running(id) > 0) {
-				return fmt.Sprintf("job %s is %q at %s, %d tasks run", id, state, d.name, p.grid.Running(id))
+				return fmt.Sprintf("job %s is %q at %s, %d tasks are running", id, state, d.name, p.grid.Running(id))
 			}
 		}
 	}
--- a/services/control/refusals_random_test.go
+++ b/services/control/refusals_random_test.go
@@ -20,7 +20,7 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// replyKind is what a caller was told of a change.
+// replyKind is the kind of the reply to a change.
 type replyKind string
 
 const (
@@ -30,15 +30,14 @@
 	replyNoJob   replyKind = "no such job"
 )
 
-// reply is the verdict on a change, and whether the caller was told when to come back, or
-// that it is no use.
+// reply is the reply to a change. advised tells that the caller was told when to retry, or that a retry is useless.
 type reply struct {
 	kind    replyKind
 	advised bool
 }
 
-// submitReply hands a job in. Together with cancelled it is all that knows the form in which
-// the service tells what became of a change.
+// submitReply submits a job. Only submitReply and cancelReply depend on the form in which the service reports the
+// outcome of a change.
 func submitReply(ctx context.Context, s *Service, spec jobs.Spec) reply {
 	return replyOf(s.Submit(ctx, spec, jobs.Queue{Name: testQueue, Terms: testTerms}))
 }
@@ -62,18 +61,18 @@
 	}
 }
 
-// refusalStep is one step of a script, and the time until the next.
+// refusalStep is one step of a script, and the time until the next step.
 type refusalStep struct {
 	What   string        `json:"what"`
 	Daemon int           `json:"daemon"`
 	Job    int           `json:"job"`
-	Leaves time.Duration `json:"leaves,omitempty"` // the caller is gone then; 0: it waits
-	Writes []plannedCall `json:"writes,omitempty"` // of the daemon's next writes about the job
+	Leaves time.Duration `json:"leaves,omitempty"` // the caller leaves after this time; 0: it waits
+	Writes []plannedCall `json:"writes,omitempty"` // outcomes of the daemon's next writes about the job
 	Reads  []plannedCall `json:"reads,omitempty"`
 	Wait   time.Duration `json:"wait"`
 }
 
-// What a step does beside changing the weather of a daemon's store, which is named by the fate.
+// Kinds of steps. A step that changes the default outcome of a daemon's store is named by that outcome.
 const (
 	stepSubmit      = "hand in"
 	stepCancel      = "cancel"
@@ -90,22 +89,22 @@
 }
 
 const (
-	// scriptTaskTime is how long the tasks of the scripts' jobs work.
+	// scriptTaskTime is how long the tasks of the scripts' jobs run.
 	scriptTaskTime = 800 * time.Millisecond
-	// wideCount tasks of refusalSize are more than one of two cells can run at once.
+	// wideCount is the number of tasks of a wide job: more tasks of refusalSize than one of two cells can run at once.
 	wideCount = 8
-	// callerTimeout is how long a caller that doesn't leave waits.
+	// callerTimeout is how long a caller waits that doesn't leave early.
 	callerTimeout = 3 * time.Second
-	// storeUnusableAfter is how long a daemon may take to know that the store is of no use.
+	// storeUnusableAfter is how long a daemon may take to detect that the store performs nothing.
 	storeUnusableAfter = 3 * time.Second
-	// maxRefusalTime bounds the time of a refusal then.
+	// maxRefusalTime limits the time of a refusal once the daemon must have detected that.
 	maxRefusalTime = 100 * time.Millisecond
-	// maxStartAfterCancel is how long after a cancellation that is done the last start may come.
+	// maxStartAfterCancel is how long after a cancellation tasks may still start.
 	maxStartAfterCancel = 3 * time.Second
-	// daemonStartPause lies between the starts of two daemons, so that their calls are made in the
-	// same order each time.
+	// daemonStartPause is the pause between the starts of two daemons, so that their calls come in the same order in
+	// each run.
 	daemonStartPause = 11 * time.Millisecond
-	// stagger keeps two calls from being made in the same instant.
+	// stagger keeps two calls from being made at the same instant.
 	stagger = 37 * time.Microsecond
 )
 
@@ -138,36 +137,36 @@
 	return step
 }
 
-// refusalCheck looks for one thing that must not be.
+// refusalCheck looks for one kind of violation.
 type refusalCheck struct {
-	fault string                     // the same each time, so that scripts are made shorter
-	find  func(p *refusalRun) string // what happened; empty: nothing
+	fault string                     // the same for each violation of the kind, so that rapid shrinks the script
+	find  func(p *refusalRun) string // describes a violation; empty: none
 }
 
 var (
 	refusalChecks = []refusalCheck{
-		{"a call is refused that has stored its job", (*refusalRun).refusedThoughStored},
+		{"a call that stored its job is refused", (*refusalRun).refusedThoughStored},
 		{"a daemon refuses a job that it may have stored, or may still store", (*refusalRun).refusedThoughUnknown},
 		{"a daemon refuses a job that it stores for another call", (*refusalRun).refusedBesideAnother},
-		{"a job that all callers were refused is stored or has run", (*refusalRun).refusedAndStored},
-		{"a refusal comes late, or does not say when to come back", (*refusalRun).slowRefusals},
+		{"a job that was refused to all callers is stored or has run", (*refusalRun).refusedAndStored},
+		{"a refusal comes late, or has no retry advice", (*refusalRun).slowRefusals},
 		{"an accepted job is not stored, or does not end", (*refusalRun).lostJobs},
 	}
 	cancellationChecks = []refusalCheck{
-		{"a job starts after its cancellation was told that there is no such job", (*refusalRun).startedThoughUnknown},
-		{"a cancellation that is done does not hold", (*refusalRun).startedThoughCancelled},
+		{"a job starts after its cancellation was answered with no such job", (*refusalRun).startedThoughUnknown},
+		{"a cancellation that was reported as done has no effect", (*refusalRun).startedThoughCancelled},
 	}
 	acceptanceChecks = []refusalCheck{
 		{"a daemon refuses a job that it has accepted", (*refusalRun).refusedThoughAccepted},
 	}
 )
 
-// refusalCellSizes are how many workers a cell may have: one cell, and two.
+// refusalCellSizes are the numbers of workers per cell: all workers in one cell, and in two.
 var refusalCellSizes = []int{scriptWorkers, scriptWorkers / 2}
 
-// TestRandomRefusals plays scripts in which the store does, refuses, delays or loses calls
-// one by one while callers hand jobs in again and again, cancel them and leave: what was
-// refused by all never runs, and what is said to be done is so.
+// TestRandomRefusals runs scripts in which the store performs, refuses, delays or loses individual calls while callers
+// submit jobs repeatedly, cancel them and leave. A job that was refused to all callers never runs, and a change that
+// was reported as done has taken effect.
 func TestRandomRefusals(t *testing.T) {
 	t.Run("scripts", func(t *testing.T) {
 		runRefusalScripts(t, "testdata/refusals/*.json", slices.Concat(refusalChecks, cancellationChecks))
@@ -178,8 +177,7 @@
 	}
 }
 
-// TestRandomRefusalsOfAcceptedJobs looks for daemons that accepted a job and refuse it when it
-// is handed in again.
+// TestRandomRefusalsOfAcceptedJobs looks for daemons that accepted a job and refuse a repeated submission of it.
 func TestRandomRefusalsOfAcceptedJobs(t *testing.T) {
 	t.Run("scripts", func(t *testing.T) {
 		runRefusalScripts(t, "testdata/refusals/accepted/*.json", acceptanceChecks)
@@ -189,7 +187,7 @@
 	}
 }
 
-// runRefusalScripts plays scripts of data files: failures that random runs have found.
+// runRefusalScripts runs the scripts of data files, which are failures found by random runs.
 func runRefusalScripts(t *testing.T, files string, checks []refusalCheck) {
 	casefile.Each(t, files, func(t *testing.T, script []refusalStep) {
 		for _, perCell := range refusalCellSizes {
--- a/services/control/refusals_test.go
+++ b/services/control/refusals_test.go
@@ -16,13 +16,12 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// A caller that hears "not done" acts on it: it gives the work to somebody else, or tells
-// its own user that nothing will happen. So a refusal has to be true for all writes of the
-// daemon that gives it, also those that were not answered or are still on their way.
+// A caller acts on a refusal: it submits the work elsewhere, or tells its own user that nothing will happen. So a
+// refusal must hold for all writes of the daemon that gives it, including those of unknown outcome and those in flight.
 
 var testQueueTerms = jobs.Queue{Name: testQueue, Terms: testTerms}
 
-// newTwoDaemons makes a world with two daemons that take jobs, and gives one that owns nothing.
+// newTwoDaemons makes a world with two daemons that accept jobs; owner owns the only cell, idle owns none.
 func newTwoDaemons(t *testing.T) (w *world, idle, owner *testDaemon) {
 	t.Helper()
 	w = newWorld(t, 2, 2, nil)
@@ -32,12 +31,12 @@
 	if owner == idle {
 		idle = w.daemons[0]
 	}
-	w.eventually(5*time.Second, "the other takes jobs", func() bool { return idle.Ready() && idle.Cells.registration() != 0 })
-	synctest.Wait() // it may be about to claim the cell as well
+	w.eventually(5*time.Second, "the other daemon accepts jobs", func() bool { return idle.Ready() && idle.Cells.registration() != 0 })
+	synctest.Wait() // the idle daemon may be about to claim the cell as well
 	return w, idle, owner
 }
 
-// expected is a job of which the workers may be asked to run tasks.
+// expected returns a job that the grid expects, so that its starts are no breach.
 func (w *world) expected(n int) jobs.Spec {
 	spec := twoSteps(n, time.Second)
 	spec.Queue = testQueue
@@ -45,14 +44,14 @@
 	return spec
 }
 
-// holdUp lets the daemon's transactions reach the store so much later, without an answer.
+// holdUp delays the daemon's transactions on their way to the store; they get no answer.
 func (d *testDaemon) holdUp(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.heldFor = by
 }
 
-// cutStore lets the daemon's calls to the store fail before they reach it.
+// cutStore makes the daemon's calls to the store fail before they reach it.
 func (d *testDaemon) cutStore(cut bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,15 +66,15 @@
 		go idle.Submit(w.ctx, spec, testQueueTerms)
 		time.Sleep(500 * time.Millisecond)
 		require.Equal(t, noSuchJob, owner.Cancel(w.ctx, spec.ID))
-		require.Equal(t, noSuchJob, owner.Cancel(w.ctx, spec.ID), "also when asked again")
+		require.Equal(t, noSuchJob, owner.Cancel(w.ctx, spec.ID), "also the second time")
 		idle.holdUp(0)
 		time.Sleep(15 * time.Second)
-		require.False(t, w.grid.Ran(spec.ID), "nothing of it runs")
+		require.False(t, w.grid.Ran(spec.ID), "none of its tasks runs")
 		_, err := owner.State(w.ctx, spec.ID)
 		require.ErrorIs(t, err, platform.ErrNotFound)
 		outcome := idle.Submit(w.ctx, spec, testQueueTerms)
 		require.IsType(t, platform.NotDone{}, outcome)
-		require.Equal(t, platform.RefusedUnfit, outcome.(platform.NotDone).Why, "no use to come back soon")
+		require.Equal(t, platform.RefusedUnfit, outcome.(platform.NotDone).Why, "a retry is useless")
 		w.noBreach()
 	})
 }
@@ -101,15 +100,15 @@
 		first := make(chan platform.Outcome, 1)
 		go func() { first <- idle.Submit(w.ctx, spec, testQueueTerms) }()
 		time.Sleep(100 * time.Millisecond)
-		idle.cutStore(true) // the store is down for every other call
+		idle.cutStore(true) // all later calls to the store fail
 		time.Sleep(time.Second)
-		require.IsType(t, platform.MaybeDone{}, idle.Submit(w.ctx, spec, testQueueTerms), "a write of it is under way")
+		require.IsType(t, platform.MaybeDone{}, idle.Submit(w.ctx, spec, testQueueTerms), "a write of it is in flight")
 		require.IsType(t, platform.MaybeDone{}, <-first)
 	})
 }
 
-// jobWriteCounter counts the transactions that write a job, and takes some time for each. Others, such
-// as a try to claim a cell, are none of them.
+// jobWriteCounter counts the transactions that write a job, and delays each. It ignores other transactions, such as
+// claims of a cell.
 type jobWriteCounter struct {
 	platform.TxnStore
 	writes atomic.Int64
@@ -137,7 +136,7 @@
 		for range cap(outcomes) {
 			require.Equal(t, platform.Done{}, <-outcomes)
 		}
-		require.Equal(t, platform.Done{}, idle.Submit(w.ctx, spec, testQueueTerms), "also later")
+		require.Equal(t, platform.Done{}, idle.Submit(w.ctx, spec, testQueueTerms), "also after the others have ended")
 		require.Equal(t, int64(1), store.writes.Load())
 	})
 }
@@ -153,8 +152,8 @@
 	})
 }
 
-// TestDoubtLastsUntilTheKeyHasChanged lets a write of the daemon's own key fail, so that its
-// write of the job, which is done late, is not barred by it.
+// TestDoubtLastsUntilTheKeyHasChanged rejects writes of the daemon's own key. The key then doesn't change, and does not
+// keep the delayed write of the job from taking effect.
 func TestDoubtLastsUntilTheKeyHasChanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, idle, _ := newTwoDaemons(t)
@@ -163,10 +162,10 @@
 		idle.config.Store, idle.Cells.config.Store = store, store
 		require.IsType(t, platform.MaybeDone{}, idle.Submit(w.ctx, spec, testQueueTerms))
 		time.Sleep(500 * time.Millisecond)
-		idle.health.note(nil) // as after a watch that is answered
+		idle.health.note(nil) // as after an answered watch
 		require.IsType(t, platform.MaybeDone{}, idle.Submit(w.ctx, spec, testQueueTerms))
 		time.Sleep(10 * time.Second)
-		require.True(t, w.grid.Ran(spec.ID), "the write was done late")
+		require.True(t, w.grid.Ran(spec.ID), "the delayed write took effect")
 	})
 }
 
@@ -200,8 +199,8 @@
 	})
 }
 
-// TestDoubtEndsForWhoeverAsks lets a write of a job fail for good: once the daemon has
-// registered anew, the job is known to be nowhere, also when nobody hands it in again.
+// TestDoubtEndsForWhoeverAsks delays a write of a job until its condition no longer holds: once the daemon has
+// registered again, the job is known not to be stored, also without a repeated submission.
 func TestDoubtEndsForWhoeverAsks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, idle, _ := newTwoDaemons(t)
@@ -210,7 +209,7 @@
 		require.IsType(t, platform.MaybeDone{}, idle.Submit(w.ctx, spec, testQueueTerms))
 		_, err := idle.State(w.ctx, spec.ID)
 		require.Error(t, err)
-		require.NotErrorIs(t, err, platform.ErrNotFound, "it may be stored yet")
+		require.NotErrorIs(t, err, platform.ErrNotFound, "the job may still be stored")
 		idle.holdUp(0)
 		w.eventually(3*time.Second, "the daemon is registered again", func() bool { return idle.Cells.registration() != 0 })
 		_, err = idle.State(w.ctx, spec.ID)
@@ -219,7 +218,7 @@
 		w.submit(idle, twoSteps(3, time.Second))
 		idle.submissions.mu.Lock()
 		defer idle.submissions.mu.Unlock()
-		require.Len(t, idle.submissions.byID, 1, "the doubt is not kept for ever")
+		require.Len(t, idle.submissions.byID, 1, "the unknown outcome is not kept for ever")
 	})
 }
 
@@ -227,7 +226,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, idle, _ := newTwoDaemons(t)
 		spec := w.expected(2)
-		idle.holdUp(900 * time.Millisecond) // done, and nobody hears of it
+		idle.holdUp(900 * time.Millisecond) // takes effect without an answer
 		require.IsType(t, platform.MaybeDone{}, idle.Submit(w.ctx, spec, testQueueTerms))
 		idle.holdUp(0)
 		w.eventually(3*time.Second, "the daemon is registered again", func() bool { return idle.Cells.registration() != 0 })
@@ -249,10 +248,10 @@
 		spec := w.expected(2)
 		left, leave := context.WithCancel(w.ctx)
 		idle.mu.Lock()
-		idle.beforeCommit = leave // it leaves while the write is on its way
+		idle.beforeCommit = leave // the caller leaves while the write is in flight
 		idle.mu.Unlock()
 		require.Equal(t, platform.Done{}, idle.Submit(left, spec, testQueueTerms))
-		require.NotZero(t, idle.Cells.registration(), "the daemon takes other jobs")
+		require.NotZero(t, idle.Cells.registration(), "the daemon accepts other jobs")
 	})
 }
 
@@ -261,7 +260,7 @@
 		w, idle, _ := newTwoDaemons(t)
 		var once bool
 		idle.mu.Lock()
-		idle.beforeCommit = func() { // its key is written again just before the job's record is
+		idle.beforeCommit = func() { // the daemon's key is written again just before the job's record
 			if once {
 				return
 			}
--- a/services/control/room_test.go
+++ b/services/control/room_test.go
@@ -14,24 +14,24 @@
 	"rillsail.example/rillsail/services/standin/grid"
 )
 
-// capacityStepKinds are those of the random tests, beside workers whose room shrinks and grows again.
+// capacityStepKinds are the step kinds of the random tests, and workers whose free capacity shrinks and grows again.
 var capacityStepKinds = append([]string{"shrink worker", "shrink worker", "shrink worker", "grow worker", "drain worker"}, faultStepKinds...)
 
 func drawCapacityStep(rt *rapid.T) scriptStep { return drawStep(rt, capacityStepKinds) }
 
-// TestRandomRoom plays scripts in which workers have less room for a while beside all other faults.
-// Nothing starts over what a worker has said, and all work is done in the end.
+// TestRandomRoom runs scripts in which workers report less capacity for a while, along with all other faults. No start
+// exceeds the capacity that its worker reports, and all work is done in the end.
 func TestRandomRoom(t *testing.T) {
 	t.Run("one cell", func(t *testing.T) { checkRandomScripts(t, oneCellScenario, drawCapacityStep) })
 	t.Run("two cells", func(t *testing.T) { checkRandomScripts(t, twoCellScenario, drawCapacityStep) })
 }
 
-// remainingCapacity is the part of a worker's room that a script leaves it.
+// remainingCapacity is the share of a worker's capacity that a script leaves to it.
 func (h scriptStep) remainingCapacity() float64 { return 0.2 + 0.6*float64(h.Work)/5000 }
 
-// TestRoomThatShrinksIsNotUsed: workers lose half of their room under a burst of work, while the owner is
-// killed. What runs there runs on; no start goes over the room that is left, by whichever owner; all
-// is done, and room that comes back is used within a second.
+// TestRoomThatShrinksIsNotUsed halves the capacity of all workers under a burst of work and kills the owner meanwhile.
+// Running tasks continue, no start of any owner exceeds the remaining capacity, all jobs are done, and restored
+// capacity is used within a second.
 func TestRoomThatShrinksIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorldWith(t, 2, scriptWorkers, grid.Config{Workers: scriptWorkers})
@@ -56,11 +56,11 @@
 			}
 			return sum
 		}
-		require.LessOrEqual(t, running(), 2*scriptWorkers, "half of the room")
+		require.LessOrEqual(t, running(), 2*scriptWorkers, "half of the capacity")
 		for place := range scriptWorkers {
 			w.grid.SetRoom(place, 1)
 		}
-		w.eventually(time.Second, "room that is back is used", func() bool { return running() > 2*scriptWorkers })
+		w.eventually(time.Second, "restored capacity is used", func() bool { return running() > 2*scriptWorkers })
 		last := w.daemons[len(w.daemons)-1]
 		for n := 1; n <= 12; n++ {
 			w.eventually(60*time.Second, "job is done", func() bool { return w.state(last, jobID(n)) == "succeeded" })
--- a/services/control/stop_test.go
+++ b/services/control/stop_test.go
@@ -16,27 +16,26 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 4, 3, nil)
 		w.submit(w.daemons[0], lasting(1, 4))
-		w.eventually(10*time.Second, "tasks run", func() bool { return w.grid.Running(jobID(1)) == 4 })
+		w.eventually(10*time.Second, "tasks are running", func() bool { return w.grid.Running(jobID(1)) == 4 })
 		first := w.owner()
 		began := time.Now()
 		require.NoError(t, first.Cells.Release(w.ctx))
 		w.eventually(time.Second, "another daemon owns the cell", func() bool { o := w.owner(); return o != nil && o != first })
-		require.Less(t, time.Since(began), 500*time.Millisecond, "nobody waits for the lease")
+		require.Less(t, time.Since(began), 500*time.Millisecond, "the cell does not wait for the lease to expire")
 		time.Sleep(10 * time.Second)
 		require.Equal(t, 4, w.grid.Running(jobID(1)))
 		w.noBreach()
 	})
 }
 
-// TestPlannedStopInAnOutageKeepsTheCell holds what was seen when a planned stop
-// met an outage: an owner that was stopped could not hand its cell over, and left it without
-// any owner until the store was back.
+// TestPlannedStopInAnOutageKeepsTheCell guards against a planned stop during an outage of the store that leaves the
+// cell without any owner until the store is back, because the owner stops although it can't hand the cell over.
 func TestPlannedStopInAnOutageKeepsTheCell(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 4, 3, nil)
 		w.submit(w.daemons[0], lasting(1, 4))
 		w.submit(w.daemons[0], twoSteps(2, 2*time.Second))
-		w.eventually(10*time.Second, "tasks run", func() bool { return w.grid.Running(jobID(1)) == 4 && w.grid.Running(jobID(2)) == 3 })
+		w.eventually(10*time.Second, "tasks are running", func() bool { return w.grid.Running(jobID(1)) == 4 && w.grid.Running(jobID(2)) == 3 })
 		first := w.owner()
 		w.setOutage(true)
 		time.Sleep(500 * time.Millisecond)
@@ -47,7 +46,7 @@
 			released <- first.Cells.Release(ctx)
 		}()
 		time.Sleep(2 * time.Second)
-		require.Equal(t, 2, w.grid.Running(jobID(2)), "the second step has begun meanwhile")
+		require.Equal(t, 2, w.grid.Running(jobID(2)), "the second step has started meanwhile")
 		w.setOutage(false)
 		require.NoError(t, <-released)
 		w.eventually(500*time.Millisecond, "another daemon owns the cell", func() bool { o := w.owner(); return o != nil && o != first })
@@ -57,12 +56,13 @@
 	})
 }
 
-// TestPlannedStopJustBeforeAnOutageKeepsTheCell: the store is asked last, and still answers.
+// TestPlannedStopJustBeforeAnOutageKeepsTheCell begins an outage just before the handover is written, after the last
+// read was answered.
 func TestPlannedStopJustBeforeAnOutageKeepsTheCell(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 4, 3, nil)
 		w.submit(w.daemons[0], lasting(1, 4))
-		w.eventually(10*time.Second, "tasks run", func() bool { return w.grid.Running(jobID(1)) == 4 })
+		w.eventually(10*time.Second, "tasks are running", func() bool { return w.grid.Running(jobID(1)) == 4 })
 		first := w.owner()
 		first.mu.Lock()
 		first.beforeCommit = func() { w.setOutage(true) } // reads are answered until then
@@ -70,7 +70,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(w.ctx, 3600*time.Millisecond)
 			defer cancel()
-			_ = first.Cells.Release(ctx) // it ends after the outage
+			_ = first.Cells.Release(ctx) // returns after the outage
 		}()
 		time.Sleep(time.Second)
 		require.Same(t, first, w.owner(), "nobody else can take the cell")
--- a/services/control/yield_test.go
+++ b/services/control/yield_test.go
@@ -11,9 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWeakOwnerLeavesItsCellToAStrongDaemon holds what was seen with daemons of two sizes:
-// after an outage the first daemon back had a quarter of the processor time of
-// others, took the cell, and could not keep up with it for the rest of the day.
+// TestWeakOwnerLeavesItsCellToAStrongDaemon guards against a weak daemon that keeps a cell it can't keep up with. With
+// daemons of two sizes, the first one back after an outage may have a quarter of the processor time of the others.
 func TestWeakOwnerLeavesItsCellToAStrongDaemon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, 0, nil)
@@ -22,19 +21,19 @@
 		w.eventually(10*time.Second, "the weak daemon owns the cell", func() bool { return w.owner() == weak })
 		long := lasting(1, 3)
 		w.submit(weak, long)
-		w.eventually(10*time.Second, "its tasks run", func() bool { return w.grid.Running(long.ID) == 3 })
+		w.eventually(10*time.Second, "its tasks are running", func() bool { return w.grid.Running(long.ID) == 3 })
 		w.cores = 1
 		strong := w.startDaemon()
 		w.eventually(4*time.Second, "the strong daemon owns the cell", func() bool { return w.owner() == strong })
 		time.Sleep(2 * yieldPause)
-		require.Equal(t, strong, w.owner(), "it stays there")
+		require.Equal(t, strong, w.owner(), "the cell stays there")
 		require.Equal(t, 3, w.grid.Running(long.ID))
 		w.noBreach()
 	})
 }
 
-// TestOwnerBehindANarrowLinkLeavesItsCell holds the same of links: one of 2 Mbit/s carries the
-// starts of some twenty workers, whatever the processor.
+// TestOwnerBehindANarrowLinkLeavesItsCell checks the same for links: a link of 2 Mbit/s allows the starts of some
+// twenty workers, whatever the processor.
 func TestOwnerBehindANarrowLinkLeavesItsCell(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, 0, nil)
@@ -43,19 +42,17 @@
 		w.eventually(10*time.Second, "the daemon behind the narrow link owns the cell", func() bool { return w.owner() == narrow })
 		w.mbit = 200
 		wide := w.startDaemon()
-		w.eventually(4*time.Second, "the other one owns the cell", func() bool { return w.owner() == wide })
+		w.eventually(4*time.Second, "the daemon behind the wide link owns the cell", func() bool { return w.owner() == wide })
 		time.Sleep(2 * yieldPause)
-		require.Equal(t, wide, w.owner(), "it stays there")
+		require.Equal(t, wide, w.owner(), "the cell stays there")
 		w.noBreach()
 	})
 }
 
-// TestOwnerOfTwoCellsLeavesOneToADaemonWithNone holds how an owner came to be late with all
-// of its calls. One daemon took both cells when others were away, and kept them when they were
-// back: with 490 workers its answers came later than its calls' time limit, each call was
-// repeated on a new connection (85,000 in 70 s, 7,000 on other days), and it heard of
-// changes, stored ends and renewed its lease seconds late. It was proved by letting just
-// one daemon claim: the same rules broke, with the same counts of calls and memory.
+// TestOwnerOfTwoCellsLeavesOneToADaemonWithNone guards against a daemon that keeps both cells, which it took while
+// other daemons were down. With 490 workers, answers came later than its call timeout, so that each call was repeated on
+// a new connection (85,000 in 70 s instead of 7,000), and it read changes, stored ends and renewed its lease seconds
+// late. Letting a single daemon claim cells reproduces this.
 func TestOwnerOfTwoCellsLeavesOneToADaemonWithNone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorldOf(t, 4, 1, 2, nil)
@@ -64,12 +61,12 @@
 		w.eventually(10*time.Second, "one daemon owns both cells", func() bool { return owned(first) == 2 })
 		long := lasting(1, 4)
 		w.submit(first, long)
-		w.eventually(10*time.Second, "its tasks run", func() bool { return w.grid.Running(long.ID) == 4 })
+		w.eventually(10*time.Second, "its tasks are running", func() bool { return w.grid.Running(long.ID) == 4 })
 		second := w.startDaemon()
-		w.eventually(4*time.Second, "each owns one", func() bool { return owned(first) == 1 && owned(second) == 1 })
+		w.eventually(4*time.Second, "each daemon owns one cell", func() bool { return owned(first) == 1 && owned(second) == 1 })
 		third := w.startDaemon()
 		time.Sleep(3 * yieldPause)
-		require.Equal(t, []int{1, 1, 0}, []int{owned(first), owned(second), owned(third)}, "they stay there")
+		require.Equal(t, []int{1, 1, 0}, []int{owned(first), owned(second), owned(third)}, "the cells stay there")
 		require.Equal(t, 4, w.grid.Running(long.ID))
 		w.noBreach()
 	})
