--- a/services/control/checkpoint_random_test.go
+++ b/services/control/checkpoint_random_test.go
@@ -19,16 +19,13 @@
 	"rillsail.example/rillsail/services/standin/grid"
 )
 
-// Runs that are started with the checkpoint of something else.
-//
-// What was seen: workers were told to start runs with checkpoints that weren't the task's, at
-// one start of a hundred that brought one, by several owners, beside workers that failed all
-// that they started. No play could show it: the stand-in's workers never saved anything. Here
-// they do, and the grid's audit knows of each checkpoint whose it is.
-
-// savingStepKinds are what leads to restarts: stops of tasks that save, workers that fail all,
-// other owners, other incarnations of workers. What is wrong is soon mended, for nothing runs
-// and saves with a store that is away.
+// The tests below guard against runs that are started with the checkpoint of another task. Of the starts with a
+// checkpoint, one in a hundred had a wrong one, from several owners, while some workers failed all their runs. Here the
+// workers of the grid save checkpoints, and its audit knows the task of each.
+
+// savingStepKinds are step kinds that lead to restarts: stops of tasks that save checkpoints, workers that fail all
+// their runs, new owners and new incarnations of workers. Faults of the store and of daemons are healed often, because
+// tasks neither run nor save while the store is down.
 var savingStepKinds = []string{
 	"submit saving", "submit saving", "submit saving", "submit saving bound", "submit saving bound", "submit saving repeated",
 	"submit saving filling", "submit saving filling", "submit saving lasting", "submit saving wide", "submit lasting", "cancel",
@@ -40,25 +37,25 @@
 }
 
 const (
-	// scriptSave is small against the work of tasks that save, so that most of those that are
-	// stopped bring a checkpoint. Drawn times are short for the most part, so that there is a least one.
+	// scriptSave is the time to save a checkpoint. It is short compared with the work of the tasks, so that most stopped
+	// tasks leave a checkpoint. Most drawn times are short; minSavingWork is added to them.
 	scriptSave    = 300 * time.Millisecond
 	scriptRestore = 200 * time.Millisecond
 	minSavingWork = 1200 * time.Millisecond
-	// Filling tasks of so much fit beside a service most of the time, and several of them are too
-	// many when its load is high: some are moved then.
+	// Filler tasks of this size fit beside a service most of the time, but several of them are too many when its load is
+	// high: some are moved then.
 	fillerTasks  = 4
 	fillerCPU    = 700
 	savingImages = 4
-	// answerDelay is well above the time between two calls and below the limit of a call.
+	// answerDelay is well above the time between two calls and below the timeout of a call.
 	answerDelay     = 500 * time.Millisecond
 	repeatCallAfter = 1500 * time.Millisecond
 )
 
-// scriptServices are loaded so differently from time to time that what fills has to be moved.
+// scriptServices have a load that varies so much that filler tasks have to be moved.
 var scriptServices = grid.Services{Idle: 0.2, Load: 0.45, Swing: 0.75, Period: 8 * time.Second, Heavy: 4}
 
-// savingScenario is how a script is played.
+// savingScenario is the configuration in which a script runs.
 type savingScenario struct {
 	perCell  int
 	showsOwn bool // see grid.Config
@@ -70,7 +67,7 @@
 	"two cells, own checkpoints only": {perCell: scriptWorkers / 2, showsOwn: true},
 }
 
-// savingStats is what came of all scripts of a test.
+// savingStats counts what happened in all scripts of a test.
 type savingStats struct {
 	scripts, startsWithCheckpoint, startsBehind int
 	workLost                                    time.Duration
@@ -87,12 +84,12 @@
 	}
 }
 
-// minStartsWithCheckpoint is the least number of starts with a checkpoint, in a script on average: the check
-// must have seen something.
+// minStartsWithCheckpoint is the least average number of starts with a checkpoint in a script, so that the check is not
+// empty.
 const minStartsWithCheckpoint = 1
 
-// TestRandomCheckpoints plays scripts in which tasks save their work and are started again: each
-// start brings nothing or a checkpoint that a worker has made for this task.
+// TestRandomCheckpoints runs scripts in which tasks save checkpoints and are restarted: each start has no checkpoint, or
+// one that a worker has made for this task.
 func TestRandomCheckpoints(t *testing.T) {
 	for name, world := range savingScenarios {
 		t.Run(name, func(t *testing.T) {
@@ -111,8 +108,8 @@
 	}
 }
 
-// TestCheckpointScripts plays the scripts of testdata: failures that random runs have found, and
-// the ways in which tasks that save come to be started again.
+// TestCheckpointScripts runs the scripts of testdata, which are failures found by random runs and the ways in which
+// tasks with checkpoints are restarted.
 func TestCheckpointScripts(t *testing.T) {
 	casefile.Each(t, "testdata/checkpoints/*.json", func(t *testing.T, script []scriptStep) {
 		for _, world := range savingScenarios {
@@ -125,7 +122,7 @@
 
 func drawSavingStep(rt *rapid.T) scriptStep { return drawStep(rt, savingStepKinds) }
 
-// savingRun is a script in which tasks save.
+// savingRun is a run of a script in which tasks save checkpoints.
 type savingRun struct{ *scriptRun }
 
 func runSavingScript(t *testing.T, script []scriptStep, world savingScenario, tally *savingStats) (failure string) {
@@ -137,10 +134,10 @@
 			Services: scriptServices,
 		})
 		time.Sleep(5 * time.Second)
-		for _, h := range script {
+		for _, step := range script {
 			stepsRun++
-			s.applyStep(h)
-			time.Sleep(h.Wait)
+			s.applyStep(step)
+			time.Sleep(step.Wait)
 		}
 		s.heal()
 		failure = s.check()
@@ -152,16 +149,16 @@
 	return failure
 }
 
-// applyStep plays what only these scripts have, and leaves the rest to those of the other tests.
-func (s savingRun) applyStep(h scriptStep) {
-	d := s.daemons[len(s.daemons)-scriptDaemons+h.Daemon]
-	remaining := time.Duration(h.Work) * time.Millisecond
+// applyStep applies the steps that only these scripts have, and leaves the others to scriptRun.
+func (s savingRun) applyStep(step scriptStep) {
+	d := s.daemons[len(s.daemons)-scriptDaemons+step.Daemon]
+	remaining := time.Duration(step.Work) * time.Millisecond
 	work := minSavingWork + remaining
-	switch h.What {
+	switch step.What {
 	case "submit saving":
 		s.submitSaving(d, twoSteps(s.jobCount+1, work))
 	case "submit saving bound":
-		s.submitSaving(d, s.bindFirstStep(twoSteps(s.jobCount+1, work), h.Place))
+		s.submitSaving(d, s.bindFirstStep(twoSteps(s.jobCount+1, work), step.Place))
 	case "submit saving repeated":
 		s.submitSaving(d, repeatTwice(twoSteps(s.jobCount+1, work)))
 	case "submit saving filling":
@@ -172,28 +169,28 @@
 		s.submitSavingLasting(d, wideTasks)
 	case "worker fails all":
 		s.workerFailsAll = true
-		s.grid.SetFaults(h.Place, grid.Faults{FailsAll: true})
+		s.grid.SetFaults(step.Place, grid.Faults{FailsAll: true})
 	case "stalled worker":
-		s.grid.SetFaults(h.Place, grid.Faults{Stalled: true})
+		s.grid.SetFaults(step.Place, grid.Faults{Stalled: true})
 	case "late answers":
-		s.grid.SetFaults(h.Place, grid.Faults{LateAnswers: answerDelay})
+		s.grid.SetFaults(step.Place, grid.Faults{LateAnswers: answerDelay})
 	case "calls again":
-		s.grid.SetFaults(h.Place, grid.Faults{Again: repeatCallAfter})
+		s.grid.SetFaults(step.Place, grid.Faults{Again: repeatCallAfter})
 	case "worker leaves":
-		s.grid.Drain(h.Place, remaining)
-		time.AfterFunc(remaining, func() { s.grid.Crash(h.Place) })
+		s.grid.Drain(step.Place, remaining)
+		time.AfterFunc(remaining, func() { s.grid.Crash(step.Place) })
 	default:
-		s.scriptRun.applyStep(h)
+		s.scriptRun.applyStep(step)
 	}
 }
 
-// submitSaving hands a job in whose tasks save.
+// submitSaving submits a job whose tasks save checkpoints.
 func (s savingRun) submitSaving(d *testDaemon, spec jobs.Spec) {
 	s.jobCount++
 	s.trySubmit(d, withCheckpoints(spec))
 }
 
-// submitSavingLasting hands in a job of lasting tasks that save while there is room for all of them.
+// submitSavingLasting submits a job of long-running tasks that save checkpoints, if all of them still fit on the workers.
 func (s savingRun) submitSavingLasting(d *testDaemon, tasks int) {
 	if s.longRunningTasks+tasks <= maxLongRunningTasks {
 		s.longRunningTasks += tasks
@@ -201,7 +198,7 @@
 	}
 }
 
-// withCheckpoints lets all tasks of a job save.
+// withCheckpoints makes all tasks of a job save checkpoints.
 func withCheckpoints(spec jobs.Spec) jobs.Spec {
 	for n := range spec.Steps {
 		spec.Steps[n].Checkpoints = true
@@ -209,15 +206,15 @@
 	return spec
 }
 
-// repeatTwice lets a job run twice, with most of the times together.
+// repeatTwice makes a job run twice, with occurrences that overlap for the most part.
 func repeatTwice(spec jobs.Spec) jobs.Spec {
 	spec.Repeat = jobs.Repeat{Count: 2, First: models.UnixMilliOf(time.Now()), Every: 500}
 	return spec
 }
 
-// bindFirstStep lets the first step of a job run two tasks to a worker, and with one cell only in the rack
-// of a place. With two, it could have to go to the other cell, which takes it only while there is
-// room for the whole step at once: beside tasks that last there may never be.
+// bindFirstStep limits the first step of a job to two tasks on a worker and, with one cell, to the rack of a place. With
+// two cells, a step bound to a rack may have to move to the other cell, which accepts it only while the whole step fits
+// at once; beside long-running tasks it may never fit.
 func (s savingRun) bindFirstStep(spec jobs.Spec, place int) jobs.Spec {
 	spec.Steps[0].PerWorker = 2
 	if s.perCell == scriptWorkers {
@@ -226,7 +223,7 @@
 	return spec
 }
 
-// fillerJob is a job that uses what others leave.
+// fillerJob returns a job of filler tasks, which use the capacity that others leave.
 func fillerJob(n int, work time.Duration) jobs.Spec {
 	return jobs.Spec{ID: jobID(n), Payload: jobs.Text(fmt.Sprint("payload ", n)), Steps: []jobs.Step{{
 		Count: fillerTasks, Size: models.Resources{CPU: fillerCPU, Memory: 200}, Estimate: models.MilliOf(work),
--- a/services/control/checkpoint_test.go
+++ b/services/control/checkpoint_test.go
@@ -14,13 +14,10 @@
 	"rillsail.example/rillsail/services/standin/grid"
 )
 
-// TestMixedUpTextsAreNotBrought: a worker fails all that it starts, and lists the ends with the
-// text of another task.
-//
-// What was seen: runs that were started with the checkpoint of something else, beside workers
-// that failed all. How it may have come about: such a worker shows a text that isn't the task's,
-// and the next run is started with it. What proved that: nothing; no record tells what the
-// users' workers showed. With such a worker the code as it was brought it each time.
+// TestMixedUpTextsAreNotBrought guards against a run that is started with the checkpoint of another task, because a
+// worker that fails all its runs reports their ends with the checkpoints of other tasks. That workers do so is assumed:
+// runs were started with wrong checkpoints while workers failed all their runs, but what those reported is not on
+// record. With such a worker, each restart got the wrong checkpoint.
 func TestMixedUpTextsAreNotBrought(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorldWith(t, 1, testSettings.WorkersPerCell, grid.Config{Workers: 3, Save: scriptSave, Restore: scriptRestore})
@@ -37,9 +34,9 @@
 		for place := range 3 {
 			w.grid.SetFaults(place, noFaults)
 		}
-		w.eventually(20*time.Second, "first job is done", func() bool { return w.state(d, jobID(1)) == jobs.StateSucceeded })
-		w.eventually(10*time.Second, "lasting job runs", func() bool { return w.grid.Running(jobID(2)) == 2 })
-		require.Greater(t, w.grid.MostFailures(jobID(2)), 2, "runs that failed and were followed by others")
+		w.eventually(20*time.Second, "first job has succeeded", func() bool { return w.state(d, jobID(1)) == jobs.StateSucceeded })
+		w.eventually(10*time.Second, "long-running job is running", func() bool { return w.grid.Running(jobID(2)) == 2 })
+		require.Greater(t, w.grid.MostFailures(jobID(2)), 2, "there are failed runs that were followed by others")
 		w.noBreach()
 	})
 }
--- a/services/control/late_test.go
+++ b/services/control/late_test.go
@@ -15,12 +15,11 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// An owner that can't keep up gives its orders late and learns of changes late. What it
-// orders must do no harm then, whatever its load: starts are refused at the worker once
-// they are old, and an owner whose knowledge is stale gives none.
+// An overloaded owner sends its orders late and reads changes late. Its orders must do no harm then, whatever the load:
+// workers refuse starts that are too old, and an owner whose information is stale sends none.
 
-// TestStartThatIsLateIsRefused lets an owner's orders reach the workers three seconds
-// late. Meanwhile the worker begins to drain: nothing may start there then.
+// TestStartThatIsLateIsRefused delays an owner's orders to the workers by three seconds. The workers begin to drain
+// meanwhile, after which nothing may start there.
 func TestStartThatIsLateIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 2, 1, nil)
@@ -35,7 +34,7 @@
 		}
 		for range 60 {
 			time.Sleep(100 * time.Millisecond)
-			require.Zero(t, w.grid.Running(jobID(1)), "a start was done that was three seconds old")
+			require.Zero(t, w.grid.Running(jobID(1)), "a start that was three seconds old was executed")
 		}
 		d.set(func() { d.slowFor = 0 })
 		for place := range 2 {
@@ -46,9 +45,8 @@
 	})
 }
 
-// TestOwnerWithStaleKnowledgeStartsNothing lets no change reach an owner whose lease in the store
-// is renewed and whose workers answer. A job waits for room and is cancelled through
-// another daemon; then room becomes free.
+// TestOwnerWithStaleKnowledgeStartsNothing keeps changes in the store from an owner whose lease is renewed and whose
+// workers answer. A job waits for free capacity and is cancelled through another daemon; then capacity becomes free.
 func TestOwnerWithStaleKnowledgeStartsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const whole = 5 * time.Second
@@ -64,40 +62,40 @@
 			}}}
 		}
 		w.submit(other, large(1))
-		w.eventually(5*time.Second, "first job runs", func() bool { return w.grid.Running(jobID(1)) == 1 })
+		w.eventually(5*time.Second, "first job is running", func() bool { return w.grid.Running(jobID(1)) == 1 })
 		w.submit(other, large(2))
 		time.Sleep(500 * time.Millisecond)
 		owner.set(func() { owner.watchLost = true })
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, platform.Done{}, other.Cancel(t.Context(), jobID(2)))
 		time.Sleep(2 * whole)
-		require.False(t, w.grid.Ran(jobID(2)), "it was started seconds after its cancellation was stored")
+		require.False(t, w.grid.Ran(jobID(2)), "the job was started seconds after its cancellation was stored")
 		owner.set(func() { owner.watchLost = false })
 		w.submit(other, large(3))
-		w.eventually(5*time.Second, "third job runs", func() bool { return w.grid.Running(jobID(3)) == 1 })
+		w.eventually(5*time.Second, "third job is running", func() bool { return w.grid.Running(jobID(3)) == 1 })
 		require.False(t, w.grid.Ran(jobID(2)))
 		w.noBreach()
 	})
 }
 
-// TestStartsGoOnInAnOutage lets the store answer nobody: nothing can have changed there
-// that an owner would have to hear of.
+// TestStartsGoOnInAnOutage checks that an outage of the store for all daemons stops no starts: nothing can change there
+// that an owner would have to read.
 func TestStartsGoOnInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, 1, func(jobs.TaskID, jobs.RunID) (time.Duration, jobs.End) { return 4 * time.Second, jobs.EndSucceeded })
 		d := w.daemons[0]
 		w.eventually(10*time.Second, "cell has an owner", func() bool { return w.owner() == d })
 		w.submit(d, twoSteps(1, 4*time.Second))
-		w.eventually(5*time.Second, "first step runs", func() bool { return w.grid.Running(jobID(1)) == 3 })
+		w.eventually(5*time.Second, "first step is running", func() bool { return w.grid.Running(jobID(1)) == 3 })
 		w.setOutage(true)
-		w.eventually(6*time.Second, "second step runs", func() bool { return w.grid.Running(jobID(1)) == 2 })
+		w.eventually(6*time.Second, "second step is running", func() bool { return w.grid.Running(jobID(1)) == 2 })
 		w.setOutage(false)
 		w.eventually(10*time.Second, "job succeeds", func() bool { return w.state(d, jobID(1)) == jobs.StateSucceeded })
 		w.noBreach()
 	})
 }
 
-// set changes what a daemon's connections do.
+// set changes the faults of a daemon's connections.
 func (d *testDaemon) set(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/services/control/lives_test.go
+++ b/services/control/lives_test.go
@@ -18,21 +18,21 @@
 	"rillsail.example/rillsail/services/standin/grid"
 )
 
-// newSameIDWorld makes a world whose workers start again under the ids that they had.
+// newSameIDWorld makes a world whose workers restart under the same IDs.
 func newSameIDWorld(t *testing.T, workers, daemons int) *world {
 	t.Helper()
 	return newWorldWith(t, daemons, testSettings.WorkersPerCell, grid.Config{Workers: workers, Naming: grid.SameID, Down: workerDowntime})
 }
 
-// shortTasks is a job of single tasks that work for so long each.
+// shortTasks returns a job of independent tasks that run for the given time each.
 func shortTasks(n, count int, work time.Duration) jobs.Spec {
 	return jobs.Spec{ID: jobID(n), Payload: "payload", Steps: []jobs.Step{{
 		Count: count, Size: models.Resources{CPU: 500, Memory: 100}, Estimate: models.MilliOf(work),
 	}}}
 }
 
-// TestWorkerThatStartsAgainUnderItsIDRunsNothingTwice guards against ends that a worker forgets
-// unseen, for the numbers of its former incarnation were acknowledged to the one that is there.
+// TestWorkerThatStartsAgainUnderItsIDRunsNothingTwice guards against ends of runs that a worker forgets unreported,
+// because the end numbers of its previous incarnation are acknowledged to the current one.
 func TestWorkerThatStartsAgainUnderItsIDRunsNothingTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSameIDWorld(t, 2, 1)
@@ -54,9 +54,8 @@
 	})
 }
 
-// TestLateAcknowledgementReachesTheNextIncarnation guards against acknowledgements that a worker carries out
-// late and as its next incarnation, before the first call to that one: ends of it count as seen that
-// nobody has seen.
+// TestLateAcknowledgementReachesTheNextIncarnation guards against an acknowledgement that arrives late, at the next
+// incarnation of a worker, before the first call to that incarnation: ends count as acknowledged that no owner has read.
 func TestLateAcknowledgementReachesTheNextIncarnation(t *testing.T) {
 	where := twoCellScenario.sameIDs()
 	where.forgetsAhead = true
@@ -67,8 +66,8 @@
 	})
 }
 
-// TestAnswerThatWaitsAcknowledgesNothingAnew guards against ends that are forgotten unseen behind a start that the next
-// incarnation carries out late: of a call that had arrived before, only the answer was on its way.
+// TestAnswerThatWaitsAcknowledgesNothingAnew guards against ends that are forgotten unreported after a start that the
+// next incarnation executes late, when an earlier call has arrived already and only its answer is in flight.
 func TestAnswerThatWaitsAcknowledgesNothingAnew(t *testing.T) {
 	casefile.Each(t, "testdata/restarts_acknowledged/*.json", func(t *testing.T, script []scriptStep) {
 		for range 10 {
@@ -77,67 +76,65 @@
 	})
 }
 
-// maxRestartDelay is how soon a worker that has started again is used, and what it lost runs elsewhere.
+// maxRestartDelay is how long after the crash of a worker its lost tasks may take to run again, on any worker.
 const maxRestartDelay = time.Second
 
-// TestWorkIsTakenUpAtOnceFromAWorkerThatStartsAgainUnderItsID guards against tasks that wait for the
-// lease of an incarnation that has ended, and workers that stay unused until their new clock has
-// passed the old one.
+// TestWorkIsTakenUpAtOnceFromAWorkerThatStartsAgainUnderItsID guards against tasks that wait for the lease of an ended
+// incarnation to expire, and against workers that stay unused until the new incarnation's clock has passed that of the
+// previous one.
 func TestWorkIsTakenUpAtOnceFromAWorkerThatStartsAgainUnderItsID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSameIDWorld(t, 4, 1)
 		time.Sleep(3 * time.Second)
 		spec := lasting(1, maxLongRunningTasks)
 		w.submit(w.daemons[0], spec)
-		w.eventually(5*time.Second, "all tasks run", func() bool { return w.grid.Running(spec.ID) == maxLongRunningTasks })
+		w.eventually(5*time.Second, "all tasks are running", func() bool { return w.grid.Running(spec.ID) == maxLongRunningTasks })
 		time.Sleep(20 * time.Second)
 		for range 3 {
 			for place := range 4 {
 				w.grid.Crash(place)
 			}
 			require.Zero(t, w.grid.Running(spec.ID))
-			w.eventually(maxRestartDelay, "all tasks run again", func() bool { return w.grid.Running(spec.ID) == maxLongRunningTasks })
+			w.eventually(maxRestartDelay, "all tasks are running again", func() bool { return w.grid.Running(spec.ID) == maxLongRunningTasks })
 			time.Sleep(8 * time.Second)
 		}
 		w.noBreach()
 	})
 }
 
-// TestRandomFaultsUnderSameIDs plays the scripts of the random tests of faults with workers that start
-// again under their ids.
+// TestRandomFaultsUnderSameIDs runs random scripts of faults with workers that restart under the same IDs.
 func TestRandomFaultsUnderSameIDs(t *testing.T) {
 	t.Run("one cell", func(t *testing.T) { checkRandomScripts(t, oneCellScenario.sameIDs(), drawFaultStep) })
 	t.Run("two cells", func(t *testing.T) { checkRandomScripts(t, twoCellScenario.sameIDs(), drawFaultStep) })
 }
 
-// TestRandomCrashesUnderSameIDs does the same with tasks that end their workers.
+// TestRandomCrashesUnderSameIDs does the same with tasks that crash their workers.
 func TestRandomCrashesUnderSameIDs(t *testing.T) {
 	t.Run("one cell", func(t *testing.T) { checkRandomScripts(t, oneCellScenario.sameIDs(), drawCrashStep) })
 	t.Run("two cells", func(t *testing.T) { checkRandomScripts(t, twoCellScenario.sameIDs(), drawCrashStep) })
 }
 
-// restartStepKinds are those, and workers that start again while calls to them go wrong.
+// restartStepKinds are faultStepKinds, and workers that restart while calls to them fail.
 var restartStepKinds = append([]string{"restart worker"}, faultStepKinds...)
 
-// TestRandomRestarts plays scripts in which workers start again under their ids behind all other faults.
+// TestRandomRestarts runs scripts in which workers restart under the same IDs, along with all other faults.
 func TestRandomRestarts(t *testing.T) { checkRandomRestarts(t, restartStepKinds) }
 
-// frequentRestartStepKinds are restarts most of the time, of all workers at once as well, and tasks that end them.
+// frequentRestartStepKinds are crashStepKinds and frequent restarts, also of all workers at once.
 var frequentRestartStepKinds = append([]string{"restart worker", "restart worker", "restart worker", "restart all workers"}, crashStepKinds...)
 
-// TestRandomRestartsOften guards against jobs that end no worker and are given up, for workers start again
-// shortly after their tasks were started there, twice, and others with nothing on them all the time.
+// TestRandomRestartsOften guards against jobs that fail although they crash no worker, because workers restart shortly
+// after the start of their tasks, twice, and idle workers restart all the time.
 func TestRandomRestartsOften(t *testing.T) { checkRandomRestarts(t, frequentRestartStepKinds) }
 
-func checkRandomRestarts(t *testing.T, whats []string) {
-	draw := func(rt *rapid.T) scriptStep { return drawStep(rt, whats) }
+func checkRandomRestarts(t *testing.T, kinds []string) {
+	draw := func(rt *rapid.T) scriptStep { return drawStep(rt, kinds) }
 	t.Run("one cell", func(t *testing.T) { checkRandomScripts(t, oneCellScenario.sameIDs(), draw) })
 	t.Run("two cells", func(t *testing.T) { checkRandomScripts(t, twoCellScenario.sameIDs(), draw) })
 }
 
-// TestRestartedWorkersAreUsedSoon guards against new incarnations that stay unused: by the time at which
-// the list names them, half of them run something within half a second, and 19 of 20 within one,
-// also when all of them start again at once.
+// TestRestartedWorkersAreUsedSoon guards against new incarnations that stay unused: half of them must run a task within
+// half a second after the list names them, and 19 of 20 within a second, also when all workers restart at once.
 func TestRestartedWorkersAreUsedSoon(t *testing.T) {
 	for name, together := range map[string]int{"one by one": 1, "all at once": 20} {
 		t.Run(name, func(t *testing.T) {
@@ -146,7 +143,8 @@
 	}
 }
 
-// testReuseAfterRestart lets so many of the workers start again together, in turn, while there is work for all.
+// testReuseAfterRestart restarts the workers in groups of the given size, one group after the other, while there is work
+// for all workers.
 func testReuseAfterRestart(t *testing.T, together int) {
 	const (
 		workers = 20
@@ -155,7 +153,7 @@
 	w := newWorldWith(t, 1, testSettings.WorkersPerCell, grid.Config{Workers: workers, Naming: grid.SameID, Down: down})
 	time.Sleep(3 * time.Second)
 	spec := shortTasks(1, 8000, 300*time.Millisecond)
-	spec.Steps[0].Size.CPU = 2000 // two at a time: they last for longer than the test
+	spec.Steps[0].Size.CPU = 2000 // two tasks on a worker at a time, so that the work lasts longer than the test
 	w.submit(w.daemons[0], spec)
 	w.eventually(5*time.Second, "all workers are used", func() bool { return w.allBusy(0, workers) })
 	var after []time.Duration
@@ -183,7 +181,7 @@
 	w.noBreach()
 }
 
-// allBusy tells whether each of the workers in these places runs something.
+// allBusy tells whether each worker in the places from first up to, not including, after runs a task.
 func (w *world) allBusy(first, after int) bool {
 	for place := first; place < after; place++ {
 		if w.grid.RunningOn(place) == 0 {
@@ -193,32 +191,32 @@
 	return true
 }
 
-// TestNewIncarnationIsAskedWhenTheListNamesIt guards against calls that wait in vain for an incarnation
-// that has ended without breaking its connections.
+// TestNewIncarnationIsAskedWhenTheListNamesIt guards against calls that wait for an incarnation that has ended without
+// breaking its connections.
 func TestNewIncarnationIsAskedWhenTheListNamesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSameIDWorld(t, 1, 1)
 		time.Sleep(3 * time.Second)
 		spec := lasting(1, 1)
 		w.submit(w.daemons[0], spec)
-		w.eventually(5*time.Second, "the task runs", func() bool { return w.grid.Running(spec.ID) == 1 })
+		w.eventually(5*time.Second, "the task is running", func() bool { return w.grid.Running(spec.ID) == 1 })
 		for n := range 6 {
-			time.Sleep(11*time.Second + time.Duration(n)*150*time.Millisecond) // at any time of a call, and no loss counts
+			time.Sleep(11*time.Second + time.Duration(n)*150*time.Millisecond) // at varying times within a call, and far enough apart that no loss counts
 			w.grid.CrashSilently(0)
-			w.eventually(400*time.Millisecond, "the task runs again", func() bool { return w.grid.Running(spec.ID) == 1 })
+			w.eventually(400*time.Millisecond, "the task is running again", func() bool { return w.grid.Running(spec.ID) == 1 })
 		}
 		w.noBreach()
 	})
 }
 
-// TestLateStartReachesTheIncarnationAfterTheNext guards against a start without answer that is carried out
-// late by an incarnation that has not been called yet, when the one before it had barred the run: the
-// task runs elsewhere by then.
+// TestLateStartReachesTheIncarnationAfterTheNext guards against a task that runs twice: a start without answer is
+// executed late by an incarnation that has not been called yet, after the incarnation before it had barred the run and
+// the task was started elsewhere.
 func TestLateStartReachesTheIncarnationAfterTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorldWith(t, 1, testSettings.WorkersPerCell, grid.Config{Workers: 2, Naming: grid.SameID})
 		time.Sleep(3 * time.Second)
-		w.grid.SetFaults(1, faultsCut) // so that the task is started on the other one
+		w.grid.SetFaults(1, faultsCut) // so that the task is started on the other worker
 		time.Sleep(4 * time.Second)
 		w.grid.SetFaults(0, grid.Faults{Late: 1500 * time.Millisecond})
 		spec := shortTasks(1, 1, 2*time.Second)
@@ -228,9 +226,9 @@
 		w.grid.SetFaults(1, noFaults)
 		time.Sleep(720 * time.Millisecond)
 		w.grid.SetFaults(0, noFaults)
-		w.grid.CrashBehind(0)      // the first start has just been carried out, the second is after 2.2 s
-		w.grid.SetListed(0, false) // the entry is late
-		w.eventually(650*time.Millisecond, "the task runs on the other worker", func() bool { return w.grid.RunningOn(1) == 1 })
+		w.grid.CrashBehind(0)      // the first start has just been executed, the second follows after 2.2 s
+		w.grid.SetListed(0, false) // the new entry in the list is delayed
+		w.eventually(650*time.Millisecond, "the task is running on the other worker", func() bool { return w.grid.RunningOn(1) == 1 })
 		time.Sleep(time.Until(began.Add(2190 * time.Millisecond)))
 		w.grid.CrashBehind(0)
 		w.eventually(20*time.Second, "the job succeeds", func() bool { return w.state(w.daemons[0], spec.ID) == jobs.StateSucceeded })
@@ -238,8 +236,8 @@
 	})
 }
 
-// TestWorkerThatStartsAgainAllTheTimeHarmsNoJob guards against a worker that is given work each time that
-// it is there again, for a moment: its tasks are lost again and again, and then their jobs given up.
+// TestWorkerThatStartsAgainAllTheTimeHarmsNoJob guards against a worker that gets work after each of its restarts,
+// although it crashes again at once: its tasks are lost repeatedly until their jobs fail.
 func TestWorkerThatStartsAgainAllTheTimeHarmsNoJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSameIDWorld(t, 4, 1)
@@ -256,14 +254,14 @@
 		for n := range count {
 			w.eventually(20*time.Second, "the job succeeds", func() bool { return w.state(w.daemons[0], jobID(2+n)) == jobs.StateSucceeded })
 		}
-		w.eventually(5*time.Second, "all that lasts runs", func() bool { return w.grid.Running(jobID(1)) == 4 })
+		w.eventually(5*time.Second, "all long-running tasks are running", func() bool { return w.grid.Running(jobID(1)) == 4 })
 		w.noBreach()
 	})
 }
 
-// TestRestartBehindLateOrders guards against a start without answer that the next incarnation carries out,
-// which does not answer either: its tasks start elsewhere once it has been silent for a while, before the
-// lease that the late start brought is over.
+// TestRestartBehindLateOrders guards against a task that runs twice: a start without answer is executed by the next
+// incarnation, which does not answer either, and the task starts elsewhere after some silence, before the lease that the
+// late start brought has expired.
 func TestRestartBehindLateOrders(t *testing.T) {
 	casefile.Each(t, "testdata/restarts_open/*.json", func(t *testing.T, script []scriptStep) {
 		require.Empty(t, runScriptRepeatedly(t, script, oneCellScenario.sameIDs()))
--- a/services/control/random_test.go
+++ b/services/control/random_test.go
@@ -25,8 +25,8 @@
 	"rillsail.example/rillsail/services/standin/grid"
 )
 
-// TestMain fixes the seed of the random tests, so that CI gives the same verdict each
-// time; "make long" asks for other seeds and more runs.
+// TestMain fixes the seed of the random tests, so that CI gives the same result each time; "make long" uses other seeds
+// and more checks.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "100", "rapid.shrinktime": "20s"} {
 		if err := flag.Set(name, value); err != nil {
@@ -41,8 +41,8 @@
 
 var stepsRun int
 
-// scriptStep is one step of a script: something that callers, daemons, workers or the
-// store do, and the time until the next.
+// scriptStep is one step of a script: an action of callers, daemons, workers or the store, and the time until the next
+// step.
 type scriptStep struct {
 	What   string        `json:"what"`
 	Daemon int           `json:"daemon"`
@@ -62,23 +62,25 @@
 	scriptWorkers = 4
 	scriptDaemons = 3
 
-	// wideTasks is how many lasting tasks of a job fill most of a cell of two workers, so that
-	// work moves between cells.
+	// wideTasks is the number of long-running tasks of a wide job: they fill most of a cell of two workers, so that work
+	// moves between cells.
 	wideTasks = 3
-	// maxLongRunningTasks lasting tasks find room on the four workers, and a step of ordinary ones too.
+	// maxLongRunningTasks is the number of long-running tasks that fit on the four workers together with a step of short
+	// tasks.
 	maxLongRunningTasks = 7
 )
 
-// crashStepKinds are those, and jobs with a task that ends its workers.
+// crashStepKinds are faultStepKinds, the submission of jobs with a task that crashes its workers, and further faults of
+// workers.
 var crashStepKinds = append([]string{"submit crashing", "submit crashing", "submit crashing lasting", "worker down", "drain worker"}, faultStepKinds...)
 
 func drawFaultStep(rt *rapid.T) scriptStep { return drawStep(rt, faultStepKinds) }
 
 func drawCrashStep(rt *rapid.T) scriptStep { return drawStep(rt, crashStepKinds) }
 
-func drawStep(rt *rapid.T, whats []string) scriptStep {
+func drawStep(rt *rapid.T, kinds []string) scriptStep {
 	return scriptStep{
-		What:   rapid.SampledFrom(whats).Draw(rt, "what"),
+		What:   rapid.SampledFrom(kinds).Draw(rt, "what"),
 		Daemon: rapid.IntRange(0, scriptDaemons-1).Draw(rt, "daemon"),
 		Place:  rapid.IntRange(0, scriptWorkers-1).Draw(rt, "place"),
 		Work:   rapid.IntRange(50, 5000).Draw(rt, "work"),
@@ -86,29 +88,28 @@
 	}
 }
 
-// TestRandomFaults plays random scripts against the real daemons, with all workers in one
-// cell.
+// TestRandomFaults runs random scripts against the real daemons, with all workers in one cell.
 func TestRandomFaults(t *testing.T) { checkRandomScripts(t, oneCellScenario, drawFaultStep) }
 
 // TestRandomFaultsInTwoCells does the same with two cells.
 func TestRandomFaultsInTwoCells(t *testing.T) { checkRandomScripts(t, twoCellScenario, drawFaultStep) }
 
-// TestRandomFaultsInThreeCells does it with three.
+// TestRandomFaultsInThreeCells does the same with three cells.
 func TestRandomFaultsInThreeCells(t *testing.T) {
 	checkRandomScripts(t, threeCellScenario, drawFaultStep)
 }
 
-// TestRandomCrashes plays scripts with tasks that end their workers beside all other faults, with
-// one cell and with two.
+// TestRandomCrashes runs scripts with tasks that crash their workers, along with all other faults, in one cell and in
+// two cells.
 func TestRandomCrashes(t *testing.T) {
 	t.Run("one cell", func(t *testing.T) { checkRandomScripts(t, oneCellScenario, drawCrashStep) })
 	t.Run("two cells", func(t *testing.T) { checkRandomScripts(t, twoCellScenario, drawCrashStep) })
 }
 
-// scenario is where a script is played.
+// scenario is the configuration of workers and cells in which a script runs.
 type scenario struct {
-	workers        int // 0: scriptWorkers; scripts disturb no more than these
-	perCell        int // of them
+	workers        int // 0: scriptWorkers; scripts affect the first scriptWorkers only
+	perCell        int // workers to a cell
 	naming         grid.Naming
 	forgetsAhead   bool // see grid.Config
 	maxLongRunning int  // 0: maxLongRunningTasks
@@ -120,16 +121,16 @@
 	threeCellScenario = scenario{workers: 3 * scriptWorkers / 2, perCell: scriptWorkers / 2}
 )
 
-// sameIDs is the scene with workers that start again under their ids.
+// sameIDs returns the scenario with workers that restart under the same IDs.
 func (s scenario) sameIDs() scenario {
 	s.naming = grid.SameID
 	return s
 }
 
-func checkRandomScripts(t *testing.T, where scenario, draw func(*rapid.T) scriptStep) {
+func checkRandomScripts(t *testing.T, in scenario, draw func(*rapid.T) scriptStep) {
 	rapid.Check(t, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.Custom(draw), 5, 40).Draw(rt, "script")
-		if failure := runScriptRepeatedly(t, script, where); failure != "" {
+		if failure := runScriptRepeatedly(t, script, in); failure != "" {
 			data, err := json.MarshalIndent(script, "", " ")
 			require.NoError(t, err)
 			rt.Fatalf("%s\n%s", failure, data)
@@ -137,23 +138,22 @@
 	})
 }
 
-// runsPerScript is how often each script is played. A seed fixes the script, not its play: all clocks are
-// those of a bubble, but goroutines that are ready at the same instant run in any order, even on one
-// processor, a select with several ready cases takes any, and maps are ranged over in any order. The
-// language lets none of these be fixed.
+// runsPerScript is how often each script is run. A seed fixes the script but not its run: all clocks are those of the
+// synctest bubble, but goroutines that are ready at the same instant run in any order, even on one processor, a select
+// with several ready cases takes any, and maps are iterated in any order. Go allows none of these to be fixed.
 const runsPerScript = 3
 
-// runScriptRepeatedly plays a script several times, and gives the first failure.
-func runScriptRepeatedly(t *testing.T, script []scriptStep, where scenario) (failure string) {
+// runScriptRepeatedly runs a script several times and returns the first failure.
+func runScriptRepeatedly(t *testing.T, script []scriptStep, in scenario) (failure string) {
 	for range runsPerScript {
-		if failure = runScript(t, script, where); failure != "" {
+		if failure = runScript(t, script, in); failure != "" {
 			return failure
 		}
 	}
 	return ""
 }
 
-// TestNamedScripts plays the scripts of testdata: failures that random runs have found.
+// TestNamedScripts runs the scripts of testdata, which are failures found by random runs.
 func TestNamedScripts(t *testing.T) {
 	casefile.Each(t, "testdata/scripts/*.json", func(t *testing.T, script []scriptStep) {
 		require.Empty(t, runScript(t, script, oneCellScenario))
@@ -161,34 +161,34 @@
 	})
 }
 
-// scriptRun is what a script has brought about so far.
+// scriptRun is the state of one run of a script.
 type scriptRun struct {
 	*world
 	scenario         scenario
 	jobCount         int
 	spreadSubmitted  bool
-	longRunningTasks int // tasks that last
+	longRunningTasks int // number of long-running tasks submitted so far
 	accepted         []jobs.Spec
 	cancelled        map[jobs.ID]bool
-	maybeCancelled   map[jobs.ID]bool // the cancellation has no clear answer: either is right
+	maybeCancelled   map[jobs.ID]bool // the cancellation has an unknown outcome: the job may end either way
 	mu               sync.Mutex
-	crashing         map[jobs.ID]time.Duration // jobs whose first task ends its workers, so long after its start
-	workerFailsAll   bool                      // a worker has failed all that it started: jobs may fail for it
+	crashing         map[jobs.ID]time.Duration // time from start to crash, by jobs whose first task crashes its workers
+	workerFailsAll   bool                      // some worker has failed all its runs, so that jobs may fail
 }
 
-func runScript(t *testing.T, script []scriptStep, where scenario) (failure string) {
+func runScript(t *testing.T, script []scriptStep, in scenario) (failure string) {
 	outer := t
 	synctest.Test(t, func(t *testing.T) {
 		s := &scriptRun{cancelled: map[jobs.ID]bool{}, maybeCancelled: map[jobs.ID]bool{}, crashing: map[jobs.ID]time.Duration{}}
-		s.scenario = where
-		s.world = newWorldWith(t, scriptDaemons, where.perCell, grid.Config{
-			Workers: cmp.Or(where.workers, scriptWorkers), Down: workerDowntime, Crash: s.crashOf, Naming: where.naming, ForgetsAhead: where.forgetsAhead,
+		s.scenario = in
+		s.world = newWorldWith(t, scriptDaemons, in.perCell, grid.Config{
+			Workers: cmp.Or(in.workers, scriptWorkers), Down: workerDowntime, Crash: s.crashOf, Naming: in.naming, ForgetsAhead: in.forgetsAhead,
 		})
 		time.Sleep(5 * time.Second)
-		for _, h := range script {
+		for _, step := range script {
 			stepsRun++
-			s.applyStep(h)
-			time.Sleep(h.Wait)
+			s.applyStep(step)
+			time.Sleep(step.Wait)
 		}
 		s.heal()
 		if failure = s.check(); failure != "" {
@@ -198,7 +198,7 @@
 	return failure
 }
 
-// crashOf tells whether a task ends its worker, and when.
+// crashOf tells whether a task crashes its worker, and how long after its start.
 func (s *scriptRun) crashOf(task jobs.TaskID, _ jobs.RunID) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -206,19 +206,19 @@
 	return after, crashes && task.Step == 0 && task.Index == 0
 }
 
-// markNextJobCrashing lets the first task of the next job end its workers.
-func (s *scriptRun) markNextJobCrashing(h scriptStep) {
+// markNextJobCrashing makes the first task of the next job crash its workers.
+func (s *scriptRun) markNextJobCrashing(step scriptStep) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.crashing[jobID(s.jobCount+1)] = time.Duration(1+h.Work%300) * time.Millisecond
+	s.crashing[jobID(s.jobCount+1)] = time.Duration(1+step.Work%300) * time.Millisecond
 }
 
-func (s *scriptRun) applyStep(h scriptStep) {
-	d := s.daemons[len(s.daemons)-scriptDaemons+h.Daemon]
-	switch h.What {
+func (s *scriptRun) applyStep(step scriptStep) {
+	d := s.daemons[len(s.daemons)-scriptDaemons+step.Daemon]
+	switch step.What {
 	case "submit":
 		s.jobCount++
-		s.trySubmit(d, twoSteps(s.jobCount, time.Duration(h.Work)*time.Millisecond))
+		s.trySubmit(d, twoSteps(s.jobCount, time.Duration(step.Work)*time.Millisecond))
 	case "submit lasting":
 		s.submitLasting(d, 1)
 	case "submit wide":
@@ -226,26 +226,26 @@
 	case "submit spread":
 		s.submitSpread(d)
 	case "submit crashing":
-		s.markNextJobCrashing(h)
+		s.markNextJobCrashing(step)
 		s.jobCount++
 		s.trySubmit(d, twoSteps(s.jobCount, time.Second))
 	case "submit crashing lasting":
-		s.markNextJobCrashing(h)
+		s.markNextJobCrashing(step)
 		s.jobCount++
 		s.trySubmit(d, lasting(s.jobCount, 1))
 	case "worker down":
-		s.grid.SetListed(h.Place, true)
-		s.grid.CrashFor(h.Place)
+		s.grid.SetListed(step.Place, true)
+		s.grid.CrashFor(step.Place)
 	case "shrink worker":
-		s.grid.SetRoom(h.Place, h.remainingCapacity())
+		s.grid.SetRoom(step.Place, step.remainingCapacity())
 	case "grow worker":
-		s.grid.SetRoom(h.Place, 1)
+		s.grid.SetRoom(step.Place, 1)
 	case "drain worker":
-		s.grid.Drain(h.Place, time.Duration(h.Work)*time.Millisecond)
+		s.grid.Drain(step.Place, time.Duration(step.Work)*time.Millisecond)
 	case "cancel":
-		s.tryCancel(d, jobID(1+h.Work%max(1, s.jobCount)))
+		s.tryCancel(d, jobID(1+step.Work%max(1, s.jobCount)))
 	case "kill daemon":
-		s.replaceDaemon(h.Daemon)
+		s.replaceDaemon(step.Daemon)
 	case "freeze daemon":
 		d.freeze()
 	case "store outage":
@@ -255,44 +255,44 @@
 	case "store forgets":
 		s.store.Forget()
 	case "crash worker":
-		s.grid.SetListed(h.Place, true)
-		s.grid.Crash(h.Place)
+		s.grid.SetListed(step.Place, true)
+		s.grid.Crash(step.Place)
 	case "restart worker":
-		s.grid.CrashBehind(h.Place)
+		s.grid.CrashBehind(step.Place)
 	case "restart all workers":
 		for place := range scriptWorkers {
 			s.grid.CrashBehind(place)
 		}
 	case "cut worker":
-		s.grid.SetFaults(h.Place, faultsCut)
+		s.grid.SetFaults(step.Place, faultsCut)
 	case "late worker":
-		s.grid.SetFaults(h.Place, faultsLate)
+		s.grid.SetFaults(step.Place, faultsLate)
 	case "lose worker answers":
-		s.grid.SetFaults(h.Place, grid.Faults{LoseAnswers: true})
+		s.grid.SetFaults(step.Place, grid.Faults{LoseAnswers: true})
 	case "unlist worker":
-		s.grid.SetListed(h.Place, false)
+		s.grid.SetListed(step.Place, false)
 	case "heal worker":
-		s.grid.SetFaults(h.Place, noFaults)
-		s.grid.SetListed(h.Place, true)
+		s.grid.SetFaults(step.Place, noFaults)
+		s.grid.SetListed(step.Place, true)
 	default:
-		s.applyDaemonStep(d, h)
+		s.applyDaemonStep(d, step)
 	}
 }
 
-func (s *scriptRun) applyDaemonStep(d *testDaemon, h scriptStep) {
-	if h.What == "heal daemon" {
+func (s *scriptRun) applyDaemonStep(d *testDaemon, step scriptStep) {
+	if step.What == "heal daemon" {
 		d.heal()
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	switch h.What {
+	switch step.What {
 	case "cut daemon from store":
 		d.storeCut = true
 	case "cut daemon from workers":
 		d.workerCut = true
 	case "lose store answers":
-		d.loseWrite = rand.New(rand.NewPCG(uint64(h.Work), 1))
+		d.loseWrite = rand.New(rand.NewPCG(uint64(step.Work), 1))
 	}
 }
 
@@ -303,7 +303,7 @@
 	d.storeCut, d.workerCut, d.loseWrite = false, false, nil
 }
 
-// replaceDaemon ends a daemon as a loss of power would and starts a new one in its place.
+// replaceDaemon kills a daemon without a handover, as a power failure would, and starts a new one in its place.
 func (s *scriptRun) replaceDaemon(n int) {
 	at := len(s.daemons) - scriptDaemons + n
 	s.daemons[at].kill()
@@ -313,7 +313,7 @@
 	s.daemons = append(s.daemons[:last-1], fresh)
 }
 
-// trySubmit hands a job in once. A job without a clear answer may run.
+// trySubmit submits a job once. A job whose submission has an unknown outcome may run.
 func (s *scriptRun) trySubmit(d *testDaemon, spec jobs.Spec) {
 	spec.Queue = testQueue
 	s.grid.Expect(spec, testAttempts)
@@ -324,7 +324,7 @@
 	}
 }
 
-// submitLasting hands in a job of lasting tasks while there is room for all of them.
+// submitLasting submits a job of long-running tasks if all of them still fit on the workers.
 func (s *scriptRun) submitLasting(d *testDaemon, tasks int) {
 	if s.longRunningTasks+tasks > cmp.Or(s.scenario.maxLongRunning, maxLongRunningTasks) {
 		return
@@ -334,7 +334,7 @@
 	s.trySubmit(d, lasting(s.jobCount, tasks))
 }
 
-// submitSpread hands in a job with a task on each worker but one, once.
+// submitSpread submits a job with a task on each worker but one, once in a run.
 func (s *scriptRun) submitSpread(d *testDaemon) {
 	if s.spreadSubmitted {
 		return
@@ -370,27 +370,27 @@
 	}
 }
 
-// settleTimeout is how long everything may take to be right after the last fault: leases of
-// former owners have to lapse, and the work of all jobs has to be done.
+// settleTimeout is how long after the last fault all jobs may take to reach their expected states: leases of previous
+// owners have to expire, and the work of all jobs has to be done.
 const settleTimeout = 90 * time.Second
 
-// check tells what is not as promised once all faults are over.
+// check waits until all jobs are in their expected states, and describes what is wrong; empty if nothing.
 func (s *scriptRun) check() string {
 	deadline := time.Now().Add(settleTimeout)
-	missing := ""
+	problem := ""
 	for time.Now().Before(deadline) {
-		if missing = s.unmet(); missing == "" {
+		if problem = s.unmet(); problem == "" {
 			break
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 	if breaches := s.grid.Breaches(); len(breaches) > 0 {
-		return fmt.Sprint("promises broken: ", breaches)
+		return fmt.Sprint("breaches: ", breaches)
 	}
-	return missing
+	return problem
 }
 
-// unmet tells which accepted job is not yet as it should be.
+// unmet describes an accepted job that is not yet in its expected state; empty if there is none.
 func (s *scriptRun) unmet() string {
 	for _, spec := range s.accepted {
 		for _, d := range s.daemons {
@@ -399,11 +399,11 @@
 			case s.maybeCancelled[spec.ID] && state == jobs.StateCancelled && s.grid.Running(spec.ID) == 0:
 			case s.cancelled[spec.ID]:
 				if !state.Ended() || s.grid.Running(spec.ID) > 0 {
-					return fmt.Sprintf("cancelled job %s is %q at %s, %d tasks run", spec.ID, state, d.name, s.grid.Running(spec.ID))
+					return fmt.Sprintf("cancelled job %s is %q at %s, %d tasks are running", spec.ID, state, d.name, s.grid.Running(spec.ID))
 				}
 			case s.crashing[spec.ID] != 0:
 				if !s.maybeCancelled[spec.ID] && state != jobs.StateFailed || s.grid.Running(spec.ID) > 0 {
-					return fmt.Sprintf("job %s, which ends its workers, is %q at %s, %d tasks run", spec.ID, state, d.name, s.grid.Running(spec.ID))
+					return fmt.Sprintf("job %s, which crashes its workers, is %q at %s, %d tasks are running", spec.ID, state, d.name, s.grid.Running(spec.ID))
 				}
 			case s.workerFailsAll && state == jobs.StateFailed && s.grid.MostFailures(spec.ID) >= testAttempts:
 				if s.grid.Running(spec.ID) > 0 {
@@ -411,7 +411,7 @@
 				}
 			case spec.Steps[0].Lasts:
 				if state != jobs.StateRunning || s.grid.Running(spec.ID) != spec.Steps[0].Count {
-					return fmt.Sprintf("lasting job %s is %q at %s, %d tasks run", spec.ID, state, d.name, s.grid.Running(spec.ID))
+					return fmt.Sprintf("long-running job %s is %q at %s, %d tasks are running", spec.ID, state, d.name, s.grid.Running(spec.ID))
 				}
 			case state != jobs.StateSucceeded:
 				return fmt.Sprintf("job %s is %q at %s", spec.ID, state, d.name)
