--- a/services/control/abandoned.go
+++ b/services/control/abandoned.go
@@ -67,7 +67,7 @@
 	return cells
 }
 
-// removeAbandoned calls each suspected owner again and removes the keys of those that have ended.
+// removeAbandoned calls each suspected owner again and, once for each owner, removes its keys if it has ended.
 func (c *Cells) removeAbandoned(ctx context.Context) {
 	for cell, version := range c.suspectedOwners() {
 		sleep(ctx, confirmPause)
--- a/services/control/checkpoint_random_test.go
+++ b/services/control/checkpoint_random_test.go
@@ -74,13 +74,13 @@
 	stops                                       map[string]int // by reason
 }
 
-func (a *savingStats) add(w *world) {
-	a.scripts++
-	a.startsWithCheckpoint += w.grid.CheckpointsBrought()
-	a.startsBehind += len(w.grid.StartsBehind())
-	a.workLost += w.grid.WorkLost()
+func (s *savingStats) add(w *world) {
+	s.scripts++
+	s.startsWithCheckpoint += w.grid.CheckpointsBrought()
+	s.startsBehind += len(w.grid.StartsBehind())
+	s.workLost += w.grid.WorkLost()
 	for _, entry := range w.written.FilterMessage("run is to stop").All() {
-		a.stops[fmt.Sprint(entry.ContextMap()["reason"])]++
+		s.stops[fmt.Sprint(entry.ContextMap()["reason"])]++
 	}
 }
 
@@ -91,19 +91,19 @@
 // TestRandomCheckpoints runs scripts in which tasks save checkpoints and are restarted: each start has no checkpoint, or
 // one that a worker has made for this task.
 func TestRandomCheckpoints(t *testing.T) {
-	for name, world := range savingScenarios {
+	for name, in := range savingScenarios {
 		t.Run(name, func(t *testing.T) {
-			tally := &savingStats{stops: map[string]int{}}
+			stats := &savingStats{stops: map[string]int{}}
 			rapid.Check(t, func(rt *rapid.T) {
 				script := rapid.SliceOfN(rapid.Custom(drawSavingStep), 12, 40).Draw(rt, "script")
-				if failure := runSavingScript(t, script, world, tally); failure != "" {
+				if failure := runSavingScript(t, script, in, stats); failure != "" {
 					data, err := json.MarshalIndent(script, "", " ")
 					require.NoError(t, err)
 					rt.Fatalf("%s\n%s", failure, data)
 				}
 			})
-			t.Logf("%d scripts, %d starts with checkpoints, %d behind, work lost: %s, stops: %v", tally.scripts, tally.startsWithCheckpoint, tally.startsBehind, tally.workLost, tally.stops)
-			require.Greater(t, tally.startsWithCheckpoint, minStartsWithCheckpoint*tally.scripts)
+			t.Logf("%d scripts, %d starts with checkpoints, %d behind, work lost: %s, stops: %v", stats.scripts, stats.startsWithCheckpoint, stats.startsBehind, stats.workLost, stats.stops)
+			require.Greater(t, stats.startsWithCheckpoint, minStartsWithCheckpoint*stats.scripts)
 		})
 	}
 }
@@ -112,10 +112,10 @@
 // tasks with checkpoints are restarted.
 func TestCheckpointScripts(t *testing.T) {
 	casefile.Each(t, "testdata/checkpoints/*.json", func(t *testing.T, script []scriptStep) {
-		for _, world := range savingScenarios {
-			tally := &savingStats{stops: map[string]int{}}
-			require.Empty(t, runSavingScript(t, script, world, tally))
-			require.NotZero(t, tally.startsWithCheckpoint)
+		for _, in := range savingScenarios {
+			stats := &savingStats{stops: map[string]int{}}
+			require.Empty(t, runSavingScript(t, script, in, stats))
+			require.NotZero(t, stats.startsWithCheckpoint)
 		}
 	})
 }
@@ -125,12 +125,12 @@
 // savingRun is a run of a script in which tasks save checkpoints.
 type savingRun struct{ *scriptRun }
 
-func runSavingScript(t *testing.T, script []scriptStep, world savingScenario, tally *savingStats) (failure string) {
+func runSavingScript(t *testing.T, script []scriptStep, in savingScenario, stats *savingStats) (failure string) {
 	outer := t
 	synctest.Test(t, func(t *testing.T) {
 		s := savingRun{&scriptRun{cancelled: map[jobs.ID]bool{}, maybeCancelled: map[jobs.ID]bool{}, crashing: map[jobs.ID]time.Duration{}}}
-		s.world = newWorldWith(t, scriptDaemons, world.perCell, grid.Config{
-			Workers: scriptWorkers, Down: workerDowntime, Save: scriptSave, Restore: scriptRestore, ShowsOwn: world.showsOwn,
+		s.world = newWorldWith(t, scriptDaemons, in.perCell, grid.Config{
+			Workers: scriptWorkers, Down: workerDowntime, Save: scriptSave, Restore: scriptRestore, ShowsOwn: in.showsOwn,
 			Services: scriptServices,
 		})
 		time.Sleep(5 * time.Second)
@@ -141,7 +141,7 @@
 		}
 		s.heal()
 		failure = s.check()
-		tally.add(s.world)
+		stats.add(s.world)
 		if failure != "" {
 			failure += "\nscript and log: " + saveFailure(outer, script, failure, s.log())
 		}
--- a/services/control/late_test.go
+++ b/services/control/late_test.go
@@ -45,7 +45,7 @@
 	})
 }
 
-// TestOwnerWithStaleKnowledgeStartsNothing keeps changes in the store from an owner whose lease is renewed and whose
+// TestOwnerWithStaleKnowledgeStartsNothing hides changes in the store from an owner whose lease is renewed and whose
 // workers answer. A job waits for free capacity and is cancelled through another daemon; then capacity becomes free.
 func TestOwnerWithStaleKnowledgeStartsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
