--- a/services/control/checkpoint_random_test.go
+++ b/services/control/checkpoint_random_test.go
@@ -162,7 +162,7 @@
 	case "submit saving repeated":
 		s.submitSaving(d, repeatTwice(twoSteps(s.jobCount+1, work)))
 	case "submit saving filling":
-		s.submitSaving(d, fillerJob(s.jobCount+1, work))
+		s.submitSaving(d, scriptFillerJob(s.jobCount+1, work))
 	case "submit saving lasting":
 		s.submitSavingLasting(d, 1)
 	case "submit saving wide":
@@ -223,8 +223,8 @@
 	return spec
 }
 
-// fillerJob returns a job of filler tasks, which use the capacity that others leave.
-func fillerJob(n int, work time.Duration) jobs.Spec {
+// scriptFillerJob returns a job of filler tasks, which use the capacity that others leave.
+func scriptFillerJob(n int, work time.Duration) jobs.Spec {
 	return jobs.Spec{ID: jobID(n), Payload: jobs.Text(fmt.Sprint("payload ", n)), Steps: []jobs.Step{{
 		Count: fillerTasks, Size: models.Resources{CPU: fillerCPU, Memory: 200}, Estimate: models.MilliOf(work),
 		Fills: true, Image: jobs.ImageName(fmt.Sprint("filling-", n%savingImages)),
