--- a/services/cell/act.go
+++ b/services/cell/act.go
@@ -41,26 +41,26 @@
 	case models.ActionSendOffer, models.ActionCancelRemote:
 		// spill.go sends these, many in one call
 	case models.ActionAcknowledge:
-		// follows from the next report, see handleStale
+		// follows from the next report, see handleStaleAttempt
 	}
 }
 
-// begin marks an action as under way; false when it is already. An answer doesn't
+// beginAction marks an action as under way; false when it is already. An answer doesn't
 // end it: what was refused is not taken again before its time.
-func (o *Owner) begin(f flight, now time.Time) bool {
-	if began, ok := o.inFlight[f]; ok && now.Sub(began) < o.again() {
+func (o *Owner) beginAction(f actionKey, now time.Time) bool {
+	if began, ok := o.inFlight[f]; ok && now.Sub(began) < o.retryInterval() {
 		return false
 	}
 	o.inFlight[f] = now
 	return true
 }
 
-// again is after how long an action without answer is taken once more.
-func (o *Owner) again() time.Duration { return o.config.Settings.Renew * 2 }
+// retryInterval is after how long an action without answer is taken once more.
+func (o *Owner) retryInterval() time.Duration { return o.config.Settings.Renew * 2 }
 
 func (o *Owner) sendStart(t models.Task, now time.Time) {
 	l := o.links[t.Worker]
-	if l == nil || o.silent(l, now) || !o.begin(flight{t.ID, t.Attempt, models.ActionStart}, now) {
+	if l == nil || o.isSilent(l, now) || !o.beginAction(actionKey{t.ID, t.Attempt, models.ActionStart}, now) {
 		return
 	}
 	call := models.StartCall{
@@ -69,8 +69,8 @@
 		Kind:       t.Kind, Labels: t.Labels, Size: t.Size, Work: t.Work, Checkpoint: t.Checkpoint,
 		Lease: models.MilliOf(o.config.Settings.Lease), Target: o.targetOf(t),
 	}
-	if !l.offer(startCall{call}) {
-		delete(o.inFlight, flight{t.ID, t.Attempt, models.ActionStart})
+	if !l.enqueue(startCall{call}) {
+		delete(o.inFlight, actionKey{t.ID, t.Attempt, models.ActionStart})
 	}
 }
 
@@ -79,23 +79,23 @@
 }
 
 func (o *Owner) sendStop(l *link, ref models.AttemptRef, checkpoint bool) {
-	f := flight{ref.Task, ref.Attempt, models.ActionStop}
-	if o.frozen || l.incarnation == "" || !o.begin(f, time.Now()) {
+	f := actionKey{ref.Task, ref.Attempt, models.ActionStop}
+	if o.frozen || l.incarnation == "" || !o.beginAction(f, time.Now()) {
 		return
 	}
 	call := models.StopCall{
 		Guard:      models.Guard{Cell: o.config.Cell, Epoch: o.config.Epoch, Incarnation: l.incarnation},
 		AttemptRef: ref, Checkpoint: checkpoint,
 	}
-	if !l.offer(stopCall{call}) {
+	if !l.enqueue(stopCall{call}) {
 		delete(o.inFlight, f)
 	}
 }
 
-// sweepFlights forgets actions that ended without a trace.
-func (o *Owner) sweepFlights(now time.Time) {
+// pruneInFlight forgets actions that ended without a trace.
+func (o *Owner) pruneInFlight(now time.Time) {
 	for f, began := range o.inFlight {
-		if now.Sub(began) > 2*o.again() {
+		if now.Sub(began) > 2*o.retryInterval() {
 			delete(o.inFlight, f)
 		}
 	}
--- a/services/cell/calls.go
+++ b/services/cell/calls.go
@@ -20,9 +20,9 @@
 	case o.frozen || o.superseded:
 		m.reply <- o.refuseCall(m.call)
 	case !m.call.Changes():
-		m.reply <- forwardReply{answer: o.look(m.call)}
+		m.reply <- forwardReply{answer: o.query(m.call)}
 	case o.storeFails.Load():
-		m.reply <- o.fates(m.call, ErrNoStore)
+		m.reply <- o.changeReply(m.call, ErrNoStore)
 	default:
 		o.stage(m)
 	}
@@ -33,7 +33,7 @@
 	if !call.Changes() {
 		return forwardReply{err: ErrNotOwner}
 	}
-	return o.fates(call, ErrNotOwner)
+	return o.changeReply(call, ErrNotOwner)
 }
 
 // stage lets a call wait for the next append. Of submitted jobs it adds those that are new.
@@ -53,8 +53,8 @@
 	return ok || slices.ContainsFunc(o.staged, func(s staged) bool { return s.submits(id) })
 }
 
-// look answers the calls that change nothing.
-func (o *Owner) look(call models.ForwardCall) models.ForwardAnswer {
+// query answers the calls that change nothing.
+func (o *Owner) query(call models.ForwardCall) models.ForwardAnswer {
 	var answer models.ForwardAnswer
 	if call.Jobs {
 		answer.Jobs = slices.SortedFunc(maps.Values(o.working.Jobs), func(a, b models.Job) int {
@@ -67,7 +67,7 @@
 		})
 	}
 	if call.Worker {
-		answer.Workers = o.workerStatus()
+		answer.Workers = o.workerStatuses()
 	}
 	if call.Task != "" {
 		if t, ok := o.working.Tasks[call.Task]; ok {
@@ -78,7 +78,7 @@
 	return answer
 }
 
-func (o *Owner) workerStatus() []models.WorkerStatus {
+func (o *Owner) workerStatuses() []models.WorkerStatus {
 	var statuses []models.WorkerStatus
 	for _, w := range o.workers() {
 		l := o.links[w.VM.ID]
@@ -119,9 +119,9 @@
 func (o *Owner) dump() Dump {
 	d := Dump{
 		Cell: o.config.Cell, Epoch: o.config.Epoch, Sequence: o.sequence, State: o.working.Clone(),
-		Workers: o.workerStatus(), Waiting: o.waiting(), Unsettled: o.unsettled, StoreFails: o.storeFails.Load(),
+		Workers: o.workerStatuses(), Waiting: o.countWaiting(), Unsettled: o.unsettled, StoreFails: o.storeFails.Load(),
 		Counts: o.counts, Holds: map[models.VMID]models.TaskID{}, Throttles: map[models.VMID]map[models.TaskID]int{},
-		Promised: maps.Clone(o.promised), Decisions: o.decisions.all(),
+		Promised: maps.Clone(o.offeredResources), Decisions: o.decisions.all(),
 	}
 	for vm, h := range o.holds {
 		d.Holds[vm] = h.task
@@ -134,8 +134,8 @@
 	return d
 }
 
-// waiting counts the tasks that wait for a place.
-func (o *Owner) waiting() int {
+// countWaiting counts the tasks that wait for a place.
+func (o *Owner) countWaiting() int {
 	n := 0
 	for _, t := range o.working.Tasks {
 		if t.State == models.TaskQueued {
@@ -150,11 +150,11 @@
 
 // publish tells the other daemons of the cell with the next heartbeat.
 func (o *Owner) publish() {
-	if time.Since(o.published) < o.config.Settings.Tick/2 {
+	if time.Since(o.publishedAt) < o.config.Settings.Tick/2 {
 		return
 	}
-	o.published = time.Now()
-	beat := models.CellBeat{Epoch: o.config.Epoch, Teams: o.ownUsage(), Waits: o.waiting()}
+	o.publishedAt = time.Now()
+	beat := models.CellBeat{Epoch: o.config.Epoch, Teams: o.localUsage(), Waits: o.countWaiting()}
 	for _, w := range o.workers() {
 		if !w.Usable {
 			continue
--- a/services/cell/caretaker.go
+++ b/services/cell/caretaker.go
@@ -12,48 +12,48 @@
 	"rillsail.example/rillsail/models"
 )
 
-// maxCareCalls bounds the renewals that a caretaker makes at a time.
-const maxCareCalls = 16
+// maxCaretakerCalls bounds the renewals that a caretaker makes at a time.
+const maxCaretakerCalls = 16
 
-// care renews the leases of all that runs in a cell whose owner is silent and that
+// renewAllWorkers renews the leases of all that runs in a cell whose owner is silent and that
 // can't be taken over, because the store can't be written. It decides nothing: a
 // task that is prolonged can't run twice for it.
-func (m *Manager) care(ctx context.Context, cell models.CellID) {
-	m.noteCaring(cell)
-	calls := pool.New().WithMaxGoroutines(maxCareCalls)
+func (m *Manager) renewAllWorkers(ctx context.Context, cell models.CellID) {
+	m.logCaretaking(cell)
+	calls := pool.New().WithMaxGoroutines(maxCaretakerCalls)
 	for _, vm := range m.config.Inventory.WorkersOf(cell) {
-		calls.Go(func() { m.careFor(ctx, cell, vm) })
+		calls.Go(func() { m.renewWorker(ctx, cell, vm) })
 	}
 	calls.Wait()
 }
 
-func (m *Manager) noteCaring(cell models.CellID) {
+func (m *Manager) logCaretaking(cell models.CellID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.caring[cell] {
-		m.caring[cell] = true
+	if !m.caretakerOf[cell] {
+		m.caretakerOf[cell] = true
 		m.config.Logger.Warn("cell has no owner and the store can't be written; its running tasks are kept alive from here",
 			zap.String("cell", string(cell)))
 	}
 }
 
-// careFor renews at one worker, in the latest epoch known; the worker says when it
+// renewWorker renews at one worker, in the latest epoch known; the worker says when it
 // knows a later one.
-func (m *Manager) careFor(ctx context.Context, cell models.CellID, vm models.VM) {
+func (m *Manager) renewWorker(ctx context.Context, cell models.CellID, vm models.VM) {
 	for range 2 {
-		epoch := m.epochOf(cell, 0)
+		epoch := m.raiseEpoch(cell, 0)
 		answer, err := m.config.Workers.Renew(ctx, vm.Address, models.RenewCall{
 			Guard: models.Guard{Cell: cell, Epoch: epoch}, Lease: models.MilliOf(m.config.Settings.Lease),
 		})
 		if err != nil || answer.Refused != models.RefusedEpoch {
 			return
 		}
-		m.epochOf(cell, answer.Epoch)
+		m.raiseEpoch(cell, answer.Epoch)
 	}
 }
 
-// epochOf is the highest epoch heard of, after hearing of one more.
-func (m *Manager) epochOf(cell models.CellID, heard models.Epoch) models.Epoch {
+// raiseEpoch is the highest epoch heard of, after hearing of one more.
+func (m *Manager) raiseEpoch(cell models.CellID, heard models.Epoch) models.Epoch {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.epochs[cell] = max(m.epochs[cell], heard)
--- a/services/cell/commit.go
+++ b/services/cell/commit.go
@@ -60,9 +60,9 @@
 	return c
 }
 
-// again names the records of a change that was not written, unless newer ones are
+// restore names the records of a change that was not written, unless newer ones are
 // named already.
-func (d dirty) again(c models.CellChange) {
+func (d dirty) restore(c models.CellChange) {
 	for _, t := range c.Tasks {
 		if _, newer := d.tasks[t.ID]; !newer {
 			d.tasks[t.ID] = true
@@ -112,10 +112,10 @@
 	return records
 }
 
-// early tells whether a staged call cancels a job whose submission, by another, isn't
+// cancelsStagedJob tells whether a staged call cancels a job whose submission, by another, isn't
 // journalled yet. It waits for the append after that, so that its answer says what is
 // journalled.
-func (o *Owner) early(call int) bool {
+func (o *Owner) cancelsStagedJob(call int) bool {
 	return slices.ContainsFunc(o.staged[call].call.Cancel, func(id models.JobID) bool {
 		for i, other := range o.staged {
 			if i != call && other.submits(id) {
@@ -139,7 +139,7 @@
 	change := o.dirty.change(o.working)
 	o.dirty = newDirty()
 	for i := range o.staged {
-		if o.early(i) {
+		if o.cancelsStagedJob(i) {
 			continue
 		}
 		o.staged[i].sent = true
@@ -151,7 +151,7 @@
 
 // beginAppend lets an append, or the settling of one, go on beside the loop.
 func (o *Owner) beginAppend(ctx context.Context, change models.CellChange, write appendFunc) {
-	o.appending, o.underWay = true, change
+	o.appending, o.pendingChange = true, change
 	appendContext, cancel := context.WithCancel(ctx)
 	o.cancelAppend = cancel
 	o.group.Go(func() { o.runAppend(ctx, appendContext, change, write) })
@@ -177,9 +177,9 @@
 // runAppend writes one entry and, when its answer is lost, goes on until the
 // journal tells whether it was written, or the append is given up.
 func (o *Owner) runAppend(ctx, appendContext context.Context, change models.CellChange, write appendFunc) {
-	result := resultOf(write(appendContext, change))
+	result := appendResultOf(write(appendContext, change))
 	for {
-		open, ok := result.(appendOpen)
+		open, ok := result.(appendUnknown)
 		if !ok || appendContext.Err() != nil {
 			break
 		}
@@ -187,7 +187,7 @@
 			return
 		}
 		clock.Sleep(appendContext, retryAppend)
-		result = resultOf(o.journal.Settle(appendContext))
+		result = appendResultOf(o.journal.Settle(appendContext))
 	}
 	o.send(ctx, appendedMessage{change: change, result: result})
 }
@@ -197,25 +197,25 @@
 type appendResult interface{ appendResult() }
 
 type (
-	appendDone   struct{}
-	appendFailed struct{ err error } // nothing of it was written
-	appendLost   struct{ err error } // another daemon owns the cell
-	appendOpen   struct{ err error } // it may have been written, or may still be
+	appendDone       struct{}
+	appendFailed     struct{ err error } // nothing of it was written
+	appendSuperseded struct{ err error } // another daemon owns the cell
+	appendUnknown    struct{ err error } // it may have been written, or may still be
 )
 
-func (appendDone) appendResult()   {}
-func (appendFailed) appendResult() {}
-func (appendLost) appendResult()   {}
-func (appendOpen) appendResult()   {}
+func (appendDone) appendResult()       {}
+func (appendFailed) appendResult()     {}
+func (appendSuperseded) appendResult() {}
+func (appendUnknown) appendResult()    {}
 
-func resultOf(err error) appendResult {
+func appendResultOf(err error) appendResult {
 	switch {
 	case err == nil:
 		return appendDone{}
 	case errors.Is(err, journal.ErrPending):
-		return appendOpen{err}
+		return appendUnknown{err}
 	case isSuperseded(err):
-		return appendLost{err}
+		return appendSuperseded{err}
 	default:
 		return appendFailed{err}
 	}
@@ -224,7 +224,7 @@
 // handleUnsettled answers those who wait: nobody knows yet what of their jobs is
 // journalled that is part of the append. What isn't surely won't be.
 func (o *Owner) handleUnsettled(m unsettledMessage) {
-	o.noteStoreFailure(m.err)
+	o.recordStoreFailure(m.err)
 	o.unsettled = true
 	var sent []staged
 	for _, s := range o.staged {
@@ -246,8 +246,8 @@
 	switch r := m.result.(type) {
 	case appendDone:
 		o.endAppend()
-		o.takeAppended(m.change)
-	case appendLost:
+		o.applyAppended(m.change)
+	case appendSuperseded:
 		// An append of unknown fate may have been written and its place in the ring be taken
 		// by later entries, so what it holds stays doubtful.
 		if !o.unsettled {
@@ -257,35 +257,35 @@
 		o.answerStaged(ErrNotOwner)
 	case appendFailed:
 		o.endAppend()
-		o.noteStoreFailure(r.err)
+		o.recordStoreFailure(r.err)
 		o.answerStaged(ErrNoStore)
-		o.takeBack(m.change)
+		o.restoreDirty(m.change)
 		o.nextAppend = time.Now().Add(max(o.config.Settings.Append, retryAppend))
-	case appendOpen:
+	case appendUnknown:
 		// Given up because this owner ends: it stays under way, and what it holds doubtful.
-		o.noteStoreFailure(r.err)
+		o.recordStoreFailure(r.err)
 	}
 }
 
 func (o *Owner) endAppend() {
-	o.appending, o.unsettled, o.underWay = false, false, models.CellChange{}
+	o.appending, o.unsettled, o.pendingChange = false, false, models.CellChange{}
 }
 
-func (o *Owner) takeAppended(change models.CellChange) {
+func (o *Owner) applyAppended(change models.CellChange) {
 	o.config.Scope.Counter("appends").Inc(1)
-	o.cycled = time.Time{} // act on what is journalled at once
+	o.cycledAt = time.Time{} // act on what is journalled at once
 	o.journalled.Apply(change)
 	o.sequence++
-	o.appended()
+	o.applyStaged()
 	o.runWaiters()
 	// The store works again: what was handed over is now taken over properly, in
 	// an epoch whose offers nobody else has seen.
 	o.superseded = o.config.Adopted
 }
 
-// takeBack names the records of a failed append again; staged jobs were never part
+// restoreDirty names the records of a failed append again; staged jobs were never part
 // of the working state and are forgotten.
-func (o *Owner) takeBack(change models.CellChange) {
+func (o *Owner) restoreDirty(change models.CellChange) {
 	var kept []models.Job
 	for _, j := range change.Jobs {
 		if _, ok := o.working.Jobs[j.ID]; ok {
@@ -293,10 +293,10 @@
 		}
 	}
 	change.Jobs = kept
-	o.dirty.again(change)
+	o.dirty.restore(change)
 }
 
-func (o *Owner) appended() {
+func (o *Owner) applyStaged() {
 	if o.storeFails.Load() {
 		o.config.Logger.Info("journal is written again", zap.String("cell", string(o.config.Cell)))
 		o.storeFails.Store(false)
@@ -333,6 +333,6 @@
 
 func (o *Owner) answer(s staged, cause error) {
 	if s.reply != nil {
-		s.reply <- o.fates(s.call, cause)
+		s.reply <- o.changeReply(s.call, cause)
 	}
 }
--- a/services/cell/cycle.go
+++ b/services/cell/cycle.go
@@ -29,8 +29,8 @@
 	o.prune()
 	o.commit(ctx) // journal first
 	o.act()       // then act on what is journalled
-	o.exchange(ctx)
-	o.sweepFlights(time.Now())
+	o.sendPeerCalls(ctx)
+	o.pruneInFlight(time.Now())
 	o.publish()
 }
 
@@ -46,26 +46,26 @@
 		o.start(c, choice)
 		return
 	}
-	if cell, ok := o.otherCell(c.task); ok {
+	if cell, ok := o.chooseCell(c.task); ok {
 		o.offerTo(c, cell)
 		return
 	}
 	if c.task.Kind == models.TaskService || c.task.Urgent {
-		if o.makeWay(c.task, workers) {
+		if o.preempt(c.task, workers) {
 			return
 		}
 	}
 	if choice.Never && !o.anyWorkerCouldHold(c.task) {
 		choice.Reason = "no worker of any cell could hold it even if empty"
 	}
-	o.decide(c.task.ID, "waits", "", choice.Reason)
-	o.noteWaiting(c)
+	o.recordDecision(c.task.ID, "waits", "", choice.Reason)
+	o.skip(c)
 }
 
 func (o *Owner) request(t models.Task, workers []place.Worker) place.Request {
 	if _, pairs := o.policy.(place.Pairs); pairs && t.Kind == models.TaskBatch {
 		for i := range workers {
-			workers[i].Trying = o.trying(workers[i])
+			workers[i].Trying = o.hasUnknownPair(workers[i])
 		}
 	}
 	return place.Request{
@@ -79,7 +79,7 @@
 	o.materialise(c)
 	l := o.links[choice.Worker]
 	if o.step(c.task.ID, models.EventPlace{Worker: choice.Worker, Incarnation: l.incarnation}) {
-		o.decide(c.task.ID, "placed", choice.Worker, choice.Reason)
+		o.recordDecision(c.task.ID, "placed", choice.Worker, choice.Reason)
 	}
 	if held, ok := o.holds[choice.Worker]; ok && held.task == c.task.ID {
 		delete(o.holds, choice.Worker)
@@ -94,7 +94,7 @@
 	job := o.working.Jobs[c.task.Job]
 	job.Next++
 	o.putJob(job)
-	o.put(c.task)
+	o.putTask(c.task)
 }
 
 // workers is the picture of the cell's workers as placement needs it.
@@ -103,10 +103,10 @@
 	view := o.config.View()
 	workers := make([]place.Worker, 0, len(o.links))
 	index := make(map[models.VMID]int, len(o.links))
-	for _, id := range o.linkOrder() {
+	for _, id := range o.sortedLinks() {
 		l := o.links[id]
-		w := place.Worker{VM: l.vm, Free: l.vm.Capacity, OverNow: o.overNow(l)}
-		w.Why = o.unusable(l, view.Drained(id), now)
+		w := place.Worker{VM: l.vm, Free: l.vm.Capacity, OverNow: o.overTarget(l)}
+		w.Why = o.unusableReason(l, view.Drained(id), now)
 		w.Usable = w.Why == ""
 		if h, ok := o.holds[id]; ok && now.Before(h.until) {
 			w.Held = h.task
@@ -123,8 +123,8 @@
 	return workers
 }
 
-// unusable says why nothing new may start on a worker; empty when it may.
-func (o *Owner) unusable(l *link, drained bool, now time.Time) string {
+// unusableReason says why nothing new may start on a worker; empty when it may.
+func (o *Owner) unusableReason(l *link, drained bool, now time.Time) string {
 	listed, _ := o.config.Inventory.Listed(l.vm.ID)
 	switch {
 	case !listed:
@@ -133,7 +133,7 @@
 		return "VM is leaving"
 	case drained:
 		return "VM is drained"
-	case o.silent(l, now):
+	case o.isSilent(l, now):
 		return "worker is silent"
 	case l.incarnation == "":
 		return "worker has not answered yet"
@@ -156,7 +156,7 @@
 func (o *Owner) prune() {
 	now := time.Now()
 	maps.DeleteFunc(o.holds, func(_ models.VMID, h hold) bool { return now.After(h.until) })
-	maps.DeleteFunc(o.misses, func(_ string, until time.Time) bool { return now.After(until) })
+	maps.DeleteFunc(o.skippedUntil, func(_ string, until time.Time) bool { return now.After(until) })
 	o.pruneJobs()
 }
 
--- a/services/cell/decision.go
+++ b/services/cell/decision.go
@@ -10,35 +10,35 @@
 	"rillsail.example/rillsail/modules/ring"
 )
 
-// keptDecisions bounds what an owner remembers for operators.
-const keptDecisions = 512
+// maxDecisions bounds what an owner remembers for operators.
+const maxDecisions = 512
 
 // decisions are the latest decisions with their reasons.
 type decisions struct {
-	latest *ring.Ring[models.Decision]
-	last   map[models.TaskID]models.Decision // of each task, while it is kept
+	latest     *ring.Ring[models.Decision]
+	lastByTask map[models.TaskID]models.Decision // of each task, while it is kept
 }
 
 func newDecisions() decisions {
-	return decisions{latest: ring.New[models.Decision](keptDecisions), last: map[models.TaskID]models.Decision{}}
+	return decisions{latest: ring.New[models.Decision](maxDecisions), lastByTask: map[models.TaskID]models.Decision{}}
 }
 
-// decide notes a decision, unless it only repeats the task's last one.
-func (o *Owner) decide(task models.TaskID, action string, worker models.VMID, reason string) {
+// recordDecision notes a decision, unless it only repeats the task's last one.
+func (o *Owner) recordDecision(task models.TaskID, action string, worker models.VMID, reason string) {
 	o.decisions.add(models.Decision{
 		At: models.UnixMilliOf(time.Now()), Task: task, Action: action, Worker: worker, Reason: reason,
 	})
 }
 
 func (d *decisions) add(decision models.Decision) {
-	if before, ok := d.last[decision.Task]; ok && before.Action == decision.Action &&
+	if before, ok := d.lastByTask[decision.Task]; ok && before.Action == decision.Action &&
 		before.Reason == decision.Reason && before.Worker == decision.Worker {
 		return
 	}
-	if gone, full := d.latest.Add(decision); full && d.last[gone.Task] == gone {
-		delete(d.last, gone.Task)
+	if gone, full := d.latest.Add(decision); full && d.lastByTask[gone.Task] == gone {
+		delete(d.lastByTask, gone.Task)
 	}
-	d.last[decision.Task] = decision
+	d.lastByTask[decision.Task] = decision
 }
 
 // all gives the decisions, the oldest first.
--- a/services/cell/failure.go
+++ b/services/cell/failure.go
@@ -14,8 +14,8 @@
 // Limits of quarantine. A task that fails on several workers is its job's fault; a
 // worker on which many different jobs fail is at fault itself.
 const (
-	quarantineJobs = 3
-	quarantineTime = 10 * time.Minute
+	quarantineJobs     = 3
+	quarantineDuration = 10 * time.Minute
 )
 
 // failureRecord is what failed on a worker since something last succeeded there.
@@ -26,13 +26,13 @@
 
 func newFailureRecord() failureRecord { return failureRecord{jobs: map[models.JobID]bool{}} }
 
-func (f *failureRecord) succeeded() { clear(f.jobs) }
+func (f *failureRecord) reset() { clear(f.jobs) }
 
 func (f *failureRecord) quarantined(now time.Time) bool { return now.Before(f.until) }
 
-// noteFailure quarantines a worker on which different jobs fail one after another.
+// recordFailure quarantines a worker on which different jobs fail one after another.
 // A job that failed elsewhere too says nothing about this worker.
-func (o *Owner) noteFailure(l *link, t models.Task) {
+func (o *Owner) recordFailure(l *link, t models.Task) {
 	if t.Kind != models.TaskBatch || len(t.FailedOn) > 0 {
 		return
 	}
@@ -41,9 +41,9 @@
 	if len(l.failures.jobs) < quarantineJobs || l.failures.quarantined(now) {
 		return
 	}
-	l.failures.until = now.Add(quarantineTime)
-	l.failures.succeeded()
+	l.failures.until = now.Add(quarantineDuration)
+	l.failures.reset()
 	o.config.Scope.Counter("quarantines").Inc(1)
 	o.config.Logger.Warn("worker is quarantined: tasks of different jobs fail there; look at the VM, or wait",
-		zap.String("worker", string(l.vm.ID)), zap.Duration("for", quarantineTime))
+		zap.String("worker", string(l.vm.ID)), zap.Duration("for", quarantineDuration))
 }
--- a/services/cell/handover.go
+++ b/services/cell/handover.go
@@ -29,7 +29,7 @@
 // is handed over with the rest.
 func (o *Owner) freeze(m freezeMessage) {
 	o.frozen = true
-	o.freezing = m.reply
+	o.freezeReply = m.reply
 	if !o.appending {
 		o.finishFreeze()
 		return
@@ -37,7 +37,7 @@
 	o.cancelAppend()
 }
 
-func (o *Owner) finishFreeze() { o.freezing <- o.journal.Export() }
+func (o *Owner) finishFreeze() { o.freezeReply <- o.journal.Export() }
 
 // Release gives up all cells at a planned stop. The members have been told; while
 // the store works, the others take the cells over. What nobody has taken when the
@@ -47,8 +47,8 @@
 	m.releasing = true
 	m.mu.Unlock()
 	deadline := time.Now().Add(wait)
-	for m.someoneMayTake() && time.Now().Before(deadline) {
-		m.leaveSuperseded()
+	for m.peersCanTakeOver() && time.Now().Before(deadline) {
+		m.removeSuperseded()
 		clock.Sleep(ctx, m.config.Every/4)
 	}
 	for _, cell := range m.OwnedCells() {
@@ -57,13 +57,13 @@
 	return nil
 }
 
-// someoneMayTake tells whether a cell is left that a peer can take by itself.
-func (m *Manager) someoneMayTake() bool {
+// peersCanTakeOver tells whether a cell is left that a peer can take by itself.
+func (m *Manager) peersCanTakeOver() bool {
 	if len(m.config.Members.LiveIDs()) == 0 {
 		return false
 	}
 	for _, cell := range m.OwnedCells() {
-		if owner, ok := m.owned(cell); ok && !owner.storeFails.Load() {
+		if owner, ok := m.localOwner(cell); ok && !owner.storeFails.Load() {
 			return true
 		}
 	}
@@ -71,12 +71,12 @@
 }
 
 func (m *Manager) handOver(ctx context.Context, cell models.CellID) {
-	owner, ok := m.owned(cell)
+	owner, ok := m.localOwner(cell)
 	if !ok {
 		return
 	}
 	reply := make(chan models.HandoverCall, 1)
-	state, err := ask(ctx, m, cell, freezeMessage{reply: reply}, reply)
+	state, err := askLocalOwner(ctx, m, cell, freezeMessage{reply: reply}, reply)
 	next, ok := rendezvous.First(string(cell), m.config.Members.LiveIDs())
 	heir, found := m.config.Members.Find(next)
 	if err != nil || state.Epoch == 0 || !ok || !found {
@@ -100,7 +100,7 @@
 // store can be written again, and then takes the cell over in an epoch of its own.
 func (m *Manager) AdoptHere(call models.HandoverCall) (models.HandoverAnswer, error) {
 	m.mu.Lock()
-	life := m.life
+	life := m.runContext
 	refuse := life == nil || m.releasing || m.owners[call.Cell] != nil || m.epochs[call.Cell] > call.Epoch
 	m.mu.Unlock()
 	if refuse {
@@ -112,6 +112,6 @@
 	if err := j.Adopt(call); err != nil {
 		return models.HandoverAnswer{}, errstep.Wrap(err, "adopt cell "+string(call.Cell), string(m.config.Self))
 	}
-	m.own(life, call.Cell, j, true)
+	m.startOwner(life, call.Cell, j, true)
 	return models.HandoverAnswer{Taken: true}, nil
 }
--- a/services/cell/link.go
+++ b/services/cell/link.go
@@ -34,17 +34,17 @@
 	calls  chan workerCall
 	cancel context.CancelFunc
 
-	mu       sync.Mutex
-	address  string
-	paused   bool      // the VM is not listed any more
-	asked    time.Time // when the last call left that may begin or prolong a lease
-	acks     map[models.AttemptRef]bool
-	throttle map[models.TaskID]int
+	mu          sync.Mutex
+	address     string
+	unlisted    bool      // the VM is not listed any more
+	leaseCallAt time.Time // when the last call left that may begin or prolong a lease
+	acks        map[models.AttemptRef]bool
+	throttle    map[models.TaskID]int
 
 	// These belong to the owner's loop.
 	vm          models.VM
 	incarnation models.Incarnation
-	answered    time.Time // last answer of any call
+	answeredAt  time.Time // last answer of any call
 	report      models.RenewAnswer
 	observed    map[models.AttemptRef]uint64 // last lagging figure taken, by attempt
 	shares      map[models.TaskID]int
@@ -61,21 +61,21 @@
 func (startCall) workerCall() {}
 func (stopCall) workerCall()  {}
 
-// linkQueue bounds the calls that wait for one worker; what doesn't fit is tried
+// linkQueueSize bounds the calls that wait for one worker; what doesn't fit is tried
 // again by the owner.
-const linkQueue = 64
+const linkQueueSize = 64
 
 func newLink(config linkConfig) *link {
 	return &link{
-		config: config, vm: config.VM, address: config.VM.Address, calls: make(chan workerCall, linkQueue),
+		config: config, vm: config.VM, address: config.VM.Address, calls: make(chan workerCall, linkQueueSize),
 		acks: map[models.AttemptRef]bool{}, throttle: map[models.TaskID]int{},
 		observed: map[models.AttemptRef]uint64{}, shares: map[models.TaskID]int{},
-		answered: time.Now(), failures: newFailureRecord(),
+		answeredAt: time.Now(), failures: newFailureRecord(),
 	}
 }
 
-// offer hands a call to the link; false when too many wait.
-func (l *link) offer(call workerCall) bool {
+// enqueue hands a call to the link; false when too many wait.
+func (l *link) enqueue(call workerCall) bool {
 	select {
 	case l.calls <- call:
 		return true
@@ -84,9 +84,9 @@
 	}
 }
 
-// retryRenewal is how much sooner than usual a renewal without answer is repeated, so
+// renewRetryDivisor is how much sooner than usual a renewal without answer is repeated, so
 // that a few lost messages don't look like a silent worker.
-const retryRenewal = 4
+const renewRetryDivisor = 4
 
 func (l *link) loop(ctx context.Context) {
 	timer := time.NewTimer(0)
@@ -98,7 +98,7 @@
 		case <-timer.C:
 			next := l.config.Renew
 			if !l.renew(ctx) {
-				next /= retryRenewal
+				next /= renewRetryDivisor
 			}
 			timer.Reset(next)
 		case call := <-l.calls:
@@ -108,7 +108,7 @@
 }
 
 func (l *link) perform(ctx context.Context, call workerCall) {
-	address := l.target()
+	address := l.currentAddress()
 	switch c := call.(type) {
 	case startCall:
 		answer, err := l.start(ctx, address, c.StartCall)
@@ -123,46 +123,46 @@
 var errUnlisted = errors.New("the VM is not listed any more")
 
 func (l *link) start(ctx context.Context, address string, call models.StartCall) (models.StartAnswer, error) {
-	if !l.mayAsk() {
+	if !l.beginLeaseCall() {
 		return models.StartAnswer{}, errstep.Wrap(errUnlisted, "start task", string(l.config.VM.ID))
 	}
 	return l.config.Workers.Start(ctx, address, call)
 }
 
-// mayAsk notes that a call leaves that brings a lease; false while the VM is not listed, for
+// beginLeaseCall notes that a call leaves that brings a lease; false while the VM is not listed, for
 // the proof that nothing runs there needs a whole lease without such a call.
-func (l *link) mayAsk() bool {
+func (l *link) beginLeaseCall() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.paused {
+	if l.unlisted {
 		return false
 	}
-	l.asked = time.Now()
+	l.leaseCallAt = time.Now()
 	return true
 }
 
-func (l *link) lastAsked() time.Time {
+func (l *link) lastLeaseCall() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.asked
+	return l.leaseCallAt
 }
 
 // renew prolongs the leases; false when no answer came.
 func (l *link) renew(ctx context.Context) bool {
-	if !l.mayAsk() {
+	if !l.beginLeaseCall() {
 		return true
 	}
-	call := l.renewal()
-	answer, err := l.config.Workers.Renew(ctx, l.target(), call)
+	call := l.nextRenewCall()
+	answer, err := l.config.Workers.Renew(ctx, l.currentAddress(), call)
 	l.config.Send(ctx, renewedMessage{vm: l.config.VM.ID, answer: answer, err: err})
 	if err == nil && answer.Refused == "" {
-		l.acknowledged(call.Acknowledge)
+		l.clearAcks(call.Acknowledge)
 	}
 	return err == nil
 }
 
-// renewal makes the next call.
-func (l *link) renewal() models.RenewCall {
+// nextRenewCall makes the next call.
+func (l *link) nextRenewCall() models.RenewCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	call := models.RenewCall{
@@ -176,7 +176,7 @@
 	return call
 }
 
-func (l *link) acknowledged(refs []models.AttemptRef) {
+func (l *link) clearAcks(refs []models.AttemptRef) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, ref := range refs {
@@ -184,7 +184,7 @@
 	}
 }
 
-func (l *link) target() string {
+func (l *link) currentAddress() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.address
@@ -208,7 +208,7 @@
 func (l *link) setListed(vm models.VM, listed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.paused = !listed
+	l.unlisted = !listed
 	if listed {
 		l.address = vm.Address
 	}
--- a/services/cell/manager.go
+++ b/services/cell/manager.go
@@ -54,17 +54,17 @@
 	group  conc.WaitGroup
 	nudge  chan struct{}
 
-	mu        sync.Mutex
-	owners    map[models.CellID]*owned
-	taking    map[models.CellID]bool
-	epochs    map[models.CellID]models.Epoch // highest heard of
-	holdOffs  map[models.CellID]holdOff
-	caring    map[models.CellID]bool // caretaker of, as last logged
-	releasing bool
-	life      context.Context // of all owners; set by Run
+	mu          sync.Mutex
+	owners      map[models.CellID]*runningOwner
+	takeovers   map[models.CellID]bool
+	epochs      map[models.CellID]models.Epoch // highest heard of
+	holdOffs    map[models.CellID]holdOff
+	caretakerOf map[models.CellID]bool // caretaker of, as last logged
+	releasing   bool
+	runContext  context.Context // of all owners; set by Run
 }
 
-type owned struct {
+type runningOwner struct {
 	owner  *Owner
 	cancel context.CancelFunc
 }
@@ -83,16 +83,16 @@
 func NewManager(c ManagerConfig) *Manager {
 	return &Manager{
 		config: c, nudge: make(chan struct{}, 1),
-		owners: map[models.CellID]*owned{}, taking: map[models.CellID]bool{},
+		owners: map[models.CellID]*runningOwner{}, takeovers: map[models.CellID]bool{},
 		epochs: map[models.CellID]models.Epoch{}, holdOffs: map[models.CellID]holdOff{},
-		caring: map[models.CellID]bool{},
+		caretakerOf: map[models.CellID]bool{},
 	}
 }
 
 // Run takes and leaves cells until ctx ends, and then waits for the owners to end.
 func (m *Manager) Run(ctx context.Context) {
 	m.mu.Lock()
-	m.life = ctx
+	m.runContext = ctx
 	m.mu.Unlock()
 	m.loop(ctx)
 	m.group.Wait()
@@ -102,7 +102,7 @@
 	ticker := time.NewTicker(m.config.Every)
 	defer ticker.Stop()
 	for {
-		m.tick(ctx)
+		m.reconcile(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -120,10 +120,10 @@
 	}
 }
 
-// tick looks at each cell: who should own it, who does, and what follows.
-func (m *Manager) tick(ctx context.Context) {
-	m.leaveSuperseded()
-	m.noteEpochs()
+// reconcile looks at each cell: who should own it, who does, and what follows.
+func (m *Manager) reconcile(ctx context.Context) {
+	m.removeSuperseded()
+	m.recordEpochs()
 	members := m.config.Members
 	if !members.Settled() || !members.HearsMost() {
 		return
@@ -131,15 +131,15 @@
 	live := members.LiveIDs()
 	for _, cell := range slices.Sorted(maps.Keys(m.config.Inventory.Cells().Cells)) {
 		preferred, ok := rendezvous.First(string(cell), live)
-		if ok && preferred == m.config.Self && m.mayTake(cell) {
-			m.group.Go(func() { m.runTake(ctx, cell) })
+		if ok && preferred == m.config.Self && m.beginTakeover(cell) {
+			m.group.Go(func() { m.takeOver(ctx, cell) })
 		}
 	}
 }
 
-// leaveSuperseded drops owners that have ended, and ends those that another daemon
+// removeSuperseded drops owners that have ended, and ends those that another daemon
 // has superseded, which an owner without changes to write doesn't notice.
-func (m *Manager) leaveSuperseded() {
+func (m *Manager) removeSuperseded() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for cell, own := range m.owners {
@@ -169,7 +169,7 @@
 	m.holdOffs[cell] = h
 }
 
-func (m *Manager) noteEpochs() {
+func (m *Manager) recordEpochs() {
 	beats := m.config.Members.Beats()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -180,56 +180,56 @@
 	}
 }
 
-// mayTake tells whether a takeover may begin now, and marks it as begun.
-func (m *Manager) mayTake(cell models.CellID) bool {
+// beginTakeover tells whether a takeover may begin now, and marks it as begun.
+func (m *Manager) beginTakeover(cell models.CellID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.releasing || m.owners[cell] != nil || m.taking[cell] || time.Now().Before(m.holdOffs[cell].until) {
+	if m.releasing || m.owners[cell] != nil || m.takeovers[cell] || time.Now().Before(m.holdOffs[cell].until) {
 		return false
 	}
-	m.taking[cell] = true
+	m.takeovers[cell] = true
 	return true
 }
 
-// runTake takes a cell over, or takes care of it when the store can't be written.
-func (m *Manager) runTake(ctx context.Context, cell models.CellID) {
-	defer m.endTaking(cell)
+// takeOver takes a cell over, or takes care of it when the store can't be written.
+func (m *Manager) takeOver(ctx context.Context, cell models.CellID) {
+	defer m.endTakeover(cell)
 	j := journal.New(journal.Config{
 		Store: m.config.Store, Cell: cell, Writer: m.config.Self, Slots: m.config.Settings.RingSlots, NewID: m.config.NewID,
 	})
 	err := j.Take(ctx)
 	for errors.Is(err, journal.ErrPending) && ctx.Err() == nil {
-		m.care(ctx, cell)
+		m.renewAllWorkers(ctx, cell)
 		clock.Sleep(ctx, retryAppend)
 		err = j.Settle(ctx)
 	}
 	switch {
 	case err == nil:
-		m.own(ctx, cell, j, false)
+		m.startOwner(ctx, cell, j, false)
 	case isSuperseded(err):
 		m.config.Scope.Counter("takeovers_lost").Inc(1)
 	default:
 		m.config.Scope.Counter("takeovers_failed").Inc(1)
-		m.noteDamage(cell, err)
-		m.care(ctx, cell)
+		m.logDamagedJournal(cell, err)
+		m.renewAllWorkers(ctx, cell)
 	}
 }
 
-func (m *Manager) noteDamage(cell models.CellID, err error) {
+func (m *Manager) logDamagedJournal(cell models.CellID, err error) {
 	if errors.Is(err, journal.ErrDamaged) {
 		m.config.Logger.Error("journal can't be read; nothing is decided for the cell until it is repaired",
 			append(log.Err(err), zap.String("cell", string(cell)))...)
 	}
 }
 
-func (m *Manager) endTaking(cell models.CellID) {
+func (m *Manager) endTakeover(cell models.CellID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.taking, cell)
+	delete(m.takeovers, cell)
 }
 
-// own runs the owner of a cell whose journal has just been taken or adopted.
-func (m *Manager) own(ctx context.Context, cell models.CellID, j *journal.Journal, adopted bool) {
+// startOwner runs the owner of a cell whose journal has just been taken or adopted.
+func (m *Manager) startOwner(ctx context.Context, cell models.CellID, j *journal.Journal, adopted bool) {
 	owner := NewOwner(OwnerConfig{
 		Adopted: adopted, Cell: cell, Epoch: j.Epoch(), Settings: m.config.Settings, Journal: j, Workers: m.config.Workers,
 		Inventory: m.config.Inventory, View: m.config.View, Peers: m, Learner: m.config.Learner,
@@ -237,9 +237,9 @@
 	})
 	ownerContext, cancel := context.WithCancel(ctx)
 	m.mu.Lock()
-	m.owners[cell] = &owned{owner: owner, cancel: cancel}
+	m.owners[cell] = &runningOwner{owner: owner, cancel: cancel}
 	m.epochs[cell] = j.Epoch()
-	m.caring[cell] = false
+	m.caretakerOf[cell] = false
 	m.mu.Unlock()
 	m.config.Logger.Info("cell is owned here", zap.String("cell", string(cell)),
 		zap.Uint64("epoch", uint64(j.Epoch())), zap.Int("tasks", len(j.State().Tasks)))
@@ -248,7 +248,7 @@
 }
 
 // Owned gives this daemon's owner of a cell.
-func (m *Manager) owned(cell models.CellID) (*Owner, bool) {
+func (m *Manager) localOwner(cell models.CellID) (*Owner, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	own, ok := m.owners[cell]
@@ -301,7 +301,7 @@
 func (m *Manager) Dump(ctx context.Context) []Dump {
 	var dumps []Dump
 	for _, cell := range m.OwnedCells() {
-		owner, ok := m.owned(cell)
+		owner, ok := m.localOwner(cell)
 		if !ok {
 			continue
 		}
--- a/services/cell/measure_test.go
+++ b/services/cell/measure_test.go
@@ -68,20 +68,20 @@
 // Headroom implements place.Predictor: the latency alone is half the target.
 func (o oracle) Headroom(map[string]string) (float64, bool) { return 1, true }
 
-// figures are the three that users measure.
-type figures struct {
-	over      float64 // share of service time over target
-	finished  int64
-	evictions int64
-	throttles int64
-	failed    int64
-	most      int // evictions of one task
+// trialFigures are the three that users measure.
+type trialFigures struct {
+	overTarget    float64 // share of service time over target
+	finished      int64
+	evictions     int64
+	throttles     int64
+	failed        int64
+	mostEvictions int // evictions of one task
 }
 
-func (t trial) run(tt *testing.T) figures {
+func (t trial) run(tt *testing.T) trialFigures {
 	tt.Helper()
-	var f figures
-	failure := in(tt, func(tt *testing.T, v *verdict) {
+	var f trialFigures
+	failure := runInBubble(tt, func(tt *testing.T, v *verdict) {
 		table := newTable(t.seed)
 		settings := trialSettings
 		settings.Policy = t.policy
@@ -95,14 +95,14 @@
 				return oracle{interference.New(interference.Config{}), table.now}
 			}
 		}
-		f = t.drive(w, table)
+		f = t.runLoad(w, table)
 	})
 	require.Empty(tt, failure)
 	return f
 }
 
-// drive feeds the cell for the trial's time.
-func (t trial) drive(w *world, table *trialTable) figures {
+// runLoad feeds the cell for the trial's time.
+func (t trial) runLoad(w *world, table *trialTable) trialFigures {
 	objects := []models.Object{models.Team{Name: "office"}}
 	for s := range trialServices {
 		objects = append(objects, models.Service{
@@ -111,9 +111,9 @@
 		})
 	}
 	w.setView(viewOf(2, objects...))
-	o, err := w.take(0, trialCell)
+	o, err := w.takeOver(0, trialCell)
 	require.NoError(w.t, err)
-	w.after(20 * time.Second)
+	w.advance(20 * time.Second)
 	if t.faulty {
 		require.NoError(w.t, w.fleet.Apply(fleet.Control{VM: "worker-0", Action: fleet.ActionFaulty}))
 	}
@@ -122,7 +122,7 @@
 		require.NoError(w.t, err)
 	}
 	if t.lossy {
-		w.set(func(f *worldFaults) { f.lossy = rand.New(rand.NewPCG(t.seed, 4)) })
+		w.setFaults(func(f *worldFaults) { f.lossyReplies = rand.New(rand.NewPCG(t.seed, 4)) })
 	}
 	before := w.fleet.Audit()
 	steps := t.minutes * 6
@@ -131,7 +131,7 @@
 			table.set(drawTable(t.seed + 1000))
 		}
 		t.feed(w, o, step)
-		w.after(10 * time.Second)
+		w.advance(10 * time.Second)
 	}
 	return t.count(w, o, before)
 }
@@ -161,20 +161,20 @@
 	}
 }
 
-func (t trial) count(w *world, o *testOwner, before fleet.Audit) figures {
+func (t trial) count(w *world, o *testOwner, before fleet.Audit) trialFigures {
 	after := w.fleet.Audit()
-	f := figures{
-		over:     float64(after.SlowSamples-before.SlowSamples) / float64(max(1, after.Samples-before.Samples)),
-		finished: after.Finished - before.Finished, failed: after.Failed - before.Failed, evictions: o.counts.Evictions, throttles: o.counts.Throttles,
+	f := trialFigures{
+		overTarget: float64(after.SlowSamples-before.SlowSamples) / float64(max(1, after.Samples-before.Samples)),
+		finished:   after.Finished - before.Finished, failed: after.Failed - before.Failed, evictions: o.counts.Evictions, throttles: o.counts.Throttles,
 	}
 	for _, task := range o.working.Tasks {
-		f.most = max(f.most, task.Evictions)
+		f.mostEvictions = max(f.mostEvictions, task.Evictions)
 	}
 	return f
 }
 
-// variants are the policies under comparison, the baselines first.
-var variants = []struct {
+// policyVariants are the policies under comparison, the baselines first.
+var policyVariants = []struct {
 	name string
 	trial
 }{
@@ -187,15 +187,15 @@
 // TestPairsKeepTargets compares the policies on one table: pairs keeps services
 // nearer to their targets than the baselines and still finishes most of the work.
 func TestPairsKeepTargets(t *testing.T) {
-	results := map[string]figures{}
-	for _, v := range variants {
+	results := map[string]trialFigures{}
+	for _, v := range policyVariants {
 		v.seed, v.minutes = 1, 4
 		results[v.name] = v.run(t)
 	}
-	assert.Less(t, results["pairs"].over, results["feedback"].over)
-	assert.Less(t, results["pairs"].over, results["first fit"].over/2)
+	assert.Less(t, results["pairs"].overTarget, results["feedback"].overTarget)
+	assert.Less(t, results["pairs"].overTarget, results["first fit"].overTarget/2)
 	assert.Greater(t, results["pairs"].finished, results["first fit"].finished/2)
-	assert.LessOrEqual(t, results["pairs"].most, maxEvictions)
+	assert.LessOrEqual(t, results["pairs"].mostEvictions, maxEvictions)
 }
 
 // quarantineFailures is how many tasks may fail before the worker is quarantined:
@@ -234,8 +234,8 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "| scene | policy | service time over target %%: median (least to most) | batch tasks finished | evictions | throttles | most evictions of a task |\n|---|---|---|---|---|---|---|\n")
 	for _, s := range scenes {
-		for _, v := range variants {
-			var runs []figures
+		for _, v := range policyVariants {
+			var runs []trialFigures
 			for _, seed := range seeds {
 				v.seed, v.minutes = seed, minutes
 				s.change(&v.trial)
@@ -251,8 +251,8 @@
 	require.NoError(t, os.WriteFile(*measureTo, []byte(b.String()), 0o600))
 }
 
-func row(runs []figures) string {
-	column := func(value func(figures) float64) []float64 {
+func row(runs []trialFigures) string {
+	column := func(value func(trialFigures) float64) []float64 {
 		values := make([]float64, len(runs))
 		for i, f := range runs {
 			values[i] = value(f)
@@ -264,11 +264,11 @@
 		}
 		return values
 	}
-	over := column(func(f figures) float64 { return 100 * f.over })
+	over := column(func(f trialFigures) float64 { return 100 * f.overTarget })
 	middle := func(values []float64) float64 { return values[len(values)/2] }
 	return fmt.Sprintf("%.1f (%.1f to %.1f) | %.0f | %.0f | %.0f | %.0f", middle(over), over[0], over[len(over)-1],
-		middle(column(func(f figures) float64 { return float64(f.finished) })),
-		middle(column(func(f figures) float64 { return float64(f.evictions) })),
-		middle(column(func(f figures) float64 { return float64(f.throttles) })),
-		middle(column(func(f figures) float64 { return float64(f.most) })))
+		middle(column(func(f trialFigures) float64 { return float64(f.finished) })),
+		middle(column(func(f trialFigures) float64 { return float64(f.evictions) })),
+		middle(column(func(f trialFigures) float64 { return float64(f.throttles) })),
+		middle(column(func(f trialFigures) float64 { return float64(f.mostEvictions) })))
 }
--- a/services/cell/message.go
+++ b/services/cell/message.go
@@ -113,9 +113,9 @@
 // refusalErrors are those that say that nothing was done.
 var refusalErrors = []error{ErrNotOwner, ErrNoStore, ErrOtherSpec, ErrWrong, ErrNoJob}
 
-// surely makes of any error one that says that nothing was done, and why. The classes that
+// asRefusal makes of any error one that says that nothing was done, and why. The classes that
 // err had are hidden, so that it can't say ErrMaybe, or another refusal, besides.
-func surely(err, refusal error) error { return errclass.Only(err, refusal) }
+func asRefusal(err, refusal error) error { return errclass.Only(err, refusal) }
 
-// maybe makes of any error one that says only that what was asked for may have been done.
-func maybe(err error) error { return errclass.Only(err, ErrMaybe) }
+// asUnknownOutcome makes of any error one that says only that what was asked for may have been done.
+func asUnknownOutcome(err error) error { return errclass.Only(err, ErrMaybe) }
--- a/services/cell/observe.go
+++ b/services/cell/observe.go
@@ -27,29 +27,31 @@
 		}
 		l := o.links[t.Worker]
 		switch {
-		case o.provedGone(t.Worker, l, now):
+		case o.provedNotRunning(t.Worker, l, now):
 			o.step(t.ID, models.EventWorkerGone{Reason: "VM " + string(t.Worker) + " is gone"})
-		case l == nil || o.silent(l, now):
+		case l == nil || o.isSilent(l, now):
 			if o.step(t.ID, models.EventUnreachable{}) {
-				o.decide(t.ID, "lost", t.Worker, "the worker has not answered for "+o.silence().String())
+				o.recordDecision(t.ID, "lost", t.Worker, "the worker has not answered for "+o.silenceLimit().String())
 			}
 		}
 	}
 }
 
-func (o *Owner) silence() time.Duration { return silentRenewals * o.config.Settings.Renew }
+func (o *Owner) silenceLimit() time.Duration { return silentRenewals * o.config.Settings.Renew }
 
-func (o *Owner) silent(l *link, now time.Time) bool { return now.Sub(l.answered) > o.silence() }
+func (o *Owner) isSilent(l *link, now time.Time) bool {
+	return now.Sub(l.answeredAt) > o.silenceLimit()
+}
 
-// provedGone tells whether nothing can run on the VM any more: the list has dropped
+// provedNotRunning tells whether nothing can run on the VM any more: the list has dropped
 // it, and for a whole lease since nobody here has started or renewed anything there.
-func (o *Owner) provedGone(vm models.VMID, l *link, now time.Time) bool {
+func (o *Owner) provedNotRunning(vm models.VMID, l *link, now time.Time) bool {
 	listed, since := o.config.Inventory.Listed(vm)
 	if listed {
 		return false
 	}
-	if l != nil && l.lastAsked().After(since) {
-		since = l.lastAsked()
+	if l != nil && l.lastLeaseCall().After(since) {
+		since = l.lastLeaseCall()
 	}
 	return now.Sub(since) > o.config.Settings.Lease
 }
@@ -119,24 +121,24 @@
 		return
 	}
 	if m.answer.Refused == models.RefusedEpoch {
-		o.suspect(m.answer.Epoch)
+		o.suspectSuperseded(m.answer.Epoch)
 		return
 	}
-	l.answered = time.Now()
-	o.noteIncarnation(l, m.answer.Incarnation)
+	l.answeredAt = time.Now()
+	o.updateIncarnation(l, m.answer.Incarnation)
 	l.report = m.answer
 	seen := map[models.TaskID]bool{}
 	for _, r := range m.answer.Attempts {
 		seen[r.Task] = true
 		o.handleAttempt(l, r)
 	}
-	o.stopUnseen(l, seen)
-	o.learn(l)
+	o.stopUnreported(l, seen)
+	o.processLatencies(l)
 }
 
-// noteIncarnation draws the consequence of a worker that has begun anew: what its
+// updateIncarnation draws the consequence of a worker that has begun anew: what its
 // former self ran is over.
-func (o *Owner) noteIncarnation(l *link, incarnation models.Incarnation) {
+func (o *Owner) updateIncarnation(l *link, incarnation models.Incarnation) {
 	if l.incarnation == incarnation {
 		return
 	}
@@ -152,23 +154,23 @@
 func (o *Owner) handleAttempt(l *link, r models.AttemptReport) {
 	t, ok := o.working.Tasks[r.Task]
 	if !ok || t.Attempt != r.Attempt || !t.HoldsRoom() || t.Worker != l.vm.ID {
-		o.handleStale(l, r)
+		o.handleStaleAttempt(l, r)
 		return
 	}
-	o.take(l, t, r)
+	o.applyReport(l, t, r)
 }
 
-// take moves a task on by what its worker says of the current attempt.
-func (o *Owner) take(l *link, t models.Task, r models.AttemptReport) {
+// applyReport moves a task on by what its worker says of the current attempt.
+func (o *Owner) applyReport(l *link, t models.Task, r models.AttemptReport) {
 	switch r.Status {
 	case models.StatusRunning:
 		o.step(t.ID, models.EventStarted{Attempt: r.Attempt})
 	case models.StatusFinished:
 		o.step(t.ID, models.EventFinished{Attempt: r.Attempt, Success: true})
-		l.failures.succeeded()
+		l.failures.reset()
 	case models.StatusFailed:
 		o.step(t.ID, models.EventFinished{Attempt: r.Attempt, Reason: r.Reason})
-		o.noteFailure(l, t)
+		o.recordFailure(l, t)
 	case models.StatusStopped:
 		o.step(t.ID, models.EventStopped{Attempt: r.Attempt, Checkpoint: r.Checkpoint})
 	case models.StatusNeverBegan:
@@ -176,10 +178,10 @@
 	}
 }
 
-// handleStale deals with an attempt that is not the current one of any task here:
+// handleStaleAttempt deals with an attempt that is not the current one of any task here:
 // one that runs is stopped, one that has ended may be forgotten once the journal
 // no longer waits for it.
-func (o *Owner) handleStale(l *link, r models.AttemptReport) {
+func (o *Owner) handleStaleAttempt(l *link, r models.AttemptReport) {
 	if r.Status == models.StatusRunning {
 		o.sendStop(l, r.AttemptRef, false)
 		return
@@ -190,9 +192,9 @@
 	}
 }
 
-// stopUnseen bars the attempts that the worker should run and doesn't report. Only
+// stopUnreported bars the attempts that the worker should run and doesn't report. Only
 // its answer to the stop is a proof.
-func (o *Owner) stopUnseen(l *link, seen map[models.TaskID]bool) {
+func (o *Owner) stopUnreported(l *link, seen map[models.TaskID]bool) {
 	for _, t := range o.working.Tasks {
 		if t.Worker != l.vm.ID || seen[t.ID] {
 			continue
@@ -209,7 +211,7 @@
 		o.config.Scope.Counter("starts_unanswered").Inc(1)
 		return
 	}
-	l.answered = time.Now()
+	l.answeredAt = time.Now()
 	never := models.EventNeverBegan{Attempt: m.ref.Attempt}
 	switch m.answer.Refused {
 	case "":
@@ -218,9 +220,9 @@
 			o.config.Scope.Counter("tasks_started").Inc(1)
 		}
 	case models.RefusedEpoch:
-		o.suspect(m.answer.Epoch)
+		o.suspectSuperseded(m.answer.Epoch)
 	case models.RefusedIncarnation:
-		o.noteIncarnation(l, m.answer.Incarnation)
+		o.updateIncarnation(l, m.answer.Incarnation)
 	case models.RefusedRoom:
 		never.Reason = "the worker says it has no room"
 		o.step(m.ref.Task, never)
@@ -234,21 +236,21 @@
 	if m.err != nil || l == nil {
 		return
 	}
-	l.answered = time.Now()
+	l.answeredAt = time.Now()
 	switch m.answer.Refused {
 	case "":
 		o.handleAttempt(l, m.answer.Report)
 	case models.RefusedEpoch:
 		o.config.Scope.Counter("stops_refused").Inc(1)
 	case models.RefusedIncarnation:
-		o.noteIncarnation(l, m.answer.Incarnation)
+		o.updateIncarnation(l, m.answer.Incarnation)
 	case models.RefusedBarred, models.RefusedAttempt, models.RefusedRoom:
 	}
 }
 
-// suspect notes that a worker has heard of a later epoch. The journal knows who
+// suspectSuperseded notes that a worker has heard of a later epoch. The journal knows who
 // owns the cell: writing anything to it tells.
-func (o *Owner) suspect(epoch models.Epoch) {
+func (o *Owner) suspectSuperseded(epoch models.Epoch) {
 	if epoch <= o.config.Epoch || o.appending {
 		return
 	}
--- a/services/cell/owner.go
+++ b/services/cell/owner.go
@@ -86,50 +86,50 @@
 	done      chan struct{} // closed when the loop has ended and nothing more is answered
 
 	// The state, and what waits for the journal.
-	working      models.CellState // what the journal will hold
-	journalled   models.CellState // what it holds
-	sequence     models.Sequence  // of the last entry known to be journalled
-	dirty        dirty
-	staged       []staged      // operators' calls that wait for the next append
-	waiters      []func() bool // other cells' calls that wait for the journal
-	appending    bool
-	underWay     models.CellChange // what it holds; kept when this owner ends without knowing its fate
-	unsettled    bool              // the store hasn't said whether the last append was written
-	cancelAppend context.CancelFunc
-	nextAppend   time.Time
-	storeFails   atomic.Bool // the last append failed; other goroutines read it too
+	working       models.CellState // what the journal will hold
+	journalled    models.CellState // what it holds
+	sequence      models.Sequence  // of the last entry known to be journalled
+	dirty         dirty
+	staged        []staged      // operators' calls that wait for the next append
+	waiters       []func() bool // other cells' calls that wait for the journal
+	appending     bool
+	pendingChange models.CellChange // what it holds; kept when this owner ends without knowing its fate
+	unsettled     bool              // the store hasn't said whether the last append was written
+	cancelAppend  context.CancelFunc
+	nextAppend    time.Time
+	storeFails    atomic.Bool // the last append failed; other goroutines read it too
 
 	// The end of the owner.
-	superseded bool
-	frozen     bool                       // handed over: does nothing more
-	freezing   chan<- models.HandoverCall // gets the state once the append has been given up
+	superseded  bool
+	frozen      bool                       // handed over: does nothing more
+	freezeReply chan<- models.HandoverCall // gets the state once the append has been given up
 
 	// The workers.
-	links             map[models.VMID]*link
-	group             conc.WaitGroup // links and calls in flight
-	inFlight          map[flight]time.Time
-	holds             map[models.VMID]hold
-	actedAt           map[models.VMID]time.Time // when the last action against slowness was taken
-	neighboursChanged map[models.VMID]time.Time // when the batch tasks there last changed
+	links               map[models.VMID]*link
+	group               conc.WaitGroup // links and calls in flight
+	inFlight            map[actionKey]time.Time
+	holds               map[models.VMID]hold
+	mitigatedAt         map[models.VMID]time.Time // when the last action against slowness was taken
+	neighboursChangedAt map[models.VMID]time.Time // when the batch tasks there last changed
 
 	// The queue and the services.
-	misses    map[string]time.Time // until when a job or task that did not fit is passed over
-	homed     homed
-	decisions decisions
+	skippedUntil map[string]time.Time // until when a job or task that did not fit is passed over
+	homeCache    homeCache
+	decisions    decisions
 
 	// The other cells.
-	offersSeen map[models.TaskID]models.Attempt   // in this epoch
-	promised   map[models.CellID]models.Resources // offered to other cells, answer open
-	refusals   map[models.CellID]time.Time        // until when no offers go there
-	retired    map[models.TaskID]bool             // whose homes were told that they are lost
-	beat       atomic.Pointer[models.CellBeat]
-	published  time.Time
+	offersSeen         map[models.TaskID]models.Attempt   // in this epoch
+	offeredResources   map[models.CellID]models.Resources // offered to other cells, answer open
+	offersBlockedUntil map[models.CellID]time.Time        // until when no offers go there
+	lossReported       map[models.TaskID]bool             // whose homes were told that they are lost
+	beat               atomic.Pointer[models.CellBeat]
+	publishedAt        time.Time
 
 	// The pace of the loop.
-	wake   *time.Timer
-	wakeAt time.Time // zero: not set
-	cycled time.Time
-	counts Counts
+	wake     *time.Timer
+	wakeAt   time.Time // zero: not set
+	cycledAt time.Time
+	counts   Counts
 }
 
 // hold keeps room on a worker for a task while others are evicted for it.
@@ -138,8 +138,8 @@
 	until time.Time
 }
 
-// flight is an action that is under way.
-type flight struct {
+// actionKey is an action that is under way.
+type actionKey struct {
 	task    models.TaskID
 	attempt models.Attempt
 	action  models.TaskAction
@@ -164,12 +164,12 @@
 		config: c, journal: c.Journal, policy: place.PolicyOf(c.Settings.Policy), selectors: selector.New(),
 		inbox: make(chan message, inboxSize), done: make(chan struct{}),
 		working: c.Journal.State().Clone(), journalled: c.Journal.State().Clone(), dirty: newDirty(),
-		links: map[models.VMID]*link{}, inFlight: map[flight]time.Time{},
-		offersSeen: map[models.TaskID]models.Attempt{}, retired: map[models.TaskID]bool{},
-		holds: map[models.VMID]hold{}, actedAt: map[models.VMID]time.Time{},
-		neighboursChanged: map[models.VMID]time.Time{}, sequence: c.Journal.Sequence(),
-		decisions: newDecisions(), misses: map[string]time.Time{}, promised: map[models.CellID]models.Resources{},
-		refusals: map[models.CellID]time.Time{},
+		links: map[models.VMID]*link{}, inFlight: map[actionKey]time.Time{},
+		offersSeen: map[models.TaskID]models.Attempt{}, lossReported: map[models.TaskID]bool{},
+		holds: map[models.VMID]hold{}, mitigatedAt: map[models.VMID]time.Time{},
+		neighboursChangedAt: map[models.VMID]time.Time{}, sequence: c.Journal.Sequence(),
+		decisions: newDecisions(), skippedUntil: map[string]time.Time{}, offeredResources: map[models.CellID]models.Resources{},
+		offersBlockedUntil: map[models.CellID]time.Time{},
 	}
 	if c.Adopted {
 		o.storeFails.Store(true) // cells are handed over only while it does
@@ -182,7 +182,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	o.loop(ctx)
 	cancel()
-	o.refuseWaiting()
+	o.refusePending()
 	close(o.done) // from now on nobody waits for a reply
 	o.group.Wait()
 }
@@ -200,7 +200,7 @@
 			return
 		case m := <-o.inbox:
 			o.handle(m)
-			o.handleWaiting()
+			o.drainInbox()
 		case <-ticker.C:
 		case <-o.wake.C:
 			o.wakeAt = time.Time{}
@@ -209,16 +209,16 @@
 	o.config.Logger.Info("cell has another owner now", zap.String("cell", string(o.config.Cell)))
 }
 
-// cyclesAnAppend is how many cycles there are at most between two appends: a cycle
+// cyclesPerAppend is how many cycles there are at most between two appends: a cycle
 // looks at every task, and what it decides waits for the next append anyway.
-const cyclesAnAppend = 4
+const cyclesPerAppend = 4
 
 func (o *Owner) cycleWhenDue(ctx context.Context) {
-	if wait := time.Until(o.cycled.Add(o.config.Settings.Append / cyclesAnAppend)); wait > 0 {
+	if wait := time.Until(o.cycledAt.Add(o.config.Settings.Append / cyclesPerAppend)); wait > 0 {
 		o.wakeIn(wait)
 		return
 	}
-	o.cycled = time.Now()
+	o.cycledAt = time.Now()
 	o.cycle(ctx)
 }
 
@@ -232,8 +232,8 @@
 	o.wake.Reset(d)
 }
 
-// handleWaiting takes what else has arrived, so that a burst costs one cycle.
-func (o *Owner) handleWaiting() {
+// drainInbox takes what else has arrived, so that a burst costs one cycle.
+func (o *Owner) drainInbox() {
 	for range inboxSize {
 		select {
 		case m := <-o.inbox:
@@ -244,8 +244,8 @@
 	}
 }
 
-// refuseWaiting tells callers that wait for a reply that this daemon isn't the owner.
-func (o *Owner) refuseWaiting() {
+// refusePending tells callers that wait for a reply that this daemon isn't the owner.
+func (o *Owner) refusePending() {
 	for _, s := range o.staged {
 		o.answer(s, ErrNotOwner)
 	}
@@ -327,30 +327,30 @@
 	if !changed {
 		return false
 	}
-	o.count(task, next)
-	o.noteNeighbours(task, next)
-	o.put(next)
+	o.updateCounts(task, next)
+	o.recordNeighbourChange(task, next)
+	o.putTask(next)
 	return true
 }
 
-// noteNeighbours notes that a worker's batch tasks have changed, so that latencies
+// recordNeighbourChange notes that a worker's batch tasks have changed, so that latencies
 // measured before aren't put down to those that run there now.
-func (o *Owner) noteNeighbours(before, after models.Task) {
+func (o *Owner) recordNeighbourChange(before, after models.Task) {
 	if before.Kind == models.TaskBatch && before.State != after.State && before.Worker+after.Worker != "" {
-		o.neighboursChanged[max(before.Worker, after.Worker)] = time.Now()
+		o.neighboursChangedAt[max(before.Worker, after.Worker)] = time.Now()
 	}
 }
 
-func (o *Owner) put(t models.Task) {
+func (o *Owner) putTask(t models.Task) {
 	o.working.Tasks[t.ID] = t
 	o.dirty.task(t.ID)
 	if !t.Foreign() && t.Ended() {
-		o.settleEnded(t)
+		o.removeEnded(t)
 	}
 }
 
-// settleEnded drops the record of an ended task and counts it in its job.
-func (o *Owner) settleEnded(t models.Task) {
+// removeEnded drops the record of an ended task and counts it in its job.
+func (o *Owner) removeEnded(t models.Task) {
 	delete(o.working.Tasks, t.ID)
 	o.dirty.dropTask(t.ID)
 	job, ok := o.working.Jobs[t.Job]
@@ -365,8 +365,8 @@
 	o.dirty.job(job.ID)
 }
 
-// count keeps the figures that users measure.
-func (o *Owner) count(before, after models.Task) {
+// updateCounts keeps the figures that users measure.
+func (o *Owner) updateCounts(before, after models.Task) {
 	if after.Evictions > before.Evictions && after.State == models.TaskEvicting {
 		o.counts.Evictions++
 		o.config.Scope.Counter(metrics.Evictions).Inc(1)
@@ -383,7 +383,7 @@
 	o.config.Scope.Tagged(map[string]string{"outcome": string(after.Outcome)}).Counter("tasks_not_succeeded").Inc(1)
 }
 
-func (o *Owner) noteStoreFailure(err error) {
+func (o *Owner) recordStoreFailure(err error) {
 	if !o.storeFails.Load() {
 		o.config.Logger.Warn("journal can't be written; running tasks go on, nothing new starts",
 			append(log.Err(err), zap.String("cell", string(o.config.Cell)))...)
--- a/services/cell/pressure.go
+++ b/services/cell/pressure.go
@@ -14,9 +14,9 @@
 
 // Steps of the ladder against slowness: throttle, throttle more, evict.
 const (
-	fullShare  = 100
-	halfShare  = 50
-	leastShare = 25
+	fullShare = 100
+	halfShare = 50
+	minShare  = 25
 )
 
 // relaxBelow is the part of the target under which throttled tasks get more again.
@@ -26,28 +26,28 @@
 // none is evicted over and over.
 const maxEvictions = 3
 
-// learn takes the latencies of a worker's report: into the learner, and into
+// processLatencies takes the latencies of a worker's report: into the learner, and into
 // action when a service is over its target.
-func (o *Owner) learn(l *link) {
-	neighbours, batch := o.batchOn(l)
+func (o *Owner) processLatencies(l *link) {
+	neighbours, batch := o.runningBatch(l)
 	worst, calm := o.observeServices(l, neighbours)
 	if _, off := o.policy.(place.FirstFit); off {
 		return
 	}
 	now := time.Now()
-	if now.Sub(o.actedAt[l.vm.ID]) < o.config.Settings.SettleAfter {
+	if now.Sub(o.mitigatedAt[l.vm.ID]) < o.config.Settings.SettleAfter {
 		return // what is reported now was measured before the last action took hold
 	}
 	switch {
 	case worst != nil:
 		o.relieve(l, *worst, neighbours, batch, now)
 	case calm:
-		o.relax(l, now)
+		o.raiseShare(l, now)
 	}
 }
 
-// batchOn lists the batch tasks that run on a worker, as tasks and as neighbours.
-func (o *Owner) batchOn(l *link) ([]interference.Neighbour, []models.Task) {
+// runningBatch lists the batch tasks that run on a worker, as tasks and as neighbours.
+func (o *Owner) runningBatch(l *link) ([]interference.Neighbour, []models.Task) {
 	var neighbours []interference.Neighbour
 	var batch []models.Task
 	for _, r := range l.report.Attempts {
@@ -76,7 +76,7 @@
 			continue // the same figure as before: nothing is done twice on one report
 		}
 		l.observed[r.AttemptRef] = r.Observed
-		if time.Since(o.neighboursChanged[l.vm.ID]) >= o.config.Settings.SettleAfter {
+		if time.Since(o.neighboursChangedAt[l.vm.ID]) >= o.config.Settings.SettleAfter {
 			o.config.Learner.Observe(interference.Sample{
 				Service: t.Labels, Batch: neighbours, P99: r.P99.Duration(), Target: target.Duration(), At: time.Now(),
 			})
@@ -92,23 +92,23 @@
 
 // relieve takes one step of the ladder on the batch task that yields first.
 func (o *Owner) relieve(l *link, service models.Task, neighbours []interference.Neighbour, batch []models.Task, now time.Time) {
-	victim, ok := o.firstToYield(service, neighbours, batch)
+	victim, ok := o.chooseVictim(service, neighbours, batch)
 	if !ok {
 		return
 	}
-	o.actedAt[l.vm.ID] = now
-	o.neighboursChanged[l.vm.ID] = now
+	o.mitigatedAt[l.vm.ID] = now
+	o.neighboursChangedAt[l.vm.ID] = now
 	why := string(service.ID) + " is over its target"
 	share := l.shareOf(victim.ID)
 	canEvict := !victim.Unrepeatable && victim.Evictions < maxEvictions
 	switch {
 	case share > halfShare:
 		o.throttle(l, victim, halfShare, why)
-	case share > leastShare && !canEvict:
-		o.throttle(l, victim, leastShare, why)
+	case share > minShare && !canEvict:
+		o.throttle(l, victim, minShare, why)
 	case canEvict:
 		l.setShare(victim.ID, fullShare)
-		o.decide(victim.ID, "evicted", l.vm.ID, why)
+		o.recordDecision(victim.ID, "evicted", l.vm.ID, why)
 		o.step(victim.ID, models.EventEvict{Reason: why})
 	}
 }
@@ -117,12 +117,12 @@
 	l.setShare(t.ID, share)
 	o.counts.Throttles++
 	o.config.Scope.Counter("throttles").Inc(1)
-	o.decide(t.ID, "throttled", l.vm.ID, why)
+	o.recordDecision(t.ID, "throttled", l.vm.ID, why)
 }
 
-// firstToYield chooses by the operators' yield order and, within it, by the part
+// chooseVictim chooses by the operators' yield order and, within it, by the part
 // that each task is learned to have in the slowdown.
-func (o *Owner) firstToYield(service models.Task, neighbours []interference.Neighbour, batch []models.Task) (models.Task, bool) {
+func (o *Owner) chooseVictim(service models.Task, neighbours []interference.Neighbour, batch []models.Task) (models.Task, bool) {
 	var candidates []models.Task
 	order := make([]int, len(batch))
 	for i := range order {
@@ -134,7 +134,7 @@
 	for _, i := range order {
 		t := batch[i]
 		spent := t.Unrepeatable || t.Evictions >= maxEvictions
-		if spent && o.links[t.Worker].shareOf(t.ID) <= leastShare {
+		if spent && o.links[t.Worker].shareOf(t.ID) <= minShare {
 			continue // nothing more can be done to it
 		}
 		candidates = append(candidates, t)
@@ -146,11 +146,11 @@
 	return candidates[0], true
 }
 
-// lastToYield is the order of tasks that no rule selects.
-const lastToYield = 1 << 20
+// defaultYieldOrder is the order of tasks that no rule selects.
+const defaultYieldOrder = 1 << 20
 
 func (o *Owner) yieldOrder(t models.Task) int {
-	order := lastToYield
+	order := defaultYieldOrder
 	for _, rule := range o.config.View().Rules {
 		if rule.Kind == models.RuleYield && rule.Order < order && o.selectors.Matches(rule.Selector, t.Labels) {
 			order = rule.Order
@@ -159,21 +159,21 @@
 	return order
 }
 
-// relax gives one throttled task on a calm worker more processor time.
-func (o *Owner) relax(l *link, now time.Time) {
+// raiseShare gives one throttled task on a calm worker more processor time.
+func (o *Owner) raiseShare(l *link, now time.Time) {
 	for id, share := range l.shares {
 		if share >= fullShare {
 			continue
 		}
 		l.setShare(id, min(fullShare, share*2))
-		o.actedAt[l.vm.ID], o.neighboursChanged[l.vm.ID] = now, now
-		o.decide(id, "relaxed", l.vm.ID, "services there are well below their targets")
+		o.mitigatedAt[l.vm.ID], o.neighboursChangedAt[l.vm.ID] = now, now
+		o.recordDecision(id, "relaxed", l.vm.ID, "services there are well below their targets")
 		return
 	}
 }
 
-// overNow tells whether a service on the worker was last reported over its target.
-func (o *Owner) overNow(l *link) bool {
+// overTarget tells whether a service on the worker was last reported over its target.
+func (o *Owner) overTarget(l *link) bool {
 	for _, r := range l.report.Attempts {
 		t, ok := o.working.Tasks[r.Task]
 		if target := o.targetOf(t); ok && t.Kind == models.TaskService && target > 0 && r.P99 > target {
@@ -183,9 +183,9 @@
 	return false
 }
 
-// trying tells whether a pair that isn't known yet is on the worker: a service and
+// hasUnknownPair tells whether a pair that isn't known yet is on the worker: a service and
 // a batch task that were never measured together.
-func (o *Owner) trying(w place.Worker) bool {
+func (o *Owner) hasUnknownPair(w place.Worker) bool {
 	for _, s := range w.Tasks {
 		if s.Kind != models.TaskService {
 			continue
@@ -202,12 +202,12 @@
 	return false
 }
 
-// holdFor is how long room that is being freed is kept for the task it is freed for.
-const holdFor = 30 * time.Second
+// holdDuration is how long room that is being freed is kept for the task it is freed for.
+const holdDuration = 30 * time.Second
 
-// makeWay evicts batch tasks that yield so that a service or urgent task finds
+// preempt evicts batch tasks that yield so that a service or urgent task finds
 // room. It takes the worker on which the least has to go.
-func (o *Owner) makeWay(t models.Task, workers []place.Worker) bool {
+func (o *Owner) preempt(t models.Task, workers []place.Worker) bool {
 	for _, h := range o.holds {
 		if h.task == t.ID && time.Now().Before(h.until) {
 			return true // under way
@@ -223,9 +223,9 @@
 	if at == "" {
 		return false
 	}
-	o.holds[at] = hold{task: t.ID, until: time.Now().Add(holdFor)}
+	o.holds[at] = hold{task: t.ID, until: time.Now().Add(holdDuration)}
 	for _, v := range best {
-		o.decide(v.ID, "evicted", at, "makes room for "+string(t.ID))
+		o.recordDecision(v.ID, "evicted", at, "makes room for "+string(t.ID))
 		o.step(v.ID, models.EventEvict{Reason: "made room for " + string(t.ID)})
 	}
 	return true
@@ -266,7 +266,7 @@
 			continue
 		}
 		if o.step(t.ID, models.EventEvict{Reason: "VM " + string(t.Worker) + " is leaving or drained"}) {
-			o.decide(t.ID, "evicted", t.Worker, "the VM is leaving or drained")
+			o.recordDecision(t.ID, "evicted", t.Worker, "the VM is leaving or drained")
 		}
 	}
 }
--- a/services/cell/queue.go
+++ b/services/cell/queue.go
@@ -35,7 +35,7 @@
 	usage := o.teamUsage()
 	var admitted []candidate
 	for len(admitted) < maxPlacements && len(queue) > 0 {
-		best := o.next(queue, usage)
+		best := o.firstWithinQuota(queue, usage)
 		if best < 0 {
 			break
 		}
@@ -44,7 +44,7 @@
 		if c.task.Kind == models.TaskBatch {
 			usage[c.task.Team] = usage[c.task.Team].Add(c.task.Size)
 		}
-		if following, ok := o.following(c); ok {
+		if following, ok := o.nextOfJob(c); ok {
 			queue[best] = following
 		} else {
 			queue = slices.Delete(queue, best, best+1)
@@ -58,20 +58,20 @@
 	now := time.Now()
 	var queue []candidate
 	for _, t := range o.working.Tasks {
-		if t.State == models.TaskQueued && !t.Foreign() && !o.paused(string(t.ID), now) {
+		if t.State == models.TaskQueued && !t.Foreign() && !o.isSkipped(string(t.ID), now) {
 			queue = append(queue, candidate{task: t})
 		}
 	}
 	for _, job := range o.working.Jobs {
-		if job.State == models.JobActive && job.Next < job.Tasks && !o.paused(string(job.ID), now) {
+		if job.State == models.JobActive && job.Next < job.Tasks && !o.isSkipped(string(job.ID), now) {
 			queue = append(queue, candidate{task: job.NewTask(job.Next), virtual: true})
 		}
 	}
 	return queue
 }
 
-// following is the job's task after the candidate.
-func (o *Owner) following(c candidate) (candidate, bool) {
+// nextOfJob is the job's task after the candidate.
+func (o *Owner) nextOfJob(c candidate) (candidate, bool) {
 	job := o.working.Jobs[c.task.Job]
 	if !c.virtual || c.task.Index+1 >= job.Tasks {
 		return candidate{}, false
@@ -79,38 +79,38 @@
 	return candidate{task: job.NewTask(c.task.Index + 1), virtual: true}, true
 }
 
-// next finds the first of the queue that its team's quota allows; -1 when none is.
-func (o *Owner) next(queue []candidate, usage map[models.TeamName]models.Resources) int {
+// firstWithinQuota finds the first of the queue that its team's quota allows; -1 when none is.
+func (o *Owner) firstWithinQuota(queue []candidate, usage map[models.TeamName]models.Resources) int {
 	view := o.config.View()
 	best := -1
 	for i, c := range queue {
 		team := view.Teams[c.task.Team]
 		if c.task.Kind == models.TaskBatch && !withinQuota(usage[c.task.Team].Add(c.task.Size), team.Quota) {
-			o.decide(c.task.ID, "waits", "", "team "+string(c.task.Team)+" has used up its quota")
+			o.recordDecision(c.task.ID, "waits", "", "team "+string(c.task.Team)+" has used up its quota")
 			continue
 		}
-		if best < 0 || o.before(c.task, queue[best].task, usage) {
+		if best < 0 || o.precedes(c.task, queue[best].task, usage) {
 			best = i
 		}
 	}
 	return best
 }
 
-// before tells whether a is to start before b.
-func (o *Owner) before(a, b models.Task, usage map[models.TeamName]models.Resources) bool {
+// precedes tells whether a is to start before b.
+func (o *Owner) precedes(a, b models.Task, usage map[models.TeamName]models.Resources) bool {
 	order := cmp.Or(
 		-compare.Bool(a.Kind == models.TaskService, b.Kind == models.TaskService),
 		-compare.Bool(a.Urgent, b.Urgent),
-		cmp.Compare(o.usedShare(a.Team, usage), o.usedShare(b.Team, usage)),
+		cmp.Compare(o.quotaShare(a.Team, usage), o.quotaShare(b.Team, usage)),
 		cmp.Compare(a.Queued, b.Queued),
 		cmp.Compare(a.ID, b.ID),
 	)
 	return order < 0
 }
 
-// usedShare is the part of its quota a team uses, or the processors it uses for a
+// quotaShare is the part of its quota a team uses, or the processors it uses for a
 // team without.
-func (o *Owner) usedShare(team models.TeamName, usage map[models.TeamName]models.Resources) float64 {
+func (o *Owner) quotaShare(team models.TeamName, usage map[models.TeamName]models.Resources) float64 {
 	quota := o.config.View().Teams[team].Quota.CPU
 	if quota == 0 {
 		quota = unlimitedQuota
@@ -131,7 +131,7 @@
 // teamUsage sums up what teams' batch tasks use in all cells: exactly here, as of
 // the last heartbeats elsewhere.
 func (o *Owner) teamUsage() map[models.TeamName]models.Resources {
-	usage := o.ownUsage()
+	usage := o.localUsage()
 	for cell, beat := range o.config.Peers.Cells() {
 		if cell == o.config.Cell {
 			continue
@@ -143,7 +143,7 @@
 	return usage
 }
 
-func (o *Owner) ownUsage() map[models.TeamName]models.Resources {
+func (o *Owner) localUsage() map[models.TeamName]models.Resources {
 	usage := map[models.TeamName]models.Resources{}
 	for _, t := range o.working.Tasks {
 		if t.Kind == models.TaskBatch && (t.HoldsRoom() || t.State == models.TaskOffered) {
@@ -153,19 +153,19 @@
 	return usage
 }
 
-// waitAfterMiss is for how many ticks a job or task that fits nowhere is passed over.
-const waitAfterMiss = 2
+// skipTicks is for how many ticks a job or task that fits nowhere is passed over.
+const skipTicks = 2
 
-// noteWaiting passes over what did not fit for a while.
-func (o *Owner) noteWaiting(c candidate) {
+// skip passes over what did not fit for a while.
+func (o *Owner) skip(c candidate) {
 	key := string(c.task.ID)
 	if c.virtual {
 		key = string(c.task.Job)
 	}
-	o.misses[key] = time.Now().Add(waitAfterMiss * o.config.Settings.Tick)
+	o.skippedUntil[key] = time.Now().Add(skipTicks * o.config.Settings.Tick)
 }
 
-func (o *Owner) paused(key string, now time.Time) bool { return now.Before(o.misses[key]) }
+func (o *Owner) isSkipped(key string, now time.Time) bool { return now.Before(o.skippedUntil[key]) }
 
-// linkOrder gives the workers by id, so that choices don't depend on map order.
-func (o *Owner) linkOrder() []models.VMID { return slices.Sorted(maps.Keys(o.links)) }
+// sortedLinks gives the workers by id, so that choices don't depend on map order.
+func (o *Owner) sortedLinks() []models.VMID { return slices.Sorted(maps.Keys(o.links)) }
--- a/services/cell/random_test.go
+++ b/services/cell/random_test.go
@@ -54,14 +54,14 @@
 	Wait         time.Duration
 }
 
-var happenings = []string{
+var stepKinds = []string{
 	"submit", "submit", "submit again", "cancel", "take", "crash", "hand over", "pause", "resume", "outage", "end outage", "lose answers",
 	"repeat", "lose replies", "late starts", "late offers", "cut worker", "heal worker", "restart worker", "drain", "cut daemon", "join", "service", "wait",
 }
 
 func drawStep(rt *rapid.T) step {
 	return step{
-		What:         rapid.SampledFrom(happenings).Draw(rt, "what"),
+		What:         rapid.SampledFrom(stepKinds).Draw(rt, "what"),
 		Daemon:       rapid.IntRange(0, 3).Draw(rt, "daemon"),
 		Cell:         rapid.SampledFrom(worldCells).Draw(rt, "cell"),
 		Worker:       models.VMID(fmt.Sprintf("worker-%d", rapid.IntRange(0, 3).Draw(rt, "worker"))),
@@ -78,7 +78,7 @@
 	*world
 	specs    map[models.JobID]models.JobSpec // accepted, or perhaps
 	homes    map[models.JobID]models.CellID  // of those
-	sure     map[models.JobID]bool           // surely accepted
+	accepted map[models.JobID]bool           // surely accepted
 	refused  map[models.JobID]bool           // not run, as was said
 	canceled map[models.JobID]bool
 	drained  map[models.VMID]bool
@@ -91,7 +91,7 @@
 func TestRandomInterleavings(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.Custom(drawStep), 5, 40).Draw(rt, "script")
-		if failure := in(t, func(t *testing.T, v *verdict) { play(t, v, script) }); failure != "" {
+		if failure := runInBubble(t, func(t *testing.T, v *verdict) { play(t, v, script) }); failure != "" {
 			rt.Fatalf("%s", failure)
 		}
 	})
@@ -101,21 +101,21 @@
 // have found, and those that the promises name.
 func TestNamedScripts(t *testing.T) {
 	casefile.Each(t, "testdata/scripts/*.json", func(t *testing.T, script []step) {
-		require.Empty(t, in(t, func(t *testing.T, v *verdict) { play(t, v, script) }))
+		require.Empty(t, runInBubble(t, func(t *testing.T, v *verdict) { play(t, v, script) }))
 	})
 }
 
 // play runs a script, ends all faults and checks the outcome.
 func play(t *testing.T, v *verdict, script []step) {
 	m := &machine{
-		world: newWorld(t, v, 4), specs: map[models.JobID]models.JobSpec{}, homes: map[models.JobID]models.CellID{}, sure: map[models.JobID]bool{},
+		world: newWorld(t, v, 4), specs: map[models.JobID]models.JobSpec{}, homes: map[models.JobID]models.CellID{}, accepted: map[models.JobID]bool{},
 		refused: map[models.JobID]bool{}, canceled: map[models.JobID]bool{}, drained: map[models.VMID]bool{},
 	}
 	for i, cell := range worldCells {
-		_, err := m.take(i, cell)
+		_, err := m.takeOver(i, cell)
 		require.NoError(v, err)
 	}
-	m.after(time.Second)
+	m.advance(time.Second)
 	for i, s := range script {
 		m.step(i, s)
 		randomSteps++
@@ -132,10 +132,10 @@
 	case "cancel":
 		m.cancel(s)
 	case "take":
-		_, _ = m.tryTake(s.Daemon, s.Cell)
+		_, _ = m.tryTakeOver(s.Daemon, s.Cell)
 	case "crash":
 		m.owner(s.Cell).cancel()
-		_, _ = m.tryTake(s.Daemon, s.Cell)
+		_, _ = m.tryTakeOver(s.Daemon, s.Cell)
 	case "hand over":
 		m.handOver(s.Daemon, s.Cell)
 	case "pause":
@@ -143,17 +143,17 @@
 	case "resume":
 		m.resume(s.Daemon)
 	case "outage", "end outage":
-		m.set(func(f *worldFaults) { f.outage = s.What == "outage" })
+		m.setFaults(func(f *worldFaults) { f.outage = s.What == "outage" })
 	case "lose answers":
-		m.set(func(f *worldFaults) { f.lostAnswers = s.Number })
+		m.setFaults(func(f *worldFaults) { f.lostAnswers = s.Number })
 	case "repeat":
-		m.set(func(f *worldFaults) { f.repeat = !f.repeat })
+		m.setFaults(func(f *worldFaults) { f.repeatCalls = !f.repeatCalls })
 	case "lose replies":
-		m.set(func(f *worldFaults) { f.lostReplies = s.Number })
+		m.setFaults(func(f *worldFaults) { f.lostReplies = s.Number })
 	case "late starts":
-		m.set(func(f *worldFaults) { f.lateStarts = s.Number })
+		m.setFaults(func(f *worldFaults) { f.lateStarts = s.Number })
 	case "late offers":
-		m.set(func(f *worldFaults) { f.lateOffers = s.Number })
+		m.setFaults(func(f *worldFaults) { f.lateOffers = s.Number })
 	case "cut worker":
 		m.control(s.Worker, fleet.ActionCut)
 	case "heal worker":
@@ -163,12 +163,12 @@
 	case "drain":
 		m.drain(s.Worker)
 	case "cut daemon", "join":
-		m.set(func(f *worldFaults) { f.cutFrom[s.Daemon] = s.What == "cut daemon" })
+		m.setFaults(func(f *worldFaults) { f.cutFrom[s.Daemon] = s.What == "cut daemon" })
 	case "service":
 		m.replicas(s.Number)
 	case "wait":
 	}
-	m.after(s.Wait)
+	m.advance(s.Wait)
 }
 
 // handOver passes a cell on in its epoch, as an owner that leaves in an outage does.
@@ -183,22 +183,22 @@
 	if blocked || daemon == o.daemon {
 		return
 	}
-	call, err := await(ctx, o.Owner, freezeMessage{reply: reply}, reply)
+	call, err := awaitReply(ctx, o.Owner, freezeMessage{reply: reply}, reply)
 	if err != nil || call.Epoch == 0 {
 		return
 	}
 	m.adopt(daemon, cell, call)
 }
 
-// tryTake takes over unless the daemon is paused or the store is out.
-func (m *machine) tryTake(daemon int, cell models.CellID) (*testOwner, error) {
+// tryTakeOver takes over unless the daemon is paused or the store is out.
+func (m *machine) tryTakeOver(daemon int, cell models.CellID) (*testOwner, error) {
 	m.mu.Lock()
 	blocked := m.faults.lateCalls[daemon] != nil || m.faults.outage
 	m.mu.Unlock()
 	if blocked {
 		return nil, ErrNoStore
 	}
-	return m.take(daemon, cell)
+	return m.takeOver(daemon, cell)
 }
 
 func (m *machine) control(vm models.VMID, action fleet.Action) {
@@ -215,7 +215,7 @@
 		return
 	}
 	m.specs[id], m.homes[id] = spec, s.Cell
-	m.sure[id] = err == nil
+	m.accepted[id] = err == nil
 }
 
 // submitAgain submits a job once more that may be there, beside a new one, in one call. A
@@ -231,19 +231,19 @@
 	answer, err := m.forward(m.owner(m.homes[known.ID]), models.ForwardCall{Submit: []models.JobSpec{known, fresh}})
 	told := forwarded{answer, err}
 	m.homes[fresh.ID] = m.homes[known.ID]
-	switch told.of(known.ID) {
+	switch told.outcomeOf(known.ID) {
 	case toldAccepted:
-		m.sure[known.ID] = true
+		m.accepted[known.ID] = true
 	case toldRefused:
 		m.refused[known.ID] = m.refused[known.ID] || !errors.Is(err, ErrNotOwner)
 	case toldUnknown:
 	}
-	switch told.of(fresh.ID) {
+	switch told.outcomeOf(fresh.ID) {
 	case toldRefused:
 		m.refused[fresh.ID] = true
 	default:
 		m.specs[fresh.ID] = fresh
-		m.sure[fresh.ID] = told.of(fresh.ID) == toldAccepted
+		m.accepted[fresh.ID] = told.outcomeOf(fresh.ID) == toldAccepted
 	}
 }
 
@@ -259,16 +259,16 @@
 
 func (m *machine) drain(vm models.VMID) {
 	m.drained[vm] = !m.drained[vm]
-	m.remake()
+	m.rebuildConfig()
 }
 
 func (m *machine) replicas(n int) {
 	m.wanted = n
-	m.remake()
+	m.rebuildConfig()
 }
 
-// remake makes the configuration anew from what was drawn.
-func (m *machine) remake() {
+// rebuildConfig makes the configuration anew from what was drawn.
+func (m *machine) rebuildConfig() {
 	objects := []models.Object{models.Team{Name: "office"}}
 	for vm, drained := range m.drained {
 		if drained {
@@ -288,18 +288,18 @@
 func (m *machine) recover() {
 	m.healAll()
 	m.drained = map[models.VMID]bool{}
-	m.remake()
+	m.rebuildConfig()
 	for i, cell := range worldCells {
-		m.until(time.Minute, "a successor takes "+string(cell), func() bool {
-			_, err := m.take(4+i, cell) // a former owner's append may be faster
+		m.waitUntil(time.Minute, "a successor takes "+string(cell), func() bool {
+			_, err := m.takeOver(4+i, cell) // a former owner's append may be faster
 			return err == nil
 		})
 	}
-	m.until(10*time.Minute, "every job ends", func() bool {
+	m.waitUntil(10*time.Minute, "every job ends", func() bool {
 		jobs := m.jobs()
 		for id := range m.specs {
 			job, known := jobs[id]
-			if known && job.Ended == 0 || !known && m.sure[id] {
+			if known && job.Ended == 0 || !known && m.accepted[id] {
 				return false
 			}
 		}
@@ -309,7 +309,7 @@
 		require.False(m.t, m.refused[id], "job %s was refused as not run and is there", id)
 		m.checkJob(id, job)
 	}
-	m.until(time.Minute, "as many replicas run as are wanted", func() bool { return m.runningReplicas() == m.wanted })
+	m.waitUntil(time.Minute, "as many replicas run as are wanted", func() bool { return m.runningReplicas() == m.wanted })
 }
 
 // checkJob compares what the journal says of a job with what really ran.
--- a/services/cell/refusal_test.go
+++ b/services/cell/refusal_test.go
@@ -19,13 +19,13 @@
 // A refusal speaks of the job and not of the call that it answers: the job won't run,
 // whatever earlier calls with it have done.
 
-// told is what a call is told of a job.
-type told string
+// toldOutcome is what a call is told of a job.
+type toldOutcome string
 
 const (
-	toldAccepted told = "accepted"
-	toldRefused  told = "refused"
-	toldUnknown  told = "unknown"
+	toldAccepted toldOutcome = "accepted"
+	toldRefused  toldOutcome = "refused"
+	toldUnknown  toldOutcome = "unknown"
 )
 
 type forwarded struct {
@@ -33,8 +33,8 @@
 	err    error
 }
 
-// of gives what is told of one job.
-func (f forwarded) of(id models.JobID) told {
+// outcomeOf gives what is told of one job.
+func (f forwarded) outcomeOf(id models.JobID) toldOutcome {
 	for _, job := range append(f.answer.Submitted, f.answer.Cancelled...) {
 		if job.ID == id {
 			return toldAccepted
@@ -52,9 +52,9 @@
 // refusalWorld is a cell with one owner, daemon 0.
 func refusalWorld(t *testing.T) (*world, *testOwner) {
 	w := newWorld(t, t, 4)
-	o, err := w.take(0, worldCells[0])
+	o, err := w.takeOver(0, worldCells[0])
 	require.NoError(t, err)
-	w.after(time.Second)
+	w.advance(time.Second)
 	return w, o
 }
 
@@ -68,17 +68,17 @@
 	return forwarded{answer, err}
 }
 
-// beside makes a call that is under way when it returns.
-func (w *world) beside(call func() forwarded) <-chan forwarded {
+// startConcurrently makes a call that is under way when it returns.
+func (w *world) startConcurrently(call func() forwarded) <-chan forwarded {
 	result := make(chan forwarded, 1)
 	go func() { result <- call() }()
-	w.after(200 * time.Millisecond)
+	w.advance(200 * time.Millisecond)
 	return result
 }
 
 // untilJob waits until the owner holds the job.
 func (w *world) untilJob(o *testOwner, id models.JobID) {
-	w.until(10*time.Second, "job "+string(id)+" is there", func() bool {
+	w.waitUntil(10*time.Second, "job "+string(id)+" is there", func() bool {
 		answer, err := w.forward(o, models.ForwardCall{Jobs: true})
 		for _, job := range answer.Jobs {
 			if job.ID == id {
@@ -96,16 +96,16 @@
 		w, o := refusalWorld(t)
 		spec, other := testJob("first", 1, 100), testJob("other", 1, 100)
 		w.pause(0)
-		first := w.beside(func() forwarded { return w.submit(o, spec) })
-		again := w.beside(func() forwarded { return w.submit(o, spec) })
-		mixed := w.beside(func() forwarded { return w.submit(o, spec, other) })
-		w.set(func(f *worldFaults) { f.lostAnswers = 1 })
+		first := w.startConcurrently(func() forwarded { return w.submit(o, spec) })
+		again := w.startConcurrently(func() forwarded { return w.submit(o, spec) })
+		mixed := w.startConcurrently(func() forwarded { return w.submit(o, spec, other) })
+		w.setFaults(func(f *worldFaults) { f.lostAnswers = 1 })
 		w.resume(0)
-		require.Equal(t, toldUnknown, (<-first).of("first"))
-		require.Equal(t, toldUnknown, (<-again).of("first"), "the job is written")
+		require.Equal(t, toldUnknown, (<-first).outcomeOf("first"))
+		require.Equal(t, toldUnknown, (<-again).outcomeOf("first"), "the job is written")
 		both := <-mixed
-		require.Equal(t, toldUnknown, both.of("first"), "the job is written")
-		require.Equal(t, toldRefused, both.of("other"), "no append has held it")
+		require.Equal(t, toldUnknown, both.outcomeOf("first"), "the job is written")
+		require.Equal(t, toldRefused, both.outcomeOf("other"), "no append has held it")
 		w.untilJob(o, "first")
 	})
 }
@@ -116,13 +116,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, o := refusalWorld(t)
 		spec, other := testJob("first", 1, 100), testJob("other", 1, 100)
-		require.Equal(t, toldAccepted, w.submit(o, spec).of("first"))
-		w.set(func(f *worldFaults) { f.outage = true })
-		require.Equal(t, toldRefused, w.submit(o, other).of("other"))
-		require.Equal(t, toldAccepted, w.submit(o, spec).of("first"), "the job is there")
+		require.Equal(t, toldAccepted, w.submit(o, spec).outcomeOf("first"))
+		w.setFaults(func(f *worldFaults) { f.outage = true })
+		require.Equal(t, toldRefused, w.submit(o, other).outcomeOf("other"))
+		require.Equal(t, toldAccepted, w.submit(o, spec).outcomeOf("first"), "the job is there")
 		mixed := w.submit(o, spec, other)
-		require.Equal(t, toldAccepted, mixed.of("first"), "the job is there")
-		require.Equal(t, toldRefused, mixed.of("other"))
+		require.Equal(t, toldAccepted, mixed.outcomeOf("first"), "the job is there")
+		require.Equal(t, toldRefused, mixed.outcomeOf("other"))
 	})
 }
 
@@ -131,12 +131,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, o := refusalWorld(t)
 		first, second := testJob("first", 1, 100), testJob("second", 1, 100)
-		require.Equal(t, toldAccepted, w.submit(o, first, second).of("first"))
+		require.Equal(t, toldAccepted, w.submit(o, first, second).outcomeOf("first"))
 		changed := testJob("second", 2, 100)
-		require.Equal(t, toldRefused, w.submit(o, changed).of("second"))
+		require.Equal(t, toldRefused, w.submit(o, changed).outcomeOf("second"))
 		mixed := w.submit(o, first, changed)
-		require.Equal(t, toldAccepted, mixed.of("first"), "the job is there")
-		require.Equal(t, toldRefused, mixed.of("second"))
+		require.Equal(t, toldAccepted, mixed.outcomeOf("first"), "the job is there")
+		require.Equal(t, toldRefused, mixed.outcomeOf("second"))
 	})
 }
 
@@ -145,20 +145,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, o := refusalWorld(t)
 		spec, open := testJob("first", 1, 100), testJob("open", 1, 100)
-		require.Equal(t, toldAccepted, w.submit(o, spec).of("first"))
-		w.set(func(f *worldFaults) { f.lostAnswers = 1 })
-		require.Equal(t, toldUnknown, w.submit(o, open).of("open"))
+		require.Equal(t, toldAccepted, w.submit(o, spec).outcomeOf("first"))
+		w.setFaults(func(f *worldFaults) { f.lostAnswers = 1 })
+		require.Equal(t, toldUnknown, w.submit(o, open).outcomeOf("open"))
 		reply := make(chan models.HandoverCall, 1)
-		_, err := await(w.ctx, o.Owner, freezeMessage{reply: reply}, reply)
+		_, err := awaitReply(w.ctx, o.Owner, freezeMessage{reply: reply}, reply)
 		require.NoError(t, err)
-		require.Equal(t, toldAccepted, w.submit(o, spec).of("first"), "the job is there")
-		require.NotEqual(t, toldRefused, w.submit(o, open).of("open"), "the job is handed over")
+		require.Equal(t, toldAccepted, w.submit(o, spec).outcomeOf("first"), "the job is there")
+		require.NotEqual(t, toldRefused, w.submit(o, open).outcomeOf("open"), "the job is handed over")
 	})
 }
 
 // idleOwner is an owner without a loop of its own: the test takes its steps.
 func (w *world) idleOwner(daemon int) *Owner {
-	vms, j, err := w.equip(daemon, worldCells[0])
+	vms, j, err := w.newDependencies(daemon, worldCells[0])
 	require.NoError(w.t, err)
 	require.NoError(w.t, j.Take(w.ctx))
 	return NewOwner(OwnerConfig{
@@ -179,9 +179,9 @@
 		o.handleForward(forwardMessage{call: call, reply: first})
 		o.commit(w.ctx)
 		o.inbox <- forwardMessage{call: call, reply: again}
-		o.refuseWaiting()
-		require.Equal(t, toldUnknown, ofReply(<-first).of("first"), "the job may be written")
-		require.Equal(t, toldUnknown, ofReply(<-again).of("first"), "the job may be written")
+		o.refusePending()
+		require.Equal(t, toldUnknown, forwardedOf(<-first).outcomeOf("first"), "the job may be written")
+		require.Equal(t, toldUnknown, forwardedOf(<-again).outcomeOf("first"), "the job may be written")
 	})
 }
 
@@ -198,8 +198,8 @@
 		o.commit(w.ctx)
 		o.cancelAppend()
 		o.handle(<-o.inbox)
-		o.refuseWaiting()
-		require.Equal(t, toldUnknown, ofReply(<-first).of("first"), "the job may be written")
+		o.refusePending()
+		require.Equal(t, toldUnknown, forwardedOf(<-first).outcomeOf("first"), "the job may be written")
 	})
 }
 
@@ -213,13 +213,13 @@
 		call := models.ForwardCall{Submit: []models.JobSpec{testJob("first", 1, 100)}}
 		first, again := make(chan forwardReply, 1), make(chan forwardReply, 1)
 		o.handleForward(forwardMessage{call: call, reply: first})
-		w.set(func(f *worldFaults) { f.lostAnswers = 1 })
+		w.setFaults(func(f *worldFaults) { f.lostAnswers = 1 })
 		o.commit(w.ctx)
 		o.handle(<-o.inbox) // the answer is lost
 		w.pause(0)
-		require.Equal(t, toldUnknown, ofReply(<-first).of("first"))
+		require.Equal(t, toldUnknown, forwardedOf(<-first).outcomeOf("first"))
 		for range w.settings.RingSlots + 1 {
-			_, j, err := w.equip(1, worldCells[0])
+			_, j, err := w.newDependencies(1, worldCells[0])
 			require.NoError(t, err)
 			require.NoError(t, j.Take(w.ctx))
 			require.NoError(t, j.Append(w.ctx, models.CellChange{}))
@@ -229,27 +229,27 @@
 			o.handle(<-o.inbox)
 		}
 		o.handleForward(forwardMessage{call: call, reply: again})
-		require.Equal(t, toldUnknown, ofReply(<-again).of("first"), "the job was written")
+		require.Equal(t, toldUnknown, forwardedOf(<-again).outcomeOf("first"), "the job was written")
 	})
 }
 
-func ofReply(r forwardReply) forwarded { return forwarded{r.answer, r.err} }
+func forwardedOf(r forwardReply) forwarded { return forwarded{r.answer, r.err} }
 
 // TestRepeatedCancellation cancels a job again whose first cancellation has lost its
 // answer or is stored, while nothing can be written.
 func TestRepeatedCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, o := refusalWorld(t)
-		require.Equal(t, toldAccepted, w.submit(o, testJob("first", 1, 100_000), testJob("second", 1, 100_000)).of("first"))
-		require.Equal(t, toldAccepted, w.cancelJob(o, "first").of("first"))
-		w.set(func(f *worldFaults) { f.lostAnswers = 1 })
+		require.Equal(t, toldAccepted, w.submit(o, testJob("first", 1, 100_000), testJob("second", 1, 100_000)).outcomeOf("first"))
+		require.Equal(t, toldAccepted, w.cancelJob(o, "first").outcomeOf("first"))
+		w.setFaults(func(f *worldFaults) { f.lostAnswers = 1 })
 		w.pause(0)
-		lost := w.beside(func() forwarded { return w.cancelJob(o, "second") })
+		lost := w.startConcurrently(func() forwarded { return w.cancelJob(o, "second") })
 		w.resume(0)
-		require.Equal(t, toldUnknown, (<-lost).of("second"))
-		w.set(func(f *worldFaults) { f.outage = true })
-		require.NotEqual(t, toldRefused, w.cancelJob(o, "second").of("second"), "it is cancelled")
-		require.Equal(t, toldAccepted, w.cancelJob(o, "first").of("first"), "it was cancelled before")
+		require.Equal(t, toldUnknown, (<-lost).outcomeOf("second"))
+		w.setFaults(func(f *worldFaults) { f.outage = true })
+		require.NotEqual(t, toldRefused, w.cancelJob(o, "second").outcomeOf("second"), "it is cancelled")
+		require.Equal(t, toldAccepted, w.cancelJob(o, "first").outcomeOf("first"), "it was cancelled before")
 	})
 }
 
@@ -265,14 +265,14 @@
 		o.handleForward(forwardMessage{call: cancel, reply: cancelled})
 		o.commit(w.ctx)
 		o.handle(<-o.inbox)
-		require.Equal(t, toldAccepted, ofReply(<-submitted).of("first"))
+		require.Equal(t, toldAccepted, forwardedOf(<-submitted).outcomeOf("first"))
 		require.Empty(t, cancelled, "nothing of it is journalled yet")
-		w.after(w.settings.Append)
+		w.advance(w.settings.Append)
 		o.commit(w.ctx)
 		o.handle(<-o.inbox)
-		answer := ofReply(<-cancelled)
-		require.Equal(t, toldAccepted, answer.of("first"))
-		require.Equal(t, toldRefused, answer.of("none"))
+		answer := forwardedOf(<-cancelled)
+		require.Equal(t, toldAccepted, answer.outcomeOf("first"))
+		require.Equal(t, toldRefused, answer.outcomeOf("none"))
 		require.Equal(t, models.JobCancelled, o.journal.State().Jobs["first"].State)
 	})
 }
@@ -304,7 +304,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t, 4)
 		o := w.idleOwner(0)
-		_, j, err := w.equip(1, worldCells[0])
+		_, j, err := w.newDependencies(1, worldCells[0])
 		require.NoError(t, err)
 		require.NoError(t, j.Take(w.ctx))
 		moved := models.Job{JobSpec: testJob("away", 1, 100)}.NewTask(0)
@@ -315,7 +315,7 @@
 		reports := make(chan models.ReportAnswer, 1)
 		o.handleReport(reportMessage{reply: reports, call: models.ReportCall{To: worldCells[0], Tasks: []models.Task{ended}}})
 		o.commit(w.ctx)
-		w.after(time.Second)
+		w.advance(time.Second)
 		for len(o.inbox) > 0 {
 			o.handle(<-o.inbox)
 		}
@@ -334,7 +334,7 @@
 		reports := make(chan models.ReportAnswer, 1)
 		o.handleReport(reportMessage{reply: reports, call: models.ReportCall{To: worldCells[0], Tasks: []models.Task{ended}}})
 		o.commit(w.ctx)
-		w.after(time.Second)
+		w.advance(time.Second)
 		for len(o.inbox) > 0 {
 			o.handle(<-o.inbox)
 		}
@@ -350,7 +350,7 @@
 		<-ended.inbox
 		close(ended.done)
 	}()
-	_, err := await(context.Background(), ended, unheard, make(chan forwardReply))
+	_, err := awaitReply(context.Background(), ended, unheard, make(chan forwardReply))
 	_, refused := RefusalOf(err)
 	require.False(t, refused, "the loop has taken the message and may have done it: %v", err)
 }
--- a/services/cell/replica.go
+++ b/services/cell/replica.go
@@ -82,9 +82,9 @@
 	key     string
 }
 
-// homed are the replicas of a configuration whose home is this cell. Hashing all
+// homeCache are the replicas of a configuration whose home is this cell. Hashing all
 // replicas over all cells is worth doing only when one of them has changed.
-type homed struct {
+type homeCache struct {
 	revision models.Revision
 	cells    int
 	replicas []homedReplica
@@ -92,19 +92,19 @@
 
 func (o *Owner) homedReplicas(view *config.View) []homedReplica {
 	cells := o.config.Inventory.Cells()
-	if o.homed.revision == view.Revision() && o.homed.cells == len(cells.Cells) {
-		return o.homed.replicas
+	if o.homeCache.revision == view.Revision() && o.homeCache.cells == len(cells.Cells) {
+		return o.homeCache.replicas
 	}
-	o.homed = homed{revision: view.Revision(), cells: len(cells.Cells)}
+	o.homeCache = homeCache{revision: view.Revision(), cells: len(cells.Cells)}
 	homes := newReplicaHomes(cells)
 	for _, service := range view.Services {
 		for replica, home := range homes.of(service) {
 			if home == o.config.Cell {
-				o.homed.replicas = append(o.homed.replicas, homedReplica{service.Name, replica, replicaKey(service.Name, replica)})
+				o.homeCache.replicas = append(o.homeCache.replicas, homedReplica{service.Name, replica, replicaKey(service.Name, replica)})
 			}
 		}
 	}
-	return o.homed.replicas
+	return o.homeCache.replicas
 }
 
 // replicasByKey groups the records of replicas homed here, the oldest first.
@@ -170,15 +170,15 @@
 		Team: service.Team, Labels: service.Labels, Size: service.Size,
 		Queued: models.UnixMilliOf(time.Now()), State: models.TaskQueued,
 	}
-	o.put(t)
-	o.decide(t.ID, "created", "", "the configuration asks for replica "+key)
+	o.putTask(t)
+	o.recordDecision(t.ID, "created", "", "the configuration asks for replica "+key)
 }
 
 // relabel follows a change of labels without a restart.
 func (o *Owner) relabel(t models.Task, service models.Service) models.Task {
 	if !maps.Equal(t.Labels, service.Labels) && !t.Ended() {
 		t.Labels = service.Labels
-		o.put(t)
+		o.putTask(t)
 	}
 	return t
 }
--- a/services/cell/route.go
+++ b/services/cell/route.go
@@ -16,7 +16,7 @@
 
 // Forward carries an operator's call to the owner of a cell, here or at a peer.
 func (m *Manager) Forward(ctx context.Context, call models.ForwardCall) (models.ForwardAnswer, error) {
-	if owner, ok := m.owned(call.Cell); ok {
+	if owner, ok := m.localOwner(call.Cell); ok {
 		return forwardTo(ctx, owner, call)
 	}
 	holder, _, ok := m.config.Members.OwnerOf(call.Cell)
@@ -24,12 +24,12 @@
 		return models.ForwardAnswer{}, errstep.Wrap(ErrNotOwner, "find the owner", string(call.Cell))
 	}
 	answer, err := m.config.Client.Forward(ctx, holder.PeerAddress, call)
-	return answer, truthful(call, err)
+	return answer, classifyPeerError(call, err)
 }
 
 // ForwardHere serves a peer's Forward: it goes no further.
 func (m *Manager) ForwardHere(ctx context.Context, call models.ForwardCall) (models.ForwardAnswer, error) {
-	owner, ok := m.owned(call.Cell)
+	owner, ok := m.localOwner(call.Cell)
 	if !ok {
 		return models.ForwardAnswer{}, errstep.Wrap(ErrNotOwner, "serve forwarded call", string(m.config.Self))
 	}
@@ -38,19 +38,19 @@
 
 func forwardTo(ctx context.Context, owner *Owner, call models.ForwardCall) (models.ForwardAnswer, error) {
 	reply := make(chan forwardReply, 1)
-	r, err := await(ctx, owner, forwardMessage{call: call, reply: reply}, reply)
+	r, err := awaitReply(ctx, owner, forwardMessage{call: call, reply: reply}, reply)
 	if err != nil {
 		return models.ForwardAnswer{}, err
 	}
 	return r.answer, r.err
 }
 
-// errEnded says that an owner's loop ended before it gave an answer.
-var errEnded = errors.New("the owner ended without an answer")
+// errOwnerEnded says that an owner's loop ended before it gave an answer.
+var errOwnerEnded = errors.New("the owner ended without an answer")
 
-// await hands a message to an owner and waits for its reply. Of a message that was handed
+// awaitReply hands a message to an owner and waits for its reply. Of a message that was handed
 // over nothing but the reply tells what became of it; ErrNotOwner means that it wasn't.
-func await[A any](ctx context.Context, owner *Owner, msg message, reply <-chan A) (A, error) {
+func awaitReply[A any](ctx context.Context, owner *Owner, msg message, reply <-chan A) (A, error) {
 	var zero A
 	if !owner.send(ctx, msg) {
 		return zero, ErrNotOwner
@@ -59,20 +59,20 @@
 	case answer := <-reply:
 		return answer, nil
 	case <-ctx.Done():
-		return zero, maybe(ctx.Err())
+		return zero, asUnknownOutcome(ctx.Err())
 	case <-owner.done:
 	}
 	select {
 	case answer := <-reply:
 		return answer, nil
 	default:
-		return zero, maybe(errEnded)
+		return zero, asUnknownOutcome(errOwnerEnded)
 	}
 }
 
-// truthful says of the error of a call to a peer what is known of its outcome:
+// classifyPeerError says of the error of a call to a peer what is known of its outcome:
 // only the peer's own word, or a connection that was never made, says "not run".
-func truthful(call models.ForwardCall, err error) error {
+func classifyPeerError(call models.ForwardCall, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -80,16 +80,16 @@
 	if errors.As(err, &failed) {
 		for _, known := range refusalErrors {
 			if failed.Meta(MetaRefusal) == known.Error() {
-				return surely(err, known)
+				return asRefusal(err, known)
 			}
 		}
 	}
 	var dial *net.OpError
 	if errors.As(err, &dial) && dial.Op == "dial" {
-		return surely(err, ErrNotOwner)
+		return asRefusal(err, ErrNotOwner)
 	}
 	if call.Changes() {
-		return maybe(err)
+		return asUnknownOutcome(err)
 	}
 	return err
 }
@@ -115,7 +115,7 @@
 // OfferHere serves an offer to a cell owned here.
 func (m *Manager) OfferHere(ctx context.Context, call models.OfferCall) (models.OfferAnswer, error) {
 	reply := make(chan models.OfferAnswer, 1)
-	return ask(ctx, m, call.To, offerMessage{call: call, reply: reply}, reply)
+	return askLocalOwner(ctx, m, call.To, offerMessage{call: call, reply: reply}, reply)
 }
 
 // Report implements Peers.
@@ -126,14 +126,14 @@
 // ReportHere serves a report to a cell owned here.
 func (m *Manager) ReportHere(ctx context.Context, call models.ReportCall) (models.ReportAnswer, error) {
 	reply := make(chan models.ReportAnswer, 1)
-	return ask(ctx, m, call.To, reportMessage{call: call, reply: reply}, reply)
+	return askLocalOwner(ctx, m, call.To, reportMessage{call: call, reply: reply}, reply)
 }
 
 // callOwner calls the owner of a cell, here or at a peer.
 func callOwner[C, A any](ctx context.Context, m *Manager, cell models.CellID, call C,
 	here func(context.Context, C) (A, error), there func(context.Context, string, C) (A, error),
 ) (A, error) {
-	if _, ok := m.owned(cell); ok {
+	if _, ok := m.localOwner(cell); ok {
 		return here(ctx, call)
 	}
 	holder, _, ok := m.config.Members.OwnerOf(cell)
@@ -144,13 +144,13 @@
 	return there(ctx, holder.PeerAddress, call)
 }
 
-// ask hands a message to the owner of a cell and waits for its reply.
-func ask[A any](ctx context.Context, m *Manager, cell models.CellID, msg message, reply <-chan A) (A, error) {
+// askLocalOwner hands a message to the owner of a cell and waits for its reply.
+func askLocalOwner[A any](ctx context.Context, m *Manager, cell models.CellID, msg message, reply <-chan A) (A, error) {
 	var zero A
-	owner, ok := m.owned(cell)
+	owner, ok := m.localOwner(cell)
 	if !ok {
 		return zero, errstep.Wrap(ErrNotOwner, "ask the owner of "+string(cell), string(m.config.Self))
 	}
-	answer, err := await(ctx, owner, msg, reply)
+	answer, err := awaitReply(ctx, owner, msg, reply)
 	return answer, errstep.Wrap(err, "ask the owner of "+string(cell), string(m.config.Self))
 }
--- a/services/cell/spill.go
+++ b/services/cell/spill.go
@@ -33,44 +33,44 @@
 	return false
 }
 
-// otherCell chooses the cell to offer a task to: of those with a large enough free
+// chooseCell chooses the cell to offer a task to: of those with a large enough free
 // place, the one with the most room.
-func (o *Owner) otherCell(t models.Task) (models.CellID, bool) {
+func (o *Owner) chooseCell(t models.Task) (models.CellID, bool) {
 	cells := o.config.Peers.Cells()
 	var best models.CellID
 	for _, cell := range slices.Sorted(maps.Keys(cells)) {
 		beat := cells[cell]
-		if cell == o.config.Cell || !t.Size.Fits(beat.Room) || o.refusedLately(cell) {
+		if cell == o.config.Cell || !t.Size.Fits(beat.Room) || o.offersBlocked(cell) {
 			continue
 		}
-		if best == "" || beat.Free.CPU-o.promised[cell].CPU > cells[best].Free.CPU-o.promised[best].CPU {
+		if best == "" || beat.Free.CPU-o.offeredResources[cell].CPU > cells[best].Free.CPU-o.offeredResources[best].CPU {
 			best = cell
 		}
 	}
-	if best == "" || !t.Size.Fits(cells[best].Free.Sub(o.promised[best])) {
+	if best == "" || !t.Size.Fits(cells[best].Free.Sub(o.offeredResources[best])) {
 		return "", false
 	}
 	return best, true
 }
 
-// refusedLately tells whether the cell has just refused offers.
-func (o *Owner) refusedLately(cell models.CellID) bool {
-	return time.Now().Before(o.refusals[cell])
+// offersBlocked tells whether the cell has just refused offers.
+func (o *Owner) offersBlocked(cell models.CellID) bool {
+	return time.Now().Before(o.offersBlockedUntil[cell])
 }
 
 func (o *Owner) offerTo(c candidate, cell models.CellID) {
 	o.materialise(c)
 	epoch := o.config.Peers.Cells()[cell].Epoch
 	if o.step(c.task.ID, models.EventOffer{Cell: cell, Epoch: epoch}) {
-		o.promised[cell] = o.promised[cell].Add(c.task.Size)
+		o.offeredResources[cell] = o.offeredResources[cell].Add(c.task.Size)
 		o.counts.Offers++
-		o.decide(c.task.ID, "offered", "", "no room here, offered to cell "+string(cell))
+		o.recordDecision(c.task.ID, "offered", "", "no room here, offered to cell "+string(cell))
 	}
 }
 
-// exchange sends what other cells have to know: offers, reports, cancellations.
+// sendPeerCalls sends what other cells have to know: offers, reports, cancellations.
 // One call to each cell is under way at a time.
-func (o *Owner) exchange(ctx context.Context) {
+func (o *Owner) sendPeerCalls(ctx context.Context) {
 	offers := map[models.CellID]map[models.Epoch][]models.Task{}
 	reports := map[models.CellID]*models.ReportCall{}
 	for id, t := range o.journalled.Tasks {
@@ -84,10 +84,10 @@
 			}
 			offers[t.Peer][t.PeerEpoch] = append(offers[t.Peer][t.PeerEpoch], t)
 		case t.State == models.TaskMoved && t.Cancelled:
-			call := callFor(reports, t.Peer)
+			call := reportCallTo(reports, t.Peer)
 			call.Cancel = append(call.Cancel, id)
-		case t.ToReport(), o.lostReplica(t):
-			call := callFor(reports, t.Home)
+		case t.ToReport(), o.reportsLoss(t):
+			call := reportCallTo(reports, t.Home)
 			call.Tasks = append(call.Tasks, t)
 		}
 	}
@@ -101,26 +101,26 @@
 	}
 }
 
-func callFor(calls map[models.CellID]*models.ReportCall, to models.CellID) *models.ReportCall {
+func reportCallTo(calls map[models.CellID]*models.ReportCall, to models.CellID) *models.ReportCall {
 	if calls[to] == nil {
 		calls[to] = &models.ReportCall{To: to}
 	}
 	return calls[to]
 }
 
-// lostReplica tells whether a home has to hear that a replica's worker is silent.
-func (o *Owner) lostReplica(t models.Task) bool {
-	return t.Foreign() && t.State == models.TaskLost && t.Kind == models.TaskService && !t.Cancelled && !o.retired[t.ID]
+// reportsLoss tells whether a home has to hear that a replica's worker is silent.
+func (o *Owner) reportsLoss(t models.Task) bool {
+	return t.Foreign() && t.State == models.TaskLost && t.Kind == models.TaskService && !t.Cancelled && !o.lossReported[t.ID]
 }
 
 // A flight of these kinds stands for a call to another cell.
 const (
-	flightOffer  models.TaskAction = "offer-call"
-	flightReport models.TaskAction = "report-call"
+	actionOfferCall  models.TaskAction = "offer-call"
+	actionReportCall models.TaskAction = "report-call"
 )
 
 func (o *Owner) sendOffer(ctx context.Context, call models.OfferCall) {
-	if !o.begin(flight{models.TaskID(call.To), models.Attempt(call.Epoch), flightOffer}, time.Now()) {
+	if !o.beginAction(actionKey{models.TaskID(call.To), models.Attempt(call.Epoch), actionOfferCall}, time.Now()) {
 		return
 	}
 	o.group.Go(func() { o.runOffer(ctx, call) })
@@ -132,7 +132,7 @@
 }
 
 func (o *Owner) sendReport(ctx context.Context, call models.ReportCall) {
-	if !o.begin(flight{models.TaskID(call.To), 0, flightReport}, time.Now()) {
+	if !o.beginAction(actionKey{models.TaskID(call.To), 0, actionReportCall}, time.Now()) {
 		return
 	}
 	o.group.Go(func() { o.runReport(ctx, call) })
@@ -149,7 +149,7 @@
 	answer := models.OfferAnswer{Accepted: map[models.TaskID]bool{}}
 	var open []models.Task
 	for _, t := range m.call.Tasks {
-		accepted, final := o.considerOffer(m.call, t)
+		accepted, final := o.evaluateOffer(m.call, t)
 		if final {
 			answer.Accepted[t.ID] = accepted
 		} else {
@@ -162,12 +162,12 @@
 	}
 	o.waiters = append(o.waiters, func() bool {
 		for _, t := range open {
-			if _, placed := o.working.Tasks[t.ID]; placed && !o.holdsOffered(t) {
+			if _, placed := o.working.Tasks[t.ID]; placed && !o.acceptanceJournalled(t) {
 				return false
 			}
 		}
 		for _, t := range open {
-			if o.holdsOffered(t) { // one that was never placed here stays open
+			if o.acceptanceJournalled(t) { // one that was never placed here stays open
 				answer.Accepted[t.ID] = true
 			}
 		}
@@ -177,16 +177,16 @@
 	o.runWaiters()
 }
 
-// holdsOffered tells whether the journal holds that an offer was accepted.
-func (o *Owner) holdsOffered(t models.Task) bool {
+// acceptanceJournalled tells whether the journal holds that an offer was accepted.
+func (o *Owner) acceptanceJournalled(t models.Task) bool {
 	kept, ok := o.journalled.Tasks[t.ID]
 	return ok && kept.Foreign() && kept.Attempt > t.Attempt
 }
 
-// considerOffer says what is final about an offered task; one that was just placed
+// evaluateOffer says what is final about an offered task; one that was just placed
 // becomes final with the next append.
-func (o *Owner) considerOffer(call models.OfferCall, t models.Task) (accepted, final bool) {
-	if o.holdsOffered(t) {
+func (o *Owner) evaluateOffer(call models.OfferCall, t models.Task) (accepted, final bool) {
+	if o.acceptanceJournalled(t) {
 		return true, true
 	}
 	if kept, ok := o.working.Tasks[t.ID]; ok && kept.Foreign() && kept.Attempt > t.Attempt {
@@ -200,11 +200,11 @@
 		return false, true
 	}
 	o.offersSeen[t.ID] = t.Attempt
-	return false, !o.takeOffered(call, t)
+	return false, !o.placeOffered(call, t)
 }
 
-// takeOffered places an offered task; false when there is no place for it.
-func (o *Owner) takeOffered(call models.OfferCall, t models.Task) bool {
+// placeOffered places an offered task; false when there is no place for it.
+func (o *Owner) placeOffered(call models.OfferCall, t models.Task) bool {
 	t.State, t.Home = models.TaskQueued, call.From
 	t.Peer, t.PeerEpoch = "", 0
 	choice := place.Choose(o.request(t, o.workers()))
@@ -212,7 +212,7 @@
 		return false
 	}
 	o.counts.Taken++
-	o.put(t)
+	o.putTask(t)
 	o.start(candidate{task: t}, choice)
 	return true
 }
@@ -223,19 +223,19 @@
 		return
 	}
 	if len(m.answer.Accepted) == len(m.call.Tasks) { // else those left open are offered again in a while
-		delete(o.inFlight, flight{models.TaskID(m.call.To), models.Attempt(m.call.Epoch), flightOffer})
+		delete(o.inFlight, actionKey{models.TaskID(m.call.To), models.Attempt(m.call.Epoch), actionOfferCall})
 	}
 	for _, t := range m.call.Tasks {
 		accepted, final := m.answer.Accepted[t.ID]
 		if !final {
 			continue
 		}
-		o.promised[m.call.To] = o.promised[m.call.To].Sub(t.Size)
+		o.offeredResources[m.call.To] = o.offeredResources[m.call.To].Sub(t.Size)
 		if accepted {
 			o.step(t.ID, models.EventOfferAccepted{Attempt: t.Attempt})
 			continue
 		}
-		o.refusals[m.call.To] = time.Now().Add(o.config.Settings.Tick)
+		o.offersBlockedUntil[m.call.To] = time.Now().Add(o.config.Settings.Tick)
 		o.step(t.ID, models.EventOfferRefused{Attempt: t.Attempt})
 	}
 }
@@ -250,10 +250,10 @@
 		}
 	}
 	for _, t := range m.call.Tasks {
-		o.takeReport(t)
+		o.applyPeerReport(t)
 	}
 	arrived := o.sequence
-	o.probeFor(m.call.Tasks)
+	o.probeJournalFor(m.call.Tasks)
 	o.waiters = append(o.waiters, func() bool {
 		var answer models.ReportAnswer
 		for _, t := range m.call.Tasks {
@@ -268,7 +268,7 @@
 	o.runWaiters()
 }
 
-func (o *Owner) takeReport(t models.Task) {
+func (o *Owner) applyPeerReport(t models.Task) {
 	switch {
 	case t.State == models.TaskLost:
 		o.step(t.ID, models.EventCancel{Reason: "its worker is silent"})
@@ -282,8 +282,8 @@
 	}
 }
 
-// probeFor asks the journal on behalf of reported tasks that it doesn't hold here.
-func (o *Owner) probeFor(tasks []models.Task) {
+// probeJournalFor asks the journal on behalf of reported tasks that it doesn't hold here.
+func (o *Owner) probeJournalFor(tasks []models.Task) {
 	for _, t := range tasks {
 		if _, ok := o.journalled.Tasks[t.ID]; !ok {
 			o.dirty.generations[probeKey] = true
@@ -317,7 +317,7 @@
 		return
 	}
 	if len(m.answer.Settled) == len(m.call.Tasks) && len(m.call.Cancel) == 0 {
-		delete(o.inFlight, flight{models.TaskID(m.call.To), 0, flightReport})
+		delete(o.inFlight, actionKey{models.TaskID(m.call.To), 0, actionReportCall})
 	}
 	for _, id := range m.answer.Settled {
 		t, ok := o.working.Tasks[id]
@@ -325,7 +325,7 @@
 			continue
 		}
 		if t.State == models.TaskLost {
-			o.retired[id] = true
+			o.lossReported[id] = true
 			continue
 		}
 		if t.ToReport() {
--- a/services/cell/world_test.go
+++ b/services/cell/world_test.go
@@ -52,15 +52,15 @@
 
 // worldFaults are the faults in force.
 type worldFaults struct {
-	outage      bool
-	lostAnswers int              // of store writes that take effect
-	lateCalls   map[int]chan any // by daemon: its calls wait until the channel closes
-	repeat      bool             // calls to workers arrive twice
-	lostReplies int              // answers of workers
-	lossy       *rand.Rand       // draws which answers of workers are lost, 3 of 10
-	lateStarts  int              // calls to workers that arrive after they were given up
-	lateOffers  int              // offers of which another copy arrives later
-	cutFrom     map[int]bool     // daemons that reach no worker
+	outage       bool
+	lostAnswers  int              // of store writes that take effect
+	lateCalls    map[int]chan any // by daemon: its calls wait until the channel closes
+	repeatCalls  bool             // calls to workers arrive twice
+	lostReplies  int              // answers of workers
+	lossyReplies *rand.Rand       // draws which answers of workers are lost, 3 of 10
+	lateStarts   int              // calls to workers that arrive after they were given up
+	lateOffers   int              // offers of which another copy arrives later
+	cutFrom      map[int]bool     // daemons that reach no worker
 }
 
 type testOwner struct {
@@ -116,7 +116,7 @@
 	w.view = v
 }
 
-func (w *world) set(change func(*worldFaults)) {
+func (w *world) setFaults(change func(*worldFaults)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change(&w.faults)
@@ -124,7 +124,7 @@
 
 // pause lets all calls of a daemon wait, as when its process is frozen.
 func (w *world) pause(daemon int) {
-	w.set(func(f *worldFaults) {
+	w.setFaults(func(f *worldFaults) {
 		if f.lateCalls[daemon] == nil {
 			f.lateCalls[daemon] = make(chan any)
 		}
@@ -132,7 +132,7 @@
 }
 
 func (w *world) resume(daemon int) {
-	w.set(func(f *worldFaults) {
+	w.setFaults(func(f *worldFaults) {
 		if f.lateCalls[daemon] != nil {
 			close(f.lateCalls[daemon])
 			delete(f.lateCalls, daemon)
@@ -144,8 +144,8 @@
 	for daemon := range 8 {
 		w.resume(daemon)
 	}
-	w.set(func(f *worldFaults) {
-		f.outage, f.lostAnswers, f.repeat, f.lostReplies, f.lateStarts, f.lateOffers = false, 0, false, 0, 0, 0
+	w.setFaults(func(f *worldFaults) {
+		f.outage, f.lostAnswers, f.repeatCalls, f.lostReplies, f.lateStarts, f.lateOffers = false, 0, false, 0, 0, 0
 		f.cutFrom = map[int]bool{}
 	})
 	for _, vm := range w.fleet.VMs().VMs {
@@ -154,8 +154,8 @@
 	}
 }
 
-// wait lets a call of a paused daemon wait.
-func (w *world) wait(ctx context.Context, daemon int) error {
+// waitWhilePaused lets a call of a paused daemon wait.
+func (w *world) waitWhilePaused(ctx context.Context, daemon int) error {
 	w.mu.Lock()
 	late := w.faults.lateCalls[daemon]
 	w.mu.Unlock()
@@ -172,7 +172,7 @@
 
 func (w *world) storeFor(daemon int) platform.Store {
 	return &kv.Local{Service: w.store, Wait: time.Second, Fault: func(ctx context.Context, write, after bool, _ string) error {
-		if err := w.wait(ctx, daemon); err != nil {
+		if err := w.waitWhilePaused(ctx, daemon); err != nil {
 			return errors.Mark(err, platform.ErrUnknown)
 		}
 		w.mu.Lock()
@@ -188,8 +188,8 @@
 	}}
 }
 
-// lateBy is how late a late call arrives.
-const lateBy = 1500 * time.Millisecond
+// lateDelay is how late a late call arrives.
+const lateDelay = 1500 * time.Millisecond
 
 var errLost = errors.New("answer lost")
 
@@ -197,7 +197,7 @@
 	return &fleet.Local{
 		Fleet: w.fleet,
 		Fault: func(ctx context.Context, after bool, _ string) error {
-			if err := w.wait(ctx, daemon); err != nil {
+			if err := w.waitWhilePaused(ctx, daemon); err != nil {
 				return err
 			}
 			w.mu.Lock()
@@ -205,7 +205,7 @@
 			if w.faults.cutFrom[daemon] {
 				return errLost
 			}
-			if after && w.faults.lossy != nil && w.faults.lossy.IntN(10) < 3 {
+			if after && w.faults.lossyReplies != nil && w.faults.lossyReplies.IntN(10) < 3 {
 				return errLost
 			}
 			if after && w.faults.lostReplies > 0 {
@@ -221,12 +221,12 @@
 				return 0
 			}
 			w.faults.lateStarts--
-			return lateBy
+			return lateDelay
 		},
 		Repeat: func() bool {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			return w.faults.repeat
+			return w.faults.repeatCalls
 		},
 	}
 }
@@ -236,9 +236,9 @@
 // VMs implements platform.List.
 func (l listFunc) VMs(context.Context) (models.VMList, error) { return l(), nil }
 
-// take lets a daemon take over a cell. Former owners go on until they find out.
-func (w *world) take(daemon int, cell models.CellID) (*testOwner, error) {
-	vms, j, err := w.equip(daemon, cell)
+// takeOver lets a daemon take over a cell. Former owners go on until they find out.
+func (w *world) takeOver(daemon int, cell models.CellID) (*testOwner, error) {
+	vms, j, err := w.newDependencies(daemon, cell)
 	if err != nil {
 		return nil, err
 	}
@@ -250,11 +250,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return w.own(daemon, cell, j, vms, false), nil
+	return w.startOwner(daemon, cell, j, vms, false), nil
 }
 
-// equip makes what a daemon needs to own a cell.
-func (w *world) equip(daemon int, cell models.CellID) (*inventory.Service, *journal.Journal, error) {
+// newDependencies makes what a daemon needs to own a cell.
+func (w *world) newDependencies(daemon int, cell models.CellID) (*inventory.Service, *journal.Journal, error) {
 	store := w.storeFor(daemon)
 	vms := inventory.New(inventory.Config{
 		List: listFunc(w.fleet.VMs), Store: store, Every: 200 * time.Millisecond,
@@ -270,15 +270,15 @@
 // from the store before, for in an outage a daemon has it from its peers.
 func (w *world) adopt(daemon int, cell models.CellID, call models.HandoverCall) {
 	outage := false
-	w.set(func(f *worldFaults) { outage, f.outage = f.outage, false })
-	vms, j, err := w.equip(daemon, cell)
-	w.set(func(f *worldFaults) { f.outage = outage })
+	w.setFaults(func(f *worldFaults) { outage, f.outage = f.outage, false })
+	vms, j, err := w.newDependencies(daemon, cell)
+	w.setFaults(func(f *worldFaults) { f.outage = outage })
 	require.NoError(w.t, err)
 	require.NoError(w.t, j.Adopt(call))
-	w.own(daemon, cell, j, vms, true)
+	w.startOwner(daemon, cell, j, vms, true)
 }
 
-func (w *world) own(daemon int, cell models.CellID, j *journal.Journal, vms *inventory.Service, adopted bool) *testOwner {
+func (w *world) startOwner(daemon int, cell models.CellID, j *journal.Journal, vms *inventory.Service, adopted bool) *testOwner {
 	ctx, cancel := context.WithCancel(w.ctx)
 	o := &testOwner{daemon: daemon, cancel: cancel, Owner: NewOwner(OwnerConfig{
 		Cell: cell, Epoch: j.Epoch(), Adopted: adopted, Settings: w.settings, Journal: j, Workers: w.workersFor(daemon), Inventory: vms,
@@ -324,7 +324,7 @@
 	defer p.w.mu.Unlock()
 	if p.w.faults.lateOffers > 0 {
 		p.w.faults.lateOffers--
-		time.AfterFunc(lateBy, func() { p.offerAgain(call) })
+		time.AfterFunc(lateDelay, func() { p.offerAgain(call) })
 	}
 	return answer, err
 }
@@ -349,7 +349,7 @@
 func askOwner[A any](ctx context.Context, o *testOwner, m message, reply <-chan A) (A, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	return await(ctx, o.Owner, m, reply)
+	return awaitReply(ctx, o.Owner, m, reply)
 }
 
 func (w *world) ownerless(cell models.CellID) bool {
@@ -373,19 +373,19 @@
 	return forwardTo(ctx, o.Owner, call)
 }
 
-// after lets time pass and checks what must always hold.
-func (w *world) after(d time.Duration) {
+// advance lets time pass and checks what must always hold.
+func (w *world) advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 	require.Empty(w.t, w.fleet.Audit().Violations)
 }
 
-// until lets time pass until the condition holds.
-func (w *world) until(most time.Duration, what string, condition func() bool) {
+// waitUntil lets time pass until the condition holds.
+func (w *world) waitUntil(most time.Duration, what string, condition func() bool) {
 	end := time.Now().Add(most)
 	for !condition() {
 		require.True(w.t, time.Now().Before(end), what)
-		w.after(100 * time.Millisecond)
+		w.advance(100 * time.Millisecond)
 	}
 }
 
@@ -423,8 +423,8 @@
 // FailNow implements require.TestingT.
 func (v *verdict) FailNow() { panic(runEnded{}) }
 
-// in runs a script in a bubble of its own and gives the failure, if any.
-func in(t *testing.T, run func(t *testing.T, v *verdict)) string {
+// runInBubble runs a script in a bubble of its own and gives the failure, if any.
+func runInBubble(t *testing.T, run func(t *testing.T, v *verdict)) string {
 	t.Helper()
 	v := &verdict{}
 	synctest.Test(t, func(t *testing.T) {
