--- a/services/cell/act.go
+++ b/services/cell/act.go
@@ -9,8 +9,8 @@
 	"rillsail.example/rillsail/models"
 )
 
-// act takes the actions that journalled records call for and that are not under
-// way. A record that has moved on in the working state is left to its next append.
+// act takes the actions that journalled records require and that are not under way. A record that has
+// changed in the working state is handled after its next append.
 func (o *Owner) act() {
 	if o.frozen {
 		return
@@ -29,7 +29,7 @@
 	}
 }
 
-// perform takes one action unless it was taken a moment ago.
+// perform takes one action, unless it was taken less than retryInterval ago.
 func (o *Owner) perform(t models.Task, action models.TaskAction, now time.Time) {
 	switch action {
 	case models.ActionStart:
@@ -39,23 +39,23 @@
 			o.sendStop(l, models.AttemptRef{Task: t.ID, Attempt: t.Attempt}, action == models.ActionEvict)
 		}
 	case models.ActionSendOffer, models.ActionCancelRemote:
-		// spill.go sends these, many in one call
+		// sendPeerCalls batches these into one call for each cell
 	case models.ActionAcknowledge:
-		// follows from the next report, see handleStaleAttempt
+		// sent after the next report of the attempt, see handleStaleAttempt
 	}
 }
 
-// beginAction marks an action as under way; false when it is already. An answer doesn't
-// end it: what was refused is not taken again before its time.
-func (o *Owner) beginAction(f actionKey, now time.Time) bool {
-	if began, ok := o.inFlight[f]; ok && now.Sub(began) < o.retryInterval() {
+// beginAction marks an action as under way; false when it already is. An answer doesn't remove the
+// mark, so that a refused action is not repeated before retryInterval.
+func (o *Owner) beginAction(key actionKey, now time.Time) bool {
+	if began, ok := o.inFlight[key]; ok && now.Sub(began) < o.retryInterval() {
 		return false
 	}
-	o.inFlight[f] = now
+	o.inFlight[key] = now
 	return true
 }
 
-// retryInterval is after how long an action without answer is taken once more.
+// retryInterval is the time after which an action that has not taken effect is repeated.
 func (o *Owner) retryInterval() time.Duration { return o.config.Settings.Renew * 2 }
 
 func (o *Owner) sendStart(t models.Task, now time.Time) {
@@ -79,8 +79,8 @@
 }
 
 func (o *Owner) sendStop(l *link, ref models.AttemptRef, checkpoint bool) {
-	f := actionKey{ref.Task, ref.Attempt, models.ActionStop}
-	if o.frozen || l.incarnation == "" || !o.beginAction(f, time.Now()) {
+	key := actionKey{ref.Task, ref.Attempt, models.ActionStop}
+	if o.frozen || l.incarnation == "" || !o.beginAction(key, time.Now()) {
 		return
 	}
 	call := models.StopCall{
@@ -88,15 +88,15 @@
 		AttemptRef: ref, Checkpoint: checkpoint,
 	}
 	if !l.enqueue(stopCall{call}) {
-		delete(o.inFlight, f)
+		delete(o.inFlight, key)
 	}
 }
 
-// pruneInFlight forgets actions that ended without a trace.
+// pruneInFlight removes the marks of actions that were not repeated within twice retryInterval.
 func (o *Owner) pruneInFlight(now time.Time) {
-	for f, began := range o.inFlight {
+	for key, began := range o.inFlight {
 		if now.Sub(began) > 2*o.retryInterval() {
-			delete(o.inFlight, f)
+			delete(o.inFlight, key)
 		}
 	}
 }
--- a/services/cell/calls.go
+++ b/services/cell/calls.go
@@ -13,8 +13,9 @@
 	"rillsail.example/rillsail/models"
 )
 
-// handleForward takes an operator's call. Submissions and cancellations are answered once
-// they are journalled, and at once while nothing can be; everything else at once.
+// handleForward handles an operator's call. Submissions and cancellations are answered once they are
+// journalled, or immediately while the store can't be written. All other calls are answered
+// immediately.
 func (o *Owner) handleForward(m forwardMessage) {
 	switch {
 	case o.frozen || o.superseded:
@@ -28,7 +29,7 @@
 	}
 }
 
-// refuseCall answers a call that this owner can do nothing about any more.
+// refuseCall answers a call that this owner can no longer execute.
 func (o *Owner) refuseCall(call models.ForwardCall) forwardReply {
 	if !call.Changes() {
 		return forwardReply{err: ErrNotOwner}
@@ -36,7 +37,7 @@
 	return o.changeReply(call, ErrNotOwner)
 }
 
-// stage lets a call wait for the next append. Of submitted jobs it adds those that are new.
+// stage adds a call, with those of its submitted jobs that are new, to the next append.
 func (o *Owner) stage(m forwardMessage) {
 	s := staged{call: m.call, reply: m.reply}
 	now := models.UnixMilliOf(time.Now())
@@ -53,7 +54,7 @@
 	return ok || slices.ContainsFunc(o.staged, func(s staged) bool { return s.submits(id) })
 }
 
-// query answers the calls that change nothing.
+// query answers calls that change nothing.
 func (o *Owner) query(call models.ForwardCall) models.ForwardAnswer {
 	var answer models.ForwardAnswer
 	if call.Jobs {
@@ -99,7 +100,7 @@
 	return statuses
 }
 
-// Dump is an owner's whole state.
+// Dump is the complete state of an owner.
 type Dump struct {
 	Cell       models.CellID                         `json:"cell"`
 	Epoch      models.Epoch                          `json:"epoch"`
@@ -134,7 +135,7 @@
 	return d
 }
 
-// countWaiting counts the tasks that wait for a place.
+// countWaiting counts the tasks that wait to be placed.
 func (o *Owner) countWaiting() int {
 	n := 0
 	for _, t := range o.working.Tasks {
@@ -148,7 +149,7 @@
 	return n
 }
 
-// publish tells the other daemons of the cell with the next heartbeat.
+// publish updates the state of the cell that is sent to the other daemons with the next heartbeat.
 func (o *Owner) publish() {
 	if time.Since(o.publishedAt) < o.config.Settings.Tick/2 {
 		return
--- a/services/cell/caretaker.go
+++ b/services/cell/caretaker.go
@@ -12,12 +12,12 @@
 	"rillsail.example/rillsail/models"
 )
 
-// maxCaretakerCalls bounds the renewals that a caretaker makes at a time.
+// maxCaretakerCalls bounds the concurrent renewals of a caretaker.
 const maxCaretakerCalls = 16
 
-// renewAllWorkers renews the leases of all that runs in a cell whose owner is silent and that
-// can't be taken over, because the store can't be written. It decides nothing: a
-// task that is prolonged can't run twice for it.
+// renewAllWorkers renews the leases of all tasks of a cell whose owner is silent and that can't be
+// taken over because the store can't be written. It starts and stops nothing, so it can't cause
+// a task to run twice.
 func (m *Manager) renewAllWorkers(ctx context.Context, cell models.CellID) {
 	m.logCaretaking(cell)
 	calls := pool.New().WithMaxGoroutines(maxCaretakerCalls)
@@ -32,13 +32,13 @@
 	defer m.mu.Unlock()
 	if !m.caretakerOf[cell] {
 		m.caretakerOf[cell] = true
-		m.config.Logger.Warn("cell has no owner and the store can't be written; its running tasks are kept alive from here",
+		m.config.Logger.Warn("cell has no owner and the store can't be written; this daemon renews the leases of its running tasks",
 			zap.String("cell", string(cell)))
 	}
 }
 
-// renewWorker renews at one worker, in the latest epoch known; the worker says when it
-// knows a later one.
+// renewWorker renews the leases at one worker in the latest known epoch. A worker that has seen a
+// later epoch refuses and names it; the renewal is repeated once in that epoch.
 func (m *Manager) renewWorker(ctx context.Context, cell models.CellID, vm models.VM) {
 	for range 2 {
 		epoch := m.raiseEpoch(cell, 0)
@@ -52,10 +52,10 @@
 	}
 }
 
-// raiseEpoch is the highest epoch heard of, after hearing of one more.
-func (m *Manager) raiseEpoch(cell models.CellID, heard models.Epoch) models.Epoch {
+// raiseEpoch records an epoch of a cell and returns the highest epoch known.
+func (m *Manager) raiseEpoch(cell models.CellID, seen models.Epoch) models.Epoch {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.epochs[cell] = max(m.epochs[cell], heard)
+	m.epochs[cell] = max(m.epochs[cell], seen)
 	return m.epochs[cell]
 }
--- a/services/cell/commit.go
+++ b/services/cell/commit.go
@@ -16,10 +16,10 @@
 	"rillsail.example/rillsail/services/journal"
 )
 
-// dirty names the records that the next append has to hold.
+// dirty is the set of records that the next append must contain.
 type dirty struct {
-	tasks       map[models.TaskID]bool // false: dropped
-	jobs        map[models.JobID]bool
+	tasks       map[models.TaskID]bool // true: changed, false: dropped
+	jobs        map[models.JobID]bool  // true: changed, false: dropped
 	generations map[string]bool
 }
 
@@ -34,7 +34,7 @@
 
 func (d dirty) empty() bool { return len(d.tasks)+len(d.jobs)+len(d.generations) == 0 }
 
-// change takes the named records out of the state.
+// change builds the journal change for the dirty records from the given state.
 func (d dirty) change(state models.CellState) models.CellChange {
 	var c models.CellChange
 	for id, kept := range d.tasks {
@@ -60,8 +60,8 @@
 	return c
 }
 
-// restore names the records of a change that was not written, unless newer ones are
-// named already.
+// restore marks the records of a change that was not written as dirty again. Records that have
+// been marked since keep their newer mark.
 func (d dirty) restore(c models.CellChange) {
 	for _, t := range c.Tasks {
 		if _, newer := d.tasks[t.ID]; !newer {
@@ -88,12 +88,12 @@
 	}
 }
 
-// staged is an operator's call that is answered when its records are journalled.
-// Its records join the working state only then, so that a refusal is true.
+// staged is an operator's call that is answered when its records are journalled. Its records are
+// applied to the working state only then, so that after a refusal the state doesn't contain them.
 type staged struct {
 	call  models.ForwardCall
-	jobs  []models.Job        // those submitted that are new
-	reply chan<- forwardReply // nil: nobody waits any more
+	jobs  []models.Job        // submitted jobs that are new to the cell
+	reply chan<- forwardReply // nil: the call has been answered
 	sent  bool                // part of the append under way
 }
 
@@ -101,7 +101,7 @@
 	return slices.ContainsFunc(s.jobs, func(j models.Job) bool { return j.ID == id })
 }
 
-// records are the job records that the append has to hold for the call.
+// records returns the job records that the append must contain for the call.
 func (s staged) records(state models.CellState, now models.UnixMilli) []models.Job {
 	records := slices.Clone(s.jobs)
 	for _, id := range s.call.Cancel {
@@ -112,8 +112,8 @@
 	return records
 }
 
-// cancelsStagedJob tells whether a staged call cancels a job whose submission, by another, isn't
-// journalled yet. It waits for the append after that, so that its answer says what is
+// cancelsStagedJob tells whether a staged call cancels a job that another staged call submits.
+// Such a call waits for the append after the submission's, so that its answer states what is
 // journalled.
 func (o *Owner) cancelsStagedJob(call int) bool {
 	return slices.ContainsFunc(o.staged[call].call.Cancel, func(id models.JobID) bool {
@@ -126,8 +126,8 @@
 	})
 }
 
-// commit starts an append of all that is dirty or staged, at most one at a time
-// and not faster than the settings say.
+// commit starts an append of all dirty records and staged calls. At most one append is under way,
+// and successive appends start at least the configured Append interval apart.
 func (o *Owner) commit(ctx context.Context) {
 	if o.appending || o.frozen || o.dirty.empty() && len(o.staged) == 0 {
 		return
@@ -149,7 +149,7 @@
 	o.beginAppend(ctx, change, o.journal.Append)
 }
 
-// beginAppend lets an append, or the settling of one, go on beside the loop.
+// beginAppend runs an append, or the settling of an earlier one, in a goroutine of its own.
 func (o *Owner) beginAppend(ctx context.Context, change models.CellChange, write appendFunc) {
 	o.appending, o.pendingChange = true, change
 	appendContext, cancel := context.WithCancel(ctx)
@@ -157,33 +157,33 @@
 	o.group.Go(func() { o.runAppend(ctx, appendContext, change, write) })
 }
 
-// appendFunc writes the first try of an append.
+// appendFunc makes the first attempt of an append.
 type appendFunc func(context.Context, models.CellChange) error
 
-// settlePending goes on with the append that a former owner handed over.
+// settlePending continues the append that the previous owner handed over unsettled, if any.
 func (o *Owner) settlePending(ctx context.Context) {
 	change, ok := o.journal.PendingChange()
 	if !ok {
 		return
 	}
-	o.working.Apply(change) // it is written in the end, or this owner is superseded
+	o.working.Apply(change) // the append is written in the end, or this owner is superseded
 	o.unsettled = true
 	o.beginAppend(ctx, change, func(ctx context.Context, _ models.CellChange) error { return o.journal.Settle(ctx) })
 }
 
-// retryAppend is how long an owner waits between two tries to settle an append.
+// retryAppend is the interval between two attempts to settle an append.
 const retryAppend = 200 * time.Millisecond
 
-// runAppend writes one entry and, when its answer is lost, goes on until the
-// journal tells whether it was written, or the append is given up.
+// runAppend writes one journal entry. While the outcome is unknown, it tries to settle the entry
+// until the journal tells whether it was written, or appendContext is cancelled.
 func (o *Owner) runAppend(ctx, appendContext context.Context, change models.CellChange, write appendFunc) {
 	result := appendResultOf(write(appendContext, change))
 	for {
-		open, ok := result.(appendUnknown)
+		unsettled, ok := result.(appendUnknown)
 		if !ok || appendContext.Err() != nil {
 			break
 		}
-		if !o.send(ctx, unsettledMessage(open)) {
+		if !o.send(ctx, unsettledMessage(unsettled)) {
 			return
 		}
 		clock.Sleep(appendContext, retryAppend)
@@ -192,15 +192,15 @@
 	o.send(ctx, appendedMessage{change: change, result: result})
 }
 
-// appendResult is what became of an append. The set is closed, and a value is one of them
-// only: what is still open is never taken for what failed.
+// appendResult is the outcome of an append. The set of types is closed and a value is exactly one
+// of them, so that an unknown outcome is never taken for a failure.
 type appendResult interface{ appendResult() }
 
 type (
 	appendDone       struct{}
-	appendFailed     struct{ err error } // nothing of it was written
+	appendFailed     struct{ err error } // nothing was written
 	appendSuperseded struct{ err error } // another daemon owns the cell
-	appendUnknown    struct{ err error } // it may have been written, or may still be
+	appendUnknown    struct{ err error } // the entry may have been written, or may still be
 )
 
 func (appendDone) appendResult()       {}
@@ -221,8 +221,10 @@
 	}
 }
 
-// handleUnsettled answers those who wait: nobody knows yet what of their jobs is
-// journalled that is part of the append. What isn't surely won't be.
+// handleUnsettled answers all staged calls while the outcome of the append is unknown. Jobs that
+// are part of the append get an unknown outcome; other new jobs are refused and will not run.
+// The calls that are part of the append stay staged without a reply channel, so that their
+// records are applied if the append turns out to be written.
 func (o *Owner) handleUnsettled(m unsettledMessage) {
 	o.recordStoreFailure(m.err)
 	o.unsettled = true
@@ -240,7 +242,7 @@
 func (o *Owner) handleAppended(m appendedMessage) {
 	o.cancelAppend()
 	if o.frozen {
-		o.finishFreeze() // the successor gets the append; what it holds stays doubtful here
+		o.finishFreeze() // the successor settles the append; its outcome stays unknown here
 		return
 	}
 	switch r := m.result.(type) {
@@ -248,8 +250,8 @@
 		o.endAppend()
 		o.applyAppended(m.change)
 	case appendSuperseded:
-		// An append of unknown fate may have been written and its place in the ring be taken
-		// by later entries, so what it holds stays doubtful.
+		// An append of unknown outcome may have been written and its slot in the ring reused by
+		// later entries, so pendingChange is kept and the outcome of its jobs stays unknown.
 		if !o.unsettled {
 			o.endAppend()
 		}
@@ -262,7 +264,8 @@
 		o.restoreDirty(m.change)
 		o.nextAppend = time.Now().Add(max(o.config.Settings.Append, retryAppend))
 	case appendUnknown:
-		// Given up because this owner ends: it stays under way, and what it holds doubtful.
+		// The append was cancelled because this owner ends. It stays recorded as under way, and
+		// the outcome of its jobs stays unknown.
 		o.recordStoreFailure(r.err)
 	}
 }
@@ -273,18 +276,18 @@
 
 func (o *Owner) applyAppended(change models.CellChange) {
 	o.config.Scope.Counter("appends").Inc(1)
-	o.cycledAt = time.Time{} // act on what is journalled at once
+	o.cycledAt = time.Time{} // act on the journalled records at once
 	o.journalled.Apply(change)
 	o.sequence++
 	o.applyStaged()
 	o.runWaiters()
-	// The store works again: what was handed over is now taken over properly, in
-	// an epoch whose offers nobody else has seen.
+	// The store can be written again, so an adopted cell is now taken over in an epoch of its
+	// own, whose offers no other daemon has seen.
 	o.superseded = o.config.Adopted
 }
 
-// restoreDirty names the records of a failed append again; staged jobs were never part
-// of the working state and are forgotten.
+// restoreDirty marks the records of a failed append as dirty again. Jobs of staged calls are left
+// out: they were never part of the working state.
 func (o *Owner) restoreDirty(change models.CellChange) {
 	var kept []models.Job
 	for _, j := range change.Jobs {
@@ -296,9 +299,10 @@
 	o.dirty.restore(change)
 }
 
+// applyStaged applies the staged calls of a successful append to the working state and answers them.
 func (o *Owner) applyStaged() {
 	if o.storeFails.Load() {
-		o.config.Logger.Info("journal is written again", zap.String("cell", string(o.config.Cell)))
+		o.config.Logger.Info("journal write succeeded again; new tasks start", zap.String("cell", string(o.config.Cell)))
 		o.storeFails.Store(false)
 	}
 	for _, s := range o.staged {
@@ -317,8 +321,8 @@
 	o.answerStaged(nil)
 }
 
-// answerStaged answers the calls that were part of the append. cause is why it is not
-// written; nil when it is.
+// answerStaged answers the calls that were part of the append. cause tells why the append was not
+// written; it is nil when the append was written.
 func (o *Owner) answerStaged(cause error) {
 	waiting := o.staged
 	o.staged = nil
--- a/services/cell/cycle.go
+++ b/services/cell/cycle.go
@@ -12,33 +12,34 @@
 	"rillsail.example/rillsail/services/place"
 )
 
-// cycle is the path of tasks. It runs whenever something has arrived.
+// cycle runs the stages of the package comment once. The loop calls it after messages, ticks and
+// wake-ups.
 func (o *Owner) cycle(ctx context.Context) {
 	if o.frozen {
 		return
 	}
-	o.observe(ctx)            // what workers, VM list and cancellations say
-	o.drainWorkers()          // what has to leave its VM
-	o.reconcileServices()     // which replicas there should be
-	o.probeStore()            // whether the store is back
-	if !o.storeFails.Load() { // nothing new starts while it is not
-		for _, c := range o.admit() { // who is next, within quotas
+	o.observe(ctx)            // apply worker losses, VM list changes and cancellations
+	o.drainWorkers()          // evict from VMs that leave or are drained
+	o.reconcileServices()     // create and retire replicas
+	o.probeStore()            // check whether the store can be written again
+	if !o.storeFails.Load() { // nothing new starts while the store can't be written
+		for _, c := range o.admit() { // the next tasks in order, within quotas
 			o.placeOne(c)
 		}
 	}
 	o.prune()
-	o.commit(ctx) // journal first
-	o.act()       // then act on what is journalled
+	o.commit(ctx) // journal the changes first
+	o.act()       // act only on journalled records
 	o.sendPeerCalls(ctx)
 	o.pruneInFlight(time.Now())
 	o.publish()
 }
 
-// placeOne finds a place for one candidate: here, in another cell, or by evicting
-// what yields to it.
+// placeOne places one candidate on a worker of this cell, offers it to another cell, or preempts
+// batch tasks for it.
 func (o *Owner) placeOne(c candidate) {
 	if c.virtual && c.task.Index != o.working.Jobs[c.task.Job].Next {
-		return // an earlier task of the job has found no place in this cycle
+		return // an earlier task of the job found no place in this cycle
 	}
 	workers := o.workers()
 	choice := place.Choose(o.request(c.task, workers))
@@ -86,7 +87,7 @@
 	}
 }
 
-// materialise gives the next task of a job a record of its own.
+// materialise creates the record of a virtual candidate and advances its job to the next task.
 func (o *Owner) materialise(c candidate) {
 	if !c.virtual {
 		return
@@ -97,7 +98,7 @@
 	o.putTask(c.task)
 }
 
-// workers is the picture of the cell's workers as placement needs it.
+// workers returns the cell's workers, ordered by VM id, in the form that placement takes.
 func (o *Owner) workers() []place.Worker {
 	now := time.Now()
 	view := o.config.View()
@@ -123,7 +124,7 @@
 	return workers
 }
 
-// unusableReason says why nothing new may start on a worker; empty when it may.
+// unusableReason tells why no new task may start on a worker; empty when tasks may start.
 func (o *Owner) unusableReason(l *link, drained bool, now time.Time) string {
 	listed, _ := o.config.Inventory.Listed(l.vm.ID)
 	switch {
@@ -144,15 +145,15 @@
 	}
 }
 
-// probeStore keeps trying the journal after a failure, for nothing else might.
+// probeStore queues an empty append after a failure when nothing else is to be written, so that the
+// owner notices that the store can be written again.
 func (o *Owner) probeStore() {
 	if o.storeFails.Load() && !o.appending && o.dirty.empty() {
 		o.dirty.generations[probeKey] = true
 	}
 }
 
-// prune forgets what has passed: holds, misses, and the oldest ended jobs beyond what
-// the settings keep.
+// prune removes expired holds and skips, and the oldest ended jobs beyond the configured number.
 func (o *Owner) prune() {
 	now := time.Now()
 	maps.DeleteFunc(o.holds, func(_ models.VMID, h hold) bool { return now.After(h.until) })
--- a/services/cell/decision.go
+++ b/services/cell/decision.go
@@ -10,20 +10,20 @@
 	"rillsail.example/rillsail/modules/ring"
 )
 
-// maxDecisions bounds what an owner remembers for operators.
+// maxDecisions bounds the decisions that an owner keeps for operators.
 const maxDecisions = 512
 
-// decisions are the latest decisions with their reasons.
+// decisions holds the latest decisions with their reasons.
 type decisions struct {
 	latest     *ring.Ring[models.Decision]
-	lastByTask map[models.TaskID]models.Decision // of each task, while it is kept
+	lastByTask map[models.TaskID]models.Decision // last decision of each task, while it is in latest
 }
 
 func newDecisions() decisions {
 	return decisions{latest: ring.New[models.Decision](maxDecisions), lastByTask: map[models.TaskID]models.Decision{}}
 }
 
-// recordDecision notes a decision, unless it only repeats the task's last one.
+// recordDecision records a decision, unless it repeats the task's last one.
 func (o *Owner) recordDecision(task models.TaskID, action string, worker models.VMID, reason string) {
 	o.decisions.add(models.Decision{
 		At: models.UnixMilliOf(time.Now()), Task: task, Action: action, Worker: worker, Reason: reason,
@@ -35,13 +35,13 @@
 		before.Reason == decision.Reason && before.Worker == decision.Worker {
 		return
 	}
-	if gone, full := d.latest.Add(decision); full && d.lastByTask[gone.Task] == gone {
-		delete(d.lastByTask, gone.Task)
+	if replaced, full := d.latest.Add(decision); full && d.lastByTask[replaced.Task] == replaced {
+		delete(d.lastByTask, replaced.Task)
 	}
 	d.lastByTask[decision.Task] = decision
 }
 
-// all gives the decisions, the oldest first.
+// all returns the decisions, the oldest first.
 func (d *decisions) all() []models.Decision { return d.latest.All() }
 
 func (d *decisions) of(task models.TaskID) []models.Decision {
--- a/services/cell/failure.go
+++ b/services/cell/failure.go
@@ -11,14 +11,15 @@
 	"rillsail.example/rillsail/models"
 )
 
-// Limits of quarantine. A task that fails on several workers is its job's fault; a
-// worker on which many different jobs fail is at fault itself.
+// Limits of quarantine. A task that fails on several workers points to a fault of its job; different
+// jobs that fail on one worker point to a fault of the worker.
 const (
 	quarantineJobs     = 3
 	quarantineDuration = 10 * time.Minute
 )
 
-// failureRecord is what failed on a worker since something last succeeded there.
+// failureRecord holds the jobs that failed on a worker since a task last succeeded there, and the end
+// of its quarantine.
 type failureRecord struct {
 	jobs  map[models.JobID]bool
 	until time.Time
@@ -30,8 +31,9 @@
 
 func (f *failureRecord) quarantined(now time.Time) bool { return now.Before(f.until) }
 
-// recordFailure quarantines a worker on which different jobs fail one after another.
-// A job that failed elsewhere too says nothing about this worker.
+// recordFailure records a failed task and quarantines the worker once tasks of quarantineJobs
+// different jobs have failed on it without a success in between. A task that has also failed on
+// another worker is ignored, because its failure says nothing about this worker.
 func (o *Owner) recordFailure(l *link, t models.Task) {
 	if t.Kind != models.TaskBatch || len(t.FailedOn) > 0 {
 		return
@@ -44,6 +46,6 @@
 	l.failures.until = now.Add(quarantineDuration)
 	l.failures.reset()
 	o.config.Scope.Counter("quarantines").Inc(1)
-	o.config.Logger.Warn("worker is quarantined: tasks of different jobs fail there; look at the VM, or wait",
+	o.config.Logger.Warn("worker is quarantined because tasks of different jobs failed on it; check the VM, or wait until the quarantine ends",
 		zap.String("worker", string(l.vm.ID)), zap.Duration("for", quarantineDuration))
 }
--- a/services/cell/fate.go
+++ b/services/cell/fate.go
@@ -12,19 +12,19 @@
 	"rillsail.example/rillsail/models"
 )
 
-// outcome is what an owner knows of one job of a call: accepted, refused or doubtful. The set
-// is closed, and a value is one of them only. It is taken from what is journalled and what
-// is being written, and not from what the call itself has done: a call that could do
-// nothing may name a job that an earlier one has brought in.
+// outcome is what an owner knows about one job of a call: accepted, refused or unknown. The set of
+// types is closed and a value is exactly one of them. It is derived from the journalled state and
+// the append under way, and not from what the call itself has done, because a call that had no
+// effect may name a job that an earlier call has submitted.
 type outcome interface{ fate() }
 
 type (
-	// accepted says that what was asked for is journalled.
+	// accepted means that the requested change is journalled.
 	accepted struct{ job models.Job }
-	// refused says that it is not, and that no write of this owner's that may still be
-	// done holds it.
+	// refused means that the change is not journalled, and that no append of this owner that may
+	// still be written contains it.
 	refused struct{ cause error }
-	// unknown says that a write holds it of which nobody knows whether it is done.
+	// unknown means that an append whose outcome is unknown contains the change.
 	unknown struct{}
 )
 
@@ -32,55 +32,57 @@
 func (refused) fate()  {}
 func (unknown) fate()  {}
 
-// submissionOutcome is the fate of a submitted job. cause is why nothing of the call is written;
-// nil when it is.
+// submissionOutcome returns the outcome of a submitted job. cause tells why the call was not
+// written; it is nil when the call was written.
 func (o *Owner) submissionOutcome(spec models.JobSpec, cause error) outcome {
-	kept, journalled := o.journalled.Jobs[spec.ID]
-	written, writing := o.pendingJob(spec.ID)
+	job, journalled := o.journalled.Jobs[spec.ID]
+	pending, isPending := o.pendingJob(spec.ID)
 	switch {
-	case journalled && reflect.DeepEqual(kept.JobSpec, spec):
-		return accepted{o.latestRecord(kept)}
-	case journalled, writing && !reflect.DeepEqual(written.JobSpec, spec):
+	case journalled && reflect.DeepEqual(job.JobSpec, spec):
+		return accepted{o.latestRecord(job)}
+	case journalled, isPending && !reflect.DeepEqual(pending.JobSpec, spec):
 		return refused{errors.Wrapf(ErrOtherSpec, "job %s", spec.ID)}
-	case writing:
+	case isPending:
 		return unknown{}
-	case cause == nil: // it was part of an earlier append, which failed
+	case cause == nil: // the job was part of an earlier append, which failed
 		return refused{ErrNoStore}
 	default:
 		return refused{cause}
 	}
 }
 
-// cancellationOutcome is the fate of a job that is to be cancelled, with cause as above.
+// cancellationOutcome returns the outcome of cancelling a job; cause is the same as for
+// submissionOutcome.
 func (o *Owner) cancellationOutcome(id models.JobID, cause error) outcome {
-	kept, journalled := o.journalled.Jobs[id]
-	written, writing := o.pendingJob(id)
+	job, journalled := o.journalled.Jobs[id]
+	pending, isPending := o.pendingJob(id)
 	switch {
-	case journalled && kept.State != models.JobActive:
-		return accepted{o.latestRecord(kept)}
-	case writing && (!journalled || written.State != models.JobActive):
+	case journalled && job.State != models.JobActive:
+		return accepted{o.latestRecord(job)}
+	case isPending && (!journalled || pending.State != models.JobActive):
 		return unknown{}
 	case cause != nil:
 		return refused{cause}
-	case journalled: // its submission was part of the same append
+	case journalled: // the job's submission was part of the same append
 		return unknown{}
 	default:
 		return refused{errors.Wrapf(ErrNoJob, "job %s", id)}
 	}
 }
 
-// latestRecord is the record of a journalled job with what has come of it since.
-func (o *Owner) latestRecord(kept models.Job) models.Job {
-	if current, ok := o.working.Jobs[kept.ID]; ok {
+// latestRecord returns the working record of a journalled job, or the journalled record when the job
+// has been dropped from the working state.
+func (o *Owner) latestRecord(journalled models.Job) models.Job {
+	if current, ok := o.working.Jobs[journalled.ID]; ok {
 		return current
 	}
-	return kept
+	return journalled
 }
 
-// pendingJob gives the record of a job in the append under way, or in the one that was when
-// this owner ended.
+// pendingJob returns the record of a job in the append under way, or in the append that was under
+// way when this owner ended.
 func (o *Owner) pendingJob(id models.JobID) (models.Job, bool) {
-	for i := len(o.pendingChange.Jobs) - 1; i >= 0; i-- { // a later record counts
+	for i := len(o.pendingChange.Jobs) - 1; i >= 0; i-- { // the last record of a job counts
 		if o.pendingChange.Jobs[i].ID == id {
 			return o.pendingChange.Jobs[i], true
 		}
@@ -88,7 +90,7 @@
 	return models.Job{}, false
 }
 
-// changeReply answers a call that changes jobs; cause is why those are refused that are.
+// changeReply builds the reply to a call that changes jobs; cause tells why the call was not written.
 func (o *Owner) changeReply(call models.ForwardCall, cause error) forwardReply {
 	var r replyBuilder
 	for _, spec := range call.Submit {
@@ -100,8 +102,8 @@
 	return r.reply(len(call.Submit) + len(call.Cancel))
 }
 
-// replyBuilder puts the fates of a call's jobs together. A job that the answer names
-// nowhere is doubtful.
+// replyBuilder collects the outcomes of a call's jobs. A job that the answer doesn't name has an
+// unknown outcome.
 type replyBuilder struct {
 	answer  models.ForwardAnswer
 	refused []error
@@ -122,7 +124,8 @@
 	}
 }
 
-// reply gives the answer, or an error when it is the same for all jobs of the call.
+// reply returns the answer, or an error when all jobs of the call were refused with the same error or
+// all have an unknown outcome.
 func (r *replyBuilder) reply(jobs int) forwardReply {
 	switch {
 	case len(r.refused) == jobs && len(slices.Compact(r.refused)) == 1:
--- a/services/cell/handover.go
+++ b/services/cell/handover.go
@@ -17,16 +17,16 @@
 	"rillsail.example/rillsail/services/journal"
 )
 
-// freezeMessage ends all that an owner does and asks for what a successor needs.
-// The reply is closed when there is none.
+// freezeMessage stops the actions of an owner and requests the state that a successor needs. The
+// reply channel is closed without a value when the owner has ended.
 type freezeMessage struct {
 	reply chan models.HandoverCall
 }
 
 func (freezeMessage) message() {}
 
-// freeze stops the owner for good. An append under way is given up first; its entry
-// is handed over with the rest.
+// freeze stops all actions of the owner permanently. An append under way is cancelled first; its
+// entry is handed over as pending.
 func (o *Owner) freeze(m freezeMessage) {
 	o.frozen = true
 	o.freezeReply = m.reply
@@ -39,9 +39,9 @@
 
 func (o *Owner) finishFreeze() { o.freezeReply <- o.journal.Export() }
 
-// Release gives up all cells at a planned stop. The members have been told; while
-// the store works, the others take the cells over. What nobody has taken when the
-// wait is over because the store can't be written is handed to one peer each.
+// Release releases all cells at a planned stop. The members have been notified before, and while
+// the store can be written they take the cells over. Each cell that is still owned here after
+// that, at the latest after wait, is handed over to one peer.
 func (m *Manager) Release(ctx context.Context, wait time.Duration) error {
 	m.mu.Lock()
 	m.releasing = true
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// peersCanTakeOver tells whether a cell is left that a peer can take by itself.
+// peersCanTakeOver tells whether a cell is left that a peer can take over through the store.
 func (m *Manager) peersCanTakeOver() bool {
 	if len(m.config.Members.LiveIDs()) == 0 {
 		return false
@@ -77,17 +77,17 @@
 	}
 	reply := make(chan models.HandoverCall, 1)
 	state, err := askLocalOwner(ctx, m, cell, freezeMessage{reply: reply}, reply)
-	next, ok := rendezvous.First(string(cell), m.config.Members.LiveIDs())
-	heir, found := m.config.Members.Find(next)
+	successorID, ok := rendezvous.First(string(cell), m.config.Members.LiveIDs())
+	successor, found := m.config.Members.Find(successorID)
 	if err != nil || state.Epoch == 0 || !ok || !found {
-		m.config.Logger.Warn("cell is left without owner; its tasks run on while a peer renews them",
+		m.config.Logger.Warn("cell can't be handed over and is left without an owner; its tasks run while a peer renews their leases",
 			append(log.Err(err), zap.String("cell", string(cell)))...)
 		return
 	}
-	// Sent once, to one peer, whatever the answer.
-	answer, err := m.config.Client.Handover(ctx, heir.PeerAddress, state)
+	// The state is sent only once and to one peer, also when the call fails: two peers must not adopt it.
+	answer, err := m.config.Client.Handover(ctx, successor.PeerAddress, state)
 	m.config.Logger.Info("cell is handed over", append(log.Err(err), zap.String("cell", string(cell)),
-		zap.String("to", string(next)), zap.Bool("taken", answer.Taken))...)
+		zap.String("to", string(successorID)), zap.Bool("taken", answer.Taken))...)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if own := m.owners[cell]; own != nil && own.owner == owner {
@@ -96,12 +96,12 @@
 	}
 }
 
-// AdoptHere serves a handover: this daemon goes on in the sender's epoch until the
-// store can be written again, and then takes the cell over in an epoch of its own.
+// AdoptHere serves a handover. This daemon continues in the sender's epoch until the store can be
+// written again, and then takes over the cell in an epoch of its own.
 func (m *Manager) AdoptHere(call models.HandoverCall) (models.HandoverAnswer, error) {
 	m.mu.Lock()
-	life := m.runContext
-	refuse := life == nil || m.releasing || m.owners[call.Cell] != nil || m.epochs[call.Cell] > call.Epoch
+	ctx := m.runContext
+	refuse := ctx == nil || m.releasing || m.owners[call.Cell] != nil || m.epochs[call.Cell] > call.Epoch
 	m.mu.Unlock()
 	if refuse {
 		return models.HandoverAnswer{}, nil
@@ -112,6 +112,6 @@
 	if err := j.Adopt(call); err != nil {
 		return models.HandoverAnswer{}, errstep.Wrap(err, "adopt cell "+string(call.Cell), string(m.config.Self))
 	}
-	m.startOwner(life, call.Cell, j, true)
+	m.startOwner(ctx, call.Cell, j, true)
 	return models.HandoverAnswer{Taken: true}, nil
 }
--- a/services/cell/link.go
+++ b/services/cell/link.go
@@ -16,7 +16,7 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// linkConfig is what a link works with.
+// linkConfig holds the settings and dependencies of a link.
 type linkConfig struct {
 	Workers platform.Workers
 	VM      models.VM
@@ -27,8 +27,8 @@
 	Send    func(context.Context, message) bool
 }
 
-// link makes the calls to one worker, one after the other, so that its answers
-// reach the owner in the order in which the worker gave them.
+// link makes the calls to one worker sequentially, so that the answers reach the owner in the order
+// in which the worker gave them.
 type link struct {
 	config linkConfig
 	calls  chan workerCall
@@ -36,22 +36,22 @@
 
 	mu          sync.Mutex
 	address     string
-	unlisted    bool      // the VM is not listed any more
-	leaseCallAt time.Time // when the last call left that may begin or prolong a lease
+	unlisted    bool      // the VM is no longer in the VM list
+	leaseCallAt time.Time // when the last call was sent that may begin or renew a lease
 	acks        map[models.AttemptRef]bool
 	throttle    map[models.TaskID]int
 
-	// These belong to the owner's loop.
+	// The remaining fields belong to the owner's loop.
 	vm          models.VM
 	incarnation models.Incarnation
-	answeredAt  time.Time // last answer of any call
+	answeredAt  time.Time // when the worker last answered a call
 	report      models.RenewAnswer
-	observed    map[models.AttemptRef]uint64 // last lagging figure taken, by attempt
+	observed    map[models.AttemptRef]uint64 // number of the last latency measurement handled, by attempt
 	shares      map[models.TaskID]int
 	failures    failureRecord
 }
 
-// workerCall is a start or a stop. The set is closed.
+// workerCall is a start or a stop. The set of types is closed.
 type workerCall interface{ workerCall() }
 
 type startCall struct{ models.StartCall }
@@ -61,8 +61,7 @@
 func (startCall) workerCall() {}
 func (stopCall) workerCall()  {}
 
-// linkQueueSize bounds the calls that wait for one worker; what doesn't fit is tried
-// again by the owner.
+// linkQueueSize bounds the calls that wait for one worker. The owner retries calls that don't fit.
 const linkQueueSize = 64
 
 func newLink(config linkConfig) *link {
@@ -74,7 +73,7 @@
 	}
 }
 
-// enqueue hands a call to the link; false when too many wait.
+// enqueue adds a call to the queue of the link; false when the queue is full.
 func (l *link) enqueue(call workerCall) bool {
 	select {
 	case l.calls <- call:
@@ -84,8 +83,8 @@
 	}
 }
 
-// renewRetryDivisor is how much sooner than usual a renewal without answer is repeated, so
-// that a few lost messages don't look like a silent worker.
+// renewRetryDivisor divides the renewal interval after a renewal without an answer, so that a few
+// lost messages don't make the worker look silent.
 const renewRetryDivisor = 4
 
 func (l *link) loop(ctx context.Context) {
@@ -119,8 +118,8 @@
 	}
 }
 
-// errUnlisted says that a VM is not asked to start anything.
-var errUnlisted = errors.New("the VM is not listed any more")
+// errUnlisted means that a start was not sent because the VM is no longer listed.
+var errUnlisted = errors.New("the VM is no longer in the VM list")
 
 func (l *link) start(ctx context.Context, address string, call models.StartCall) (models.StartAnswer, error) {
 	if !l.beginLeaseCall() {
@@ -129,8 +128,9 @@
 	return l.config.Workers.Start(ctx, address, call)
 }
 
-// beginLeaseCall notes that a call leaves that brings a lease; false while the VM is not listed, for
-// the proof that nothing runs there needs a whole lease without such a call.
+// beginLeaseCall records that a call is sent that may begin or renew a lease. It returns false while
+// the VM is not listed: no such call may be sent then, because the proof that nothing runs on the
+// VM requires a whole lease without one.
 func (l *link) beginLeaseCall() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,7 +147,7 @@
 	return l.leaseCallAt
 }
 
-// renew prolongs the leases; false when no answer came.
+// renew renews the leases of the worker's tasks; false when the worker gave no answer.
 func (l *link) renew(ctx context.Context) bool {
 	if !l.beginLeaseCall() {
 		return true
@@ -161,7 +161,7 @@
 	return err == nil
 }
 
-// nextRenewCall makes the next call.
+// nextRenewCall builds the next renewal, with the current shares and acknowledgements.
 func (l *link) nextRenewCall() models.RenewCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -190,21 +190,21 @@
 	return l.address
 }
 
-// acknowledge lets the worker forget an ended attempt with the next renewal.
+// acknowledge adds an ended attempt to the next renewal, after which the worker may forget it.
 func (l *link) acknowledge(ref models.AttemptRef) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.acks[ref] = true
 }
 
-// setThrottle sets the shares that go with each renewal.
+// setThrottle sets the CPU shares that are sent with each renewal.
 func (l *link) setThrottle(shares map[models.TaskID]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.throttle = maps.Clone(shares)
 }
 
-// setListed follows the VM list.
+// setListed records whether the VM is listed, and the address of a listed VM.
 func (l *link) setListed(vm models.VM, listed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/services/cell/manager.go
+++ b/services/cell/manager.go
@@ -29,12 +29,12 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// ManagerConfig is what a manager works with.
+// ManagerConfig holds the settings and dependencies of a manager.
 type ManagerConfig struct {
 	Self      models.MemberID
 	Settings  setting.Cell
-	Every     time.Duration // between two looks at who should own what
-	HoldOff   time.Duration // after losing a cell, before taking it back; doubles
+	Every     time.Duration // interval between two checks of the ownership of all cells
+	HoldOff   time.Duration // delay before a lost cell is taken back; doubles with each loss
 	Store     platform.Store
 	Workers   platform.Workers
 	Inventory *inventory.Service
@@ -47,8 +47,8 @@
 	NewID     func() string
 }
 
-// Manager owns the cells that are this daemon's by hash, and takes care of those
-// whose owner is gone while the store can't be written.
+// Manager runs the owners of the cells that rendezvous hashing assigns to this daemon. While the
+// store can't be written, it acts as caretaker of the cells assigned to it that have no owner.
 type Manager struct {
 	config ManagerConfig
 	group  conc.WaitGroup
@@ -57,11 +57,11 @@
 	mu          sync.Mutex
 	owners      map[models.CellID]*runningOwner
 	takeovers   map[models.CellID]bool
-	epochs      map[models.CellID]models.Epoch // highest heard of
+	epochs      map[models.CellID]models.Epoch // highest epoch known of each cell
 	holdOffs    map[models.CellID]holdOff
-	caretakerOf map[models.CellID]bool // caretaker of, as last logged
+	caretakerOf map[models.CellID]bool // cells for which caretaking has been logged
 	releasing   bool
-	runContext  context.Context // of all owners; set by Run
+	runContext  context.Context // parent context of all owners; set by Run
 }
 
 type runningOwner struct {
@@ -69,17 +69,17 @@
 	cancel context.CancelFunc
 }
 
-// holdOff keeps two daemons that don't hear each other from taking a cell back and
-// forth without end.
+// holdOff delays taking back a lost cell, so that two daemons that don't receive each other's
+// heartbeats don't take the cell from each other endlessly.
 type holdOff struct {
 	until  time.Time
 	length time.Duration
 }
 
-// maxHoldOff bounds how long a daemon waits before it takes back a cell it lost.
+// maxHoldOff bounds the delay before a daemon takes back a lost cell.
 const maxHoldOff = time.Minute
 
-// NewManager makes a manager that owns nothing.
+// NewManager returns a manager that owns no cells yet.
 func NewManager(c ManagerConfig) *Manager {
 	return &Manager{
 		config: c, nudge: make(chan struct{}, 1),
@@ -89,7 +89,7 @@
 	}
 }
 
-// Run takes and leaves cells until ctx ends, and then waits for the owners to end.
+// Run takes over and releases cells until ctx ends, and then waits for the owners to end.
 func (m *Manager) Run(ctx context.Context) {
 	m.mu.Lock()
 	m.runContext = ctx
@@ -112,7 +112,8 @@
 	}
 }
 
-// Nudge asks for a look at once, because members, list or map have changed.
+// Nudge requests an immediate reconciliation after a change of the members, the VM list or the
+// cell map.
 func (m *Manager) Nudge() {
 	select {
 	case m.nudge <- struct{}{}:
@@ -120,7 +121,8 @@
 	}
 }
 
-// reconcile looks at each cell: who should own it, who does, and what follows.
+// reconcile ends superseded owners and starts the takeover of each cell that is assigned to this
+// daemon and has no owner here.
 func (m *Manager) reconcile(ctx context.Context) {
 	m.removeSuperseded()
 	m.recordEpochs()
@@ -137,8 +139,9 @@
 	}
 }
 
-// removeSuperseded drops owners that have ended, and ends those that another daemon
-// has superseded, which an owner without changes to write doesn't notice.
+// removeSuperseded drops owners that have ended. It also cancels each owner whose cell has an
+// owner in a later epoch according to the heartbeats, because an owner without changes to write
+// doesn't notice that it has been superseded.
 func (m *Manager) removeSuperseded() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -157,7 +160,8 @@
 	}
 }
 
-// holdOffAfterLoss doubles the time before the cell is taken back; the caller holds
+// holdOffAfterLoss doubles the delay before the cell is taken back, up to maxHoldOff. It starts
+// again from HoldOff when the last delay ended more than maxHoldOff ago. The caller must hold
 // the lock.
 func (m *Manager) holdOffAfterLoss(cell models.CellID) {
 	h := m.holdOffs[cell]
@@ -180,7 +184,7 @@
 	}
 }
 
-// beginTakeover tells whether a takeover may begin now, and marks it as begun.
+// beginTakeover marks the takeover of a cell as under way; false when it may not begin now.
 func (m *Manager) beginTakeover(cell models.CellID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -191,7 +195,8 @@
 	return true
 }
 
-// takeOver takes a cell over, or takes care of it when the store can't be written.
+// takeOver takes over a cell and starts its owner. When the store can't be written, it renews the
+// leases of the cell's tasks instead.
 func (m *Manager) takeOver(ctx context.Context, cell models.CellID) {
 	defer m.endTakeover(cell)
 	j := journal.New(journal.Config{
@@ -217,7 +222,7 @@
 
 func (m *Manager) logDamagedJournal(cell models.CellID, err error) {
 	if errors.Is(err, journal.ErrDamaged) {
-		m.config.Logger.Error("journal can't be read; nothing is decided for the cell until it is repaired",
+		m.config.Logger.Error("journal is damaged; the cell stays without an owner until the journal is repaired",
 			append(log.Err(err), zap.String("cell", string(cell)))...)
 	}
 }
@@ -228,7 +233,7 @@
 	delete(m.takeovers, cell)
 }
 
-// startOwner runs the owner of a cell whose journal has just been taken or adopted.
+// startOwner starts the owner of a cell whose journal has just been taken over or adopted.
 func (m *Manager) startOwner(ctx context.Context, cell models.CellID, j *journal.Journal, adopted bool) {
 	owner := NewOwner(OwnerConfig{
 		Adopted: adopted, Cell: cell, Epoch: j.Epoch(), Settings: m.config.Settings, Journal: j, Workers: m.config.Workers,
@@ -241,13 +246,13 @@
 	m.epochs[cell] = j.Epoch()
 	m.caretakerOf[cell] = false
 	m.mu.Unlock()
-	m.config.Logger.Info("cell is owned here", zap.String("cell", string(cell)),
+	m.config.Logger.Info("this daemon owns the cell now", zap.String("cell", string(cell)),
 		zap.Uint64("epoch", uint64(j.Epoch())), zap.Int("tasks", len(j.State().Tasks)))
 	m.group.Go(func() { owner.Run(ownerContext) })
 	m.config.Members.Nudge()
 }
 
-// Owned gives this daemon's owner of a cell.
+// localOwner returns the owner of a cell if it runs in this daemon and has not ended.
 func (m *Manager) localOwner(cell models.CellID) (*Owner, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -263,7 +268,7 @@
 	}
 }
 
-// Beat is the source of the cells in this daemon's heartbeats.
+// Beat fills in the cells that this daemon owns, with their published state.
 func (m *Manager) Beat(beat *models.Heartbeat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -277,7 +282,7 @@
 	}
 }
 
-// Cells implements Peers.
+// Cells implements Peers. Of several entries for a cell, the one of the latest epoch counts.
 func (m *Manager) Cells() map[models.CellID]models.CellBeat {
 	cells := map[models.CellID]models.CellBeat{}
 	for _, beat := range m.config.Members.Beats() {
@@ -297,7 +302,7 @@
 	return cells
 }
 
-// Dump gives the state of every cell owned here.
+// Dump returns the state of every cell owned by this daemon.
 func (m *Manager) Dump(ctx context.Context) []Dump {
 	var dumps []Dump
 	for _, cell := range m.OwnedCells() {
@@ -319,7 +324,7 @@
 	return dumps
 }
 
-// OwnedCells lists the cells owned here.
+// OwnedCells lists the cells owned by this daemon.
 func (m *Manager) OwnedCells() []models.CellID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/services/cell/message.go
+++ b/services/cell/message.go
@@ -10,10 +10,10 @@
 	"rillsail.example/rillsail/modules/errclass"
 )
 
-// message is what reaches an owner's loop. The set is closed.
+// message is an input of an owner's loop. The set of types is closed.
 type message interface{ message() }
 
-// Calls from the routers; each is answered once on its reply channel.
+// Calls from the routers. Each is answered once on its reply channel.
 type (
 	forwardMessage struct {
 		call  models.ForwardCall
@@ -37,7 +37,7 @@
 	err    error
 }
 
-// Answers of workers, from their links.
+// Answers of workers, delivered by their links.
 type (
 	renewedMessage struct {
 		vm     models.VMID
@@ -58,14 +58,14 @@
 	}
 )
 
-// Results of what the owner set going.
+// Results of work that the owner started in other goroutines.
 type (
 	// appendedMessage is the result of an append.
 	appendedMessage struct {
 		change models.CellChange
 		result appendResult
 	}
-	// unsettledMessage says that the store doesn't tell whether an append was written.
+	// unsettledMessage means that the outcome of an append is still unknown.
 	unsettledMessage struct{ err error }
 	// offeredMessage is another cell's answer to an offer.
 	offeredMessage struct {
@@ -93,29 +93,30 @@
 func (offeredMessage) message()   {}
 func (reportedMessage) message()  {}
 
-// Errors that an operator's call can meet. All but ErrMaybe say that nothing was done; no
-// error is two of them, see surely and maybe.
+// Errors of an operator's call. All but ErrMaybe mean that nothing was done. An error is of
+// at most one of these classes, see asRefusal and asUnknownOutcome.
 var (
-	// ErrNotOwner says that this daemon doesn't own the cell (any more).
+	// ErrNotOwner means that this daemon doesn't own the cell, or no longer does.
 	ErrNotOwner = errors.New("not run: this daemon doesn't own the cell; ask again in a second")
-	// ErrNoStore says that the store can't be written.
+	// ErrNoStore means that the store can't be written.
 	ErrNoStore = errors.New("not run: the platform's store can't be written, so nothing is accepted; ask again in 10 seconds")
-	// ErrMaybe says that the answer of the store is missing.
+	// ErrMaybe means that the outcome of the call is unknown, such as when the store's answer is
+	// missing.
 	ErrMaybe = errors.New("unknown: the store hasn't confirmed the write; submit again with the same id, it is taken only once")
-	// ErrWrong says that the job isn't whole.
+	// ErrWrong means that the job specification is invalid.
 	ErrWrong = errors.New("not run: the job is wrong")
-	// ErrOtherSpec says that the job's id is in use by another job.
+	// ErrOtherSpec means that the job's id is in use by a job with another specification.
 	ErrOtherSpec = errors.New("not run: a job with this id but another content was accepted before")
-	// ErrNoJob says that a job to be cancelled isn't there.
+	// ErrNoJob means that the cell has no job with the id to be cancelled.
 	ErrNoJob = errors.New("not run: no such job is known in the cell")
 )
 
-// refusalErrors are those that say that nothing was done.
+// refusalErrors lists the errors that mean that nothing was done.
 var refusalErrors = []error{ErrNotOwner, ErrNoStore, ErrOtherSpec, ErrWrong, ErrNoJob}
 
-// asRefusal makes of any error one that says that nothing was done, and why. The classes that
-// err had are hidden, so that it can't say ErrMaybe, or another refusal, besides.
+// asRefusal gives err the class of refusal only, which means that nothing was done. The classes
+// that err had are hidden, so that it can't match ErrMaybe or another refusal as well.
 func asRefusal(err, refusal error) error { return errclass.Only(err, refusal) }
 
-// asUnknownOutcome makes of any error one that says only that what was asked for may have been done.
+// asUnknownOutcome gives err the class ErrMaybe only: the call may have been done.
 func asUnknownOutcome(err error) error { return errclass.Only(err, ErrMaybe) }
--- a/services/cell/observe.go
+++ b/services/cell/observe.go
@@ -12,11 +12,12 @@
 	"rillsail.example/rillsail/models"
 )
 
-// silentRenewals is after how many renewals without answer a worker counts as silent.
+// silentRenewals is the number of renewal intervals without an answer after which a worker counts as
+// silent.
 const silentRenewals = 3
 
-// observe brings the workers up to the VM list and draws the consequences of
-// silence, of VMs that are gone and of cancelled jobs.
+// observe synchronizes the links with the VM list, cancels the tasks of cancelled jobs, and updates
+// the tasks on VMs that have left and on silent workers.
 func (o *Owner) observe(ctx context.Context) {
 	now := time.Now()
 	o.syncLinks(ctx)
@@ -43,8 +44,8 @@
 	return now.Sub(l.answeredAt) > o.silenceLimit()
 }
 
-// provedNotRunning tells whether nothing can run on the VM any more: the list has dropped
-// it, and for a whole lease since nobody here has started or renewed anything there.
+// provedNotRunning tells whether no task can run on the VM any more: the VM has left the list, and
+// for a whole lease after that this owner has started and renewed nothing on it.
 func (o *Owner) provedNotRunning(vm models.VMID, l *link, now time.Time) bool {
 	listed, since := o.config.Inventory.Listed(vm)
 	if listed {
@@ -56,8 +57,8 @@
 	return now.Sub(since) > o.config.Settings.Lease
 }
 
-// syncLinks opens a link for each worker of the cell, and keeps those of VMs that
-// are no longer listed as long as tasks are recorded there.
+// syncLinks opens a link for each worker of the cell. The link of a VM that is no longer listed is
+// kept as long as tasks may run on it.
 func (o *Owner) syncLinks(ctx context.Context) {
 	listed := map[models.VMID]bool{}
 	for _, vm := range o.config.Inventory.WorkersOf(o.config.Cell) {
@@ -99,7 +100,7 @@
 	return l
 }
 
-// cancelOrphans stops the tasks of cancelled jobs.
+// cancelOrphans cancels the remaining tasks of cancelled jobs.
 func (o *Owner) cancelOrphans() {
 	for _, t := range o.working.Tasks {
 		if t.Kind != models.TaskBatch || t.Foreign() || t.Cancelled {
@@ -127,17 +128,17 @@
 	l.answeredAt = time.Now()
 	o.updateIncarnation(l, m.answer.Incarnation)
 	l.report = m.answer
-	seen := map[models.TaskID]bool{}
+	reported := map[models.TaskID]bool{}
 	for _, r := range m.answer.Attempts {
-		seen[r.Task] = true
+		reported[r.Task] = true
 		o.handleAttempt(l, r)
 	}
-	o.stopUnreported(l, seen)
+	o.stopUnreported(l, reported)
 	o.processLatencies(l)
 }
 
-// updateIncarnation draws the consequence of a worker that has begun anew: what its
-// former self ran is over.
+// updateIncarnation records a worker's incarnation. After a restart, all tasks of the previous
+// incarnation have ended.
 func (o *Owner) updateIncarnation(l *link, incarnation models.Incarnation) {
 	if l.incarnation == incarnation {
 		return
@@ -150,7 +151,7 @@
 	}
 }
 
-// handleAttempt takes one line of a worker's report.
+// handleAttempt handles one attempt of a worker's report.
 func (o *Owner) handleAttempt(l *link, r models.AttemptReport) {
 	t, ok := o.working.Tasks[r.Task]
 	if !ok || t.Attempt != r.Attempt || !t.HoldsRoom() || t.Worker != l.vm.ID {
@@ -160,7 +161,7 @@
 	o.applyReport(l, t, r)
 }
 
-// applyReport moves a task on by what its worker says of the current attempt.
+// applyReport applies a worker's report of the current attempt to its task.
 func (o *Owner) applyReport(l *link, t models.Task, r models.AttemptReport) {
 	switch r.Status {
 	case models.StatusRunning:
@@ -178,25 +179,26 @@
 	}
 }
 
-// handleStaleAttempt deals with an attempt that is not the current one of any task here:
-// one that runs is stopped, one that has ended may be forgotten once the journal
-// no longer waits for it.
+// handleStaleAttempt handles an attempt that is not the current attempt of any task here. A running
+// attempt is stopped. An ended attempt is acknowledged, so that the worker may forget it, as soon
+// as the journalled record no longer depends on its report.
 func (o *Owner) handleStaleAttempt(l *link, r models.AttemptReport) {
 	if r.Status == models.StatusRunning {
 		o.sendStop(l, r.AttemptRef, false)
 		return
 	}
-	kept, ok := o.journalled.Tasks[r.Task]
-	if !ok || kept.Attempt > r.Attempt || !kept.HoldsRoom() {
+	journalled, ok := o.journalled.Tasks[r.Task]
+	if !ok || journalled.Attempt > r.Attempt || !journalled.HoldsRoom() {
 		l.acknowledge(r.AttemptRef)
 	}
 }
 
-// stopUnreported bars the attempts that the worker should run and doesn't report. Only
-// its answer to the stop is a proof.
-func (o *Owner) stopUnreported(l *link, seen map[models.TaskID]bool) {
+// stopUnreported sends a stop for each attempt that should run on the worker and is missing in its
+// report. The stop bars the attempt; only the worker's answer to it proves that the attempt
+// doesn't run.
+func (o *Owner) stopUnreported(l *link, reported map[models.TaskID]bool) {
 	for _, t := range o.working.Tasks {
-		if t.Worker != l.vm.ID || seen[t.ID] {
+		if t.Worker != l.vm.ID || reported[t.ID] {
 			continue
 		}
 		if t.State == models.TaskRunning || t.State == models.TaskLost {
@@ -212,7 +214,7 @@
 		return
 	}
 	l.answeredAt = time.Now()
-	never := models.EventNeverBegan{Attempt: m.ref.Attempt}
+	neverBegan := models.EventNeverBegan{Attempt: m.ref.Attempt}
 	switch m.answer.Refused {
 	case "":
 		if o.step(m.ref.Task, models.EventStarted{Attempt: m.ref.Attempt}) {
@@ -224,10 +226,10 @@
 	case models.RefusedIncarnation:
 		o.updateIncarnation(l, m.answer.Incarnation)
 	case models.RefusedRoom:
-		never.Reason = "the worker says it has no room"
-		o.step(m.ref.Task, never)
+		neverBegan.Reason = "the worker says it has no room"
+		o.step(m.ref.Task, neverBegan)
 	case models.RefusedBarred, models.RefusedAttempt:
-		o.sendStop(l, m.ref, true) // its answer tells what became of the attempt
+		o.sendStop(l, m.ref, true) // the answer to the stop tells what became of the attempt
 	}
 }
 
@@ -248,17 +250,17 @@
 	}
 }
 
-// suspectSuperseded notes that a worker has heard of a later epoch. The journal knows who
-// owns the cell: writing anything to it tells.
+// suspectSuperseded handles a worker's refusal that names a later epoch. It queues an empty append,
+// whose result tells whether another daemon owns the cell.
 func (o *Owner) suspectSuperseded(epoch models.Epoch) {
 	if epoch <= o.config.Epoch || o.appending {
 		return
 	}
-	o.config.Logger.Warn("a worker knows a later owner; asking the journal",
+	o.config.Logger.Warn("worker refused a call because it has seen a later epoch; checking the ownership with an empty append",
 		zap.String("cell", string(o.config.Cell)), zap.Uint64("epoch", uint64(epoch)))
 	o.dirty.generations[probeKey] = true
 }
 
-// probeKey is a generation that is never used; it makes an append that holds
-// nothing else.
+// probeKey is a generation key that no replica uses. Marking it dirty causes an append that changes
+// nothing, as a probe of the journal.
 const probeKey = "-"
--- a/services/cell/owner.go
+++ b/services/cell/owner.go
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package cell is the path of tasks: it decides for the workers of one cell, while
-// this daemon owns it. Manager takes and leaves cells as members come and go; each
-// owned cell has an Owner with one loop, through which everything passes:
+// Package cell schedules the tasks of the cells that this daemon owns. Manager takes over and
+// releases cells as members join and leave. Each owned cell has an Owner with a single loop,
+// which handles every event of the cell in these stages:
 //
 //	observe → admit → feasible → score → commit → act
 //
-// Owner.cycle in cycle.go reads as that chain. State is changed only by
-// models.Step, becomes durable with the journal's next append, and only then are
-// the actions taken that it calls for. An owner that finds the journal ahead of it
-// has been superseded and ends at once.
+// Owner.cycle in cycle.go runs the stages in this order. State is changed only by models.Step
+// and becomes durable with the next append to the journal; the actions that the new state
+// requires are taken only after that. An owner that finds entries of another daemon in the
+// journal has been superseded and stops at once.
 //
 // # Usage
 //
@@ -42,31 +42,31 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Peers is how an owner reaches the owners of other cells.
+// Peers gives an owner access to the owners of other cells.
 type Peers interface {
-	// Cells tells what is known of all owned cells.
+	// Cells returns the latest known heartbeat entry of each owned cell.
 	Cells() map[models.CellID]models.CellBeat
 	// Offer and Report call the owner of call.To.
 	Offer(ctx context.Context, call models.OfferCall) (models.OfferAnswer, error)
 	Report(ctx context.Context, call models.ReportCall) (models.ReportAnswer, error)
 }
 
-// Learner is what an owner knows of how tasks disturb each other;
-// interference.Learner learns it.
+// Learner predicts and learns how batch tasks slow down services; interference.Learner
+// implements it.
 type Learner interface {
 	place.Predictor
 	Observe(interference.Sample)
-	// Blame orders batch tasks by their part in a service's slowdown, the worst first.
+	// Blame orders batch tasks by their share in a service's slowdown, the largest first.
 	Blame(service map[string]string, batch []interference.Neighbour) []int
 }
 
-// OwnerConfig is what an owner works with.
+// OwnerConfig holds the settings and dependencies of an owner.
 type OwnerConfig struct {
 	Cell      models.CellID
 	Settings  setting.Cell
 	Epoch     models.Epoch     // of the takeover
-	Adopted   bool             // handed over in a former owner's epoch
-	Journal   *journal.Journal // taken
+	Adopted   bool             // handed over by the previous owner, in the previous owner's epoch
+	Journal   *journal.Journal // taken over or adopted
 	Workers   platform.Workers
 	Inventory *inventory.Service
 	View      func() *config.View
@@ -76,76 +76,76 @@
 	Scope     tally.Scope
 }
 
-// Owner decides for one cell. All fields but inbox and done belong to its loop.
+// Owner schedules the tasks of one cell. All fields but inbox and done belong to its loop.
 type Owner struct {
 	config    OwnerConfig
 	journal   *journal.Journal
 	policy    place.Policy
 	selectors *selector.Set
 	inbox     chan message
-	done      chan struct{} // closed when the loop has ended and nothing more is answered
+	done      chan struct{} // closed when the loop has ended and no more replies are sent
 
 	// The state, and what waits for the journal.
-	working       models.CellState // what the journal will hold
-	journalled    models.CellState // what it holds
+	working       models.CellState // the state that the journal will hold after the next append
+	journalled    models.CellState // the state that the journal holds
 	sequence      models.Sequence  // of the last entry known to be journalled
 	dirty         dirty
 	staged        []staged      // operators' calls that wait for the next append
 	waiters       []func() bool // other cells' calls that wait for the journal
 	appending     bool
-	pendingChange models.CellChange // what it holds; kept when this owner ends without knowing its fate
-	unsettled     bool              // the store hasn't said whether the last append was written
+	pendingChange models.CellChange // content of the append under way; kept when the owner ends before its outcome is known
+	unsettled     bool              // the outcome of the last append is unknown
 	cancelAppend  context.CancelFunc
 	nextAppend    time.Time
-	storeFails    atomic.Bool // the last append failed; other goroutines read it too
+	storeFails    atomic.Bool // the last append failed; also read by other goroutines
 
-	// The end of the owner.
+	// How the owner ends.
 	superseded  bool
-	frozen      bool                       // handed over: does nothing more
-	freezeReply chan<- models.HandoverCall // gets the state once the append has been given up
+	frozen      bool                       // handed over: takes no more actions
+	freezeReply chan<- models.HandoverCall // receives the state once the append under way is cancelled
 
 	// The workers.
 	links               map[models.VMID]*link
 	group               conc.WaitGroup // links and calls in flight
 	inFlight            map[actionKey]time.Time
 	holds               map[models.VMID]hold
-	mitigatedAt         map[models.VMID]time.Time // when the last action against slowness was taken
-	neighboursChangedAt map[models.VMID]time.Time // when the batch tasks there last changed
+	mitigatedAt         map[models.VMID]time.Time // when a task there was last throttled, relaxed or evicted for a service's latency
+	neighboursChangedAt map[models.VMID]time.Time // when the batch tasks there, or their shares, last changed
 
 	// The queue and the services.
-	skippedUntil map[string]time.Time // until when a job or task that did not fit is passed over
+	skippedUntil map[string]time.Time // by job or task that found no place: when it is tried again
 	homeCache    homeCache
 	decisions    decisions
 
 	// The other cells.
-	offersSeen         map[models.TaskID]models.Attempt   // in this epoch
-	offeredResources   map[models.CellID]models.Resources // offered to other cells, answer open
-	offersBlockedUntil map[models.CellID]time.Time        // until when no offers go there
-	lossReported       map[models.TaskID]bool             // whose homes were told that they are lost
+	offersSeen         map[models.TaskID]models.Attempt   // latest attempt offered by another cell, in this epoch
+	offeredResources   map[models.CellID]models.Resources // sum of the tasks offered to each cell and not answered yet
+	offersBlockedUntil map[models.CellID]time.Time        // when offers to a cell that refused some may be sent again
+	lossReported       map[models.TaskID]bool             // lost replicas whose home cells have journalled the loss
 	beat               atomic.Pointer[models.CellBeat]
 	publishedAt        time.Time
 
-	// The pace of the loop.
+	// The timing of the loop.
 	wake     *time.Timer
-	wakeAt   time.Time // zero: not set
+	wakeAt   time.Time // zero: timer not set
 	cycledAt time.Time
 	counts   Counts
 }
 
-// hold keeps room on a worker for a task while others are evicted for it.
+// hold reserves capacity on a worker for a task while other tasks are evicted for it.
 type hold struct {
 	task  models.TaskID
 	until time.Time
 }
 
-// actionKey is an action that is under way.
+// actionKey identifies an action that is under way.
 type actionKey struct {
 	task    models.TaskID
 	attempt models.Attempt
 	action  models.TaskAction
 }
 
-// Counts is what an owner has done so far.
+// Counts holds the totals of an owner since it took over its cell.
 type Counts struct {
 	Started   int64 `json:"started"`
 	Finished  int64 `json:"finished"`
@@ -153,12 +153,12 @@
 	Evictions int64 `json:"evictions"`
 	Throttles int64 `json:"throttles"`
 	Offers    int64 `json:"offers"`
-	Taken     int64 `json:"taken"` // offers of other cells
+	Taken     int64 `json:"taken"` // offers of other cells that were placed here
 }
 
 const inboxSize = 256
 
-// NewOwner makes the owner of a cell whose journal this daemon has just taken.
+// NewOwner returns the owner of a cell whose journal this daemon has just taken over or adopted.
 func NewOwner(c OwnerConfig) *Owner {
 	o := &Owner{
 		config: c, journal: c.Journal, policy: place.PolicyOf(c.Settings.Policy), selectors: selector.New(),
@@ -172,18 +172,18 @@
 		offersBlockedUntil: map[models.CellID]time.Time{},
 	}
 	if c.Adopted {
-		o.storeFails.Store(true) // cells are handed over only while it does
+		o.storeFails.Store(true) // cells are handed over only while the store can't be written
 	}
 	return o
 }
 
-// Run decides for the cell until ctx ends or another daemon has taken it.
+// Run schedules the tasks of the cell until ctx ends or the owner is superseded.
 func (o *Owner) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	o.loop(ctx)
 	cancel()
 	o.refusePending()
-	close(o.done) // from now on nobody waits for a reply
+	close(o.done) // callers stop waiting for replies
 	o.group.Wait()
 }
 
@@ -206,11 +206,11 @@
 			o.wakeAt = time.Time{}
 		}
 	}
-	o.config.Logger.Info("cell has another owner now", zap.String("cell", string(o.config.Cell)))
+	o.config.Logger.Info("owner stops because the cell is taken over in a later epoch", zap.String("cell", string(o.config.Cell)))
 }
 
-// cyclesPerAppend is how many cycles there are at most between two appends: a cycle
-// looks at every task, and what it decides waits for the next append anyway.
+// cyclesPerAppend is the maximum number of cycles between two appends. A cycle iterates over
+// all tasks, and its decisions wait for the next append anyway.
 const cyclesPerAppend = 4
 
 func (o *Owner) cycleWhenDue(ctx context.Context) {
@@ -222,7 +222,7 @@
 	o.cycle(ctx)
 }
 
-// wakeIn lets the loop go on after a while, or earlier if it was to already.
+// wakeIn schedules a wake-up of the loop after d, unless an earlier one is already scheduled.
 func (o *Owner) wakeIn(d time.Duration) {
 	at := time.Now().Add(d)
 	if !o.wakeAt.IsZero() && o.wakeAt.Before(at) {
@@ -232,7 +232,7 @@
 	o.wake.Reset(d)
 }
 
-// drainInbox takes what else has arrived, so that a burst costs one cycle.
+// drainInbox handles all messages that have already arrived, so that a burst costs one cycle.
 func (o *Owner) drainInbox() {
 	for range inboxSize {
 		select {
@@ -244,7 +244,7 @@
 	}
 }
 
-// refusePending tells callers that wait for a reply that this daemon isn't the owner.
+// refusePending answers all staged and queued calls; the owner has ended and handles no more.
 func (o *Owner) refusePending() {
 	for _, s := range o.staged {
 		o.answer(s, ErrNotOwner)
@@ -260,7 +260,7 @@
 	}
 }
 
-// refuse answers a call that no loop will handle.
+// refuse answers a call that the ended loop will not handle.
 func (o *Owner) refuse(m message) {
 	switch m := m.(type) {
 	case forwardMessage:
@@ -276,7 +276,7 @@
 	}
 }
 
-// send hands a message to the loop; false when the loop has ended.
+// send puts a message into the inbox of the loop; false when the loop or ctx has ended.
 func (o *Owner) send(ctx context.Context, m message) bool {
 	select {
 	case o.inbox <- m:
@@ -317,7 +317,8 @@
 	}
 }
 
-// step moves a task on and marks its record for the next append.
+// step applies an event to a task and marks its record for the next append; false when the
+// event changes nothing.
 func (o *Owner) step(id models.TaskID, event models.TaskEvent) bool {
 	task, ok := o.working.Tasks[id]
 	if !ok {
@@ -333,8 +334,8 @@
 	return true
 }
 
-// recordNeighbourChange notes that a worker's batch tasks have changed, so that latencies
-// measured before aren't put down to those that run there now.
+// recordNeighbourChange records when a worker's batch tasks change, so that latencies measured
+// before the change aren't attributed to the tasks that run there after it.
 func (o *Owner) recordNeighbourChange(before, after models.Task) {
 	if before.Kind == models.TaskBatch && before.State != after.State && before.Worker+after.Worker != "" {
 		o.neighboursChangedAt[max(before.Worker, after.Worker)] = time.Now()
@@ -349,7 +350,7 @@
 	}
 }
 
-// removeEnded drops the record of an ended task and counts it in its job.
+// removeEnded drops the record of an ended task and counts the task in its job.
 func (o *Owner) removeEnded(t models.Task) {
 	delete(o.working.Tasks, t.ID)
 	o.dirty.dropTask(t.ID)
@@ -365,7 +366,7 @@
 	o.dirty.job(job.ID)
 }
 
-// updateCounts keeps the figures that users measure.
+// updateCounts counts evictions and ended tasks, for the dump and the metrics.
 func (o *Owner) updateCounts(before, after models.Task) {
 	if after.Evictions > before.Evictions && after.State == models.TaskEvicting {
 		o.counts.Evictions++
@@ -385,12 +386,12 @@
 
 func (o *Owner) recordStoreFailure(err error) {
 	if !o.storeFails.Load() {
-		o.config.Logger.Warn("journal can't be written; running tasks go on, nothing new starts",
+		o.config.Logger.Warn("journal write failed; running tasks continue, no new tasks start until a write succeeds",
 			append(log.Err(err), zap.String("cell", string(o.config.Cell)))...)
 	}
 	o.storeFails.Store(true)
 	o.config.Scope.Counter("appends_failed").Inc(1)
 }
 
-// isSuperseded tells whether err says that another daemon owns the cell.
+// isSuperseded tells whether err means that another daemon owns the cell.
 func isSuperseded(err error) bool { return errors.Is(err, journal.ErrSuperseded) }
--- a/services/cell/pressure.go
+++ b/services/cell/pressure.go
@@ -12,22 +12,25 @@
 	"rillsail.example/rillsail/services/place"
 )
 
-// Steps of the ladder against slowness: throttle, throttle more, evict.
+// CPU shares of batch tasks in percent. A batch task that slows down a service is throttled to
+// halfShare, and then evicted; one that can't be evicted is throttled to minShare.
 const (
 	fullShare = 100
 	halfShare = 50
 	minShare  = 25
 )
 
-// relaxBelow is the part of the target under which throttled tasks get more again.
+// relaxBelow is the fraction of their targets below which services must stay before throttled tasks
+// get a larger share again.
 const relaxBelow = 0.6
 
-// maxEvictions is after how many evictions a batch task is only throttled, so that
-// none is evicted over and over.
+// maxEvictions is the number of evictions after which a batch task is only throttled, so that no
+// task is evicted endlessly.
 const maxEvictions = 3
 
-// processLatencies takes the latencies of a worker's report: into the learner, and into
-// action when a service is over its target.
+// processLatencies passes the latencies of a worker's report to the learner. It throttles or evicts
+// a batch task when a service is over its target, and relaxes a throttled one when all services
+// are well below theirs.
 func (o *Owner) processLatencies(l *link) {
 	neighbours, batch := o.runningBatch(l)
 	worst, calm := o.observeServices(l, neighbours)
@@ -36,7 +39,7 @@
 	}
 	now := time.Now()
 	if now.Sub(o.mitigatedAt[l.vm.ID]) < o.config.Settings.SettleAfter {
-		return // what is reported now was measured before the last action took hold
+		return // the reported latencies were measured before the last action took effect
 	}
 	switch {
 	case worst != nil:
@@ -46,7 +49,8 @@
 	}
 }
 
-// runningBatch lists the batch tasks that run on a worker, as tasks and as neighbours.
+// runningBatch lists the batch tasks that run on a worker according to its report, as the learner's
+// neighbours and as tasks, in the same order.
 func (o *Owner) runningBatch(l *link) ([]interference.Neighbour, []models.Task) {
 	var neighbours []interference.Neighbour
 	var batch []models.Task
@@ -61,8 +65,9 @@
 	return neighbours, batch
 }
 
-// observeServices teaches the learner what is new in the report, and gives the
-// service most over its target, or whether all are well below theirs.
+// observeServices passes the new latencies of the report to the learner. worst is the service
+// furthest over its target, nil when none is; calm tells whether all are below relaxBelow of
+// their targets.
 func (o *Owner) observeServices(l *link, neighbours []interference.Neighbour) (worst *models.Task, calm bool) {
 	worstRatio := 1.0
 	calm = true
@@ -73,7 +78,7 @@
 			continue
 		}
 		if r.Observed <= l.observed[r.AttemptRef] {
-			continue // the same figure as before: nothing is done twice on one report
+			continue // the measurement has already been handled
 		}
 		l.observed[r.AttemptRef] = r.Observed
 		if time.Since(o.neighboursChangedAt[l.vm.ID]) >= o.config.Settings.SettleAfter {
@@ -90,7 +95,7 @@
 	return worst, calm
 }
 
-// relieve takes one step of the ladder on the batch task that yields first.
+// relieve throttles the first batch task to yield by one step, or evicts it.
 func (o *Owner) relieve(l *link, service models.Task, neighbours []interference.Neighbour, batch []models.Task, now time.Time) {
 	victim, ok := o.chooseVictim(service, neighbours, batch)
 	if !ok {
@@ -120,8 +125,8 @@
 	o.recordDecision(t.ID, "throttled", l.vm.ID, why)
 }
 
-// chooseVictim chooses by the operators' yield order and, within it, by the part
-// that each task is learned to have in the slowdown.
+// chooseVictim chooses by the operators' yield order and, within one order, by the learned share of
+// each task in the slowdown.
 func (o *Owner) chooseVictim(service models.Task, neighbours []interference.Neighbour, batch []models.Task) (models.Task, bool) {
 	var candidates []models.Task
 	order := make([]int, len(batch))
@@ -135,7 +140,7 @@
 		t := batch[i]
 		spent := t.Unrepeatable || t.Evictions >= maxEvictions
 		if spent && o.links[t.Worker].shareOf(t.ID) <= minShare {
-			continue // nothing more can be done to it
+			continue // the task can be neither throttled further nor evicted
 		}
 		candidates = append(candidates, t)
 	}
@@ -146,7 +151,7 @@
 	return candidates[0], true
 }
 
-// defaultYieldOrder is the order of tasks that no rule selects.
+// defaultYieldOrder is the yield order of tasks that no rule selects: they yield last.
 const defaultYieldOrder = 1 << 20
 
 func (o *Owner) yieldOrder(t models.Task) int {
@@ -159,7 +164,8 @@
 	return order
 }
 
-// raiseShare gives one throttled task on a calm worker more processor time.
+// raiseShare doubles the CPU share of one throttled task on a worker whose services are all well
+// below their targets.
 func (o *Owner) raiseShare(l *link, now time.Time) {
 	for id, share := range l.shares {
 		if share >= fullShare {
@@ -183,8 +189,8 @@
 	return false
 }
 
-// hasUnknownPair tells whether a pair that isn't known yet is on the worker: a service and
-// a batch task that were never measured together.
+// hasUnknownPair tells whether the worker runs a service and a batch task that were never measured
+// together.
 func (o *Owner) hasUnknownPair(w place.Worker) bool {
 	for _, s := range w.Tasks {
 		if s.Kind != models.TaskService {
@@ -202,37 +208,37 @@
 	return false
 }
 
-// holdDuration is how long room that is being freed is kept for the task it is freed for.
+// holdDuration is how long capacity that is freed by preemption is reserved for the preempting task.
 const holdDuration = 30 * time.Second
 
-// preempt evicts batch tasks that yield so that a service or urgent task finds
-// room. It takes the worker on which the least has to go.
+// preempt evicts batch tasks so that a service or urgent task can be placed. It chooses the worker
+// on which the fewest tasks must be evicted; false when no worker qualifies.
 func (o *Owner) preempt(t models.Task, workers []place.Worker) bool {
 	for _, h := range o.holds {
 		if h.task == t.ID && time.Now().Before(h.until) {
-			return true // under way
+			return true // preemption for the task is already under way
 		}
 	}
 	var best []models.Task
-	var at models.VMID
+	var worker models.VMID
 	for _, w := range workers {
-		if victims, ok := o.victims(t, w); ok && (at == "" || len(victims) < len(best)) {
-			best, at = victims, w.VM.ID
+		if victims, ok := o.victims(t, w); ok && (worker == "" || len(victims) < len(best)) {
+			best, worker = victims, w.VM.ID
 		}
 	}
-	if at == "" {
+	if worker == "" {
 		return false
 	}
-	o.holds[at] = hold{task: t.ID, until: time.Now().Add(holdDuration)}
+	o.holds[worker] = hold{task: t.ID, until: time.Now().Add(holdDuration)}
 	for _, v := range best {
-		o.recordDecision(v.ID, "evicted", at, "makes room for "+string(t.ID))
+		o.recordDecision(v.ID, "evicted", worker, "makes room for "+string(t.ID))
 		o.step(v.ID, models.EventEvict{Reason: "made room for " + string(t.ID)})
 	}
 	return true
 }
 
-// victims lists the tasks to evict from a worker for t; ok is false when that would
-// not be enough.
+// victims lists the batch tasks to evict from a worker for t, in yield order; ok is false when t
+// would not fit even then. Only services preempt urgent tasks.
 func (o *Owner) victims(t models.Task, w place.Worker) (victims []models.Task, ok bool) {
 	if !w.Usable || w.Held != "" || !t.Size.Fits(w.VM.Capacity) {
 		return nil, false
@@ -253,8 +259,9 @@
 	return victims, t.Size.Fits(free)
 }
 
-// drainWorkers moves batch work off VMs that leave or are drained. Replicas homed
-// here are replaced first, see reconcileReplica; those of other cells are returned.
+// drainWorkers evicts tasks from VMs that leave or are drained. Replicas whose home is this cell
+// are left to reconcileReplica, which replaces them first. Replicas of other cells are returned
+// to their home cells.
 func (o *Owner) drainWorkers() {
 	view := o.config.View()
 	for _, t := range o.working.Tasks {
--- a/services/cell/queue.go
+++ b/services/cell/queue.go
@@ -16,17 +16,16 @@
 // candidate is a task that may start next.
 type candidate struct {
 	task models.Task
-	// virtual tells that the task has no record yet: it is the next of its job.
+	// virtual marks a task that has no record yet: it is derived from its job.
 	virtual bool
 }
 
-// maxPlacements bounds the decisions of one cycle, so that answers are not kept
-// waiting by a long queue.
+// maxPlacements bounds the candidates of one cycle, so that a long queue doesn't delay answers.
 const maxPlacements = 32
 
-// admit gives the candidates of this cycle in order: services, then urgent tasks,
-// then the team that uses the least of its quota, then age. A job that did not fit
-// a moment ago is passed over for a while, so that it doesn't block the rest.
+// admit returns the candidates of this cycle in order: services, then urgent tasks, then tasks of
+// the team that uses the smallest share of its quota, then the longest queued. A job that found
+// no place is skipped for skipTicks, so that it doesn't block the others.
 func (o *Owner) admit() []candidate {
 	queue := o.queue()
 	if len(queue) == 0 {
@@ -53,7 +52,7 @@
 	return admitted
 }
 
-// queue lists all that waits: queued records, and the next task of each job.
+// queue lists the waiting tasks: queued records, and the next task of each active job.
 func (o *Owner) queue() []candidate {
 	now := time.Now()
 	var queue []candidate
@@ -70,7 +69,7 @@
 	return queue
 }
 
-// nextOfJob is the job's task after the candidate.
+// nextOfJob returns the job's task after the candidate; false when there is none.
 func (o *Owner) nextOfJob(c candidate) (candidate, bool) {
 	job := o.working.Jobs[c.task.Job]
 	if !c.virtual || c.task.Index+1 >= job.Tasks {
@@ -79,7 +78,8 @@
 	return candidate{task: job.NewTask(c.task.Index + 1), virtual: true}, true
 }
 
-// firstWithinQuota finds the first of the queue that its team's quota allows; -1 when none is.
+// firstWithinQuota returns the index of the first candidate, in the order of precedes, that its
+// team's quota allows; -1 when there is none.
 func (o *Owner) firstWithinQuota(queue []candidate, usage map[models.TeamName]models.Resources) int {
 	view := o.config.View()
 	best := -1
@@ -96,7 +96,7 @@
 	return best
 }
 
-// precedes tells whether a is to start before b.
+// precedes tells whether a starts before b.
 func (o *Owner) precedes(a, b models.Task, usage map[models.TeamName]models.Resources) bool {
 	order := cmp.Or(
 		-compare.Bool(a.Kind == models.TaskService, b.Kind == models.TaskService),
@@ -108,8 +108,8 @@
 	return order < 0
 }
 
-// quotaShare is the part of its quota a team uses, or the processors it uses for a
-// team without.
+// quotaShare returns the fraction of its CPU quota that a team uses, or of unlimitedQuota for a team
+// without a CPU quota.
 func (o *Owner) quotaShare(team models.TeamName, usage map[models.TeamName]models.Resources) float64 {
 	quota := o.config.View().Teams[team].Quota.CPU
 	if quota == 0 {
@@ -118,18 +118,18 @@
 	return float64(usage[team].CPU) / float64(quota)
 }
 
-// unlimitedQuota stands for the quota of a team without one when shares are compared.
+// unlimitedQuota replaces the missing CPU quota of a team when shares are compared.
 const unlimitedQuota models.MilliCPU = 1_000_000
 
-// withinQuota tells whether usage is within the parts of the quota that are set.
+// withinQuota tells whether usage is within those limits of the quota that are set.
 func withinQuota(usage, quota models.Resources) bool {
 	return (quota.CPU == 0 || usage.CPU <= quota.CPU) &&
 		(quota.Memory == 0 || usage.Memory <= quota.Memory) &&
 		(quota.Accelerators == 0 || usage.Accelerators <= quota.Accelerators)
 }
 
-// teamUsage sums up what teams' batch tasks use in all cells: exactly here, as of
-// the last heartbeats elsewhere.
+// teamUsage sums up the resources of the teams' batch tasks in all cells. The values of this cell are
+// exact; those of other cells are as of their last heartbeats.
 func (o *Owner) teamUsage() map[models.TeamName]models.Resources {
 	usage := o.localUsage()
 	for cell, beat := range o.config.Peers.Cells() {
@@ -153,10 +153,10 @@
 	return usage
 }
 
-// skipTicks is for how many ticks a job or task that fits nowhere is passed over.
+// skipTicks is the number of ticks for which a job or task that found no place is skipped.
 const skipTicks = 2
 
-// skip passes over what did not fit for a while.
+// skip excludes a candidate, or its whole job when virtual, from the queue for skipTicks.
 func (o *Owner) skip(c candidate) {
 	key := string(c.task.ID)
 	if c.virtual {
@@ -167,5 +167,5 @@
 
 func (o *Owner) isSkipped(key string, now time.Time) bool { return now.Before(o.skippedUntil[key]) }
 
-// sortedLinks gives the workers by id, so that choices don't depend on map order.
+// sortedLinks returns the VM ids of the links in order, so that choices don't depend on map order.
 func (o *Owner) sortedLinks() []models.VMID { return slices.Sorted(maps.Keys(o.links)) }
--- a/services/cell/replica.go
+++ b/services/cell/replica.go
@@ -14,8 +14,8 @@
 	"rillsail.example/rillsail/services/config"
 )
 
-// replicaHomes tells which cell keeps a replica: replicas go round the failure
-// domains, and within a domain to the cell that hashing gives.
+// replicaHomes assigns home cells to replicas. The replicas of a service are distributed round-robin
+// over the failure domains; within a domain, rendezvous hashing chooses the cell.
 type replicaHomes struct {
 	domains []models.FailureDomain
 	cells   map[models.FailureDomain][]models.CellID
@@ -31,7 +31,7 @@
 	return h
 }
 
-// of gives the homes of a service's replicas, in their order; none without cells.
+// of returns the home of each replica of a service, by replica number; nil when there are no cells.
 func (h replicaHomes) of(service models.Service) []models.CellID {
 	if len(h.domains) == 0 {
 		return nil
@@ -45,18 +45,18 @@
 	return homes
 }
 
-// JobHome is the cell that keeps a job.
+// JobHome returns the home cell of a job; false when there are no cells.
 func JobHome(job models.JobID, cells models.CellMap) (models.CellID, bool) {
 	return rendezvous.First(string(job), slices.Sorted(maps.Keys(cells.Cells)))
 }
 
-// replicaKey names a replica in the state's generations.
+// replicaKey is the key of a replica in CellState.Generations.
 func replicaKey(service models.ServiceName, replica int) string {
 	return fmt.Sprintf("%s/%d", service, replica)
 }
 
-// reconcileServices makes the replicas that are homed here what the configuration
-// asks for. It waits for a configuration; an empty one says nothing.
+// reconcileServices creates and retires the replicas whose home is this cell as the configuration
+// requires. At revision 0 no configuration has been read yet, so nothing is retired for lack of one.
 func (o *Owner) reconcileServices() {
 	view := o.config.View()
 	if view.Revision() == 0 {
@@ -82,8 +82,9 @@
 	key     string
 }
 
-// homeCache are the replicas of a configuration whose home is this cell. Hashing all
-// replicas over all cells is worth doing only when one of them has changed.
+// homeCache holds the replicas whose home is this cell, as computed for one revision of the
+// configuration and one number of cells. Hashing all replicas over all cells is repeated only
+// when either has changed.
 type homeCache struct {
 	revision models.Revision
 	cells    int
@@ -107,7 +108,7 @@
 	return o.homeCache.replicas
 }
 
-// replicasByKey groups the records of replicas homed here, the oldest first.
+// replicasByKey groups the records of replicas whose home is this cell, the oldest generation first.
 func (o *Owner) replicasByKey() map[string][]models.Task {
 	present := map[string][]models.Task{}
 	for _, t := range o.working.Tasks {
@@ -122,9 +123,9 @@
 	return present
 }
 
-// reconcileReplica sees to it that one replica is, or will be, healthy. What is
-// lost, drained or out of date is replaced first and retired once its successor
-// runs; a lost one is retired as soon as its worker answers.
+// reconcileReplica ensures that one replica has a healthy task. A task that is lost, on a drained VM
+// or of an outdated size is first replaced, and retired once its replacement runs; a lost task is
+// retired as soon as its worker answers.
 func (o *Owner) reconcileReplica(service models.Service, replica int, tasks []models.Task) {
 	var healthy []models.Task
 	for _, t := range tasks {
@@ -139,7 +140,7 @@
 	}
 	keep := healthy[0]
 	if keep.State != models.TaskRunning && keep.State != models.TaskMoved {
-		return // not running yet: the old ones go on
+		return // the replacement doesn't run yet, so the old tasks continue
 	}
 	for _, t := range tasks {
 		if t.ID != keep.ID {
@@ -174,7 +175,7 @@
 	o.recordDecision(t.ID, "created", "", "the configuration asks for replica "+key)
 }
 
-// relabel follows a change of labels without a restart.
+// relabel applies changed service labels to a task without restarting it.
 func (o *Owner) relabel(t models.Task, service models.Service) models.Task {
 	if !maps.Equal(t.Labels, service.Labels) && !t.Ended() {
 		t.Labels = service.Labels
--- a/services/cell/route.go
+++ b/services/cell/route.go
@@ -14,20 +14,20 @@
 	"rillsail.example/rillsail/modules/errstep"
 )
 
-// Forward carries an operator's call to the owner of a cell, here or at a peer.
+// Forward passes an operator's call to the owner of a cell, in this daemon or at a peer.
 func (m *Manager) Forward(ctx context.Context, call models.ForwardCall) (models.ForwardAnswer, error) {
 	if owner, ok := m.localOwner(call.Cell); ok {
 		return forwardTo(ctx, owner, call)
 	}
-	holder, _, ok := m.config.Members.OwnerOf(call.Cell)
+	member, _, ok := m.config.Members.OwnerOf(call.Cell)
 	if !ok {
 		return models.ForwardAnswer{}, errstep.Wrap(ErrNotOwner, "find the owner", string(call.Cell))
 	}
-	answer, err := m.config.Client.Forward(ctx, holder.PeerAddress, call)
+	answer, err := m.config.Client.Forward(ctx, member.PeerAddress, call)
 	return answer, classifyPeerError(call, err)
 }
 
-// ForwardHere serves a peer's Forward: it goes no further.
+// ForwardHere serves a peer's Forward. The call is not forwarded again.
 func (m *Manager) ForwardHere(ctx context.Context, call models.ForwardCall) (models.ForwardAnswer, error) {
 	owner, ok := m.localOwner(call.Cell)
 	if !ok {
@@ -45,11 +45,12 @@
 	return r.answer, r.err
 }
 
-// errOwnerEnded says that an owner's loop ended before it gave an answer.
+// errOwnerEnded means that an owner's loop ended before it replied.
 var errOwnerEnded = errors.New("the owner ended without an answer")
 
-// awaitReply hands a message to an owner and waits for its reply. Of a message that was handed
-// over nothing but the reply tells what became of it; ErrNotOwner means that it wasn't.
+// awaitReply sends a message to an owner and waits for the reply. ErrNotOwner means that the message
+// was not delivered. Once it is delivered, only the reply tells its outcome: every other error
+// is ErrMaybe.
 func awaitReply[A any](ctx context.Context, owner *Owner, msg message, reply <-chan A) (A, error) {
 	var zero A
 	if !owner.send(ctx, msg) {
@@ -70,8 +71,9 @@
 	}
 }
 
-// classifyPeerError says of the error of a call to a peer what is known of its outcome:
-// only the peer's own word, or a connection that was never made, says "not run".
+// classifyPeerError classifies the error of a call to a peer by what it tells about the outcome.
+// Only a refusal that the peer names, or a connection that was never established, proves that the
+// call was not run.
 func classifyPeerError(call models.ForwardCall, err error) error {
 	if err == nil {
 		return nil
@@ -94,10 +96,11 @@
 	return err
 }
 
-// MetaRefusal is the key under which a peer's error carries which refusal it is.
+// MetaRefusal is the key of the metadata that names the refusal in a peer's error.
 const MetaRefusal = "refusal"
 
-// RefusalOf gives the refusal that err stands for, to be sent to a peer.
+// RefusalOf returns the text of the refusal that err matches, as it is sent to peers; ok is false
+// when err is no refusal.
 func RefusalOf(err error) (refusal string, ok bool) {
 	for _, known := range refusalErrors {
 		if errors.Is(err, known) {
@@ -112,7 +115,7 @@
 	return callOwner(ctx, m, call.To, call, m.OfferHere, m.config.Client.Offer)
 }
 
-// OfferHere serves an offer to a cell owned here.
+// OfferHere serves an offer to a cell that this daemon owns.
 func (m *Manager) OfferHere(ctx context.Context, call models.OfferCall) (models.OfferAnswer, error) {
 	reply := make(chan models.OfferAnswer, 1)
 	return askLocalOwner(ctx, m, call.To, offerMessage{call: call, reply: reply}, reply)
@@ -123,28 +126,28 @@
 	return callOwner(ctx, m, call.To, call, m.ReportHere, m.config.Client.Report)
 }
 
-// ReportHere serves a report to a cell owned here.
+// ReportHere serves a report to a cell that this daemon owns.
 func (m *Manager) ReportHere(ctx context.Context, call models.ReportCall) (models.ReportAnswer, error) {
 	reply := make(chan models.ReportAnswer, 1)
 	return askLocalOwner(ctx, m, call.To, reportMessage{call: call, reply: reply}, reply)
 }
 
-// callOwner calls the owner of a cell, here or at a peer.
+// callOwner calls the owner of a cell, in this daemon or at a peer.
 func callOwner[C, A any](ctx context.Context, m *Manager, cell models.CellID, call C,
-	here func(context.Context, C) (A, error), there func(context.Context, string, C) (A, error),
+	local func(context.Context, C) (A, error), remote func(context.Context, string, C) (A, error),
 ) (A, error) {
 	if _, ok := m.localOwner(cell); ok {
-		return here(ctx, call)
+		return local(ctx, call)
 	}
-	holder, _, ok := m.config.Members.OwnerOf(cell)
+	member, _, ok := m.config.Members.OwnerOf(cell)
 	if !ok {
 		var zero A
 		return zero, errstep.Wrap(ErrNotOwner, "find the owner", string(cell))
 	}
-	return there(ctx, holder.PeerAddress, call)
+	return remote(ctx, member.PeerAddress, call)
 }
 
-// askLocalOwner hands a message to the owner of a cell and waits for its reply.
+// askLocalOwner sends a message to the owner of a cell in this daemon and waits for the reply.
 func askLocalOwner[A any](ctx context.Context, m *Manager, cell models.CellID, msg message, reply <-chan A) (A, error) {
 	var zero A
 	owner, ok := m.localOwner(cell)
--- a/services/cell/spill.go
+++ b/services/cell/spill.go
@@ -13,17 +13,16 @@
 	"rillsail.example/rillsail/services/place"
 )
 
-// A task that finds no place here is offered to another cell:
+// A task that finds no place in this cell is offered to another cell; k is the attempt number:
 //
 //	home: offered(k) → journal → offer(k, epoch) → accepted → moved → journal
-//	other: journal placed(k+1) → accepted; or refused, kept for the epoch
+//	other: journal placed(k+1) → accepted; or refused, remembered for the epoch
 //
-// An offer names the epoch it is meant for. The owner of that epoch remembers each
-// offer that it has seen; the owner of a later epoch refuses what the journal
-// doesn't hold. So a late copy of an offer is never taken, though refusals are not
-// journalled.
+// An offer names the epoch of the owner that it is meant for. That owner remembers each offer that
+// it has seen. The owner of a later epoch refuses every offer whose task its journal doesn't hold.
+// So a late copy of an offer is never accepted, although refusals are not journalled.
 
-// anyWorkerCouldHold tells whether any VM of the fleet is large enough when empty.
+// anyWorkerCouldHold tells whether any worker of any cell is large enough for the task when empty.
 func (o *Owner) anyWorkerCouldHold(t models.Task) bool {
 	for _, vm := range o.config.Inventory.VMs().VMs {
 		if vm.Kind == models.KindWorker && t.Size.Fits(vm.Capacity) {
@@ -33,8 +32,8 @@
 	return false
 }
 
-// chooseCell chooses the cell to offer a task to: of those with a large enough free
-// place, the one with the most room.
+// chooseCell chooses the cell to offer a task to: of the cells with enough free capacity on one
+// worker, the cell with the most free CPU in total, less the CPU of outstanding offers.
 func (o *Owner) chooseCell(t models.Task) (models.CellID, bool) {
 	cells := o.config.Peers.Cells()
 	var best models.CellID
@@ -53,7 +52,7 @@
 	return best, true
 }
 
-// offersBlocked tells whether the cell has just refused offers.
+// offersBlocked tells whether the cell has refused an offer within the last tick.
 func (o *Owner) offersBlocked(cell models.CellID) bool {
 	return time.Now().Before(o.offersBlockedUntil[cell])
 }
@@ -68,8 +67,8 @@
 	}
 }
 
-// sendPeerCalls sends what other cells have to know: offers, reports, cancellations.
-// One call to each cell is under way at a time.
+// sendPeerCalls sends offers, reports and cancellations to the owners of other cells. One call to
+// each cell is under way at a time.
 func (o *Owner) sendPeerCalls(ctx context.Context) {
 	offers := map[models.CellID]map[models.Epoch][]models.Task{}
 	reports := map[models.CellID]*models.ReportCall{}
@@ -108,12 +107,12 @@
 	return calls[to]
 }
 
-// reportsLoss tells whether a home has to hear that a replica's worker is silent.
+// reportsLoss tells whether the home cell of a replica must be told that the replica is lost.
 func (o *Owner) reportsLoss(t models.Task) bool {
 	return t.Foreign() && t.State == models.TaskLost && t.Kind == models.TaskService && !t.Cancelled && !o.lossReported[t.ID]
 }
 
-// A flight of these kinds stands for a call to another cell.
+// Actions of an actionKey that stands for a call to another cell.
 const (
 	actionOfferCall  models.TaskAction = "offer-call"
 	actionReportCall models.TaskAction = "report-call"
@@ -143,8 +142,8 @@
 	o.send(ctx, reportedMessage{call: call, answer: answer, err: err})
 }
 
-// handleOffer decides on another cell's offer. The answer waits for the journal;
-// a task that is missing in it is still open.
+// handleOffer decides on another cell's offer. The answer waits until acceptances are journalled. A
+// task that is missing in the answer is undecided.
 func (o *Owner) handleOffer(m offerMessage) {
 	answer := models.OfferAnswer{Accepted: map[models.TaskID]bool{}}
 	var open []models.Task
@@ -167,7 +166,7 @@
 			}
 		}
 		for _, t := range open {
-			if o.acceptanceJournalled(t) { // one that was never placed here stays open
+			if o.acceptanceJournalled(t) { // a task that was never placed here stays undecided
 				answer.Accepted[t.ID] = true
 			}
 		}
@@ -177,23 +176,23 @@
 	o.runWaiters()
 }
 
-// acceptanceJournalled tells whether the journal holds that an offer was accepted.
+// acceptanceJournalled tells whether the acceptance of an offered task is journalled.
 func (o *Owner) acceptanceJournalled(t models.Task) bool {
-	kept, ok := o.journalled.Tasks[t.ID]
-	return ok && kept.Foreign() && kept.Attempt > t.Attempt
+	journalled, ok := o.journalled.Tasks[t.ID]
+	return ok && journalled.Foreign() && journalled.Attempt > t.Attempt
 }
 
-// evaluateOffer says what is final about an offered task; one that was just placed
-// becomes final with the next append.
+// evaluateOffer decides on one offered task. final tells whether accepted is the final answer; a task
+// that has just been placed gets its final answer with the next append.
 func (o *Owner) evaluateOffer(call models.OfferCall, t models.Task) (accepted, final bool) {
 	if o.acceptanceJournalled(t) {
 		return true, true
 	}
-	if kept, ok := o.working.Tasks[t.ID]; ok && kept.Foreign() && kept.Attempt > t.Attempt {
+	if working, ok := o.working.Tasks[t.ID]; ok && working.Foreign() && working.Attempt > t.Attempt {
 		return false, false
 	}
 	if call.Epoch > o.config.Epoch {
-		return false, false // meant for a successor we don't know of yet
+		return false, false // meant for a successor that this owner doesn't know of yet
 	}
 	if call.Epoch < o.config.Epoch || o.offersSeen[t.ID] >= t.Attempt || o.storeFails.Load() || o.config.Adopted {
 		o.offersSeen[t.ID] = max(o.offersSeen[t.ID], t.Attempt)
@@ -203,7 +202,7 @@
 	return false, !o.placeOffered(call, t)
 }
 
-// placeOffered places an offered task; false when there is no place for it.
+// placeOffered places an offered task on a worker of this cell; false when it finds no place.
 func (o *Owner) placeOffered(call models.OfferCall, t models.Task) bool {
 	t.State, t.Home = models.TaskQueued, call.From
 	t.Peer, t.PeerEpoch = "", 0
@@ -222,7 +221,7 @@
 		o.config.Scope.Counter("offers_unanswered").Inc(1)
 		return
 	}
-	if len(m.answer.Accepted) == len(m.call.Tasks) { // else those left open are offered again in a while
+	if len(m.answer.Accepted) == len(m.call.Tasks) { // otherwise undecided tasks are offered again after retryInterval
 		delete(o.inFlight, actionKey{models.TaskID(m.call.To), models.Attempt(m.call.Epoch), actionOfferCall})
 	}
 	for _, t := range m.call.Tasks {
@@ -240,9 +239,8 @@
 	}
 }
 
-// handleReport takes another cell's report on tasks that are homed here, or its
-// request to cancel tasks that were taken over from it. The answer waits for the
-// journal.
+// handleReport handles another cell's report on tasks whose home is this cell, and its request to
+// cancel tasks that this cell took over from it. The answer waits for the journal.
 func (o *Owner) handleReport(m reportMessage) {
 	for _, id := range m.call.Cancel {
 		if t, ok := o.working.Tasks[id]; ok && t.Foreign() {
@@ -282,7 +280,8 @@
 	}
 }
 
-// probeJournalFor asks the journal on behalf of reported tasks that it doesn't hold here.
+// probeJournalFor queues an empty append when the journalled state doesn't hold a reported task, so
+// that reportSettled can rule out a later owner.
 func (o *Owner) probeJournalFor(tasks []models.Task) {
 	for _, t := range tasks {
 		if _, ok := o.journalled.Tasks[t.ID]; !ok {
@@ -291,22 +290,22 @@
 	}
 }
 
-// reportSettled tells whether the journal no longer waits for a report that arrived after
-// that entry. Of a task that isn't there only an append since then says so: without one, a
-// later owner's journal may hold it.
+// reportSettled tells whether the journal no longer depends on the report of t; arrived is the number
+// of the last journal entry when the report arrived. For a task that the journalled state doesn't
+// hold, this requires a later append: without one, the journal of a later owner may hold the task.
 func (o *Owner) reportSettled(t models.Task, arrived models.Sequence) bool {
-	kept, ok := o.journalled.Tasks[t.ID]
+	journalled, ok := o.journalled.Tasks[t.ID]
 	switch {
 	case !ok:
 		return o.sequence > arrived
 	case t.State == models.TaskLost:
-		return kept.Cancelled
+		return journalled.Cancelled
 	default:
-		return kept.Attempt >= t.Attempt
+		return journalled.Attempt >= t.Attempt
 	}
 }
 
-// runWaiters answers the calls whose records are journalled by now.
+// runWaiters answers the waiting calls of other cells whose records are now journalled.
 func (o *Owner) runWaiters() {
 	o.waiters = slices.DeleteFunc(o.waiters, func(answered func() bool) bool { return answered() })
 }
