--- a/services/cell/commit.go
+++ b/services/cell/commit.go
@@ -112,7 +112,7 @@
 	return records
 }
 
-// cancelsStagedJob tells whether a staged call cancels a job that another staged call submits.
+// cancelsStagedJob reports whether a staged call cancels a job that another staged call submits.
 // Such a call waits for the append after the submission's, so that its answer states what is
 // journalled.
 func (o *Owner) cancelsStagedJob(call int) bool {
@@ -175,7 +175,7 @@
 const retryAppend = 200 * time.Millisecond
 
 // runAppend writes one journal entry. While the outcome is unknown, it tries to settle the entry
-// until the journal tells whether it was written, or appendContext is cancelled.
+// until the journal reports whether it was written, or appendContext is cancelled.
 func (o *Owner) runAppend(ctx, appendContext context.Context, change models.CellChange, write appendFunc) {
 	result := appendResultOf(write(appendContext, change))
 	for {
--- a/services/cell/handover.go
+++ b/services/cell/handover.go
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// peersCanTakeOver tells whether a cell is left that a peer can take over through the store.
+// peersCanTakeOver reports whether a cell is left that a peer can take over through the store.
 func (m *Manager) peersCanTakeOver() bool {
 	if len(m.config.Members.LiveIDs()) == 0 {
 		return false
@@ -90,8 +90,8 @@
 		zap.String("to", string(successorID)), zap.Bool("taken", answer.Taken))...)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if own := m.owners[cell]; own != nil && own.owner == owner {
-		own.cancel()
+	if running := m.owners[cell]; running != nil && running.owner == owner {
+		running.cancel()
 		delete(m.owners, cell)
 	}
 }
--- a/services/cell/link_test.go
+++ b/services/cell/link_test.go
@@ -14,7 +14,7 @@
 	"rillsail.example/rillsail/models"
 )
 
-// unansweringWorkers take every call, and their answers are lost.
+// unansweringWorkers receive every call, and all their answers are lost.
 type unansweringWorkers struct{ starts int }
 
 // Start implements platform.Workers.
@@ -33,9 +33,9 @@
 	return models.StopAnswer{}, errLost
 }
 
-// TestStartBringsALease sends a start to a VM that leaves the list, and one to the VM when
-// the list has dropped it: a start brings a lease as a renewal does, so that nothing runs
-// there is proved only a whole lease after the last of either.
+// TestStartBringsALease guards against declaring a VM idle while a task may run on it. A start begins
+// a lease as a renewal does, so the proof that nothing runs on a VM that has left the list requires
+// a whole lease after the last start or renewal. No start may be sent to a VM that is not listed.
 func TestStartBringsALease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t, 4)
@@ -46,7 +46,7 @@
 			Workers: workers, VM: gone, Cell: worldCells[0], Lease: w.settings.Lease, Renew: w.settings.Renew, Send: o.send,
 		})
 		l.setListed(gone, true)
-		require.False(t, o.provedNotRunning(gone.ID, nil, time.Now()), "the list has just dropped it")
+		require.False(t, o.provedNotRunning(gone.ID, nil, time.Now()), "the VM has just left the list")
 		time.Sleep(w.settings.Lease + time.Millisecond)
 		l.perform(w.ctx, startCall{})
 		require.Equal(t, 1, workers.starts)
--- a/services/cell/manager.go
+++ b/services/cell/manager.go
@@ -145,15 +145,15 @@
 func (m *Manager) removeSuperseded() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for cell, own := range m.owners {
+	for cell, running := range m.owners {
 		_, epoch, other := m.config.Members.OwnerOf(cell)
-		if other && epoch > own.owner.config.Epoch {
-			own.cancel()
+		if other && epoch > running.owner.config.Epoch {
+			running.cancel()
 		}
 		select {
-		case <-own.owner.done:
+		case <-running.owner.done:
 			delete(m.owners, cell)
-			own.cancel()
+			running.cancel()
 			m.holdOffAfterLoss(cell)
 		default:
 		}
@@ -256,15 +256,15 @@
 func (m *Manager) localOwner(cell models.CellID) (*Owner, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	own, ok := m.owners[cell]
+	running, ok := m.owners[cell]
 	if !ok {
 		return nil, false
 	}
 	select {
-	case <-own.owner.done:
+	case <-running.owner.done:
 		return nil, false
 	default:
-		return own.owner, true
+		return running.owner, true
 	}
 }
 
@@ -273,9 +273,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	beat.Cells = make(map[models.CellID]models.CellBeat, len(m.owners))
-	for cell, own := range m.owners {
-		c := models.CellBeat{Epoch: own.owner.config.Epoch}
-		if published := own.owner.beat.Load(); published != nil {
+	for cell, running := range m.owners {
+		c := models.CellBeat{Epoch: running.owner.config.Epoch}
+		if published := running.owner.beat.Load(); published != nil {
 			c = *published
 		}
 		beat.Cells[cell] = c
--- a/services/cell/measure_table_test.go
+++ b/services/cell/measure_table_test.go
@@ -11,8 +11,8 @@
 	"rillsail.example/rillsail/services/standin/fleet"
 )
 
-// drawTable draws by how much each batch app slows down each service: most pairs
-// little, some much. A service is over its target when the sum beside it is over 1.
+// drawTable draws by how much each batch app slows down each service: most pairs by little, some by
+// much. A service is over its target when the slowdowns of its neighbours sum up to more than 1.
 func drawTable(seed uint64) fleet.PairTable {
 	random := rand.New(rand.NewPCG(seed, 3))
 	levels := []float64{0, 0.02, 0.05, 0.1, 0.3, 0.7, 1.3}
@@ -25,7 +25,8 @@
 	return table
 }
 
-// trialTable is the table in force. It is replaced as a whole: the workers read it meanwhile.
+// trialTable holds the current table. The table is replaced as a whole, because the workers read it
+// concurrently.
 type trialTable struct {
 	table atomic.Pointer[fleet.PairTable]
 }
--- a/services/cell/measure_test.go
+++ b/services/cell/measure_test.go
@@ -25,19 +25,19 @@
 
 var measureMinutes = flag.Int("minutes", 10, "length of each run of the whole measurement")
 
-// trial is one run: a real owner of a cell of workers whose services are slowed down
-// by batch tasks after a table that the owner never sees, on synctest's clock.
+// trial is one run of a real owner on synctest's clock. The services of its workers are slowed down by
+// batch tasks according to a table that the owner can't see.
 type trial struct {
 	policy    string
-	oracle    bool // pairs, with a learner that knows the table
+	oracle    bool // the policy "pairs" with a learner that knows the table
 	seed      uint64
 	minutes   int
-	waves     bool    // noisy tasks come in waves instead of all the time
-	changing  bool    // the table is another one from the middle on
+	waves     bool    // batch tasks arrive in waves instead of steadily
+	changing  bool    // the table is replaced halfway through
 	lossy     bool    // 3 of 10 answers of workers are lost
-	sizeError float64 // declared run times are off by up to 1+e times either way
-	faulty    bool    // one worker fails all it starts
-	unfit     bool    // a job that no VM can hold stands in front
+	sizeError float64 // declared run times are wrong by a factor of up to 1+sizeError, too long or too short
+	faulty    bool    // one worker fails every task that it starts
+	unfit     bool    // a job that fits on no VM is first in the queue
 }
 
 const (
@@ -54,7 +54,7 @@
 	RingSlots: 32, KeepJobs: 1000, SettleAfter: 4 * time.Second,
 }
 
-// oracle knows the table.
+// oracle predicts slowdowns from the table itself.
 type oracle struct {
 	*interference.Learner
 	table func() fleet.PairTable
@@ -65,17 +65,17 @@
 	return o.table().Slowdown(service["app"], batch["app"]), true
 }
 
-// Headroom implements place.Predictor: the latency alone is half the target.
+// Headroom implements place.Predictor: the latency without neighbours is half the target.
 func (o oracle) Headroom(map[string]string) (float64, bool) { return 1, true }
 
-// trialFigures are the three that users measure.
+// trialFigures are the results of a trial.
 type trialFigures struct {
-	overTarget    float64 // share of service time over target
+	overTarget    float64 // fraction of the service time samples that are over target
 	finished      int64
 	evictions     int64
 	throttles     int64
 	failed        int64
-	mostEvictions int // evictions of one task
+	mostEvictions int // most evictions of a single task
 }
 
 func (t trial) run(tt *testing.T) trialFigures {
@@ -101,7 +101,7 @@
 	return f
 }
 
-// runLoad feeds the cell for the trial's time.
+// runLoad sets up the cell, submits jobs for the duration of the trial and returns the figures.
 func (t trial) runLoad(w *world, table *trialTable) trialFigures {
 	objects := []models.Object{models.Team{Name: "office"}}
 	for s := range trialServices {
@@ -136,8 +136,7 @@
 	return t.count(w, o, before)
 }
 
-// feed submits a job for each app every 10 s; in waves, all that would come within a
-// minute comes at once.
+// feed submits a job for each app every 10 s; in waves, the tasks of one minute are submitted at once.
 func (t trial) feed(w *world, o *testOwner, step int) {
 	tasks := 4
 	if t.waves {
@@ -173,7 +172,7 @@
 	return f
 }
 
-// policyVariants are the policies under comparison, the baselines first.
+// policyVariants are the compared policies, the baselines first.
 var policyVariants = []struct {
 	name string
 	trial
@@ -184,8 +183,8 @@
 	{"oracle", trial{policy: "pairs", oracle: true}},
 }
 
-// TestPairsKeepTargets compares the policies on one table: pairs keeps services
-// nearer to their targets than the baselines and still finishes most of the work.
+// TestPairsKeepTargets compares the policies on one table: "pairs" keeps services closer to their
+// targets than the baselines and still finishes most of the work.
 func TestPairsKeepTargets(t *testing.T) {
 	results := map[string]trialFigures{}
 	for _, v := range policyVariants {
@@ -198,23 +197,23 @@
 	assert.LessOrEqual(t, results["pairs"].mostEvictions, maxEvictions)
 }
 
-// quarantineFailures is how many tasks may fail before the worker is quarantined:
-// those that start there before the third job's failure is seen.
+// quarantineFailures bounds the tasks that may fail before the worker is quarantined: the tasks that
+// start on it before the owner has seen the third job's failure.
 const quarantineFailures = 25
 
-// TestFaultyWorkerAndUnfitJob lets one worker fail all it starts and puts a job in
-// front that no VM can hold: the others go on, and no task is given up for it.
+// TestFaultyWorkerAndUnfitJob makes one worker fail every task that it starts and queues a job first
+// that fits on no VM. The other jobs must continue, and no task may be abandoned because of either.
 func TestFaultyWorkerAndUnfitJob(t *testing.T) {
 	settings := trial{policy: "pairs", seed: 2, minutes: 3, faulty: true, unfit: true}
 	f := settings.run(t)
 	t.Log("tasks failed:", f.failed)
-	assert.Less(t, f.failed, int64(quarantineFailures), "the worker gets nothing more once different jobs have failed there")
+	assert.Less(t, f.failed, int64(quarantineFailures), "the worker gets no more tasks once different jobs have failed on it")
 	settings.faulty, settings.unfit = false, false
 	sound := settings.run(t)
 	assert.Greater(t, float64(f.finished), 0.6*float64(sound.finished))
 }
 
-// TestMeasureInterference is the whole measurement; "make measure" asks for it.
+// TestMeasureInterference compares all policies in all scenes; "make measure" runs it in full length.
 func TestMeasureInterference(t *testing.T) {
 	minutes, seeds := 1, []uint64{1}
 	if *measureTo != "" {
--- a/services/cell/observe.go
+++ b/services/cell/observe.go
@@ -44,7 +44,7 @@
 	return now.Sub(l.answeredAt) > o.silenceLimit()
 }
 
-// provedNotRunning tells whether no task can run on the VM any more: the VM has left the list, and
+// provedNotRunning reports whether no task can run on the VM any more: the VM has left the list, and
 // for a whole lease after that this owner has started and renewed nothing on it.
 func (o *Owner) provedNotRunning(vm models.VMID, l *link, now time.Time) bool {
 	listed, since := o.config.Inventory.Listed(vm)
@@ -251,7 +251,7 @@
 }
 
 // suspectSuperseded handles a worker's refusal that names a later epoch. It queues an empty append,
-// whose result tells whether another daemon owns the cell.
+// whose result reports whether another daemon owns the cell.
 func (o *Owner) suspectSuperseded(epoch models.Epoch) {
 	if epoch <= o.config.Epoch || o.appending {
 		return
--- a/services/cell/owner.go
+++ b/services/cell/owner.go
@@ -393,5 +393,5 @@
 	o.config.Scope.Counter("appends_failed").Inc(1)
 }
 
-// isSuperseded tells whether err means that another daemon owns the cell.
+// isSuperseded reports whether err means that another daemon owns the cell.
 func isSuperseded(err error) bool { return errors.Is(err, journal.ErrSuperseded) }
--- a/services/cell/pressure.go
+++ b/services/cell/pressure.go
@@ -34,7 +34,7 @@
 func (o *Owner) processLatencies(l *link) {
 	neighbours, batch := o.runningBatch(l)
 	worst, calm := o.observeServices(l, neighbours)
-	if _, off := o.policy.(place.FirstFit); off {
+	if _, firstFit := o.policy.(place.FirstFit); firstFit {
 		return
 	}
 	now := time.Now()
@@ -66,7 +66,7 @@
 }
 
 // observeServices passes the new latencies of the report to the learner. worst is the service
-// furthest over its target, nil when none is; calm tells whether all are below relaxBelow of
+// furthest over its target, nil when none is; calm reports whether all are below relaxBelow of
 // their targets.
 func (o *Owner) observeServices(l *link, neighbours []interference.Neighbour) (worst *models.Task, calm bool) {
 	worstRatio := 1.0
@@ -178,7 +178,7 @@
 	}
 }
 
-// overTarget tells whether a service on the worker was last reported over its target.
+// overTarget reports whether a service on the worker was last reported over its target.
 func (o *Owner) overTarget(l *link) bool {
 	for _, r := range l.report.Attempts {
 		t, ok := o.working.Tasks[r.Task]
@@ -189,7 +189,7 @@
 	return false
 }
 
-// hasUnknownPair tells whether the worker runs a service and a batch task that were never measured
+// hasUnknownPair reports whether the worker runs a service and a batch task that were never measured
 // together.
 func (o *Owner) hasUnknownPair(w place.Worker) bool {
 	for _, s := range w.Tasks {
--- a/services/cell/queue.go
+++ b/services/cell/queue.go
@@ -96,7 +96,7 @@
 	return best
 }
 
-// precedes tells whether a starts before b.
+// precedes reports whether a starts before b.
 func (o *Owner) precedes(a, b models.Task, usage map[models.TeamName]models.Resources) bool {
 	order := cmp.Or(
 		-compare.Bool(a.Kind == models.TaskService, b.Kind == models.TaskService),
@@ -121,7 +121,7 @@
 // unlimitedQuota replaces the missing CPU quota of a team when shares are compared.
 const unlimitedQuota models.MilliCPU = 1_000_000
 
-// withinQuota tells whether usage is within those limits of the quota that are set.
+// withinQuota reports whether usage is within those limits of the quota that are set.
 func withinQuota(usage, quota models.Resources) bool {
 	return (quota.CPU == 0 || usage.CPU <= quota.CPU) &&
 		(quota.Memory == 0 || usage.Memory <= quota.Memory) &&
--- a/services/cell/random_test.go
+++ b/services/cell/random_test.go
@@ -23,8 +23,8 @@
 	"rillsail.example/rillsail/services/standin/fleet"
 )
 
-// TestMain fixes the seed of the random tests, so that CI gives the same verdict
-// each time; "make long" asks for other seeds and more runs.
+// TestMain fixes the seed of the random tests, so that CI is reproducible; "make long" passes other
+// seeds and more runs.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "60", "rapid.shrinktime": "10s"} {
 		if err := flag.Set(name, value); err != nil {
@@ -41,7 +41,7 @@
 
 var worldCells = []models.CellID{"cell-rack-0", "cell-rack-1"}
 
-// step is one thing that happens to the world, with what it may need.
+// step is one event of a script, with the parameters of all kinds of events.
 type step struct {
 	What         string
 	Daemon       int
@@ -73,21 +73,21 @@
 	}
 }
 
-// machine runs a script of steps and knows what has to come of it.
+// machine runs a script of steps and records the expected outcome.
 type machine struct {
 	*world
-	specs    map[models.JobID]models.JobSpec // accepted, or perhaps
-	homes    map[models.JobID]models.CellID  // of those
-	accepted map[models.JobID]bool           // surely accepted
-	refused  map[models.JobID]bool           // not run, as was said
+	specs    map[models.JobID]models.JobSpec // jobs that were or may have been accepted
+	homes    map[models.JobID]models.CellID  // home cells of the submitted jobs
+	accepted map[models.JobID]bool           // jobs whose acceptance was confirmed
+	refused  map[models.JobID]bool           // jobs that were refused and must not run
 	canceled map[models.JobID]bool
 	drained  map[models.VMID]bool
-	wanted   int // replicas of the service
+	wanted   int // number of replicas of the service
 }
 
-// TestRandomInterleavings drives owners, successors, workers and store through
-// random faults, and checks after every step that nothing runs twice and no VM is
-// overcommitted, and in the end that every job has ended as it must.
+// TestRandomInterleavings drives owners, successors, workers and the store through random faults. It
+// checks after every step that no task runs twice and no VM is overcommitted, and at the end that
+// every job has ended as expected.
 func TestRandomInterleavings(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.Custom(drawStep), 5, 40).Draw(rt, "script")
@@ -97,15 +97,15 @@
 	})
 }
 
-// TestNamedScripts plays the scripts of testdata: the failures that random runs
-// have found, and those that the promises name.
+// TestNamedScripts plays the scripts of testdata: failures that random runs have found, and failures
+// that the product is specified to survive.
 func TestNamedScripts(t *testing.T) {
 	casefile.Each(t, "testdata/scripts/*.json", func(t *testing.T, script []step) {
 		require.Empty(t, runInBubble(t, func(t *testing.T, v *verdict) { play(t, v, script) }))
 	})
 }
 
-// play runs a script, ends all faults and checks the outcome.
+// play runs a script, ends all faults and checks the final state.
 func play(t *testing.T, v *verdict, script []step) {
 	m := &machine{
 		world: newWorld(t, v, 4), specs: map[models.JobID]models.JobSpec{}, homes: map[models.JobID]models.CellID{}, accepted: map[models.JobID]bool{},
@@ -171,7 +171,7 @@
 	m.advance(s.Wait)
 }
 
-// handOver passes a cell on in its epoch, as an owner that leaves in an outage does.
+// handOver hands a cell over in its epoch, as an owner does that is stopped during an outage.
 func (m *machine) handOver(daemon int, cell models.CellID) {
 	o := m.owner(cell)
 	m.mu.Lock()
@@ -190,7 +190,7 @@
 	m.adopt(daemon, cell, call)
 }
 
-// tryTakeOver takes over unless the daemon is paused or the store is out.
+// tryTakeOver takes over a cell, unless the daemon is paused or the store has an outage.
 func (m *machine) tryTakeOver(daemon int, cell models.CellID) (*testOwner, error) {
 	m.mu.Lock()
 	blocked := m.faults.lateCalls[daemon] != nil || m.faults.outage
@@ -218,8 +218,8 @@
 	m.accepted[id] = err == nil
 }
 
-// submitAgain submits a job once more that may be there, beside a new one, in one call. A
-// daemon that doesn't own the cell knows nothing of the first: its refusal is of the call.
+// submitAgain submits in one call a job that may have been accepted and a new one. A daemon that
+// doesn't own the cell doesn't know the first job, so its refusal applies to this call only.
 func (m *machine) submitAgain(number int, s step) {
 	ids := slices.Sorted(maps.Keys(m.specs))
 	if len(ids) == 0 {
@@ -267,7 +267,7 @@
 	m.rebuildConfig()
 }
 
-// rebuildConfig makes the configuration anew from what was drawn.
+// rebuildConfig sets a new revision of the configuration with the current drains and service.
 func (m *machine) rebuildConfig() {
 	objects := []models.Object{models.Team{Name: "office"}}
 	for vm, drained := range m.drained {
@@ -284,14 +284,14 @@
 	m.setView(config.ViewOf(m.config().Revision()+1, objects...))
 }
 
-// recover ends all faults and checks that everything comes to its end.
+// recover ends all faults and checks that every job ends and the service has its replicas.
 func (m *machine) recover() {
 	m.healAll()
 	m.drained = map[models.VMID]bool{}
 	m.rebuildConfig()
 	for i, cell := range worldCells {
-		m.waitUntil(time.Minute, "a successor takes "+string(cell), func() bool {
-			_, err := m.takeOver(4+i, cell) // a former owner's append may be faster
+		m.waitUntil(time.Minute, "a successor takes over "+string(cell), func() bool {
+			_, err := m.takeOver(4+i, cell) // a previous owner's append may win
 			return err == nil
 		})
 	}
@@ -306,13 +306,13 @@
 		return true
 	})
 	for id, job := range m.jobs() {
-		require.False(m.t, m.refused[id], "job %s was refused as not run and is there", id)
+		require.False(m.t, m.refused[id], "job %s was refused and yet is known to its cell", id)
 		m.checkJob(id, job)
 	}
-	m.waitUntil(time.Minute, "as many replicas run as are wanted", func() bool { return m.runningReplicas() == m.wanted })
+	m.waitUntil(time.Minute, "the configured number of replicas runs", func() bool { return m.runningReplicas() == m.wanted })
 }
 
-// checkJob compares what the journal says of a job with what really ran.
+// checkJob compares the journalled counts of a job with the runs that the fleet has recorded.
 func (m *machine) checkJob(id models.JobID, job models.Job) {
 	require.Equal(m.t, job.Tasks, job.Succeeded+job.Failed+job.MayHaveRun+job.Stopped, "job %s: %+v", id, job)
 	finished := 0
--- a/services/cell/refusal_test.go
+++ b/services/cell/refusal_test.go
@@ -16,10 +16,10 @@
 	"rillsail.example/rillsail/models"
 )
 
-// A refusal speaks of the job and not of the call that it answers: the job won't run,
-// whatever earlier calls with it have done.
+// These tests check that a refusal is about the job and not about the call that it answers: a refused
+// job will not run, whatever earlier calls with the job have done.
 
-// toldOutcome is what a call is told of a job.
+// toldOutcome is the outcome of a job as a call's answer tells it.
 type toldOutcome string
 
 const (
@@ -33,7 +33,7 @@
 	err    error
 }
 
-// outcomeOf gives what is told of one job.
+// outcomeOf returns the outcome that the answer tells of one job.
 func (f forwarded) outcomeOf(id models.JobID) toldOutcome {
 	for _, job := range append(f.answer.Submitted, f.answer.Cancelled...) {
 		if job.ID == id {
@@ -49,7 +49,7 @@
 	return toldUnknown
 }
 
-// refusalWorld is a cell with one owner, daemon 0.
+// refusalWorld returns a world with one cell, which daemon 0 owns.
 func refusalWorld(t *testing.T) (*world, *testOwner) {
 	w := newWorld(t, t, 4)
 	o, err := w.takeOver(0, worldCells[0])
@@ -68,7 +68,7 @@
 	return forwarded{answer, err}
 }
 
-// startConcurrently makes a call that is under way when it returns.
+// startConcurrently starts a call in a goroutine and lets it get under way before it returns.
 func (w *world) startConcurrently(call func() forwarded) <-chan forwarded {
 	result := make(chan forwarded, 1)
 	go func() { result <- call() }()
@@ -78,7 +78,7 @@
 
 // untilJob waits until the owner holds the job.
 func (w *world) untilJob(o *testOwner, id models.JobID) {
-	w.waitUntil(10*time.Second, "job "+string(id)+" is there", func() bool {
+	w.waitUntil(10*time.Second, "job "+string(id)+" is known to its owner", func() bool {
 		answer, err := w.forward(o, models.ForwardCall{Jobs: true})
 		for _, job := range answer.Jobs {
 			if job.ID == id {
@@ -89,8 +89,8 @@
 	})
 }
 
-// TestRepeatBesideLostAnswer submits a job again while the append that holds it is under
-// way, and then loses the answer of the append.
+// TestRepeatBesideLostAnswer submits a job again while the append that contains it is under way; then
+// the answer of the append is lost. The repeated call must not be refused.
 func TestRepeatBesideLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, o := refusalWorld(t)
@@ -105,13 +105,13 @@
 		require.Equal(t, toldUnknown, (<-again).outcomeOf("first"), "the job is written")
 		both := <-mixed
 		require.Equal(t, toldUnknown, both.outcomeOf("first"), "the job is written")
-		require.Equal(t, toldRefused, both.outcomeOf("other"), "no append has held it")
+		require.Equal(t, toldRefused, both.outcomeOf("other"), "no append contains the job")
 		w.untilJob(o, "first")
 	})
 }
 
-// TestRepeatInOutage submits a job again that was accepted before, alone and beside
-// another, while nothing can be written.
+// TestRepeatInOutage submits an accepted job again while the store can't be written, alone and together
+// with a new job. Only the new job may be refused.
 func TestRepeatInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, o := refusalWorld(t)
@@ -119,14 +119,15 @@
 		require.Equal(t, toldAccepted, w.submit(o, spec).outcomeOf("first"))
 		w.setFaults(func(f *worldFaults) { f.outage = true })
 		require.Equal(t, toldRefused, w.submit(o, other).outcomeOf("other"))
-		require.Equal(t, toldAccepted, w.submit(o, spec).outcomeOf("first"), "the job is there")
+		require.Equal(t, toldAccepted, w.submit(o, spec).outcomeOf("first"), "the job is journalled")
 		mixed := w.submit(o, spec, other)
-		require.Equal(t, toldAccepted, mixed.outcomeOf("first"), "the job is there")
+		require.Equal(t, toldAccepted, mixed.outcomeOf("first"), "the job is journalled")
 		require.Equal(t, toldRefused, mixed.outcomeOf("other"))
 	})
 }
 
-// TestRepeatWithWrongJob submits an accepted job beside one whose id is in use.
+// TestRepeatWithWrongJob submits an accepted job together with a job whose id is in use. Only the latter
+// may be refused.
 func TestRepeatWithWrongJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, o := refusalWorld(t)
@@ -135,12 +136,13 @@
 		changed := testJob("second", 2, 100)
 		require.Equal(t, toldRefused, w.submit(o, changed).outcomeOf("second"))
 		mixed := w.submit(o, first, changed)
-		require.Equal(t, toldAccepted, mixed.outcomeOf("first"), "the job is there")
+		require.Equal(t, toldAccepted, mixed.outcomeOf("first"), "the job is journalled")
 		require.Equal(t, toldRefused, mixed.outcomeOf("second"))
 	})
 }
 
-// TestRepeatAtFrozenOwner submits a job again at an owner that has handed the cell over.
+// TestRepeatAtFrozenOwner submits an accepted job and a job of unknown outcome again at an owner that has
+// handed the cell over. Neither may be refused.
 func TestRepeatAtFrozenOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, o := refusalWorld(t)
@@ -151,12 +153,12 @@
 		reply := make(chan models.HandoverCall, 1)
 		_, err := awaitReply(w.ctx, o.Owner, freezeMessage{reply: reply}, reply)
 		require.NoError(t, err)
-		require.Equal(t, toldAccepted, w.submit(o, spec).outcomeOf("first"), "the job is there")
-		require.NotEqual(t, toldRefused, w.submit(o, open).outcomeOf("open"), "the job is handed over")
+		require.Equal(t, toldAccepted, w.submit(o, spec).outcomeOf("first"), "the job is journalled")
+		require.NotEqual(t, toldRefused, w.submit(o, open).outcomeOf("open"), "the append with the job is handed over")
 	})
 }
 
-// idleOwner is an owner without a loop of its own: the test takes its steps.
+// idleOwner returns an owner whose loop doesn't run; the test calls its handlers.
 func (w *world) idleOwner(daemon int) *Owner {
 	vms, j, err := w.newDependencies(daemon, worldCells[0])
 	require.NoError(w.t, err)
@@ -167,8 +169,8 @@
 	})
 }
 
-// TestRepeatAtEndingOwner ends an owner with a call in its inbox that repeats a job of the
-// append under way.
+// TestRepeatAtEndingOwner ends an owner while its inbox holds a call that repeats a job of the append
+// under way. The append may be written, so the call must not be refused.
 func TestRepeatAtEndingOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t, 4)
@@ -185,8 +187,8 @@
 	})
 }
 
-// TestAppendCutOff ends the context of an append that is under way, as the end of its owner
-// does, and lets the owner take up the result before it ends.
+// TestAppendCutOff cancels an append that is under way, as the end of its owner does, and lets the owner
+// handle the result before it ends. The append may be written, so the call must not be refused.
 func TestAppendCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t, 4)
@@ -203,9 +205,9 @@
 	})
 }
 
-// TestOverwrittenEntry loses the answer of an append, lets other owners write over its
-// place in the ring, and submits the job again at the owner that can't see its entry any
-// more.
+// TestOverwrittenEntry loses the answer of an append and lets other owners overwrite its slot in the
+// ring. The job is then submitted again at the first owner, which can no longer find its entry and
+// must not refuse the job, because the entry was written.
 func TestOverwrittenEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t, 4)
@@ -235,8 +237,8 @@
 
 func forwardedOf(r forwardReply) forwarded { return forwarded{r.answer, r.err} }
 
-// TestRepeatedCancellation cancels a job again whose first cancellation has lost its
-// answer or is stored, while nothing can be written.
+// TestRepeatedCancellation cancels jobs again while the store can't be written. A job whose first
+// cancellation was journalled is accepted, and one whose first answer was lost must not be refused.
 func TestRepeatedCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, o := refusalWorld(t)
@@ -248,13 +250,13 @@
 		w.resume(0)
 		require.Equal(t, toldUnknown, (<-lost).outcomeOf("second"))
 		w.setFaults(func(f *worldFaults) { f.outage = true })
-		require.NotEqual(t, toldRefused, w.cancelJob(o, "second").outcomeOf("second"), "it is cancelled")
-		require.Equal(t, toldAccepted, w.cancelJob(o, "first").outcomeOf("first"), "it was cancelled before")
+		require.NotEqual(t, toldRefused, w.cancelJob(o, "second").outcomeOf("second"), "the cancellation may be written")
+		require.Equal(t, toldAccepted, w.cancelJob(o, "first").outcomeOf("first"), "the cancellation is journalled")
 	})
 }
 
-// TestCancellationBesideSubmission cancels a job while it waits for its append: the answer
-// comes when the cancellation is journalled too. One of a job that was never there is refused.
+// TestCancellationBesideSubmission cancels a job whose submission waits for its append. The answer must
+// wait until the cancellation is journalled too. Cancelling a job that doesn't exist is refused.
 func TestCancellationBesideSubmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t, 4)
@@ -266,7 +268,7 @@
 		o.commit(w.ctx)
 		o.handle(<-o.inbox)
 		require.Equal(t, toldAccepted, forwardedOf(<-submitted).outcomeOf("first"))
-		require.Empty(t, cancelled, "nothing of it is journalled yet")
+		require.Empty(t, cancelled, "the cancellation is not journalled yet")
 		w.advance(w.settings.Append)
 		o.commit(w.ctx)
 		o.handle(<-o.inbox)
@@ -277,8 +279,9 @@
 	})
 }
 
-// TestOfferForSuccessor offers a task to an owner in the epoch of its successor, and lets
-// another cell's report come in: that the owner holds no such task is no acceptance.
+// TestOfferForSuccessor offers a task to an owner in the epoch of its successor, and then delivers
+// another cell's report, which runs the waiters. That the owner holds no record of the task must not
+// be taken for an acceptance.
 func TestOfferForSuccessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t, 4)
@@ -292,14 +295,15 @@
 		o.handleReport(reportMessage{reply: reports, call: models.ReportCall{To: worldCells[0]}})
 		select {
 		case answer := <-offers:
-			require.Empty(t, answer.Accepted, "nobody has taken the task")
+			require.Empty(t, answer.Accepted, "no owner has accepted the task")
 		default:
 		}
 	})
 }
 
-// TestReportToFormerHome reports the end of a task to an owner that has been superseded,
-// doesn't know it, and has never heard of the task.
+// TestReportToFormerHome reports the end of a task to an owner that has been superseded without noticing
+// and doesn't know the task. The owner must not settle the report, because its successor's journal
+// holds the task.
 func TestReportToFormerHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t, 4)
@@ -319,12 +323,12 @@
 		for len(o.inbox) > 0 {
 			o.handle(<-o.inbox)
 		}
-		require.Empty(t, reports, "the home's owner has not heard of the end")
+		require.Empty(t, reports, "the home cell's owner has not journalled the end of the task")
 	})
 }
 
-// TestReportOfForgottenTask reports the end of a task a second time: the home has settled it
-// and says so again.
+// TestReportOfForgottenTask reports the end of a task that the home cell has already settled and dropped.
+// The home must settle the report again.
 func TestReportOfForgottenTask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t, 4)
@@ -342,15 +346,16 @@
 	})
 }
 
-// TestUnansweredMessage hands an owner that is ending a message that it never answers.
+// TestUnansweredMessage sends a message to an owner that receives it and ends without a reply. The message
+// may have been executed, so the error must not be a refusal.
 func TestUnansweredMessage(t *testing.T) {
 	ended := &Owner{inbox: make(chan message, inboxSize), done: make(chan struct{})}
-	var unheard message = forwardMessage{call: models.ForwardCall{Submit: []models.JobSpec{testJob("first", 1, 100)}}}
+	var msg message = forwardMessage{call: models.ForwardCall{Submit: []models.JobSpec{testJob("first", 1, 100)}}}
 	go func() {
 		<-ended.inbox
 		close(ended.done)
 	}()
-	_, err := awaitReply(context.Background(), ended, unheard, make(chan forwardReply))
+	_, err := awaitReply(context.Background(), ended, msg, make(chan forwardReply))
 	_, refused := RefusalOf(err)
-	require.False(t, refused, "the loop has taken the message and may have done it: %v", err)
+	require.False(t, refused, "the loop has received the message and may have executed it: %v", err)
 }
--- a/services/cell/spill.go
+++ b/services/cell/spill.go
@@ -22,7 +22,7 @@
 // it has seen. The owner of a later epoch refuses every offer whose task its journal doesn't hold.
 // So a late copy of an offer is never accepted, although refusals are not journalled.
 
-// anyWorkerCouldHold tells whether any worker of any cell is large enough for the task when empty.
+// anyWorkerCouldHold reports whether any worker of any cell is large enough for the task when empty.
 func (o *Owner) anyWorkerCouldHold(t models.Task) bool {
 	for _, vm := range o.config.Inventory.VMs().VMs {
 		if vm.Kind == models.KindWorker && t.Size.Fits(vm.Capacity) {
@@ -52,7 +52,7 @@
 	return best, true
 }
 
-// offersBlocked tells whether the cell has refused an offer within the last tick.
+// offersBlocked reports whether the cell has refused an offer within the last tick.
 func (o *Owner) offersBlocked(cell models.CellID) bool {
 	return time.Now().Before(o.offersBlockedUntil[cell])
 }
@@ -107,7 +107,7 @@
 	return calls[to]
 }
 
-// reportsLoss tells whether the home cell of a replica must be told that the replica is lost.
+// reportsLoss reports whether the home cell of a replica must be told that the replica is lost.
 func (o *Owner) reportsLoss(t models.Task) bool {
 	return t.Foreign() && t.State == models.TaskLost && t.Kind == models.TaskService && !t.Cancelled && !o.lossReported[t.ID]
 }
@@ -176,13 +176,13 @@
 	o.runWaiters()
 }
 
-// acceptanceJournalled tells whether the acceptance of an offered task is journalled.
+// acceptanceJournalled reports whether the acceptance of an offered task is journalled.
 func (o *Owner) acceptanceJournalled(t models.Task) bool {
 	journalled, ok := o.journalled.Tasks[t.ID]
 	return ok && journalled.Foreign() && journalled.Attempt > t.Attempt
 }
 
-// evaluateOffer decides on one offered task. final tells whether accepted is the final answer; a task
+// evaluateOffer decides on one offered task. final reports whether accepted is the final answer; a task
 // that has just been placed gets its final answer with the next append.
 func (o *Owner) evaluateOffer(call models.OfferCall, t models.Task) (accepted, final bool) {
 	if o.acceptanceJournalled(t) {
@@ -290,7 +290,7 @@
 	}
 }
 
-// reportSettled tells whether the journal no longer depends on the report of t; arrived is the number
+// reportSettled reports whether the journal no longer depends on the report of t; arrived is the number
 // of the last journal entry when the report arrived. For a task that the journalled state doesn't
 // hold, this requires a later append: without one, the journal of a later owner may hold the task.
 func (o *Owner) reportSettled(t models.Task, arrived models.Sequence) bool {
--- a/services/cell/world_test.go
+++ b/services/cell/world_test.go
@@ -32,15 +32,15 @@
 
 var viewOf = config.ViewOf
 
-// world is a store, a fleet and any number of owners in one process on the clock of
-// a synctest bubble. The owners are the real ones; only wires are replaced.
+// world is a store, a fleet and any number of owners in one process, on the clock of a synctest
+// bubble. The owners are the real ones; only the network connections are replaced.
 type world struct {
 	t      require.TestingT
 	ctx    context.Context
 	store  *kv.Service
 	fleet  *fleet.Fleet
 	view   *config.View
-	owners map[models.CellID][]*testOwner // the latest last
+	owners map[models.CellID][]*testOwner // the latest owner last
 	made   int
 
 	settings setting.Cell
@@ -50,17 +50,17 @@
 	faults worldFaults
 }
 
-// worldFaults are the faults in force.
+// worldFaults are the faults that are currently injected.
 type worldFaults struct {
 	outage       bool
-	lostAnswers  int              // of store writes that take effect
-	lateCalls    map[int]chan any // by daemon: its calls wait until the channel closes
-	repeatCalls  bool             // calls to workers arrive twice
-	lostReplies  int              // answers of workers
-	lossyReplies *rand.Rand       // draws which answers of workers are lost, 3 of 10
-	lateStarts   int              // calls to workers that arrive after they were given up
-	lateOffers   int              // offers of which another copy arrives later
-	cutFrom      map[int]bool     // daemons that reach no worker
+	lostAnswers  int              // number of store writes that take effect and whose answers are lost
+	lateCalls    map[int]chan any // by daemon: its calls wait until the channel is closed
+	repeatCalls  bool             // calls to workers are delivered twice
+	lostReplies  int              // number of answers of workers that are lost
+	lossyReplies *rand.Rand       // draws the answers of workers that are lost, 3 of 10
+	lateStarts   int              // number of calls to workers that arrive after the caller has timed out
+	lateOffers   int              // number of offers of which a second copy arrives later
+	cutFrom      map[int]bool     // daemons that can't reach any worker
 }
 
 type testOwner struct {
@@ -98,7 +98,7 @@
 	t.Cleanup(func() {
 		w.healAll()
 		cancel()
-		time.Sleep(time.Minute) // every goroutine ends
+		time.Sleep(time.Minute) // lets every goroutine end
 		synctest.Wait()
 	})
 	return w
@@ -122,7 +122,7 @@
 	change(&w.faults)
 }
 
-// pause lets all calls of a daemon wait, as when its process is frozen.
+// pause makes all calls of a daemon wait, as when its process is frozen.
 func (w *world) pause(daemon int) {
 	w.setFaults(func(f *worldFaults) {
 		if f.lateCalls[daemon] == nil {
@@ -154,7 +154,7 @@
 	}
 }
 
-// waitWhilePaused lets a call of a paused daemon wait.
+// waitWhilePaused blocks a call of a paused daemon until the daemon is resumed or ctx ends.
 func (w *world) waitWhilePaused(ctx context.Context, daemon int) error {
 	w.mu.Lock()
 	late := w.faults.lateCalls[daemon]
@@ -188,7 +188,7 @@
 	}}
 }
 
-// lateDelay is how late a late call arrives.
+// lateDelay is the delay of late calls and late copies of offers.
 const lateDelay = 1500 * time.Millisecond
 
 var errLost = errors.New("answer lost")
@@ -236,7 +236,7 @@
 // VMs implements platform.List.
 func (l listFunc) VMs(context.Context) (models.VMList, error) { return l(), nil }
 
-// takeOver lets a daemon take over a cell. Former owners go on until they find out.
+// takeOver makes a daemon take over a cell. Previous owners continue until they notice.
 func (w *world) takeOver(daemon int, cell models.CellID) (*testOwner, error) {
 	vms, j, err := w.newDependencies(daemon, cell)
 	if err != nil {
@@ -253,7 +253,7 @@
 	return w.startOwner(daemon, cell, j, vms, false), nil
 }
 
-// newDependencies makes what a daemon needs to own a cell.
+// newDependencies returns the inventory and the journal that a daemon needs to own a cell.
 func (w *world) newDependencies(daemon int, cell models.CellID) (*inventory.Service, *journal.Journal, error) {
 	store := w.storeFor(daemon)
 	vms := inventory.New(inventory.Config{
@@ -266,8 +266,8 @@
 	return vms, j, vms.Refresh(w.ctx)
 }
 
-// adopt lets a daemon go on with a cell that was handed to it. The cell map is read
-// from the store before, for in an outage a daemon has it from its peers.
+// adopt makes a daemon continue a cell that was handed over to it. The cell map is read from the store
+// with the outage suspended, because in an outage a daemon has received the map from its peers.
 func (w *world) adopt(daemon int, cell models.CellID, call models.HandoverCall) {
 	outage := false
 	w.setFaults(func(f *worldFaults) { outage, f.outage = f.outage, false })
@@ -299,7 +299,7 @@
 	return fmt.Sprint("id-", w.made)
 }
 
-// worldPeers reaches the latest owner of each cell.
+// worldPeers delivers calls to the latest owner of each cell.
 type worldPeers struct{ w *world }
 
 // Cells implements Peers.
@@ -329,7 +329,7 @@
 	return answer, err
 }
 
-// offerAgain delivers a late copy of an offer, whose answer nobody waits for.
+// offerAgain delivers a late copy of an offer. Its answer is discarded.
 func (p *worldPeers) offerAgain(call models.OfferCall) {
 	p.w.mu.Lock()
 	defer p.w.mu.Unlock()
@@ -358,7 +358,7 @@
 	return len(w.owners[cell]) == 0
 }
 
-// owner is the latest owner of a cell.
+// owner returns the latest owner of a cell.
 func (w *world) owner(cell models.CellID) *testOwner {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -373,23 +373,23 @@
 	return forwardTo(ctx, o.Owner, call)
 }
 
-// advance lets time pass and checks what must always hold.
+// advance lets time pass and checks that the fleet has seen no violation of its invariants.
 func (w *world) advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 	require.Empty(w.t, w.fleet.Audit().Violations)
 }
 
-// waitUntil lets time pass until the condition holds.
-func (w *world) waitUntil(most time.Duration, what string, condition func() bool) {
-	end := time.Now().Add(most)
+// waitUntil lets time pass until the condition holds; it fails with what after limit.
+func (w *world) waitUntil(limit time.Duration, what string, condition func() bool) {
+	end := time.Now().Add(limit)
 	for !condition() {
 		require.True(w.t, time.Now().Before(end), what)
 		w.advance(100 * time.Millisecond)
 	}
 }
 
-// jobs lists the jobs of all cells as their latest owners know them.
+// jobs returns the jobs of all cells as their latest owners know them.
 func (w *world) jobs() map[models.JobID]models.Job {
 	jobs := map[models.JobID]models.Job{}
 	for _, cell := range slices.Sorted(maps.Keys(w.owners)) {
@@ -411,8 +411,8 @@
 	}
 }
 
-// verdict keeps the first failure of a run and ends the run, so that package rapid
-// can look for a shorter script that fails.
+// verdict records the first failure of a run and ends the run, so that package rapid can shrink the
+// failing script.
 type verdict struct{ failure string }
 
 type runEnded struct{}
@@ -423,7 +423,7 @@
 // FailNow implements require.TestingT.
 func (v *verdict) FailNow() { panic(runEnded{}) }
 
-// runInBubble runs a script in a bubble of its own and gives the failure, if any.
+// runInBubble runs a script in a synctest bubble of its own and returns the failure, if any.
 func runInBubble(t *testing.T, run func(t *testing.T, v *verdict)) string {
 	t.Helper()
 	v := &verdict{}
