--- a/services/cell/fate.go
+++ b/services/cell/fate.go
@@ -16,7 +16,7 @@
 // types is closed and a value is exactly one of them. It is derived from the journalled state and
 // the append under way, and not from what the call itself has done, because a call that had no
 // effect may name a job that an earlier call has submitted.
-type outcome interface{ fate() }
+type outcome interface{ outcome() }
 
 type (
 	// accepted means that the requested change is journalled.
@@ -28,9 +28,9 @@
 	unknown struct{}
 )
 
-func (accepted) fate() {}
-func (refused) fate()  {}
-func (unknown) fate()  {}
+func (accepted) outcome() {}
+func (refused) outcome()  {}
+func (unknown) outcome()  {}
 
 // submissionOutcome returns the outcome of a submitted job. cause tells why the call was not
 // written; it is nil when the call was written.
--- a/services/cell/observe.go
+++ b/services/cell/observe.go
@@ -187,8 +187,8 @@
 		o.sendStop(l, r.AttemptRef, false)
 		return
 	}
-	journalled, ok := o.journalled.Tasks[r.Task]
-	if !ok || journalled.Attempt > r.Attempt || !journalled.HoldsRoom() {
+	record, ok := o.journalled.Tasks[r.Task]
+	if !ok || record.Attempt > r.Attempt || !record.HoldsRoom() {
 		l.acknowledge(r.AttemptRef)
 	}
 }
--- a/services/cell/spill.go
+++ b/services/cell/spill.go
@@ -178,8 +178,8 @@
 
 // acceptanceJournalled reports whether the acceptance of an offered task is journalled.
 func (o *Owner) acceptanceJournalled(t models.Task) bool {
-	journalled, ok := o.journalled.Tasks[t.ID]
-	return ok && journalled.Foreign() && journalled.Attempt > t.Attempt
+	record, ok := o.journalled.Tasks[t.ID]
+	return ok && record.Foreign() && record.Attempt > t.Attempt
 }
 
 // evaluateOffer decides on one offered task. final reports whether accepted is the final answer; a task
@@ -188,7 +188,7 @@
 	if o.acceptanceJournalled(t) {
 		return true, true
 	}
-	if working, ok := o.working.Tasks[t.ID]; ok && working.Foreign() && working.Attempt > t.Attempt {
+	if record, ok := o.working.Tasks[t.ID]; ok && record.Foreign() && record.Attempt > t.Attempt {
 		return false, false
 	}
 	if call.Epoch > o.config.Epoch {
@@ -294,14 +294,14 @@
 // of the last journal entry when the report arrived. For a task that the journalled state doesn't
 // hold, this requires a later append: without one, the journal of a later owner may hold the task.
 func (o *Owner) reportSettled(t models.Task, arrived models.Sequence) bool {
-	journalled, ok := o.journalled.Tasks[t.ID]
+	record, ok := o.journalled.Tasks[t.ID]
 	switch {
 	case !ok:
 		return o.sequence > arrived
 	case t.State == models.TaskLost:
-		return journalled.Cancelled
+		return record.Cancelled
 	default:
-		return journalled.Attempt >= t.Attempt
+		return record.Attempt >= t.Attempt
 	}
 }
 
