--- a/services/cell/calls.go
+++ b/services/cell/calls.go
@@ -13,30 +13,31 @@
 	"rillsail.example/rillsail/models"
 )
 
-// handleForward takes an operator's call. Submissions and cancellations are answered once
-// they are journalled, and at once while nothing can be; everything else at once.
+// handleForward handles an operator's call. Submissions and cancellations are answered once they are
+// journalled, or immediately while the store can't be written. All other calls are answered
+// immediately.
 func (o *Owner) handleForward(m forwardMessage) {
 	switch {
 	case o.frozen || o.superseded:
 		m.reply <- o.refuseCall(m.call)
 	case !m.call.Changes():
-		m.reply <- forwardReply{answer: o.look(m.call)}
+		m.reply <- forwardReply{answer: o.query(m.call)}
 	case o.storeFails.Load():
-		m.reply <- o.fates(m.call, ErrNoStore)
+		m.reply <- o.changeReply(m.call, ErrNoStore)
 	default:
 		o.stage(m)
 	}
 }
 
-// refuseCall answers a call that this owner can do nothing about any more.
+// refuseCall answers a call that this owner can no longer execute.
 func (o *Owner) refuseCall(call models.ForwardCall) forwardReply {
 	if !call.Changes() {
 		return forwardReply{err: ErrNotOwner}
 	}
-	return o.fates(call, ErrNotOwner)
+	return o.changeReply(call, ErrNotOwner)
 }
 
-// stage lets a call wait for the next append. Of submitted jobs it adds those that are new.
+// stage adds a call, with those of its submitted jobs that are new, to the next append.
 func (o *Owner) stage(m forwardMessage) {
 	s := staged{call: m.call, reply: m.reply}
 	now := models.UnixMilliOf(time.Now())
@@ -53,8 +54,8 @@
 	return ok || slices.ContainsFunc(o.staged, func(s staged) bool { return s.submits(id) })
 }
 
-// look answers the calls that change nothing.
-func (o *Owner) look(call models.ForwardCall) models.ForwardAnswer {
+// query answers calls that change nothing.
+func (o *Owner) query(call models.ForwardCall) models.ForwardAnswer {
 	var answer models.ForwardAnswer
 	if call.Jobs {
 		answer.Jobs = slices.SortedFunc(maps.Values(o.working.Jobs), func(a, b models.Job) int {
@@ -67,7 +68,7 @@
 		})
 	}
 	if call.Worker {
-		answer.Workers = o.workerStatus()
+		answer.Workers = o.workerStatuses()
 	}
 	if call.Task != "" {
 		if t, ok := o.working.Tasks[call.Task]; ok {
@@ -78,7 +79,7 @@
 	return answer
 }
 
-func (o *Owner) workerStatus() []models.WorkerStatus {
+func (o *Owner) workerStatuses() []models.WorkerStatus {
 	var statuses []models.WorkerStatus
 	for _, w := range o.workers() {
 		l := o.links[w.VM.ID]
@@ -99,7 +100,7 @@
 	return statuses
 }
 
-// Dump is an owner's whole state.
+// Dump is the complete state of an owner.
 type Dump struct {
 	Cell       models.CellID                         `json:"cell"`
 	Epoch      models.Epoch                          `json:"epoch"`
@@ -119,9 +120,9 @@
 func (o *Owner) dump() Dump {
 	d := Dump{
 		Cell: o.config.Cell, Epoch: o.config.Epoch, Sequence: o.sequence, State: o.working.Clone(),
-		Workers: o.workerStatus(), Waiting: o.waiting(), Unsettled: o.unsettled, StoreFails: o.storeFails.Load(),
+		Workers: o.workerStatuses(), Waiting: o.countWaiting(), Unsettled: o.unsettled, StoreFails: o.storeFails.Load(),
 		Counts: o.counts, Holds: map[models.VMID]models.TaskID{}, Throttles: map[models.VMID]map[models.TaskID]int{},
-		Promised: maps.Clone(o.promised), Decisions: o.decisions.all(),
+		Promised: maps.Clone(o.offeredResources), Decisions: o.decisions.all(),
 	}
 	for vm, h := range o.holds {
 		d.Holds[vm] = h.task
@@ -134,8 +135,8 @@
 	return d
 }
 
-// waiting counts the tasks that wait for a place.
-func (o *Owner) waiting() int {
+// countWaiting counts the tasks that wait to be placed.
+func (o *Owner) countWaiting() int {
 	n := 0
 	for _, t := range o.working.Tasks {
 		if t.State == models.TaskQueued {
@@ -148,13 +149,13 @@
 	return n
 }
 
-// publish tells the other daemons of the cell with the next heartbeat.
+// publish updates the state of the cell that is sent to the other daemons with the next heartbeat.
 func (o *Owner) publish() {
-	if time.Since(o.published) < o.config.Settings.Tick/2 {
+	if time.Since(o.publishedAt) < o.config.Settings.Tick/2 {
 		return
 	}
-	o.published = time.Now()
-	beat := models.CellBeat{Epoch: o.config.Epoch, Teams: o.ownUsage(), Waits: o.waiting()}
+	o.publishedAt = time.Now()
+	beat := models.CellBeat{Epoch: o.config.Epoch, Teams: o.localUsage(), Waits: o.countWaiting()}
 	for _, w := range o.workers() {
 		if !w.Usable {
 			continue
--- a/services/cell/handover.go
+++ b/services/cell/handover.go
@@ -17,19 +17,19 @@
 	"rillsail.example/rillsail/services/journal"
 )
 
-// freezeMessage ends all that an owner does and asks for what a successor needs.
-// The reply is closed when there is none.
+// freezeMessage stops the actions of an owner and requests the state that a successor needs. The
+// reply channel is closed without a value when the owner has ended.
 type freezeMessage struct {
 	reply chan models.HandoverCall
 }
 
 func (freezeMessage) message() {}
 
-// freeze stops the owner for good. An append under way is given up first; its entry
-// is handed over with the rest.
+// freeze stops all actions of the owner permanently. An append under way is cancelled first; its
+// entry is handed over as pending.
 func (o *Owner) freeze(m freezeMessage) {
 	o.frozen = true
-	o.freezing = m.reply
+	o.freezeReply = m.reply
 	if !o.appending {
 		o.finishFreeze()
 		return
@@ -37,18 +37,18 @@
 	o.cancelAppend()
 }
 
-func (o *Owner) finishFreeze() { o.freezing <- o.journal.Export() }
+func (o *Owner) finishFreeze() { o.freezeReply <- o.journal.Export() }
 
-// Release gives up all cells at a planned stop. The members have been told; while
-// the store works, the others take the cells over. What nobody has taken when the
-// wait is over because the store can't be written is handed to one peer each.
+// Release releases all cells at a planned stop. The members have been notified before, and while
+// the store can be written they take the cells over. Each cell that is still owned here after
+// that, at the latest after wait, is handed over to one peer.
 func (m *Manager) Release(ctx context.Context, wait time.Duration) error {
 	m.mu.Lock()
 	m.releasing = true
 	m.mu.Unlock()
 	deadline := time.Now().Add(wait)
-	for m.someoneMayTake() && time.Now().Before(deadline) {
-		m.leaveSuperseded()
+	for m.peersCanTakeOver() && time.Now().Before(deadline) {
+		m.removeSuperseded()
 		clock.Sleep(ctx, m.config.Every/4)
 	}
 	for _, cell := range m.OwnedCells() {
@@ -57,13 +57,13 @@
 	return nil
 }
 
-// someoneMayTake tells whether a cell is left that a peer can take by itself.
-func (m *Manager) someoneMayTake() bool {
+// peersCanTakeOver reports whether a cell is left that a peer can take over through the store.
+func (m *Manager) peersCanTakeOver() bool {
 	if len(m.config.Members.LiveIDs()) == 0 {
 		return false
 	}
 	for _, cell := range m.OwnedCells() {
-		if owner, ok := m.owned(cell); ok && !owner.storeFails.Load() {
+		if owner, ok := m.localOwner(cell); ok && !owner.storeFails.Load() {
 			return true
 		}
 	}
@@ -71,37 +71,37 @@
 }
 
 func (m *Manager) handOver(ctx context.Context, cell models.CellID) {
-	owner, ok := m.owned(cell)
+	owner, ok := m.localOwner(cell)
 	if !ok {
 		return
 	}
 	reply := make(chan models.HandoverCall, 1)
-	state, err := ask(ctx, m, cell, freezeMessage{reply: reply}, reply)
-	next, ok := rendezvous.First(string(cell), m.config.Members.LiveIDs())
-	heir, found := m.config.Members.Find(next)
+	state, err := askLocalOwner(ctx, m, cell, freezeMessage{reply: reply}, reply)
+	successorID, ok := rendezvous.First(string(cell), m.config.Members.LiveIDs())
+	successor, found := m.config.Members.Find(successorID)
 	if err != nil || state.Epoch == 0 || !ok || !found {
-		m.config.Logger.Warn("cell is left without owner; its tasks run on while a peer renews them",
+		m.config.Logger.Warn("cell can't be handed over and is left without an owner; its tasks run while a peer renews their leases",
 			append(log.Err(err), zap.String("cell", string(cell)))...)
 		return
 	}
-	// Sent once, to one peer, whatever the answer.
-	answer, err := m.config.Client.Handover(ctx, heir.PeerAddress, state)
+	// The state is sent only once and to one peer, also when the call fails: two peers must not adopt it.
+	answer, err := m.config.Client.Handover(ctx, successor.PeerAddress, state)
 	m.config.Logger.Info("cell is handed over", append(log.Err(err), zap.String("cell", string(cell)),
-		zap.String("to", string(next)), zap.Bool("taken", answer.Taken))...)
+		zap.String("to", string(successorID)), zap.Bool("taken", answer.Taken))...)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if own := m.owners[cell]; own != nil && own.owner == owner {
-		own.cancel()
+	if running := m.owners[cell]; running != nil && running.owner == owner {
+		running.cancel()
 		delete(m.owners, cell)
 	}
 }
 
-// AdoptHere serves a handover: this daemon goes on in the sender's epoch until the
-// store can be written again, and then takes the cell over in an epoch of its own.
+// AdoptHere serves a handover. This daemon continues in the sender's epoch until the store can be
+// written again, and then takes over the cell in an epoch of its own.
 func (m *Manager) AdoptHere(call models.HandoverCall) (models.HandoverAnswer, error) {
 	m.mu.Lock()
-	life := m.life
-	refuse := life == nil || m.releasing || m.owners[call.Cell] != nil || m.epochs[call.Cell] > call.Epoch
+	ctx := m.runContext
+	refuse := ctx == nil || m.releasing || m.owners[call.Cell] != nil || m.epochs[call.Cell] > call.Epoch
 	m.mu.Unlock()
 	if refuse {
 		return models.HandoverAnswer{}, nil
@@ -112,6 +112,6 @@
 	if err := j.Adopt(call); err != nil {
 		return models.HandoverAnswer{}, errstep.Wrap(err, "adopt cell "+string(call.Cell), string(m.config.Self))
 	}
-	m.own(life, call.Cell, j, true)
+	m.startOwner(ctx, call.Cell, j, true)
 	return models.HandoverAnswer{Taken: true}, nil
 }
--- a/services/cell/measure_test.go
+++ b/services/cell/measure_test.go
@@ -25,19 +25,19 @@
 
 var measureMinutes = flag.Int("minutes", 10, "length of each run of the whole measurement")
 
-// trial is one run: a real owner of a cell of workers whose services are slowed down
-// by batch tasks after a table that the owner never sees, on synctest's clock.
+// trial is one run of a real owner on synctest's clock. The services of its workers are slowed down by
+// batch tasks according to a table that the owner can't see.
 type trial struct {
 	policy    string
-	oracle    bool // pairs, with a learner that knows the table
+	oracle    bool // the policy "pairs" with a learner that knows the table
 	seed      uint64
 	minutes   int
-	waves     bool    // noisy tasks come in waves instead of all the time
-	changing  bool    // the table is another one from the middle on
+	waves     bool    // batch tasks arrive in waves instead of steadily
+	changing  bool    // the table is replaced halfway through
 	lossy     bool    // 3 of 10 answers of workers are lost
-	sizeError float64 // declared run times are off by up to 1+e times either way
-	faulty    bool    // one worker fails all it starts
-	unfit     bool    // a job that no VM can hold stands in front
+	sizeError float64 // declared run times are wrong by a factor of up to 1+sizeError, too long or too short
+	faulty    bool    // one worker fails every task that it starts
+	unfit     bool    // a job that fits on no VM is first in the queue
 }
 
 const (
@@ -54,7 +54,7 @@
 	RingSlots: 32, KeepJobs: 1000, SettleAfter: 4 * time.Second,
 }
 
-// oracle knows the table.
+// oracle predicts slowdowns from the table itself.
 type oracle struct {
 	*interference.Learner
 	table func() fleet.PairTable
@@ -65,23 +65,23 @@
 	return o.table().Slowdown(service["app"], batch["app"]), true
 }
 
-// Headroom implements place.Predictor: the latency alone is half the target.
+// Headroom implements place.Predictor: the latency without neighbours is half the target.
 func (o oracle) Headroom(map[string]string) (float64, bool) { return 1, true }
 
-// figures are the three that users measure.
-type figures struct {
-	over      float64 // share of service time over target
-	finished  int64
-	evictions int64
-	throttles int64
-	failed    int64
-	most      int // evictions of one task
+// trialFigures are the results of a trial.
+type trialFigures struct {
+	overTarget    float64 // fraction of the service time samples that are over target
+	finished      int64
+	evictions     int64
+	throttles     int64
+	failed        int64
+	mostEvictions int // most evictions of a single task
 }
 
-func (t trial) run(tt *testing.T) figures {
+func (t trial) run(tt *testing.T) trialFigures {
 	tt.Helper()
-	var f figures
-	failure := in(tt, func(tt *testing.T, v *verdict) {
+	var f trialFigures
+	failure := runInBubble(tt, func(tt *testing.T, v *verdict) {
 		table := newTable(t.seed)
 		settings := trialSettings
 		settings.Policy = t.policy
@@ -95,14 +95,14 @@
 				return oracle{interference.New(interference.Config{}), table.now}
 			}
 		}
-		f = t.drive(w, table)
+		f = t.runLoad(w, table)
 	})
 	require.Empty(tt, failure)
 	return f
 }
 
-// drive feeds the cell for the trial's time.
-func (t trial) drive(w *world, table *trialTable) figures {
+// runLoad sets up the cell, submits jobs for the duration of the trial and returns the figures.
+func (t trial) runLoad(w *world, table *trialTable) trialFigures {
 	objects := []models.Object{models.Team{Name: "office"}}
 	for s := range trialServices {
 		objects = append(objects, models.Service{
@@ -111,9 +111,9 @@
 		})
 	}
 	w.setView(viewOf(2, objects...))
-	o, err := w.take(0, trialCell)
+	o, err := w.takeOver(0, trialCell)
 	require.NoError(w.t, err)
-	w.after(20 * time.Second)
+	w.advance(20 * time.Second)
 	if t.faulty {
 		require.NoError(w.t, w.fleet.Apply(fleet.Control{VM: "worker-0", Action: fleet.ActionFaulty}))
 	}
@@ -122,7 +122,7 @@
 		require.NoError(w.t, err)
 	}
 	if t.lossy {
-		w.set(func(f *worldFaults) { f.lossy = rand.New(rand.NewPCG(t.seed, 4)) })
+		w.setFaults(func(f *worldFaults) { f.lossyReplies = rand.New(rand.NewPCG(t.seed, 4)) })
 	}
 	before := w.fleet.Audit()
 	steps := t.minutes * 6
@@ -131,13 +131,12 @@
 			table.set(drawTable(t.seed + 1000))
 		}
 		t.feed(w, o, step)
-		w.after(10 * time.Second)
+		w.advance(10 * time.Second)
 	}
 	return t.count(w, o, before)
 }
 
-// feed submits a job for each app every 10 s; in waves, all that would come within a
-// minute comes at once.
+// feed submits a job for each app every 10 s; in waves, the tasks of one minute are submitted at once.
 func (t trial) feed(w *world, o *testOwner, step int) {
 	tasks := 4
 	if t.waves {
@@ -161,20 +160,20 @@
 	}
 }
 
-func (t trial) count(w *world, o *testOwner, before fleet.Audit) figures {
+func (t trial) count(w *world, o *testOwner, before fleet.Audit) trialFigures {
 	after := w.fleet.Audit()
-	f := figures{
-		over:     float64(after.SlowSamples-before.SlowSamples) / float64(max(1, after.Samples-before.Samples)),
-		finished: after.Finished - before.Finished, failed: after.Failed - before.Failed, evictions: o.counts.Evictions, throttles: o.counts.Throttles,
+	f := trialFigures{
+		overTarget: float64(after.SlowSamples-before.SlowSamples) / float64(max(1, after.Samples-before.Samples)),
+		finished:   after.Finished - before.Finished, failed: after.Failed - before.Failed, evictions: o.counts.Evictions, throttles: o.counts.Throttles,
 	}
 	for _, task := range o.working.Tasks {
-		f.most = max(f.most, task.Evictions)
+		f.mostEvictions = max(f.mostEvictions, task.Evictions)
 	}
 	return f
 }
 
-// variants are the policies under comparison, the baselines first.
-var variants = []struct {
+// policyVariants are the compared policies, the baselines first.
+var policyVariants = []struct {
 	name string
 	trial
 }{
@@ -184,37 +183,37 @@
 	{"oracle", trial{policy: "pairs", oracle: true}},
 }
 
-// TestPairsKeepTargets compares the policies on one table: pairs keeps services
-// nearer to their targets than the baselines and still finishes most of the work.
+// TestPairsKeepTargets compares the policies on one table: "pairs" keeps services closer to their
+// targets than the baselines and still finishes most of the work.
 func TestPairsKeepTargets(t *testing.T) {
-	results := map[string]figures{}
-	for _, v := range variants {
+	results := map[string]trialFigures{}
+	for _, v := range policyVariants {
 		v.seed, v.minutes = 1, 4
 		results[v.name] = v.run(t)
 	}
-	assert.Less(t, results["pairs"].over, results["feedback"].over)
-	assert.Less(t, results["pairs"].over, results["first fit"].over/2)
+	assert.Less(t, results["pairs"].overTarget, results["feedback"].overTarget)
+	assert.Less(t, results["pairs"].overTarget, results["first fit"].overTarget/2)
 	assert.Greater(t, results["pairs"].finished, results["first fit"].finished/2)
-	assert.LessOrEqual(t, results["pairs"].most, maxEvictions)
+	assert.LessOrEqual(t, results["pairs"].mostEvictions, maxEvictions)
 }
 
-// quarantineFailures is how many tasks may fail before the worker is quarantined:
-// those that start there before the third job's failure is seen.
+// quarantineFailures bounds the tasks that may fail before the worker is quarantined: the tasks that
+// start on it before the owner has seen the third job's failure.
 const quarantineFailures = 25
 
-// TestFaultyWorkerAndUnfitJob lets one worker fail all it starts and puts a job in
-// front that no VM can hold: the others go on, and no task is given up for it.
+// TestFaultyWorkerAndUnfitJob makes one worker fail every task that it starts and queues a job first
+// that fits on no VM. The other jobs must continue, and no task may be abandoned because of either.
 func TestFaultyWorkerAndUnfitJob(t *testing.T) {
 	settings := trial{policy: "pairs", seed: 2, minutes: 3, faulty: true, unfit: true}
 	f := settings.run(t)
 	t.Log("tasks failed:", f.failed)
-	assert.Less(t, f.failed, int64(quarantineFailures), "the worker gets nothing more once different jobs have failed there")
+	assert.Less(t, f.failed, int64(quarantineFailures), "the worker gets no more tasks once different jobs have failed on it")
 	settings.faulty, settings.unfit = false, false
 	sound := settings.run(t)
 	assert.Greater(t, float64(f.finished), 0.6*float64(sound.finished))
 }
 
-// TestMeasureInterference is the whole measurement; "make measure" asks for it.
+// TestMeasureInterference compares all policies in all scenes; "make measure" runs it in full length.
 func TestMeasureInterference(t *testing.T) {
 	minutes, seeds := 1, []uint64{1}
 	if *measureTo != "" {
@@ -234,8 +233,8 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "| scene | policy | service time over target %%: median (least to most) | batch tasks finished | evictions | throttles | most evictions of a task |\n|---|---|---|---|---|---|---|\n")
 	for _, s := range scenes {
-		for _, v := range variants {
-			var runs []figures
+		for _, v := range policyVariants {
+			var runs []trialFigures
 			for _, seed := range seeds {
 				v.seed, v.minutes = seed, minutes
 				s.change(&v.trial)
@@ -251,8 +250,8 @@
 	require.NoError(t, os.WriteFile(*measureTo, []byte(b.String()), 0o600))
 }
 
-func row(runs []figures) string {
-	column := func(value func(figures) float64) []float64 {
+func row(runs []trialFigures) string {
+	column := func(value func(trialFigures) float64) []float64 {
 		values := make([]float64, len(runs))
 		for i, f := range runs {
 			values[i] = value(f)
@@ -264,11 +263,11 @@
 		}
 		return values
 	}
-	over := column(func(f figures) float64 { return 100 * f.over })
+	over := column(func(f trialFigures) float64 { return 100 * f.overTarget })
 	middle := func(values []float64) float64 { return values[len(values)/2] }
 	return fmt.Sprintf("%.1f (%.1f to %.1f) | %.0f | %.0f | %.0f | %.0f", middle(over), over[0], over[len(over)-1],
-		middle(column(func(f figures) float64 { return float64(f.finished) })),
-		middle(column(func(f figures) float64 { return float64(f.evictions) })),
-		middle(column(func(f figures) float64 { return float64(f.throttles) })),
-		middle(column(func(f figures) float64 { return float64(f.most) })))
+		middle(column(func(f trialFigures) float64 { return float64(f.finished) })),
+		middle(column(func(f trialFigures) float64 { return float64(f.evictions) })),
+		middle(column(func(f trialFigures) float64 { return float64(f.throttles) })),
+		middle(column(func(f trialFigures) float64 { return float64(f.mostEvictions) })))
 }
--- a/services/cell/observe.go
+++ b/services/cell/observe.go
@@ -12,11 +12,12 @@
 	"rillsail.example/rillsail/models"
 )
 
-// silentRenewals is after how many renewals without answer a worker counts as silent.
+// silentRenewals is the number of renewal intervals without an answer after which a worker counts as
+// silent.
 const silentRenewals = 3
 
-// observe brings the workers up to the VM list and draws the consequences of
-// silence, of VMs that are gone and of cancelled jobs.
+// observe synchronizes the links with the VM list, cancels the tasks of cancelled jobs, and updates
+// the tasks on VMs that have left and on silent workers.
 func (o *Owner) observe(ctx context.Context) {
 	now := time.Now()
 	o.syncLinks(ctx)
@@ -27,35 +28,37 @@
 		}
 		l := o.links[t.Worker]
 		switch {
-		case o.provedGone(t.Worker, l, now):
+		case o.provedNotRunning(t.Worker, l, now):
 			o.step(t.ID, models.EventWorkerGone{Reason: "VM " + string(t.Worker) + " is gone"})
-		case l == nil || o.silent(l, now):
+		case l == nil || o.isSilent(l, now):
 			if o.step(t.ID, models.EventUnreachable{}) {
-				o.decide(t.ID, "lost", t.Worker, "the worker has not answered for "+o.silence().String())
+				o.recordDecision(t.ID, "lost", t.Worker, "the worker has not answered for "+o.silenceLimit().String())
 			}
 		}
 	}
 }
 
-func (o *Owner) silence() time.Duration { return silentRenewals * o.config.Settings.Renew }
+func (o *Owner) silenceLimit() time.Duration { return silentRenewals * o.config.Settings.Renew }
 
-func (o *Owner) silent(l *link, now time.Time) bool { return now.Sub(l.answered) > o.silence() }
+func (o *Owner) isSilent(l *link, now time.Time) bool {
+	return now.Sub(l.answeredAt) > o.silenceLimit()
+}
 
-// provedGone tells whether nothing can run on the VM any more: the list has dropped
-// it, and for a whole lease since nobody here has started or renewed anything there.
-func (o *Owner) provedGone(vm models.VMID, l *link, now time.Time) bool {
+// provedNotRunning reports whether no task can run on the VM any more: the VM has left the list, and
+// for a whole lease after that this owner has started and renewed nothing on it.
+func (o *Owner) provedNotRunning(vm models.VMID, l *link, now time.Time) bool {
 	listed, since := o.config.Inventory.Listed(vm)
 	if listed {
 		return false
 	}
-	if l != nil && l.lastAsked().After(since) {
-		since = l.lastAsked()
+	if l != nil && l.lastLeaseCall().After(since) {
+		since = l.lastLeaseCall()
 	}
 	return now.Sub(since) > o.config.Settings.Lease
 }
 
-// syncLinks opens a link for each worker of the cell, and keeps those of VMs that
-// are no longer listed as long as tasks are recorded there.
+// syncLinks opens a link for each worker of the cell. The link of a VM that is no longer listed is
+// kept as long as tasks may run on it.
 func (o *Owner) syncLinks(ctx context.Context) {
 	listed := map[models.VMID]bool{}
 	for _, vm := range o.config.Inventory.WorkersOf(o.config.Cell) {
@@ -97,7 +100,7 @@
 	return l
 }
 
-// cancelOrphans stops the tasks of cancelled jobs.
+// cancelOrphans cancels the remaining tasks of cancelled jobs.
 func (o *Owner) cancelOrphans() {
 	for _, t := range o.working.Tasks {
 		if t.Kind != models.TaskBatch || t.Foreign() || t.Cancelled {
@@ -119,24 +122,24 @@
 		return
 	}
 	if m.answer.Refused == models.RefusedEpoch {
-		o.suspect(m.answer.Epoch)
+		o.suspectSuperseded(m.answer.Epoch)
 		return
 	}
-	l.answered = time.Now()
-	o.noteIncarnation(l, m.answer.Incarnation)
+	l.answeredAt = time.Now()
+	o.updateIncarnation(l, m.answer.Incarnation)
 	l.report = m.answer
-	seen := map[models.TaskID]bool{}
+	reported := map[models.TaskID]bool{}
 	for _, r := range m.answer.Attempts {
-		seen[r.Task] = true
+		reported[r.Task] = true
 		o.handleAttempt(l, r)
 	}
-	o.stopUnseen(l, seen)
-	o.learn(l)
+	o.stopUnreported(l, reported)
+	o.processLatencies(l)
 }
 
-// noteIncarnation draws the consequence of a worker that has begun anew: what its
-// former self ran is over.
-func (o *Owner) noteIncarnation(l *link, incarnation models.Incarnation) {
+// updateIncarnation records a worker's incarnation. After a restart, all tasks of the previous
+// incarnation have ended.
+func (o *Owner) updateIncarnation(l *link, incarnation models.Incarnation) {
 	if l.incarnation == incarnation {
 		return
 	}
@@ -148,27 +151,27 @@
 	}
 }
 
-// handleAttempt takes one line of a worker's report.
+// handleAttempt handles one attempt of a worker's report.
 func (o *Owner) handleAttempt(l *link, r models.AttemptReport) {
 	t, ok := o.working.Tasks[r.Task]
 	if !ok || t.Attempt != r.Attempt || !t.HoldsRoom() || t.Worker != l.vm.ID {
-		o.handleStale(l, r)
+		o.handleStaleAttempt(l, r)
 		return
 	}
-	o.take(l, t, r)
+	o.applyReport(l, t, r)
 }
 
-// take moves a task on by what its worker says of the current attempt.
-func (o *Owner) take(l *link, t models.Task, r models.AttemptReport) {
+// applyReport applies a worker's report of the current attempt to its task.
+func (o *Owner) applyReport(l *link, t models.Task, r models.AttemptReport) {
 	switch r.Status {
 	case models.StatusRunning:
 		o.step(t.ID, models.EventStarted{Attempt: r.Attempt})
 	case models.StatusFinished:
 		o.step(t.ID, models.EventFinished{Attempt: r.Attempt, Success: true})
-		l.failures.succeeded()
+		l.failures.reset()
 	case models.StatusFailed:
 		o.step(t.ID, models.EventFinished{Attempt: r.Attempt, Reason: r.Reason})
-		o.noteFailure(l, t)
+		o.recordFailure(l, t)
 	case models.StatusStopped:
 		o.step(t.ID, models.EventStopped{Attempt: r.Attempt, Checkpoint: r.Checkpoint})
 	case models.StatusNeverBegan:
@@ -176,25 +179,26 @@
 	}
 }
 
-// handleStale deals with an attempt that is not the current one of any task here:
-// one that runs is stopped, one that has ended may be forgotten once the journal
-// no longer waits for it.
-func (o *Owner) handleStale(l *link, r models.AttemptReport) {
+// handleStaleAttempt handles an attempt that is not the current attempt of any task here. A running
+// attempt is stopped. An ended attempt is acknowledged, so that the worker may forget it, as soon
+// as the journalled record no longer depends on its report.
+func (o *Owner) handleStaleAttempt(l *link, r models.AttemptReport) {
 	if r.Status == models.StatusRunning {
 		o.sendStop(l, r.AttemptRef, false)
 		return
 	}
-	kept, ok := o.journalled.Tasks[r.Task]
-	if !ok || kept.Attempt > r.Attempt || !kept.HoldsRoom() {
+	record, ok := o.journalled.Tasks[r.Task]
+	if !ok || record.Attempt > r.Attempt || !record.HoldsRoom() {
 		l.acknowledge(r.AttemptRef)
 	}
 }
 
-// stopUnseen bars the attempts that the worker should run and doesn't report. Only
-// its answer to the stop is a proof.
-func (o *Owner) stopUnseen(l *link, seen map[models.TaskID]bool) {
+// stopUnreported sends a stop for each attempt that should run on the worker and is missing in its
+// report. The stop bars the attempt; only the worker's answer to it proves that the attempt
+// doesn't run.
+func (o *Owner) stopUnreported(l *link, reported map[models.TaskID]bool) {
 	for _, t := range o.working.Tasks {
-		if t.Worker != l.vm.ID || seen[t.ID] {
+		if t.Worker != l.vm.ID || reported[t.ID] {
 			continue
 		}
 		if t.State == models.TaskRunning || t.State == models.TaskLost {
@@ -209,8 +213,8 @@
 		o.config.Scope.Counter("starts_unanswered").Inc(1)
 		return
 	}
-	l.answered = time.Now()
-	never := models.EventNeverBegan{Attempt: m.ref.Attempt}
+	l.answeredAt = time.Now()
+	neverBegan := models.EventNeverBegan{Attempt: m.ref.Attempt}
 	switch m.answer.Refused {
 	case "":
 		if o.step(m.ref.Task, models.EventStarted{Attempt: m.ref.Attempt}) {
@@ -218,14 +222,14 @@
 			o.config.Scope.Counter("tasks_started").Inc(1)
 		}
 	case models.RefusedEpoch:
-		o.suspect(m.answer.Epoch)
+		o.suspectSuperseded(m.answer.Epoch)
 	case models.RefusedIncarnation:
-		o.noteIncarnation(l, m.answer.Incarnation)
+		o.updateIncarnation(l, m.answer.Incarnation)
 	case models.RefusedRoom:
-		never.Reason = "the worker says it has no room"
-		o.step(m.ref.Task, never)
+		neverBegan.Reason = "the worker says it has no room"
+		o.step(m.ref.Task, neverBegan)
 	case models.RefusedBarred, models.RefusedAttempt:
-		o.sendStop(l, m.ref, true) // its answer tells what became of the attempt
+		o.sendStop(l, m.ref, true) // the answer to the stop tells what became of the attempt
 	}
 }
 
@@ -234,29 +238,29 @@
 	if m.err != nil || l == nil {
 		return
 	}
-	l.answered = time.Now()
+	l.answeredAt = time.Now()
 	switch m.answer.Refused {
 	case "":
 		o.handleAttempt(l, m.answer.Report)
 	case models.RefusedEpoch:
 		o.config.Scope.Counter("stops_refused").Inc(1)
 	case models.RefusedIncarnation:
-		o.noteIncarnation(l, m.answer.Incarnation)
+		o.updateIncarnation(l, m.answer.Incarnation)
 	case models.RefusedBarred, models.RefusedAttempt, models.RefusedRoom:
 	}
 }
 
-// suspect notes that a worker has heard of a later epoch. The journal knows who
-// owns the cell: writing anything to it tells.
-func (o *Owner) suspect(epoch models.Epoch) {
+// suspectSuperseded handles a worker's refusal that names a later epoch. It queues an empty append,
+// whose result reports whether another daemon owns the cell.
+func (o *Owner) suspectSuperseded(epoch models.Epoch) {
 	if epoch <= o.config.Epoch || o.appending {
 		return
 	}
-	o.config.Logger.Warn("a worker knows a later owner; asking the journal",
+	o.config.Logger.Warn("worker refused a call because it has seen a later epoch; checking the ownership with an empty append",
 		zap.String("cell", string(o.config.Cell)), zap.Uint64("epoch", uint64(epoch)))
 	o.dirty.generations[probeKey] = true
 }
 
-// probeKey is a generation that is never used; it makes an append that holds
-// nothing else.
+// probeKey is a generation key that no replica uses. Marking it dirty causes an append that changes
+// nothing, as a probe of the journal.
 const probeKey = "-"
--- a/services/cell/random_test.go
+++ b/services/cell/random_test.go
@@ -23,8 +23,8 @@
 	"rillsail.example/rillsail/services/standin/fleet"
 )
 
-// TestMain fixes the seed of the random tests, so that CI gives the same verdict
-// each time; "make long" asks for other seeds and more runs.
+// TestMain fixes the seed of the random tests, so that CI is reproducible; "make long" passes other
+// seeds and more runs.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "60", "rapid.shrinktime": "10s"} {
 		if err := flag.Set(name, value); err != nil {
@@ -41,7 +41,7 @@
 
 var worldCells = []models.CellID{"cell-rack-0", "cell-rack-1"}
 
-// step is one thing that happens to the world, with what it may need.
+// step is one event of a script, with the parameters of all kinds of events.
 type step struct {
 	What         string
 	Daemon       int
@@ -54,14 +54,14 @@
 	Wait         time.Duration
 }
 
-var happenings = []string{
+var stepKinds = []string{
 	"submit", "submit", "submit again", "cancel", "take", "crash", "hand over", "pause", "resume", "outage", "end outage", "lose answers",
 	"repeat", "lose replies", "late starts", "late offers", "cut worker", "heal worker", "restart worker", "drain", "cut daemon", "join", "service", "wait",
 }
 
 func drawStep(rt *rapid.T) step {
 	return step{
-		What:         rapid.SampledFrom(happenings).Draw(rt, "what"),
+		What:         rapid.SampledFrom(stepKinds).Draw(rt, "what"),
 		Daemon:       rapid.IntRange(0, 3).Draw(rt, "daemon"),
 		Cell:         rapid.SampledFrom(worldCells).Draw(rt, "cell"),
 		Worker:       models.VMID(fmt.Sprintf("worker-%d", rapid.IntRange(0, 3).Draw(rt, "worker"))),
@@ -73,49 +73,49 @@
 	}
 }
 
-// machine runs a script of steps and knows what has to come of it.
+// machine runs a script of steps and records the expected outcome.
 type machine struct {
 	*world
-	specs    map[models.JobID]models.JobSpec // accepted, or perhaps
-	homes    map[models.JobID]models.CellID  // of those
-	sure     map[models.JobID]bool           // surely accepted
-	refused  map[models.JobID]bool           // not run, as was said
+	specs    map[models.JobID]models.JobSpec // jobs that were or may have been accepted
+	homes    map[models.JobID]models.CellID  // home cells of the submitted jobs
+	accepted map[models.JobID]bool           // jobs whose acceptance was confirmed
+	refused  map[models.JobID]bool           // jobs that were refused and must not run
 	canceled map[models.JobID]bool
 	drained  map[models.VMID]bool
-	wanted   int // replicas of the service
+	wanted   int // number of replicas of the service
 }
 
-// TestRandomInterleavings drives owners, successors, workers and store through
-// random faults, and checks after every step that nothing runs twice and no VM is
-// overcommitted, and in the end that every job has ended as it must.
+// TestRandomInterleavings drives owners, successors, workers and the store through random faults. It
+// checks after every step that no task runs twice and no VM is overcommitted, and at the end that
+// every job has ended as expected.
 func TestRandomInterleavings(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.Custom(drawStep), 5, 40).Draw(rt, "script")
-		if failure := in(t, func(t *testing.T, v *verdict) { play(t, v, script) }); failure != "" {
+		if failure := runInBubble(t, func(t *testing.T, v *verdict) { play(t, v, script) }); failure != "" {
 			rt.Fatalf("%s", failure)
 		}
 	})
 }
 
-// TestNamedScripts plays the scripts of testdata: the failures that random runs
-// have found, and those that the promises name.
+// TestNamedScripts plays the scripts of testdata: failures that random runs have found, and failures
+// that the product is specified to survive.
 func TestNamedScripts(t *testing.T) {
 	casefile.Each(t, "testdata/scripts/*.json", func(t *testing.T, script []step) {
-		require.Empty(t, in(t, func(t *testing.T, v *verdict) { play(t, v, script) }))
+		require.Empty(t, runInBubble(t, func(t *testing.T, v *verdict) { play(t, v, script) }))
 	})
 }
 
-// play runs a script, ends all faults and checks the outcome.
+// play runs a script, ends all faults and checks the final state.
 func play(t *testing.T, v *verdict, script []step) {
 	m := &machine{
-		world: newWorld(t, v, 4), specs: map[models.JobID]models.JobSpec{}, homes: map[models.JobID]models.CellID{}, sure: map[models.JobID]bool{},
+		world: newWorld(t, v, 4), specs: map[models.JobID]models.JobSpec{}, homes: map[models.JobID]models.CellID{}, accepted: map[models.JobID]bool{},
 		refused: map[models.JobID]bool{}, canceled: map[models.JobID]bool{}, drained: map[models.VMID]bool{},
 	}
 	for i, cell := range worldCells {
-		_, err := m.take(i, cell)
+		_, err := m.takeOver(i, cell)
 		require.NoError(v, err)
 	}
-	m.after(time.Second)
+	m.advance(time.Second)
 	for i, s := range script {
 		m.step(i, s)
 		randomSteps++
@@ -132,10 +132,10 @@
 	case "cancel":
 		m.cancel(s)
 	case "take":
-		_, _ = m.tryTake(s.Daemon, s.Cell)
+		_, _ = m.tryTakeOver(s.Daemon, s.Cell)
 	case "crash":
 		m.owner(s.Cell).cancel()
-		_, _ = m.tryTake(s.Daemon, s.Cell)
+		_, _ = m.tryTakeOver(s.Daemon, s.Cell)
 	case "hand over":
 		m.handOver(s.Daemon, s.Cell)
 	case "pause":
@@ -143,17 +143,17 @@
 	case "resume":
 		m.resume(s.Daemon)
 	case "outage", "end outage":
-		m.set(func(f *worldFaults) { f.outage = s.What == "outage" })
+		m.setFaults(func(f *worldFaults) { f.outage = s.What == "outage" })
 	case "lose answers":
-		m.set(func(f *worldFaults) { f.lostAnswers = s.Number })
+		m.setFaults(func(f *worldFaults) { f.lostAnswers = s.Number })
 	case "repeat":
-		m.set(func(f *worldFaults) { f.repeat = !f.repeat })
+		m.setFaults(func(f *worldFaults) { f.repeatCalls = !f.repeatCalls })
 	case "lose replies":
-		m.set(func(f *worldFaults) { f.lostReplies = s.Number })
+		m.setFaults(func(f *worldFaults) { f.lostReplies = s.Number })
 	case "late starts":
-		m.set(func(f *worldFaults) { f.lateStarts = s.Number })
+		m.setFaults(func(f *worldFaults) { f.lateStarts = s.Number })
 	case "late offers":
-		m.set(func(f *worldFaults) { f.lateOffers = s.Number })
+		m.setFaults(func(f *worldFaults) { f.lateOffers = s.Number })
 	case "cut worker":
 		m.control(s.Worker, fleet.ActionCut)
 	case "heal worker":
@@ -163,15 +163,15 @@
 	case "drain":
 		m.drain(s.Worker)
 	case "cut daemon", "join":
-		m.set(func(f *worldFaults) { f.cutFrom[s.Daemon] = s.What == "cut daemon" })
+		m.setFaults(func(f *worldFaults) { f.cutFrom[s.Daemon] = s.What == "cut daemon" })
 	case "service":
 		m.replicas(s.Number)
 	case "wait":
 	}
-	m.after(s.Wait)
+	m.advance(s.Wait)
 }
 
-// handOver passes a cell on in its epoch, as an owner that leaves in an outage does.
+// handOver hands a cell over in its epoch, as an owner does that is stopped during an outage.
 func (m *machine) handOver(daemon int, cell models.CellID) {
 	o := m.owner(cell)
 	m.mu.Lock()
@@ -183,22 +183,22 @@
 	if blocked || daemon == o.daemon {
 		return
 	}
-	call, err := await(ctx, o.Owner, freezeMessage{reply: reply}, reply)
+	call, err := awaitReply(ctx, o.Owner, freezeMessage{reply: reply}, reply)
 	if err != nil || call.Epoch == 0 {
 		return
 	}
 	m.adopt(daemon, cell, call)
 }
 
-// tryTake takes over unless the daemon is paused or the store is out.
-func (m *machine) tryTake(daemon int, cell models.CellID) (*testOwner, error) {
+// tryTakeOver takes over a cell, unless the daemon is paused or the store has an outage.
+func (m *machine) tryTakeOver(daemon int, cell models.CellID) (*testOwner, error) {
 	m.mu.Lock()
 	blocked := m.faults.lateCalls[daemon] != nil || m.faults.outage
 	m.mu.Unlock()
 	if blocked {
 		return nil, ErrNoStore
 	}
-	return m.take(daemon, cell)
+	return m.takeOver(daemon, cell)
 }
 
 func (m *machine) control(vm models.VMID, action fleet.Action) {
@@ -215,11 +215,11 @@
 		return
 	}
 	m.specs[id], m.homes[id] = spec, s.Cell
-	m.sure[id] = err == nil
+	m.accepted[id] = err == nil
 }
 
-// submitAgain submits a job once more that may be there, beside a new one, in one call. A
-// daemon that doesn't own the cell knows nothing of the first: its refusal is of the call.
+// submitAgain submits in one call a job that may have been accepted and a new one. A daemon that
+// doesn't own the cell doesn't know the first job, so its refusal applies to this call only.
 func (m *machine) submitAgain(number int, s step) {
 	ids := slices.Sorted(maps.Keys(m.specs))
 	if len(ids) == 0 {
@@ -231,19 +231,19 @@
 	answer, err := m.forward(m.owner(m.homes[known.ID]), models.ForwardCall{Submit: []models.JobSpec{known, fresh}})
 	told := forwarded{answer, err}
 	m.homes[fresh.ID] = m.homes[known.ID]
-	switch told.of(known.ID) {
+	switch told.outcomeOf(known.ID) {
 	case toldAccepted:
-		m.sure[known.ID] = true
+		m.accepted[known.ID] = true
 	case toldRefused:
 		m.refused[known.ID] = m.refused[known.ID] || !errors.Is(err, ErrNotOwner)
 	case toldUnknown:
 	}
-	switch told.of(fresh.ID) {
+	switch told.outcomeOf(fresh.ID) {
 	case toldRefused:
 		m.refused[fresh.ID] = true
 	default:
 		m.specs[fresh.ID] = fresh
-		m.sure[fresh.ID] = told.of(fresh.ID) == toldAccepted
+		m.accepted[fresh.ID] = told.outcomeOf(fresh.ID) == toldAccepted
 	}
 }
 
@@ -259,16 +259,16 @@
 
 func (m *machine) drain(vm models.VMID) {
 	m.drained[vm] = !m.drained[vm]
-	m.remake()
+	m.rebuildConfig()
 }
 
 func (m *machine) replicas(n int) {
 	m.wanted = n
-	m.remake()
+	m.rebuildConfig()
 }
 
-// remake makes the configuration anew from what was drawn.
-func (m *machine) remake() {
+// rebuildConfig sets a new revision of the configuration with the current drains and service.
+func (m *machine) rebuildConfig() {
 	objects := []models.Object{models.Team{Name: "office"}}
 	for vm, drained := range m.drained {
 		if drained {
@@ -284,35 +284,35 @@
 	m.setView(config.ViewOf(m.config().Revision()+1, objects...))
 }
 
-// recover ends all faults and checks that everything comes to its end.
+// recover ends all faults and checks that every job ends and the service has its replicas.
 func (m *machine) recover() {
 	m.healAll()
 	m.drained = map[models.VMID]bool{}
-	m.remake()
+	m.rebuildConfig()
 	for i, cell := range worldCells {
-		m.until(time.Minute, "a successor takes "+string(cell), func() bool {
-			_, err := m.take(4+i, cell) // a former owner's append may be faster
+		m.waitUntil(time.Minute, "a successor takes over "+string(cell), func() bool {
+			_, err := m.takeOver(4+i, cell) // a previous owner's append may win
 			return err == nil
 		})
 	}
-	m.until(10*time.Minute, "every job ends", func() bool {
+	m.waitUntil(10*time.Minute, "every job ends", func() bool {
 		jobs := m.jobs()
 		for id := range m.specs {
 			job, known := jobs[id]
-			if known && job.Ended == 0 || !known && m.sure[id] {
+			if known && job.Ended == 0 || !known && m.accepted[id] {
 				return false
 			}
 		}
 		return true
 	})
 	for id, job := range m.jobs() {
-		require.False(m.t, m.refused[id], "job %s was refused as not run and is there", id)
+		require.False(m.t, m.refused[id], "job %s was refused and yet is known to its cell", id)
 		m.checkJob(id, job)
 	}
-	m.until(time.Minute, "as many replicas run as are wanted", func() bool { return m.runningReplicas() == m.wanted })
+	m.waitUntil(time.Minute, "the configured number of replicas runs", func() bool { return m.runningReplicas() == m.wanted })
 }
 
-// checkJob compares what the journal says of a job with what really ran.
+// checkJob compares the journalled counts of a job with the runs that the fleet has recorded.
 func (m *machine) checkJob(id models.JobID, job models.Job) {
 	require.Equal(m.t, job.Tasks, job.Succeeded+job.Failed+job.MayHaveRun+job.Stopped, "job %s: %+v", id, job)
 	finished := 0
