--- a/services/control/cells.go
+++ b/services/control/cells.go
@@ -26,24 +26,24 @@
 	health         *storeHealth
 	configurations *Configurations
 
-	mu       sync.Mutex
-	division *jobs.Layout
-	owners   map[jobs.CellName]ownerRecord
-	owned    map[jobs.CellName]*Owner
-	lease    platform.LeaseID
-	// registered is the version of this daemon's own key; 0: it is not there.
-	registered platform.Version
-	renewed    time.Time                       // when the last renewal that was answered was sent
-	loads      map[jobs.CellName]jobs.CellLoad // as the owners told last
-	synced     bool                            // owners is what the store held not long ago
-	stopping   bool
+	mu            sync.Mutex
+	currentLayout *jobs.Layout
+	owners        map[jobs.CellName]ownerRecord
+	owned         map[jobs.CellName]*Owner
+	lease         platform.LeaseID
+	// registeredVersion is the version of this daemon's own key; 0: it is not there.
+	registeredVersion platform.Version
+	leaseRenewedAt    time.Time                       // when the last renewal that was answered was sent
+	loads             map[jobs.CellName]jobs.CellLoad // as the owners told last
+	ownersSynced      bool                            // owners is what the store held not long ago
+	stopping          bool
 
 	group     conc.WaitGroup
-	wake      chan struct{} // cells may be free
+	wakeClaim chan struct{} // cells may be free
 	wakeLease chan struct{} // this daemon's key has to be written
 
 	workerCalls atomic.Int64 // in flight
-	starts      *inflight.Limit
+	startLimit  *inflight.Limit
 	cancelAgain func(ctx context.Context, id jobs.ID) platform.Outcome // goes on with a job's cancellation
 	yielded     atomic.Pointer[time.Time]                              // when this daemon last left a cell to one that carries more
 }
@@ -60,8 +60,8 @@
 	return &Cells{
 		config: c, health: health, configurations: configurations,
 		owners: map[jobs.CellName]ownerRecord{}, owned: map[jobs.CellName]*Owner{},
-		loads: map[jobs.CellName]jobs.CellLoad{}, wake: make(chan struct{}, 1), wakeLease: make(chan struct{}, 1),
-		starts: newStarts(),
+		loads: map[jobs.CellName]jobs.CellLoad{}, wakeClaim: make(chan struct{}, 1), wakeLease: make(chan struct{}, 1),
+		startLimit: newStartLimit(),
 	}
 }
 
@@ -74,14 +74,14 @@
 	group.Go(func() { c.loadLoop(ctx) })
 	group.Go(func() { c.yieldLoop(ctx) })
 	group.Wait()
-	c.dropAll("daemon stops")
+	c.dropAllOwners("daemon stops")
 	c.group.Wait()
 }
 
 func (c *Cells) layout() *jobs.Layout {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.division
+	return c.currentLayout
 }
 
 // several tells whether the layout has more than one cell.
@@ -146,10 +146,10 @@
 }
 
 // nudge lets the loop that claims cells look at once.
-func (c *Cells) nudge() { wake(c.wake) }
+func (c *Cells) nudge() { wake(c.wakeClaim) }
 
-// drop ends this daemon's owner of a cell; the keys in the store stay.
-func (c *Cells) drop(cell jobs.CellName, mine *Owner, reason string) {
+// dropOwner ends this daemon's owner of a cell; the keys in the store stay.
+func (c *Cells) dropOwner(cell jobs.CellName, mine *Owner, reason string) {
 	c.config.Logger.Warn("cell is lost", zap.String("cell", string(cell)), zap.Uint64("epoch", uint64(mine.epoch)), zap.String("reason", reason))
 	c.mu.Lock()
 	if c.owned[cell] == mine {
@@ -159,14 +159,14 @@
 	mine.end()
 }
 
-func (c *Cells) dropAll(reason string) {
+func (c *Cells) dropAllOwners(reason string) {
 	for cell, mine := range c.ownedCells() {
-		c.drop(cell, mine, reason)
+		c.dropOwner(cell, mine, reason)
 	}
 }
 
-// releaseRetry is the pause before a daemon that is to stop tries again to hand a cell over.
-const releaseRetry = 50 * time.Millisecond
+// releaseRetryPause is the pause before a daemon that is to stop tries again to hand a cell over.
+const releaseRetryPause = 50 * time.Millisecond
 
 // Release hands the cells over: their state is stored, then their owner's keys are removed,
 // so that nobody waits for the lease. While the store is down no daemon could take them, so
@@ -190,9 +190,9 @@
 		if err == nil {
 			return nil
 		}
-		sleep(ctx, releaseRetry)
+		sleep(ctx, releaseRetryPause)
 		if ctx.Err() != nil {
-			c.drop(cell, mine, "daemon stops, and the store does not answer")
+			c.dropOwner(cell, mine, "daemon stops, and the store does not answer")
 			return err
 		}
 	}
@@ -202,12 +202,12 @@
 // take it at once. The cell is run until the keys are gone: a store that answered a moment
 // ago may be down now. The next owner fences this one as it would one that was frozen.
 func (c *Cells) handOver(ctx context.Context, cell jobs.CellName, mine *Owner, reason string) error {
-	mine.finish(ctx)
+	mine.flush(ctx)
 	err := c.removeOwner(ctx, cell, platform.Version(mine.epoch))
 	c.health.note(err)
 	if err != nil && !errors.Is(err, platform.ErrConflict) { // a conflict: the lease was over, and the keys are gone
 		return errors.Wrapf(err, "hand over cell %s", cell)
 	}
-	c.drop(cell, mine, reason)
+	c.dropOwner(cell, mine, reason)
 	return nil
 }
--- a/services/control/claim.go
+++ b/services/control/claim.go
@@ -25,22 +25,22 @@
 	ticker := time.NewTicker(claimEvery)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		c.claimFree(ctx)
+		c.claimFreeCells(ctx)
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
-		case <-c.wake:
+		case <-c.wakeClaim:
 		}
 	}
 }
 
-// claimStep is by how much a daemon holds back for each cell that it owns already, so
+// claimDelayPerCell is by how much a daemon holds back for each cell that it owns already, so
 // that cells spread.
-const claimStep = 150 * time.Millisecond
+const claimDelayPerCell = 150 * time.Millisecond
 
-// weakHold is for how long a daemon leaves a free cell to others that carries nothing of it:
+// maxCapacityDelay is for how long a daemon leaves a free cell to others that carries nothing of it:
 // after an outage of the store it takes about a second until all daemons are back.
-const weakHold = 1200 * time.Millisecond
+const maxCapacityDelay = 1200 * time.Millisecond
 
 // holdBack is how long this daemon leaves a free cell to others: the less of it it carries,
 // the longer, so that a cell goes to one that carries it when there is any. One that has just
@@ -50,16 +50,16 @@
 	if since := c.yielded.Load(); since != nil && c.config.Clock.Since(*since) < yieldPause {
 		lacks = 1
 	}
-	return time.Duration(owned)*claimStep + time.Duration(lacks*float64(weakHold))
+	return time.Duration(owned)*claimDelayPerCell + time.Duration(lacks*float64(maxCapacityDelay))
 }
 
-func (c *Cells) claimFree(ctx context.Context) {
-	c.releaseStale(ctx)
+func (c *Cells) claimFreeCells(ctx context.Context) {
+	c.removeStaleClaims(ctx)
 	c.removeAbandoned(ctx)
 	c.mu.Lock()
 	var free []jobs.CellName
-	if c.division != nil && c.synced && c.lease != 0 && !c.stopping {
-		for n := range c.division.Cells {
+	if c.currentLayout != nil && c.ownersSynced && c.lease != 0 && !c.stopping {
+		for n := range c.currentLayout.Cells {
 			if _, taken := c.owners[cellName(n)]; !taken && c.owned[cellName(n)] == nil {
 				free = append(free, cellName(n))
 			}
@@ -80,10 +80,10 @@
 	}
 }
 
-// releaseStale removes keys that name this daemon as the owner of a cell that it does not
+// removeStaleClaims removes keys that name this daemon as the owner of a cell that it does not
 // run: a claim whose answer was lost, or one of the process that ran here before. Nobody
 // else would claim the cell while the key is there.
-func (c *Cells) releaseStale(ctx context.Context) {
+func (c *Cells) removeStaleClaims(ctx context.Context) {
 	stale := map[jobs.CellName]platform.Version{}
 	c.mu.Lock()
 	for cell, owner := range c.owners {
@@ -130,7 +130,7 @@
 		},
 	})
 	if errors.Is(err, platform.ErrUnknown) {
-		version, err = c.claimed(ctx, cell, owner)
+		version, err = c.resolveClaim(ctx, cell, owner)
 	}
 	c.health.note(err)
 	if err != nil {
@@ -139,13 +139,13 @@
 		}
 		return false
 	}
-	c.take(ctx, cell, owner, version, taken)
+	c.startOwner(ctx, cell, owner, version, taken)
 	return true
 }
 
-// claimed finds out whether a claim without answer was done. One that is done later is
-// removed by releaseStale.
-func (c *Cells) claimed(ctx context.Context, cell jobs.CellName, owner jobs.Owner) (platform.Version, error) {
+// resolveClaim finds out whether a claim without answer was done. One that is done later is
+// removed by removeStaleClaims.
+func (c *Cells) resolveClaim(ctx context.Context, cell jobs.CellName, owner jobs.Owner) (platform.Version, error) {
 	record, err := c.config.Store.Get(ctx, ownerKey(cell))
 	if err != nil {
 		return 0, err
@@ -160,7 +160,7 @@
 	return record.Version, nil
 }
 
-func (c *Cells) take(ctx context.Context, cell jobs.CellName, owner jobs.Owner, version platform.Version, taken time.Time) {
+func (c *Cells) startOwner(ctx context.Context, cell jobs.CellName, owner jobs.Owner, version platform.Version, taken time.Time) {
 	c.config.Logger.Info("cell is taken", zap.String("cell", string(cell)), zap.Uint64("epoch", uint64(version)))
 	c.config.Scope.Counter("cells_taken").Inc(1)
 	mine := newOwner(c, cell, jobs.Epoch(version), taken)
--- a/services/control/clock_uses_test.go
+++ b/services/control/clock_uses_test.go
@@ -17,9 +17,9 @@
 	"rillsail.example/rillsail/modules/casefile"
 )
 
-// steadyUses are the functions of package time that tell a time which stands still while the VM
+// steadyTimeFuncs are the functions of package time that tell a time which stands still while the VM
 // is suspended.
-var steadyUses = map[string]bool{"Now": true, "Since": true, "Until": true}
+var steadyTimeFuncs = map[string]bool{"Now": true, "Since": true, "Until": true}
 
 // TestLeasesAreJudgedByTheClock: here and in package dispatch the time comes from the clock that
 // counts suspensions, but for the uses that testdata/clock_uses.json lists with their reasons.
@@ -31,7 +31,7 @@
 		require.NoError(t, err)
 		for _, file := range files {
 			if !strings.HasSuffix(file, "_test.go") {
-				findSteadyUses(t, file, found)
+				collectSteadyUses(t, file, found)
 			}
 		}
 	}
@@ -43,8 +43,8 @@
 	}
 }
 
-// findSteadyUses notes the functions of a file that use such a time, as FILE FUNCTION.
-func findSteadyUses(t *testing.T, file string, found map[string]bool) {
+// collectSteadyUses notes the functions of a file that use such a time, as FILE FUNCTION.
+func collectSteadyUses(t *testing.T, file string, found map[string]bool) {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, 0)
 	require.NoError(t, err)
@@ -58,7 +58,7 @@
 			if !ok {
 				return true
 			}
-			if of, ok := selector.X.(*ast.Ident); ok && of.Name == "time" && steadyUses[selector.Sel.Name] {
+			if of, ok := selector.X.(*ast.Ident); ok && of.Name == "time" && steadyTimeFuncs[selector.Sel.Name] {
 				found[filepath.Base(file)+" "+name] = true
 			}
 			return true
--- a/services/control/control.go
+++ b/services/control/control.go
@@ -105,7 +105,7 @@
 	s.Configurations = newConfigurations(c, s.health)
 	s.Cells = newCells(c, s.health, s.Configurations)
 	s.Cells.cancelAgain = s.Cancel
-	s.Configurations.changed = s.Cells.configure
+	s.Configurations.onChange = s.Cells.configure
 	return s
 }
 
@@ -126,16 +126,16 @@
 // storeHealth notes whether the store answers this daemon, so that callers needn't wait
 // for calls that are known to fail.
 type storeHealth struct {
-	logger  *zap.Logger
-	clock   *clock.Clock
-	failing atomic.Int64 // since when, in nanoseconds since start; 0: not
-	heard   atomic.Int64 // when the store last answered, in nanoseconds since start
-	start   time.Time
+	logger       *zap.Logger
+	clock        *clock.Clock
+	failingSince atomic.Int64 // since when, in nanoseconds since start; 0: not
+	lastAnswer   atomic.Int64 // when the store last answered, in nanoseconds since start
+	start        time.Time
 }
 
-// downAfter is for how long all calls must have failed until the store counts as down:
+// storeDownThreshold is for how long all calls must have failed until the store counts as down:
 // longer than a lost answer's repetition.
-const downAfter = 400 * time.Millisecond
+const storeDownThreshold = 400 * time.Millisecond
 
 func newStoreHealth(logger *zap.Logger, clock *clock.Clock) *storeHealth {
 	return &storeHealth{logger: logger, clock: clock, start: clock.Now()}
@@ -144,21 +144,21 @@
 // note takes the result of a call to the store.
 func (h *storeHealth) note(err error) {
 	if err == nil || !isOutage(err) {
-		h.heard.Store(int64(h.clock.Since(h.start)))
-		if since := h.failing.Swap(0); since != 0 {
+		h.lastAnswer.Store(int64(h.clock.Since(h.start)))
+		if since := h.failingSince.Swap(0); since != 0 {
 			h.logger.Info("store answers again", zap.Duration("after", h.clock.Since(h.start)-time.Duration(since)))
 		}
 		return
 	}
-	if h.failing.CompareAndSwap(0, int64(h.clock.Since(h.start))) {
+	if h.failingSince.CompareAndSwap(0, int64(h.clock.Since(h.start))) {
 		h.logger.Warn("store does not answer", zap.Error(err))
 	}
 }
 
 // answeredAt is when the store last answered a call of this daemon.
-func (h *storeHealth) answeredAt() time.Time { return h.start.Add(time.Duration(h.heard.Load())) }
+func (h *storeHealth) answeredAt() time.Time { return h.start.Add(time.Duration(h.lastAnswer.Load())) }
 
 func (h *storeHealth) good() bool {
-	since := h.failing.Load()
-	return since == 0 || h.clock.Since(h.start)-time.Duration(since) < downAfter
+	since := h.failingSince.Load()
+	return since == 0 || h.clock.Since(h.start)-time.Duration(since) < storeDownThreshold
 }
--- a/services/control/control_test.go
+++ b/services/control/control_test.go
@@ -333,7 +333,7 @@
 		short := twoSteps(1, 100*time.Millisecond)
 		w.submit(d, short)
 		w.eventually(10*time.Second, "the first job ends", func() bool { return w.state(d, short.ID) == jobs.StateSucceeded })
-		time.Sleep(2 * metricsEvery)
+		time.Sleep(2 * metricsInterval)
 		w.setOutage(true)
 		w.eventually(20*time.Second, "the cell is lost", func() bool { return w.owner() == nil || w.store.KeysWith(ownerPrefix) == nil })
 		w.setOutage(false)
@@ -341,7 +341,7 @@
 		long := lasting(2, 5)
 		w.submit(d, long)
 		w.eventually(10*time.Second, "the second job runs", func() bool { return w.grid.Running(long.ID) == 5 })
-		time.Sleep(2 * metricsEvery)
+		time.Sleep(2 * metricsInterval)
 		cancel()
 		<-ended
 		succeeded := int64(0)
@@ -366,10 +366,10 @@
 		require.NoError(t, err)
 		job := platform.Record{Key: jobKey(cellName(0), jobID(1)), Value: value, Version: 9}
 		marker := platform.Record{Key: markerKey(cellName(0)), Version: 7}
-		require.False(t, o.takeAll([]platform.Record{job}, nil, time.Now()))
+		require.False(t, o.applyAll([]platform.Record{job}, nil, time.Now()))
 		_, known := o.core.State(jobID(1))
 		require.False(t, known)
-		require.True(t, o.takeAll([]platform.Record{job, marker}, nil, time.Now()))
+		require.True(t, o.applyAll([]platform.Record{job, marker}, nil, time.Now()))
 		_, known = o.core.State(jobID(1))
 		require.True(t, known)
 	})
@@ -401,7 +401,7 @@
 		w.eventually(10*time.Second, "the first job ends", func() bool { return w.state(d, jobID(1)) == jobs.StateSucceeded })
 		require.Equal(t, platform.Done{}, d.Cancel(w.ctx, jobID(2)))
 		w.eventually(10*time.Second, "the second job ends", func() bool { return w.state(d, jobID(2)) == jobs.StateCancelled })
-		time.Sleep(3 * metricsEvery)
+		time.Sleep(3 * metricsInterval)
 		ended := map[string]int64{}
 		for _, counter := range w.scope.Snapshot().Counters() {
 			if counter.Name() == "jobs_ended" && counter.Tags()["queue"] == testQueue {
--- a/services/control/entries.go
+++ b/services/control/entries.go
@@ -27,19 +27,19 @@
 	if !s.health.good() {
 		return nil, platform.ErrUnavailable
 	}
-	entries, err := s.entriesIn(ctx, cellsOf(id, layout), id)
+	entries, err := s.readEntriesIn(ctx, cellsOf(id, layout), id)
 	if err != nil {
 		return nil, err
 	}
-	further, err := s.entriesIn(ctx, entries.further(), id)
+	further, err := s.readEntriesIn(ctx, entries.furtherCells(), id)
 	return append(entries, further...), err
 }
 
-// entriesIn reads what the store holds of a job in some cells.
-func (s *Service) entriesIn(ctx context.Context, cells []jobs.CellName, id jobs.ID) (jobEntries, error) {
+// readEntriesIn reads what the store holds of a job in some cells.
+func (s *Service) readEntriesIn(ctx context.Context, cells []jobs.CellName, id jobs.ID) (jobEntries, error) {
 	entries := make(jobEntries, 0, len(cells))
 	for _, cell := range cells {
-		entry, err := s.entryIn(ctx, cell, id)
+		entry, err := s.readEntry(ctx, cell, id)
 		if err != nil {
 			return nil, err
 		}
@@ -48,8 +48,8 @@
 	return entries, nil
 }
 
-// further are the further cells that the records name, each once.
-func (e jobEntries) further() []jobs.CellName {
+// furtherCells are the further cells that the records name, each once.
+func (e jobEntries) furtherCells() []jobs.CellName {
 	var cells []jobs.CellName
 	for _, entry := range e {
 		cells = append(cells, entry.record.Further...)
@@ -58,8 +58,8 @@
 	return slices.Compact(cells)
 }
 
-// entryIn reads what the store holds of a job in one cell.
-func (s *Service) entryIn(ctx context.Context, cell jobs.CellName, id jobs.ID) (jobEntry, error) {
+// readEntry reads what the store holds of a job in one cell.
+func (s *Service) readEntry(ctx context.Context, cell jobs.CellName, id jobs.ID) (jobEntry, error) {
 	entry := jobEntry{cell: cell}
 	records, _, err := s.config.Store.List(ctx, jobKey(cell, id))
 	s.health.note(err)
@@ -67,7 +67,7 @@
 		return entry, err
 	}
 	for _, record := range records {
-		if _, cancel := jobOfKey(cell, record.Key); cancel {
+		if _, cancel := parseJobKey(cell, record.Key); cancel {
 			entry.cancelled = true
 			continue
 		}
--- a/services/control/figures.go
+++ b/services/control/figures.go
@@ -20,36 +20,36 @@
 	return s.config.Scope.Tagged(map[string]string{"queue": string(queue)})
 }
 
-// metricsEvery is how often the owners' figures are handed to the metrics.
-const metricsEvery = time.Second
+// metricsInterval is how often the owners' figures are handed to the metrics.
+const metricsInterval = time.Second
 
 // RunMetrics hands the owned cells' figures to the metrics until ctx ends.
 func (c *Cells) RunMetrics(ctx context.Context) {
 	dropped := log.Dropped()
-	calls := newCallsNote(c)
+	calls := newCallMonitor(c)
 	for ctx.Err() == nil {
-		wanted := time.Now().Add(metricsEvery)
-		sleep(ctx, metricsEvery)
-		calls.note(time.Since(wanted))
+		wanted := time.Now().Add(metricsInterval)
+		sleep(ctx, metricsInterval)
+		calls.publish(time.Since(wanted))
 		now := log.Dropped()
 		c.config.Scope.Counter("log_lines_dropped").Inc(now - dropped)
 		dropped = now
-		c.configurations.meter(c.config.Scope)
+		c.configurations.publishMetrics(c.config.Scope)
 		for cell, owner := range c.ownedCells() {
-			owner.meter(c.config.Scope.Tagged(map[string]string{"cell": string(cell)}))
+			owner.publishMetrics(c.config.Scope.Tagged(map[string]string{"cell": string(cell)}))
 		}
 	}
 }
 
-// meter hands an owner's figures on: what has been counted since the last time.
-func (o *Owner) meter(scope tally.Scope) {
+// publishMetrics hands an owner's figures on: what has been counted since the last time.
+func (o *Owner) publishMetrics(scope tally.Scope) {
 	o.mu.Lock()
 	counts, summary := o.core.Counts(), o.core.Summary(o.config.Clock.Now())
-	before := o.metered
-	o.metered = counts
+	before := o.publishedCounts
+	o.publishedCounts = counts
 	figures := o.core.TakeJobFigures()
 	o.mu.Unlock()
-	meterJobs(scope, figures)
+	publishJobMetrics(scope, figures)
 	for name, delta := range map[string]int64{
 		"runs_started":      counts.Starts - before.Starts,
 		"runs_succeeded":    counts.Succeeded - before.Succeeded,
@@ -69,7 +69,7 @@
 	} {
 		scope.Counter(name).Inc(delta)
 	}
-	meterTexts(scope, counts, before)
+	publishCheckpointMetrics(scope, counts, before)
 	scope.Tagged(map[string]string{"by": "report"}).Counter("worker_restarts").Inc(counts.RestartsReported - before.RestartsReported)
 	scope.Tagged(map[string]string{"by": "call"}).Counter("worker_restarts").Inc(counts.RestartsMet - before.RestartsMet)
 	for name, value := range map[string]int{
@@ -82,8 +82,8 @@
 	scope.Gauge("report_age").Update(summary.ReportAge.Duration().Seconds())
 }
 
-// meterTexts hands on how many checkpoints of reports were not taken, by why.
-func meterTexts(scope tally.Scope, counts, before dispatch.Counts) {
+// publishCheckpointMetrics hands on how many checkpoints of reports were not taken, by why.
+func publishCheckpointMetrics(scope tally.Scope, counts, before dispatch.Counts) {
 	for reason, delta := range map[string]int64{
 		"not_asked_of": counts.TextsNotAskedOf - before.TextsNotAskedOf,
 		"older":        counts.TextsOlder - before.TextsOlder,
@@ -94,8 +94,8 @@
 	}
 }
 
-// meterJobs hands on what has become of jobs, by queue.
-func meterJobs(scope tally.Scope, figures dispatch.JobFigures) {
+// publishJobMetrics hands on what has become of jobs, by queue.
+func publishJobMetrics(scope tally.Scope, figures dispatch.JobFigures) {
 	for _, start := range figures.Starts {
 		queue := scope.Tagged(map[string]string{"queue": string(start.Queue)})
 		queue.Histogram("job_first_start_time", metrics.LatencyBuckets).RecordDuration(start.Age)
--- a/services/control/incarnations_test.go
+++ b/services/control/incarnations_test.go
@@ -24,8 +24,8 @@
 // workerFolders are the packages that keep something of workers.
 var workerFolders = []string{"../../models/jobs", "../platform", "../dispatch", ".", "../../platform"}
 
-// holdsWorker matches the types of such fields.
-var holdsWorker = regexp.MustCompile(`\b(WorkerID|Incarnation|Worker)\b|\*worker\b`)
+// workerType matches the types of such fields.
+var workerType = regexp.MustCompile(`\b(WorkerID|Incarnation|Worker)\b|\*worker\b`)
 
 // fieldNames match the names of fields in the first column of the page.
 var fieldNames = regexp.MustCompile("`([a-zA-Z]+\\.[a-zA-Z]+\\.[a-zA-Z]+)`")
@@ -71,7 +71,7 @@
 			return true
 		}
 		for _, field := range structure.Fields.List {
-			if !holdsWorker.MatchString(types.ExprString(field.Type)) {
+			if !workerType.MatchString(types.ExprString(field.Type)) {
 				continue
 			}
 			for _, name := range field.Names {
--- a/services/control/journal.go
+++ b/services/control/journal.go
@@ -60,26 +60,26 @@
 		platform.Precondition{Key: journalKey(o.cell), Version: o.journal.version})
 	txn.Put = append(txn.Put, platform.Write{Key: journalKey(o.cell), Value: value})
 	version, err := o.config.Store.Commit(ctx, txn)
-	switch verdictOn(err) {
+	switch classifyCommit(err) {
 	case verdictDone:
 		o.journal.last, o.journal.version = entry, version
 		return version, nil
-	case verdictTurnedAway:
+	case verdictRejected:
 		return 0, err
 	case verdictConflict:
-		return o.settle(ctx, entry, err)
+		return o.resolveCommit(ctx, entry, err)
 	default:
 		// The reads that settle it may be turned away, which says nothing of the transaction.
-		version, err = o.settle(ctx, entry, err)
+		version, err = o.resolveCommit(ctx, entry, err)
 		return version, platform.Unknown(err)
 	}
 }
 
-// settle finds out what became of a transaction that was not answered, or whose
+// resolveCommit finds out what became of a transaction that was not answered, or whose
 // conditions failed: an earlier one may have been done late, or the cell is lost. It gives the
 // version of the transaction if it was done, and otherwise the cause; how a read of its own
 // failed is told in the text alone, for it is no answer to the transaction.
-func (o *Owner) settle(ctx context.Context, attempted journalEntry, cause error) (platform.Version, error) {
+func (o *Owner) resolveCommit(ctx context.Context, attempted journalEntry, cause error) (platform.Version, error) {
 	if err := o.journal.load(ctx, o.config.Store, o.cell); err != nil {
 		return 0, errors.Wrapf(cause, "journal can't be read (%v)", err)
 	}
@@ -89,7 +89,7 @@
 	record, err := o.config.Store.Get(ctx, ownerKey(o.cell))
 	switch {
 	case errors.Is(err, platform.ErrNotFound), err == nil && record.Version != platform.Version(o.epoch):
-		o.cells.drop(o.cell, o, "store names another owner, or none")
+		o.cells.dropOwner(o.cell, o, "store names another owner, or none")
 	case err != nil:
 		return 0, errors.Wrapf(cause, "owner's key can't be read (%v)", err)
 	}
--- a/services/control/keys.go
+++ b/services/control/keys.go
@@ -31,10 +31,10 @@
 
 func cellName(number int) jobs.CellName { return jobs.CellName(strconv.Itoa(number)) }
 
-// cellsOfJob is in how many cells a job is looked for. Each costs a condition of its acceptance, a key
+// cellsPerJob is in how many cells a job is looked for. Each costs a condition of its acceptance, a key
 // that is removed when it is forgotten, and a question when nobody knows where it is. Tasks that last
 // may be in further ones, which the records in these name.
-const cellsOfJob = 3
+const cellsPerJob = 3
 
 // cellsOf gives the cells that a job is accepted for, to choose from. They never change, so that a job that is
 // handed in again meets its own key.
@@ -45,7 +45,7 @@
 		left[n] = n
 	}
 	var cells []jobs.CellName
-	for len(left) > 0 && len(cells) < cellsOfJob {
+	for len(left) > 0 && len(cells) < cellsPerJob {
 		size := uint64(len(left))
 		next := int(hash % size)
 		hash /= size
@@ -59,9 +59,9 @@
 func rosterKey(cell jobs.CellName) string          { return rosterPrefix + string(cell) }
 func learnedKey(cell jobs.CellName) string         { return learnedPrefix + string(cell) }
 func journalKey(cell jobs.CellName) string         { return journalPrefix + string(cell) }
-func jobsOf(cell jobs.CellName) string             { return jobPrefix + string(cell) + "/" }
-func progressOf(cell jobs.CellName) string         { return progressPrefix + string(cell) + "/" }
-func jobKey(cell jobs.CellName, id jobs.ID) string { return jobsOf(cell) + string(id) }
+func jobKeyPrefix(cell jobs.CellName) string       { return jobPrefix + string(cell) + "/" }
+func progressKeyPrefix(cell jobs.CellName) string  { return progressPrefix + string(cell) + "/" }
+func jobKey(cell jobs.CellName, id jobs.ID) string { return jobKeyPrefix(cell) + string(id) }
 func cancelKey(cell jobs.CellName, id jobs.ID) string {
 	return jobKey(cell, id) + cancelSuffix
 }
@@ -79,20 +79,20 @@
 
 // markerKey is a second key of a cell's owner, among the cell's jobs: whoever watches the
 // jobs sees the change of the owner before any job that was accepted after it.
-func markerKey(cell jobs.CellName) string { return jobsOf(cell) + markerName }
+func markerKey(cell jobs.CellName) string { return jobKeyPrefix(cell) + markerName }
 
-func progressKey(cell jobs.CellName, id jobs.ID) string { return progressOf(cell) + string(id) }
+func progressKey(cell jobs.CellName, id jobs.ID) string { return progressKeyPrefix(cell) + string(id) }
 
-// jobOfKey takes a key with a cell's job prefix apart.
-func jobOfKey(cell jobs.CellName, key string) (id jobs.ID, cancel bool) {
-	rest := strings.TrimPrefix(key, jobsOf(cell))
+// parseJobKey takes a key with a cell's job prefix apart.
+func parseJobKey(cell jobs.CellName, key string) (id jobs.ID, cancel bool) {
+	rest := strings.TrimPrefix(key, jobKeyPrefix(cell))
 	name, cancel := strings.CutSuffix(rest, cancelSuffix)
 	return jobs.ID(name), cancel
 }
 
-// mustReadAnew tells whether a watch can't go on from its version, and the state has to be
+// mustReload tells whether a watch can't go on from its version, and the state has to be
 // read: the changes since are no longer kept, or more than an answer may hold.
-func mustReadAnew(err error) bool {
+func mustReload(err error) bool {
 	return errors.Is(err, platform.ErrCompacted) || errors.Is(err, platform.ErrTooLarge)
 }
 
--- a/services/control/keys_test.go
+++ b/services/control/keys_test.go
@@ -23,8 +23,8 @@
 	taken := map[jobs.CellName]int{}
 	for n := range 7000 {
 		found := cellsOf(jobID(n), &jobs.Layout{Cells: 7})
-		require.Len(t, found, cellsOfJob)
-		require.Len(t, slices.Compact(slices.Sorted(slices.Values(found))), cellsOfJob)
+		require.Len(t, found, cellsPerJob)
+		require.Len(t, slices.Compact(slices.Sorted(slices.Values(found))), cellsPerJob)
 		for _, cell := range found {
 			taken[cell]++
 		}
--- a/services/control/knowledge_test.go
+++ b/services/control/knowledge_test.go
@@ -19,15 +19,15 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// filling is a job of short tasks of one image that fill beside others.
-func filling(n, tasks int) jobs.Spec {
+// fillerJob is a job of short tasks of one image that fill beside others.
+func fillerJob(n, tasks int) jobs.Spec {
 	return jobs.Spec{ID: jobID(n), Payload: "filling", Steps: []jobs.Step{{
 		Count: tasks, Size: models.Resources{CPU: 500, Memory: 100}, Image: "filling", Fills: true, Estimate: 500,
 	}}}
 }
 
-// factorOf is what a daemon's owner has learned of the one pair of images.
-func factorOf(d *testDaemon) (learned jobs.Learned, ok bool) {
+// learnedFactor is what a daemon's owner has learned of the one pair of images.
+func learnedFactor(d *testDaemon) (learned jobs.Learned, ok bool) {
 	for _, l := range d.Cells.Answer(jobs.Query{Cell: cellName(0), Learned: true}).Learned {
 		if l.Serving == "serving" && l.Filling == "filling" {
 			return l, true
@@ -36,14 +36,14 @@
 	return jobs.Learned{}, false
 }
 
-// worldThatLearns is a world whose owner has seen the pair of images for twenty seconds.
-func worldThatLearns(t *testing.T) *world {
+// newLearningCluster is a world whose owner has seen the pair of images for twenty seconds.
+func newLearningCluster(t *testing.T) *world {
 	t.Helper()
 	w := newWorld(t, 4, 3, nil)
 	w.submit(w.daemons[0], lasting(1, 4))
 	w.eventually(10*time.Second, "tasks run", func() bool { return w.grid.Running(jobID(1)) == 4 })
 	for n := range 40 {
-		w.submit(w.daemons[0], filling(2+n, 4))
+		w.submit(w.daemons[0], fillerJob(2+n, 4))
 		time.Sleep(500 * time.Millisecond)
 	}
 	return w
@@ -51,14 +51,14 @@
 
 func TestSuccessorOfKilledOwnerHasLearned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := worldThatLearns(t)
+		w := newLearningCluster(t)
 		former := w.owner()
-		before, ok := factorOf(former)
+		before, ok := learnedFactor(former)
 		require.True(t, ok)
 		require.Greater(t, before.Observations, 50)
 		former.kill()
 		w.eventually(10*time.Second, "another owner", func() bool { return w.owner() != nil })
-		after, ok := factorOf(w.owner())
+		after, ok := learnedFactor(w.owner())
 		require.True(t, ok)
 		require.InDelta(t, before.Factor, after.Factor, 0.1)
 		require.Less(t, after.Spread, 2*before.Spread)
@@ -68,7 +68,7 @@
 
 func TestKnowledgeThatCannotBeReadCostsNoOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := worldThatLearns(t)
+		w := newLearningCluster(t)
 		former := w.owner()
 		former.kill()
 		store := &kv.Local{Service: w.store, Fault: w.daemons[1].storeFault, Wait: time.Second}
@@ -83,12 +83,12 @@
 func TestKnowledgeThatCannotBeEncodedKeepsNothingFromBeingStored(t *testing.T) {
 	w := &Owner{config: Config{Logger: zap.NewNop()}, cell: cellName(0)}
 	knowledge := &jobs.Knowledge{Speeds: []jobs.QueueSpeed{{Queue: testQueue, Mean: math.NaN()}}}
-	txn, err := w.txnOf(dispatch.Changes{Roster: &jobs.Roster{}, Knowledge: knowledge})
+	txn, err := w.buildTxn(dispatch.Changes{Roster: &jobs.Roster{}, Knowledge: knowledge})
 	require.NoError(t, err)
 	require.Len(t, txn.Put, 1)
 	require.Equal(t, rosterKey(cellName(0)), txn.Put[0].Key)
 	knowledge.Speeds[0].Mean = 1
-	txn, err = w.txnOf(dispatch.Changes{Roster: &jobs.Roster{}, Knowledge: knowledge})
+	txn, err = w.buildTxn(dispatch.Changes{Roster: &jobs.Roster{}, Knowledge: knowledge})
 	require.NoError(t, err)
 	require.Len(t, txn.Put, 2)
 }
--- a/services/control/layout.go
+++ b/services/control/layout.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	// settleWorkers is how long the number of workers in the list must not have grown before
+	// workerListPollInterval is how long the number of workers in the list must not have grown before
 	// the first layout is made from it: workers write their entries within a second or so.
-	settleWorkers = 700 * time.Millisecond
-	// settleMost ends the waiting for it.
-	settleMost = 8 * time.Second
+	workerListPollInterval = 700 * time.Millisecond
+	// maxWorkerListWait ends the waiting for it.
+	maxWorkerListWait = 8 * time.Second
 )
 
 // readLayout reads the layout, or makes it when there is none.
 func (c *Cells) readLayout(ctx context.Context) error {
 	record, err := c.config.Store.Get(ctx, layoutKey)
 	if errors.Is(err, platform.ErrNotFound) {
-		return c.makeLayout(ctx)
+		return c.createLayout(ctx)
 	}
 	if err != nil {
 		return err
@@ -40,16 +40,16 @@
 		return err
 	}
 	c.mu.Lock()
-	c.division = &layout
+	c.currentLayout = &layout
 	c.mu.Unlock()
 	c.config.Logger.Info("layout is known", zap.Int("cells", layout.Cells))
 	return nil
 }
 
-// makeLayout divides the workers there are into cells; a race with another daemon is
+// createLayout divides the workers there are into cells; a race with another daemon is
 // decided by the store.
-func (c *Cells) makeLayout(ctx context.Context) error {
-	workers, err := c.settledWorkers(ctx)
+func (c *Cells) createLayout(ctx context.Context) error {
+	workers, err := c.waitForStableWorkerList(ctx)
 	if err != nil {
 		return err
 	}
@@ -69,8 +69,8 @@
 	return c.readLayout(ctx)
 }
 
-// settledWorkers reads the list until it grows no more.
-func (c *Cells) settledWorkers(ctx context.Context) ([]jobs.Worker, error) {
+// waitForStableWorkerList reads the list until it grows no more.
+func (c *Cells) waitForStableWorkerList(ctx context.Context) ([]jobs.Worker, error) {
 	var workers []jobs.Worker
 	for began := time.Now(); ; {
 		list, _, err := c.config.List.JobWorkers(ctx)
@@ -79,10 +79,10 @@
 		}
 		settled := len(list) > 0 && len(list) <= len(workers)
 		workers = list
-		if settled || len(workers) > 0 && time.Since(began) > settleMost {
+		if settled || len(workers) > 0 && time.Since(began) > maxWorkerListWait {
 			return workers, nil
 		}
-		sleep(ctx, settleWorkers)
+		sleep(ctx, workerListPollInterval)
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
@@ -114,9 +114,9 @@
 	return layout
 }
 
-// workersOf picks the workers of a cell. Racks that the layout doesn't name yet belong to
+// workersInCell picks the workers of a cell. Racks that the layout doesn't name yet belong to
 // the first cell.
-func workersOf(cell jobs.CellName, layout *jobs.Layout, workers []jobs.Worker) []jobs.Worker {
+func workersInCell(cell jobs.CellName, layout *jobs.Layout, workers []jobs.Worker) []jobs.Worker {
 	var mine []jobs.Worker
 	for _, w := range workers {
 		if cellName(layout.Racks[w.Rack]) == cell {
--- a/services/control/learn.go
+++ b/services/control/learn.go
@@ -10,14 +10,14 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// learnEvery is how often an owner asks the others what they have learned: the factors of
+// learnInterval is how often an owner asks the others what they have learned: the factors of
 // images change slowly once they are known.
-const learnEvery = 1500 * time.Millisecond
+const learnInterval = 1500 * time.Millisecond
 
 // learnLoop takes what the owners of the other cells have learned of images.
 func (o *Owner) learnLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, learnEvery)
+		sleep(ctx, learnInterval)
 		for _, cell := range o.cells.others(o.cell) {
 			o.learnFrom(ctx, cell)
 		}
--- a/services/control/lease.go
+++ b/services/control/lease.go
@@ -15,22 +15,22 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// renewals is how often a lease is renewed before it would run out.
-const renewals = 4
+// renewalsPerLease is how often a lease is renewed before it would run out.
+const renewalsPerLease = 4
 
 // leaseLoop keeps the daemon's lease in the store.
 func (c *Cells) leaseLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		c.keepLease(ctx)
+		c.renewLease(ctx)
 		select {
 		case <-ctx.Done():
-		case <-time.After(c.config.Settings.OwnerLease / renewals):
+		case <-time.After(c.config.Settings.OwnerLease / renewalsPerLease):
 		case <-c.wakeLease:
 		}
 	}
 }
 
-func (c *Cells) keepLease(ctx context.Context) {
+func (c *Cells) renewLease(ctx context.Context) {
 	sent := c.config.Clock.Read()
 	c.mu.Lock()
 	lease := c.lease
@@ -45,21 +45,21 @@
 	switch {
 	case err == nil:
 		c.mu.Lock()
-		c.lease, c.renewed = lease, sent
-		registered := c.registered
+		c.lease, c.leaseRenewedAt = lease, sent
+		registered := c.registeredVersion
 		c.mu.Unlock()
 		if registered == 0 {
 			c.register(ctx, lease)
 			c.nudge() // cells may have no owner
 		}
 	case errors.Is(err, platform.ErrNoLease):
-		c.config.Logger.Warn("lease in the store is over", zap.Duration("after", sent.Sub(c.renewed)))
+		c.config.Logger.Warn("lease in the store is over", zap.Duration("after", sent.Sub(c.leaseRenewedAt)))
 		c.mu.Lock()
-		c.lease, c.registered = 0, 0
+		c.lease, c.registeredVersion = 0, 0
 		c.mu.Unlock()
-		c.dropAll("lease in the store is over")
+		c.dropAllOwners("lease in the store is over")
 		if lease != 0 {
-			c.keepLease(ctx) // a new one at once: cells without owner wait for it
+			c.renewLease(ctx) // a new one at once: cells without owner wait for it
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.lease == lease {
-		c.registered = version
+		c.registeredVersion = version
 	}
 }
 
@@ -89,7 +89,7 @@
 func (c *Cells) registration() platform.Version {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.registered
+	return c.registeredVersion
 }
 
 // unregistered says that this daemon's own key is not there in that version any more, or must
@@ -98,8 +98,8 @@
 func (c *Cells) unregistered(version platform.Version) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.registered == version {
-		c.registered = 0
+	if c.registeredVersion == version {
+		c.registeredVersion = 0
 		wake(c.wakeLease)
 	}
 }
--- a/services/control/metered.go
+++ b/services/control/metered.go
@@ -18,14 +18,14 @@
 // storeMeter counts calls to the store by kind and result, with their times.
 type storeMeter struct{ scope tally.Scope }
 
-func (m storeMeter) note(call string, began time.Time, err error) {
-	scope := m.count(call, err)
+func (m storeMeter) recordTimed(call string, began time.Time, err error) {
+	scope := m.recordCall(call, err)
 	scope.Histogram("store_call_time", metrics.LatencyBuckets).RecordDuration(time.Since(began))
 }
 
-// count counts a call whose time says nothing, for it waits for a change.
-func (m storeMeter) count(call string, err error) tally.Scope {
-	scope := m.scope.Tagged(map[string]string{"call": call, "result": storeResult(err)})
+// recordCall counts a call whose time says nothing, for it waits for a change.
+func (m storeMeter) recordCall(call string, err error) tally.Scope {
+	scope := m.scope.Tagged(map[string]string{"call": call, "result": storeResultTag(err)})
 	scope.Counter("store_calls").Inc(1)
 	return scope
 }
@@ -36,8 +36,8 @@
 	storeMeter
 }
 
-// storeResult names the result of a call to the store.
-func storeResult(err error) string {
+// storeResultTag names the result of a call to the store.
+func storeResultTag(err error) string {
 	switch {
 	case err == nil:
 		return "ok"
@@ -58,7 +58,7 @@
 func (m *meteredStore) Get(ctx context.Context, key string) (platform.Record, error) {
 	began := time.Now()
 	record, err := m.TxnStore.Get(ctx, key)
-	m.note("get", began, err)
+	m.recordTimed("get", began, err)
 	return record, err
 }
 
@@ -66,14 +66,14 @@
 func (m *meteredStore) List(ctx context.Context, prefix string) ([]platform.Record, platform.Version, error) {
 	began := time.Now()
 	records, at, err := m.TxnStore.List(ctx, prefix)
-	m.note("list", began, err)
+	m.recordTimed("list", began, err)
 	return records, at, err
 }
 
 // Watch implements platform.Store.
 func (m *meteredStore) Watch(ctx context.Context, prefix string, after platform.Version) ([]platform.Record, platform.Version, error) {
 	records, at, err := m.TxnStore.Watch(ctx, prefix, after)
-	m.count("watch", err)
+	m.recordCall("watch", err)
 	return records, at, err
 }
 
@@ -81,7 +81,7 @@
 func (m *meteredStore) Swap(ctx context.Context, key string, value []byte, expect platform.Version, lease platform.LeaseID) (platform.Version, error) {
 	began := time.Now()
 	version, err := m.TxnStore.Swap(ctx, key, value, expect, lease)
-	m.note("swap", began, err)
+	m.recordTimed("swap", began, err)
 	return version, err
 }
 
@@ -89,7 +89,7 @@
 func (m *meteredStore) Commit(ctx context.Context, txn platform.Txn) (platform.Version, error) {
 	began := time.Now()
 	version, err := m.TxnStore.Commit(ctx, txn)
-	m.note("commit", began, err)
+	m.recordTimed("commit", began, err)
 	return version, err
 }
 
@@ -97,7 +97,7 @@
 func (m *meteredStore) KeepAlive(ctx context.Context, lease platform.LeaseID) error {
 	began := time.Now()
 	err := m.TxnStore.KeepAlive(ctx, lease)
-	m.note("keep_alive", began, err)
+	m.recordTimed("keep_alive", began, err)
 	return err
 }
 
@@ -111,14 +111,14 @@
 func (m *meteredFeed) Configuration(ctx context.Context) (jobs.Configuration, platform.Version, error) {
 	began := time.Now()
 	configuration, at, err := m.ConfigurationFeed.Configuration(ctx)
-	m.note("read_configuration", began, err)
+	m.recordTimed("read_configuration", began, err)
 	return configuration, at, err
 }
 
 // NextConfiguration implements platform.ConfigurationFeed.
 func (m *meteredFeed) NextConfiguration(ctx context.Context, after platform.Version) (jobs.Configuration, platform.Version, error) {
 	configuration, at, err := m.ConfigurationFeed.NextConfiguration(ctx, after)
-	m.count("watch_configuration", err)
+	m.recordCall("watch_configuration", err)
 	return configuration, at, err
 }
 
@@ -132,13 +132,13 @@
 func (m *meteredList) JobWorkers(ctx context.Context) ([]jobs.Worker, platform.Version, error) {
 	began := time.Now()
 	workers, at, err := m.WorkerList.JobWorkers(ctx)
-	m.note("list_workers", began, err)
+	m.recordTimed("list_workers", began, err)
 	return workers, at, err
 }
 
 // WorkerChanges implements platform.WorkerList.
 func (m *meteredList) WorkerChanges(ctx context.Context, after platform.Version) ([]platform.WorkerChange, platform.Version, error) {
 	changes, at, err := m.WorkerList.WorkerChanges(ctx, after)
-	m.count("watch_workers", err)
+	m.recordCall("watch_workers", err)
 	return changes, at, err
 }
--- a/services/control/owner.go
+++ b/services/control/owner.go
@@ -19,18 +19,18 @@
 // Owner runs one cell in one epoch. Its loops call the store and the workers; what they
 // learn goes into the core, which decides.
 type Owner struct {
-	config Config
-	cells  *Cells
-	cell   jobs.CellName
-	epoch  jobs.Epoch
-	taken  time.Time
+	config  Config
+	cells   *Cells
+	cell    jobs.CellName
+	epoch   jobs.Epoch
+	takenAt time.Time
 
-	mu      sync.Mutex
-	core    *dispatch.Core
-	loaded  bool
-	storing bool                                 // a transaction is under way
-	calling map[jobs.WorkerID]context.CancelFunc // ends the call under way, of workers that have a loop
-	metered dispatch.Counts                      // handed to the metrics so far
+	mu              sync.Mutex
+	core            *dispatch.Core
+	loaded          bool
+	storing         bool                                 // a transaction is under way
+	calling         map[jobs.WorkerID]context.CancelFunc // ends the call under way, of workers that have a loop
+	publishedCounts dispatch.Counts                      // handed to the metrics so far
 
 	journal    journal
 	moves      []*move   // work that is being handed to other cells
@@ -46,7 +46,7 @@
 func newOwner(c *Cells, cell jobs.CellName, epoch jobs.Epoch, taken time.Time) *Owner {
 	s := c.config.Settings
 	return &Owner{
-		config: c.config, cells: c, cell: cell, epoch: epoch, taken: taken, calling: map[jobs.WorkerID]context.CancelFunc{},
+		config: c.config, cells: c, cell: cell, epoch: epoch, takenAt: taken, calling: map[jobs.WorkerID]context.CancelFunc{},
 		core: dispatch.New(dispatch.Config{
 			Epoch: epoch, Taken: taken, Lease: s.WorkerLease, LongestLease: s.LongestLease, OtherCells: c.several(),
 			TimeOfDay: func(now time.Time) models.UnixMilli { return models.UnixMilliOf(c.config.Clock.TimeOfDay(now)) },
--- a/services/control/owner_jobs.go
+++ b/services/control/owner_jobs.go
@@ -17,8 +17,8 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// loadRetry is the pause after a read that failed while the cell is being loaded.
-const loadRetry = 100 * time.Millisecond
+// loadRetryPause is the pause after a read that failed while the cell is being loaded.
+const loadRetryPause = 100 * time.Millisecond
 
 // load reads the cell's jobs, progress and roster; it gives the version to watch from.
 func (o *Owner) load(ctx context.Context) (platform.Version, bool) {
@@ -28,17 +28,17 @@
 		if err == nil {
 			return at, true
 		}
-		if errors.Is(err, errLost) {
-			o.cells.drop(o.cell, o, "its key among the jobs names another owner, or none")
+		if errors.Is(err, errCellLost) {
+			o.cells.dropOwner(o.cell, o, "its key among the jobs names another owner, or none")
 			return 0, false
 		}
 		o.config.Logger.Warn("cell can't be loaded yet", append(log.Err(err), zap.String("cell", string(o.cell)))...)
-		sleep(ctx, loadRetry)
+		sleep(ctx, loadRetryPause)
 	}
 	return 0, false
 }
 
-// tryLoad reads the cell once; errLost when it has another owner, or none.
+// tryLoad reads the cell once; errCellLost when it has another owner, or none.
 func (o *Owner) tryLoad(ctx context.Context) (platform.Version, error) {
 	store := o.config.Store
 	roster, err := read[jobs.Roster](ctx, store, rosterKey(o.cell))
@@ -53,11 +53,11 @@
 		return 0, err
 	}
 	sent := o.config.Clock.Now()
-	records, at, err := store.List(ctx, jobsOf(o.cell))
+	records, at, err := store.List(ctx, jobKeyPrefix(o.cell))
 	if err != nil {
 		return 0, err
 	}
-	knowledge, err := o.loadKnowledge(ctx)
+	knowledge, err := o.loadLearned(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -66,20 +66,20 @@
 	now := o.config.Clock.Now()
 	o.core.Enrol(roster, now)
 	o.core.Restore(knowledge, now)
-	if !o.takeAll(records, progress, now) {
-		return 0, errLost
+	if !o.applyAll(records, progress, now) {
+		return 0, errCellLost
 	}
 	o.core.JobsKnown(sent)
 	o.loaded = true
 	o.config.Logger.Info("cell is loaded", zap.String("cell", string(o.cell)), zap.Int("keys", len(records)),
 		zap.Int("roster", len(roster.Workers)),
-		zap.Int("images_learned", len(knowledge.Factors)), zap.Duration("after", now.Sub(o.taken)))
+		zap.Int("images_learned", len(knowledge.Factors)), zap.Duration("after", now.Sub(o.takenAt)))
 	return at, nil
 }
 
-// loadKnowledge reads what the former owner has learned. A value that can't be read costs
+// loadLearned reads what the former owner has learned. A value that can't be read costs
 // some seconds of learning, and is no reason to leave the cell without owner.
-func (o *Owner) loadKnowledge(ctx context.Context) (jobs.Knowledge, error) {
+func (o *Owner) loadLearned(ctx context.Context) (jobs.Knowledge, error) {
 	record, err := o.config.Store.Get(ctx, learnedKey(o.cell))
 	if errors.Is(err, platform.ErrNotFound) {
 		return jobs.Knowledge{}, nil
@@ -97,7 +97,7 @@
 
 // loadProgress reads the progress of the cell's active jobs.
 func (o *Owner) loadProgress(ctx context.Context) (map[jobs.ID]jobs.Progress, error) {
-	prefix := progressOf(o.cell)
+	prefix := progressKeyPrefix(o.cell)
 	records, _, err := o.config.Store.List(ctx, prefix)
 	if err != nil {
 		return nil, err
@@ -114,24 +114,24 @@
 	return progress, nil
 }
 
-// errLost says that the cell has another owner, or none.
-var errLost = errors.New("cell is lost")
+// errCellLost says that the cell has another owner, or none.
+var errCellLost = errors.New("cell is lost")
 
-// takeAll takes all keys with the cell's job prefix there are. The cell is lost when the
+// applyAll takes all keys with the cell's job prefix there are. The cell is lost when the
 // owner's own key is not among them: its removal may be too old to be heard of.
-func (o *Owner) takeAll(records []platform.Record, progress map[jobs.ID]jobs.Progress, now time.Time) bool {
+func (o *Owner) applyAll(records []platform.Record, progress map[jobs.ID]jobs.Progress, now time.Time) bool {
 	mine := slices.ContainsFunc(records, func(r platform.Record) bool { return r.Key == markerKey(o.cell) })
-	return mine && o.takeRecords(records, progress, now)
+	return mine && o.applyRecords(records, progress, now)
 }
 
-// takeRecords takes keys with the cell's job prefix in the order in which they were
+// applyRecords takes keys with the cell's job prefix in the order in which they were
 // written, up to the change of the owner: what comes after it belongs to the next one,
 // which may take jobs accepted since then for never started.
-func (o *Owner) takeRecords(records []platform.Record, progress map[jobs.ID]jobs.Progress, now time.Time) bool {
+func (o *Owner) applyRecords(records []platform.Record, progress map[jobs.ID]jobs.Progress, now time.Time) bool {
 	slices.SortStableFunc(records, func(a, b platform.Record) int { return cmp.Compare(a.Version, b.Version) })
 	for _, record := range records {
 		if record.Key != markerKey(o.cell) {
-			o.takeRecord(record, progress, now)
+			o.applyRecord(record, progress, now)
 			continue
 		}
 		if record.Deleted || record.Version != platform.Version(o.epoch) {
@@ -141,9 +141,9 @@
 	return true
 }
 
-// takeRecord takes one key of a job.
-func (o *Owner) takeRecord(record platform.Record, progress map[jobs.ID]jobs.Progress, now time.Time) {
-	id, cancel := jobOfKey(o.cell, record.Key)
+// applyRecord takes one key of a job.
+func (o *Owner) applyRecord(record platform.Record, progress map[jobs.ID]jobs.Progress, now time.Time) {
+	id, cancel := parseJobKey(o.cell, record.Key)
 	switch {
 	case record.Deleted && cancel:
 	case record.Deleted:
@@ -170,16 +170,16 @@
 // jobsLoop follows the cell's jobs and cancellations.
 func (o *Owner) jobsLoop(ctx context.Context, at platform.Version) {
 	for ctx.Err() == nil {
-		take := o.takeRecords
+		take := o.applyRecords
 		sent := o.config.Clock.Now()
-		records, next, err := o.config.Store.Watch(ctx, jobsOf(o.cell), at)
-		if mustReadAnew(err) {
-			take = o.takeAll
-			records, next, err = o.config.Store.List(ctx, jobsOf(o.cell))
+		records, next, err := o.config.Store.Watch(ctx, jobKeyPrefix(o.cell), at)
+		if mustReload(err) {
+			take = o.applyAll
+			records, next, err = o.config.Store.List(ctx, jobKeyPrefix(o.cell))
 		}
 		o.cells.health.note(err)
 		if err != nil {
-			sleep(ctx, loadRetry)
+			sleep(ctx, loadRetryPause)
 			continue
 		}
 		at = next
@@ -189,7 +189,7 @@
 		o.core.JobsKnown(sent)
 		o.mu.Unlock()
 		if !mine {
-			o.cells.drop(o.cell, o, "its key among the jobs names another owner, or none")
+			o.cells.dropOwner(o.cell, o, "its key among the jobs names another owner, or none")
 			return
 		}
 		if len(records) == 0 {
--- a/services/control/owner_orders.go
+++ b/services/control/owner_orders.go
@@ -14,21 +14,21 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Pauses of the loop that decides: at least decideLeast between two looks, so that what
-// arrives together is looked at once, and at most decideMost.
+// Pauses of the loop that decides: at least minDecidePause between two looks, so that what
+// arrives together is looked at once, and at most maxDecidePause.
 const (
-	decideLeast = 5 * time.Millisecond
-	decideMost  = 100 * time.Millisecond
+	minDecidePause = 5 * time.Millisecond
+	maxDecidePause = 100 * time.Millisecond
 )
 
 // decideLoop carries out what the core decides.
 func (o *Owner) decideLoop(ctx context.Context) {
-	ticker := time.NewTicker(decideMost)
+	ticker := time.NewTicker(maxDecidePause)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		o.mu.Lock()
 		o.core.StoreAnswered(o.cells.health.answeredAt())
-		o.core.AllowStarts(o.cells.starts.Free())
+		o.core.AllowStarts(o.cells.startLimit.Free())
 		decided := o.config.Clock.Read()
 		orders := o.core.Decide(decided)
 		superseded := o.core.Superseded()
@@ -39,17 +39,17 @@
 			wake(o.wakeMove)
 		}
 		if superseded {
-			o.cells.drop(o.cell, o, "a worker has seen a later owner")
+			o.cells.dropOwner(o.cell, o, "a worker has seen a later owner")
 			return
 		}
 		if ends {
 			wake(o.wakeStore)
 		}
 		for _, order := range orders {
-			o.cells.starts.Begin()
-			o.group.Go(func() { o.runOrder(ctx, order, decided) })
+			o.cells.startLimit.Begin()
+			o.group.Go(func() { o.executeOrder(ctx, order, decided) })
 		}
-		sleep(ctx, decideLeast)
+		sleep(ctx, minDecidePause)
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
@@ -58,43 +58,43 @@
 	}
 }
 
-// runOrder carries out one order that was decided then, and tells the core what became of it.
-func (o *Owner) runOrder(ctx context.Context, order dispatch.Order, decided time.Time) {
+// executeOrder carries out one order that was decided then, and tells the core what became of it.
+func (o *Owner) executeOrder(ctx context.Context, order dispatch.Order, decided time.Time) {
 	sent := o.beginCall()
-	if o.tooOld(order, decided) {
-		o.notSent(order.(dispatch.StartOrder), sent)
+	if o.startExpired(order, decided) {
+		o.recordNotSent(order.(dispatch.StartOrder), sent)
 		return
 	}
 	switch order := order.(type) {
 	case dispatch.StartOrder:
 		_, err := o.config.Workers.StartRun(ctx, order.Worker, order.Call)
-		o.ordered(sent, decided, err, func(result dispatch.Result, now time.Time) { o.core.Started(order, result, now) })
+		o.recordResult(sent, decided, err, func(result dispatch.Result, now time.Time) { o.core.Started(order, result, now) })
 	case dispatch.StopOrder:
 		_, err := o.config.Workers.StopRun(ctx, order.Worker, order.Call)
-		o.ordered(sent, decided, err, func(result dispatch.Result, now time.Time) { o.core.Stopped(order, result, now) })
+		o.recordResult(sent, decided, err, func(result dispatch.Result, now time.Time) { o.core.Stopped(order, result, now) })
 	case dispatch.PaceOrder:
 		_, err := o.config.Workers.SetPace(ctx, order.Worker, order.Call)
-		o.ordered(sent, decided, err, func(result dispatch.Result, now time.Time) { o.core.Paced(order, result, now) })
+		o.recordResult(sent, decided, err, func(result dispatch.Result, now time.Time) { o.core.Paced(order, result, now) })
 	}
 }
 
-// notSent tells the core that a start was not sent, for it had become too old.
-func (o *Owner) notSent(order dispatch.StartOrder, now time.Time) {
+// recordNotSent tells the core that a start was not sent, for it had become too old.
+func (o *Owner) recordNotSent(order dispatch.StartOrder, now time.Time) {
 	o.config.Scope.Counter("starts_not_sent").Inc(1)
 	o.cells.workerCalls.Add(-1)
-	o.cells.starts.End(inflight.Call{Took: startsOldest, Answered: true}) // it says that this daemon is late
+	o.cells.startLimit.End(inflight.Call{Took: maxStartAge, Answered: true}) // it says that this daemon is late
 	o.mu.Lock()
 	o.core.Started(order, dispatch.Result{Outcome: dispatch.OutcomeNotSent}, now)
 	o.mu.Unlock()
 	wake(o.wakeDecide)
 }
 
-// ordered tells the core what became of an order that was decided and sent then, and lets it
+// recordResult tells the core what became of an order that was decided and sent then, and lets it
 // decide.
-func (o *Owner) ordered(sent, decided time.Time, err error, what func(result dispatch.Result, now time.Time)) {
-	result := resultOf(err)
+func (o *Owner) recordResult(sent, decided time.Time, err error, what func(result dispatch.Result, now time.Time)) {
+	result := classifyCall(err)
 	o.endCall(sent, 0, result.Outcome)
-	o.cells.starts.End(inflight.Call{Took: o.config.Clock.Since(decided), Answered: result.Outcome != dispatch.OutcomeUnknown})
+	o.cells.startLimit.End(inflight.Call{Took: o.config.Clock.Since(decided), Answered: result.Outcome != dispatch.OutcomeUnknown})
 	now := o.config.Clock.Read()
 	o.mu.Lock()
 	what(result, now)
@@ -102,8 +102,8 @@
 	wake(o.wakeDecide)
 }
 
-// resultOf tells what an error means for an order.
-func resultOf(err error) dispatch.Result {
+// classifyCall tells what an error means for an order.
+func classifyCall(err error) dispatch.Result {
 	var refused *platform.RefusedError
 	var other *platform.IncarnationError
 	switch {
--- a/services/control/owner_store.go
+++ b/services/control/owner_store.go
@@ -18,7 +18,7 @@
 
 // jobsPerTxn keeps a transaction within the store's bound: an ended job has three entries
 // at most, one that is forgotten a key in each of its cells, and five entries are the owner's own.
-const jobsPerTxn = (platform.MaxTxnEntries - 5) / (cellsOfJob + 1)
+const jobsPerTxn = (platform.MaxTxnEntries - 5) / (cellsPerJob + 1)
 
 // storeLoop stores what the core has changed.
 func (o *Owner) storeLoop(ctx context.Context) {
@@ -28,7 +28,7 @@
 		more, err := o.storeOnce(ctx)
 		switch {
 		case err != nil:
-			sleep(ctx, loadRetry)
+			sleep(ctx, loadRetryPause)
 		case more:
 			continue
 		default:
@@ -71,7 +71,7 @@
 
 // commit carries out one transaction of the owner.
 func (o *Owner) commit(ctx context.Context, changes dispatch.Changes) error {
-	txn, err := o.txnOf(changes)
+	txn, err := o.buildTxn(changes)
 	if err != nil {
 		return err
 	}
@@ -79,8 +79,8 @@
 	return err
 }
 
-// txnOf makes the transaction that stores changes.
-func (o *Owner) txnOf(changes dispatch.Changes) (platform.Txn, error) {
+// buildTxn makes the transaction that stores changes.
+func (o *Owner) buildTxn(changes dispatch.Changes) (platform.Txn, error) {
 	var txn platform.Txn
 	var puts []put
 	if changes.Roster != nil {
@@ -107,13 +107,13 @@
 		txn.Delete = append(txn.Delete, jobKeys(cells, id)...)
 	}
 	writes, err := encode(puts)
-	txn.Put = append(writes, o.writeOf(changes.Knowledge)...)
+	txn.Put = append(writes, o.encodeLearned(changes.Knowledge)...)
 	return txn, err
 }
 
-// writeOf is the write of what the owner has learned, if there is any. What can't be encoded
+// encodeLearned is the write of what the owner has learned, if there is any. What can't be encoded
 // costs a successor some seconds of learning, and must not keep the rest from being stored.
-func (o *Owner) writeOf(knowledge *jobs.Knowledge) []platform.Write {
+func (o *Owner) encodeLearned(knowledge *jobs.Knowledge) []platform.Write {
 	if knowledge == nil {
 		return nil
 	}
@@ -124,12 +124,12 @@
 	return writes
 }
 
-// finishTime bounds the last transactions of a planned stop.
-const finishTime = time.Second
+// flushTimeout bounds the last transactions of a planned stop.
+const flushTimeout = time.Second
 
-// finish stores everything before the cell is handed over.
-func (o *Owner) finish(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, finishTime)
+// flush stores everything before the cell is handed over.
+func (o *Owner) flush(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		o.mu.Lock()
@@ -139,6 +139,6 @@
 			return
 		}
 		wake(o.wakeStore)
-		sleep(ctx, decideLeast)
+		sleep(ctx, minDecidePause)
 	}
 }
--- a/services/control/owner_workers.go
+++ b/services/control/owner_workers.go
@@ -15,39 +15,39 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// listPause lets some changes of the list gather between two looks at them; it delays the
+// workerListPause lets some changes of the list gather between two looks at them; it delays the
 // news that a worker drains by half of it on average.
-const listPause = 50 * time.Millisecond
+const workerListPause = 50 * time.Millisecond
 
 // workersLoop follows the list of workers and gives each new one a loop.
 func (o *Owner) workersLoop(ctx context.Context) {
-	o.callWorkers(ctx)
+	o.startWorkerLoops(ctx)
 	list := newWorkerList(o.config.List)
 	for ctx.Err() == nil {
 		sent := o.config.Clock.Now()
-		err := list.follow(ctx)
+		err := list.update(ctx)
 		o.cells.health.note(err)
 		if err != nil {
-			sleep(ctx, loadRetry)
+			sleep(ctx, loadRetryPause)
 			continue
 		}
-		o.takeWorkers(list, sent)
-		o.callWorkers(ctx)
+		o.updateWorkers(list, sent)
+		o.startWorkerLoops(ctx)
 		wake(o.wakeDecide)
 		wake(o.wakeStore)
-		sleep(ctx, listPause)
+		sleep(ctx, workerListPause)
 	}
 }
 
-// takeWorkers tells the core what the list said then. Without a configuration no pool is
+// updateWorkers tells the core what the list said then. Without a configuration no pool is
 // known; then nothing may start, and workers that former owners used are called anyway.
-func (o *Owner) takeWorkers(list *workerList, known time.Time) {
+func (o *Owner) updateWorkers(list *workerList, known time.Time) {
 	configuration := o.cells.configurations.current.Load()
 	layout := o.cells.layout()
 	if configuration == nil || layout == nil {
 		return
 	}
-	workers := workersOf(o.cell, layout, inPools(configuration, list.all()))
+	workers := workersInCell(o.cell, layout, workersInKnownPools(configuration, list.all()))
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.core.SetWorkers(workers, o.config.Clock.Now())
@@ -59,9 +59,9 @@
 	o.core.WorkersKnown(known)
 }
 
-// inPools picks the workers whose pools the configuration names: an entry that names another
+// workersInKnownPools picks the workers whose pools the configuration names: an entry that names another
 // pool may not be a worker's own, and its address is not called.
-func inPools(configuration *jobs.Configuration, workers []jobs.Worker) []jobs.Worker {
+func workersInKnownPools(configuration *jobs.Configuration, workers []jobs.Worker) []jobs.Worker {
 	pools := map[jobs.PoolName]bool{}
 	for _, pool := range configuration.Pools {
 		pools[pool.Name] = true
@@ -69,8 +69,8 @@
 	return slices.DeleteFunc(workers, func(w jobs.Worker) bool { return !pools[w.Pool] })
 }
 
-// callWorkers gives each worker that has none a loop.
-func (o *Owner) callWorkers(ctx context.Context) {
+// startWorkerLoops gives each worker that has none a loop.
+func (o *Owner) startWorkerLoops(ctx context.Context) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, worker := range o.core.Workers() {
@@ -81,8 +81,8 @@
 	}
 }
 
-// workerRetry is the pause after a call to a worker that failed.
-const workerRetry = 200 * time.Millisecond
+// workerRetryPause is the pause after a call to a worker that failed.
+const workerRetryPause = 200 * time.Millisecond
 
 // workerLoop prolongs a worker's lease and takes its reports, also those of later incarnations, until
 // no worker has the id. It makes one call after the other: so the order of answers is that of the
@@ -102,7 +102,7 @@
 			cancel()
 			return
 		}
-		err := o.callWorker(callCtx, worker, call)
+		err := o.pollWorker(callCtx, worker, call)
 		hurried := callCtx.Err() != nil
 		cancel()
 		if hurried {
@@ -110,22 +110,22 @@
 		}
 		pause := o.reportPause()
 		if err != nil && !errors.Is(err, platform.ErrUnknown) {
-			pause = workerRetry
+			pause = workerRetryPause
 		}
 		sleep(ctx, pause)
 	}
 }
 
-// callWorker asks a worker for a report and takes it. A call that was ended because its answer is not
+// pollWorker asks a worker for a report and takes it. A call that was ended because its answer is not
 // waited for any more says nothing of the worker.
-func (o *Owner) callWorker(ctx context.Context, worker jobs.Worker, call jobs.LeaseCall) error {
+func (o *Owner) pollWorker(ctx context.Context, worker jobs.Worker, call jobs.LeaseCall) error {
 	sent := o.beginCall()
 	report, err := o.config.Workers.ProlongLease(ctx, worker, call)
 	if ctx.Err() != nil {
 		o.cells.workerCalls.Add(-1)
 		return err
 	}
-	o.endCall(sent, call.Wait, resultOf(err).Outcome)
+	o.endCall(sent, call.Wait, classifyCall(err).Outcome)
 	o.config.Scope.Counter("checkpoints_unreadable").Inc(int64(report.Unreadable))
 	o.takeReport(worker, call.Fence, sent, report, err)
 	return err
@@ -133,7 +133,7 @@
 
 // takeReport tells the core what a call that prolongs a lease has brought.
 func (o *Owner) takeReport(worker jobs.Worker, fence jobs.Fence, sent time.Time, report jobs.Report, err error) {
-	result := resultOf(err)
+	result := classifyCall(err)
 	// An answer may have waited in its socket while the VM was suspended: taken for one of before
 	// that, it would let the worker's lease count as over too early, and starts be valid too long.
 	now := o.config.Clock.Read()
--- a/services/control/peers.go
+++ b/services/control/peers.go
@@ -27,21 +27,21 @@
 	Jobs(ctx context.Context, address string, query jobs.Query) (jobs.Answer, error)
 }
 
-// caller calls the other daemons over the network.
-type caller struct {
+// peerClient calls the other daemons over the network.
+type peerClient struct {
 	self      string
 	transport *http.Transport
-	owners    *peerrpc.Clients[peerrpc.Owner]
+	clients   *peerrpc.Clients[peerrpc.Owner]
 }
 
 const peerConnections = 8
 
-func newCaller(self string) *caller {
-	return newCallerOver(self, (&net.Dialer{Timeout: peerTimeout, KeepAlive: -1}).DialContext)
+func newCaller(self string) *peerClient {
+	return newPeerClientWithDial(self, (&net.Dialer{Timeout: peerTimeout, KeepAlive: -1}).DialContext)
 }
 
-// newCallerOver makes a caller whose connections dial opens.
-func newCallerOver(self string, dial idleconn.DialFunc) *caller {
+// newPeerClientWithDial makes a caller whose connections dial opens.
+func newPeerClientWithDial(self string, dial idleconn.DialFunc) *peerClient {
 	conns := idleconn.New(idleconn.Config{Dial: dial})
 	transport := &http.Transport{
 		DialContext:         conns.Dial,
@@ -50,19 +50,19 @@
 		DisableCompression:  true,
 	}
 	client := &stall.Client{HTTP: &http.Client{Transport: transport}, Conns: conns, Limits: stall.Evenly(peerTimeout)}
-	return &caller{self: self, transport: transport, owners: peerrpc.NewClients(ownerClient, client)}
+	return &peerClient{self: self, transport: transport, clients: peerrpc.NewClients(newOwnerClient, client)}
 }
 
 // Jobs implements Peers.
-func (p *caller) Jobs(ctx context.Context, address string, query jobs.Query) (jobs.Answer, error) {
-	return peerrpc.Call[jobs.Answer](ctx, p.self, "ask owner", address, p.owners.At(address).Jobs, query)
+func (p *peerClient) Jobs(ctx context.Context, address string, query jobs.Query) (jobs.Answer, error) {
+	return peerrpc.Call[jobs.Answer](ctx, p.self, "ask owner", address, p.clients.At(address).Jobs, query)
 }
 
-// close closes the connections that no call uses.
-func (p *caller) close() { p.transport.CloseIdleConnections() }
+// closeIdle closes the connections that no call uses.
+func (p *peerClient) closeIdle() { p.transport.CloseIdleConnections() }
 
-// ownerClient makes a client without options.
-func ownerClient(base string, http peerrpc.HTTPClient) peerrpc.Owner {
+// newOwnerClient makes a client without options.
+func newOwnerClient(base string, http peerrpc.HTTPClient) peerrpc.Owner {
 	return peerrpc.NewOwnerProtobufClient(base, http)
 }
 
--- a/services/control/peers_test.go
+++ b/services/control/peers_test.go
@@ -21,11 +21,11 @@
 	"rillsail.example/rillsail/services/standin/link"
 )
 
-// knowingOwner answers every query with what it has learned.
-type knowingOwner struct{ learned []jobs.Learned }
+// stubOwner answers every query with what it has learned.
+type stubOwner struct{ learned []jobs.Learned }
 
 // Jobs implements peerrpc.Owner.
-func (k *knowingOwner) Jobs(_ context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
+func (k *stubOwner) Jobs(_ context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
 	return peerrpc.Serve("owner", in, func(jobs.Query) (jobs.Answer, error) {
 		return jobs.Answer{Owner: true, Learned: k.learned}, nil
 	})
@@ -36,7 +36,7 @@
 func TestLargeAnswerOfAPeerOverANarrowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		draw := rand.New(rand.NewPCG(1, 1)) // figures that hardly compress
-		owner := &knowingOwner{}
+		owner := &stubOwner{}
 		for i := range 20_000 {
 			owner.learned = append(owner.learned, jobs.Learned{
 				Serving: jobs.ImageName(fmt.Sprintf("serving-%d", i)), Filling: jobs.ImageName(fmt.Sprintf("filling-%d", i)),
@@ -49,11 +49,11 @@
 		var group conc.WaitGroup
 		listener := l.Listen("owner:80")
 		group.Go(func() { _ = server.Serve(listener) }) // ends with Shutdown
-		peers := newCallerOver("asker", l.Dial)
+		peers := newPeerClientWithDial("asker", l.Dial)
 		began := time.Now()
 		answer, err := peers.Jobs(t.Context(), "owner:80", jobs.Query{Cell: "0", Learned: true})
 		took := time.Since(began)
-		peers.close()
+		peers.closeIdle()
 		require.NoError(t, server.Shutdown(context.Background()))
 		group.Wait()
 		require.NoError(t, err)
@@ -63,12 +63,12 @@
 }
 
 // silentOwner answers nothing for longer than any question waits.
-type silentOwner struct{ knowingOwner }
+type silentOwner struct{ stubOwner }
 
 // Jobs implements peerrpc.Owner.
 func (s *silentOwner) Jobs(ctx context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
 	time.Sleep(10 * peerTimeout)
-	return s.knowingOwner.Jobs(ctx, in)
+	return s.stubOwner.Jobs(ctx, in)
 }
 
 // TestSilentPeerCostsNoConnectionsToOthers asks an owner that is well, then one that is frozen, then
@@ -79,18 +79,18 @@
 		l := link.New(link.Config{Rate: 1_250_000})
 		var group conc.WaitGroup
 		defer group.Wait()
-		for address, owner := range map[string]peerrpc.Owner{"well:80": &knowingOwner{}, "frozen:80": &silentOwner{}} {
+		for address, owner := range map[string]peerrpc.Owner{"well:80": &stubOwner{}, "frozen:80": &silentOwner{}} {
 			server := &http.Server{Handler: peerrpc.NewOwnerServer(owner), ReadHeaderTimeout: time.Minute}
 			listener := l.Listen(address)
 			group.Go(func() { _ = server.Serve(listener) }) // ends with Shutdown
 			defer func() { require.NoError(t, server.Shutdown(context.Background())) }()
 		}
 		opened := map[string]int{}
-		peers := newCallerOver("asker", func(ctx context.Context, network, address string) (net.Conn, error) {
+		peers := newPeerClientWithDial("asker", func(ctx context.Context, network, address string) (net.Conn, error) {
 			opened[address]++
 			return l.Dial(ctx, network, address)
 		})
-		defer peers.close()
+		defer peers.closeIdle()
 		ask := func(address string) error {
 			_, err := peers.Jobs(t.Context(), address, jobs.Query{Cell: "0"})
 			return err
--- a/services/control/suspension_test.go
+++ b/services/control/suspension_test.go
@@ -44,22 +44,22 @@
 // suspend lets the daemon's VM stand still, with its steady clock.
 func (d *testDaemon) suspend() {
 	d.freeze()
-	d.suspended.mu.Lock()
-	defer d.suspended.mu.Unlock()
-	d.suspended.since = time.Now()
+	d.suspension.mu.Lock()
+	defer d.suspension.mu.Unlock()
+	d.suspension.since = time.Now()
 }
 
 // resume lets it go on.
 func (d *testDaemon) resume() {
-	d.suspended.mu.Lock()
-	d.suspended.total += time.Since(d.suspended.since)
-	d.suspended.since = time.Time{}
-	d.suspended.mu.Unlock()
+	d.suspension.mu.Lock()
+	d.suspension.total += time.Since(d.suspension.since)
+	d.suspension.since = time.Time{}
+	d.suspension.mu.Unlock()
 	d.thaw()
 }
 
-// fillingWorker is a task that takes a whole worker with some label.
-func fillingWorker(n int, label string, step jobs.Step) jobs.Spec {
+// wholeWorkerJob is a task that takes a whole worker with some label.
+func wholeWorkerJob(n int, label string, step jobs.Step) jobs.Spec {
 	step.Count, step.Requires = max(1, step.Count), label
 	step.Size = models.Resources{CPU: 4000, Memory: 500}
 	return jobs.Spec{ID: jobID(n), Steps: []jobs.Step{step}}
@@ -75,8 +75,8 @@
 		var former *testDaemon
 		w.eventually(10*time.Second, "the cell has an owner", func() bool { former = w.owner(); return former != nil })
 		others := slices.DeleteFunc(slices.Clone(w.daemons), func(d *testDaemon) bool { return d == former })
-		w.submit(former, fillingWorker(1, "rack-0", jobs.Step{Count: 2, Lasts: true, Image: "serving", Target: 100}))
-		w.submit(former, fillingWorker(2, "rack-1", jobs.Step{Estimate: 3000}))
+		w.submit(former, wholeWorkerJob(1, "rack-0", jobs.Step{Count: 2, Lasts: true, Image: "serving", Target: 100}))
+		w.submit(former, wholeWorkerJob(2, "rack-1", jobs.Step{Estimate: 3000}))
 		w.eventually(5*time.Second, "all workers are full", func() bool {
 			return w.grid.Running(jobID(1)) == 2 && w.grid.Running(jobID(2)) == 1
 		})
--- a/services/control/watch.go
+++ b/services/control/watch.go
@@ -27,13 +27,13 @@
 		}
 		c.health.note(err)
 		if err != nil {
-			sleep(ctx, ownersRetry)
+			sleep(ctx, ownersRetryPause)
 		}
 	}
 }
 
-// ownersRetry is the pause after a read of the owners that failed.
-const ownersRetry = 100 * time.Millisecond
+// ownersRetryPause is the pause after a read of the owners that failed.
+const ownersRetryPause = 100 * time.Millisecond
 
 func (c *Cells) readOwners(ctx context.Context) (platform.Version, error) {
 	if c.layout() == nil {
@@ -52,7 +52,7 @@
 		c.noteOwner(record)
 	}
 	c.mu.Lock()
-	c.synced = true
+	c.ownersSynced = true
 	c.mu.Unlock()
 	c.nudge()
 	return at, nil
@@ -61,11 +61,11 @@
 func (c *Cells) watchOwners(ctx context.Context, at platform.Version) (platform.Version, error) {
 	records, next, err := c.config.Store.Watch(ctx, ownerPrefix, at)
 	switch {
-	case mustReadAnew(err):
+	case mustReload(err):
 		return 0, nil
 	case err != nil:
 		c.mu.Lock()
-		c.synced = false
+		c.ownersSynced = false
 		c.mu.Unlock()
 		return 0, err
 	}
@@ -98,6 +98,6 @@
 		(record.Deleted || record.Version > platform.Version(mine.epoch))
 	c.mu.Unlock()
 	if lost {
-		c.drop(cell, mine, "store names another owner, or none")
+		c.dropOwner(cell, mine, "store names another owner, or none")
 	}
 }
--- a/services/control/worker_calls_test.go
+++ b/services/control/worker_calls_test.go
@@ -19,9 +19,9 @@
 func TestConnectionsThatAreGivenUpAreToldOnce(t *testing.T) {
 	core, lines := observer.New(zap.InfoLevel)
 	scope := tally.NewTestScope("", nil)
-	note := newCallsNote(&Cells{config: Config{Logger: zap.New(core), Scope: scope}})
+	note := newCallMonitor(&Cells{config: Config{Logger: zap.New(core), Scope: scope}})
 	for _, counts := range []idleconn.Counts{{Opened: 9}, {Opened: 10, GivenUp: 4}, {Opened: 12, GivenUp: 7}, {Opened: 12, GivenUp: 7}, {Opened: 12, GivenUp: 7}} {
-		note.noteConnections(counts)
+		note.publishConnections(counts)
 	}
 	var messages []string
 	for _, line := range lines.All() {
--- a/services/control/worker_list.go
+++ b/services/control/worker_list.go
@@ -26,14 +26,14 @@
 	return &workerList{source: source, workers: map[jobs.WorkerID]jobs.Worker{}}
 }
 
-// follow waits for a change, or reads the list when its changes are not known. Everything
+// update waits for a change, or reads the list when its changes are not known. Everything
 // is known after it that the list said when it was called.
-func (l *workerList) follow(ctx context.Context) error {
+func (l *workerList) update(ctx context.Context) error {
 	if !l.synced {
 		return l.read(ctx)
 	}
 	changes, at, err := l.source.WorkerChanges(ctx, l.at)
-	if mustReadAnew(err) {
+	if mustReload(err) {
 		return l.read(ctx)
 	}
 	if err != nil {
--- a/services/control/world_test.go
+++ b/services/control/world_test.go
@@ -69,7 +69,7 @@
 	slowFor   time.Duration          // its orders reach the workers so much later, unanswered in time
 	watchLost bool                   // changes in the store don't reach it, while its other calls are answered
 
-	suspended *suspension // of its VM
+	suspension *suspension // of its VM
 
 	ended bool // its process is gone from a VM that is there: nobody listens at its address
 
@@ -144,7 +144,7 @@
 	w.made++
 	name := fmt.Sprintf("daemon-%d", w.made)
 	ctx, cancel := context.WithCancel(w.ctx)
-	d := &testDaemon{world: w, name: name, cancel: cancel, done: make(chan struct{}), cutFrom: map[jobs.WorkerID]bool{}, suspended: &suspension{}}
+	d := &testDaemon{world: w, name: name, cancel: cancel, done: make(chan struct{}), cutFrom: map[jobs.WorkerID]bool{}, suspension: &suspension{}}
 	ids := 0
 	settings := testSettings
 	settings.WorkersPerCell = w.perCell
@@ -158,7 +158,7 @@
 	}
 	d.Service = New(Config{
 		Self: name, Address: name, Settings: settings, Store: store,
-		Clock:   clock.New(clock.Config{Steady: d.suspended.steady, Meter: d.suspended}),
+		Clock:   clock.New(clock.Config{Steady: d.suspension.steady, Meter: d.suspension}),
 		Workers: &testWorkers{d}, List: &testList{d}, Feed: w.feed, Peers: &testPeers{w},
 		NewID: func() string {
 			ids++
@@ -198,7 +198,7 @@
 	d.set(func() { d.ended = true })
 }
 
-func (d *testDaemon) hasEnded() bool {
+func (d *testDaemon) hasExited() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ended
--- a/services/control/world_ways_test.go
+++ b/services/control/world_ways_test.go
@@ -199,7 +199,7 @@
 	p.mu.Lock()
 	d := p.byName[address]
 	p.mu.Unlock()
-	if d != nil && d.hasEnded() {
+	if d != nil && d.hasExited() {
 		return jobs.Answer{}, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	}
 	if d == nil || d.isFrozen() {
--- a/services/control/write.go
+++ b/services/control/write.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// writeRetry is the pause before a write without answer is repeated.
-	writeRetry = 50 * time.Millisecond
-	// writeMost is for how long it is repeated: a caller that hears that nothing is known
+	// writeRetryPause is the pause before a write without answer is repeated.
+	writeRetryPause = 50 * time.Millisecond
+	// maxWriteTime is for how long it is repeated: a caller that hears that nothing is known
 	// asks another daemon, which may reach the store.
-	writeMost = 900 * time.Millisecond
+	maxWriteTime = 900 * time.Millisecond
 )
 
-// written is what is known of a transaction, from all of its tries together: committed,
+// writeOutcome is what is known of a transaction, from all of its tries together: committed,
 // conflicting, turnedAway or unsettled. The set is closed. An error could not say it: what the
 // store answers to the last try is one thing, what became of the tries before it another, and
 // an error that carried both was taken for a refusal of writes that had been done.
-type written interface{ written() }
+type writeOutcome interface{ writeOutcome() }
 
 type (
 	// committed says that it is done.
@@ -42,14 +42,14 @@
 	unsettled struct{ cause error }
 )
 
-func (committed) written()   {}
-func (conflicting) written() {}
-func (turnedAway) written()  {}
-func (unsettled) written()   {}
+func (committed) writeOutcome()   {}
+func (conflicting) writeOutcome() {}
+func (turnedAway) writeOutcome()  {}
+func (unsettled) writeOutcome()   {}
 
 // write carries out a transaction. Once a try has had no answer it is repeated for a while:
 // only the transaction itself, or its conditions, can tell then what became of it.
-func (s *Service) write(ctx context.Context, txn platform.Txn) written {
+func (s *Service) write(ctx context.Context, txn platform.Txn) writeOutcome {
 	if ctx.Err() != nil {
 		return turnedAway{errstep.Wrap(ctx.Err(), "write", "store")}
 	}
@@ -60,51 +60,51 @@
 		if ctx.Err() == nil { // a call that its caller's deadline has ended says nothing of the store
 			s.health.note(err)
 		}
-		switch verdictOn(err) {
+		switch classifyCommit(err) {
 		case verdictDone:
 			return committed{}
 		case verdictConflict:
 			return conflicting{unsure: first != nil}
-		case verdictTurnedAway:
+		case verdictRejected:
 			if first == nil {
 				return turnedAway{errstep.Wrap(err, "write", "store")}
 			}
-		case verdictOpen:
+		case verdictUnknown:
 			if first == nil {
 				first = err
 			}
 		}
-		if s.config.Clock.Since(began) > writeMost || ctx.Err() != nil {
+		if s.config.Clock.Since(began) > maxWriteTime || ctx.Err() != nil {
 			s.config.Logger.Info("write is not settled", zap.Int("tries", tries), zap.NamedError("first", first), zap.NamedError("last", err))
 			return unsettled{errstep.Wrap(platform.Unknown(first), "write", "store")}
 		}
-		sleep(ctx, writeRetry)
+		sleep(ctx, writeRetryPause)
 	}
 }
 
-// verdict is what a transaction's answer says of it. Only what the store names is a denial: an
+// commitVerdict is what a transaction's answer says of it. Only what the store names is a denial: an
 // error of no class, as one of a call that its caller has given up, leaves all open.
-type verdict uint8
+type commitVerdict uint8
 
 const (
-	verdictOpen       verdict = iota // it may have been done, or may still be
-	verdictDone                      // it is stored
-	verdictConflict                  // not done: a condition failed
-	verdictTurnedAway                // not done: the store did not look at it
+	verdictUnknown  commitVerdict = iota // it may have been done, or may still be
+	verdictDone                          // it is stored
+	verdictConflict                      // not done: a condition failed
+	verdictRejected                      // not done: the store did not look at it
 )
 
-// verdictOn draws the verdict from one answer.
-func verdictOn(err error) verdict {
+// classifyCommit draws the verdict from one answer.
+func classifyCommit(err error) commitVerdict {
 	switch {
 	case err == nil:
 		return verdictDone
 	case errors.Is(err, platform.ErrUnknown): // first, whatever else the error says
-		return verdictOpen
+		return verdictUnknown
 	case errors.Is(err, platform.ErrConflict):
 		return verdictConflict
 	case errors.IsAny(err, platform.ErrUnavailable, platform.ErrLimited, platform.ErrNoLease):
-		return verdictTurnedAway
+		return verdictRejected
 	default:
-		return verdictOpen
+		return verdictUnknown
 	}
 }
