--- a/services/control/cells.go
+++ b/services/control/cells.go
@@ -19,8 +19,8 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Cells takes and leaves cells. Its loops keep this daemon's lease, follow the owners of
-// all cells, and claim those that nobody owns.
+// Cells claims and releases cells for this daemon. Its loops renew the daemon's lease, watch the
+// owners of all cells, and claim cells without owner.
 type Cells struct {
 	config         Config
 	health         *storeHealth
@@ -31,29 +31,29 @@
 	owners        map[jobs.CellName]ownerRecord
 	owned         map[jobs.CellName]*Owner
 	lease         platform.LeaseID
-	// registeredVersion is the version of this daemon's own key; 0: it is not there.
+	// registeredVersion is the version of this daemon's own key; 0: the key does not exist.
 	registeredVersion platform.Version
-	leaseRenewedAt    time.Time                       // when the last renewal that was answered was sent
-	loads             map[jobs.CellName]jobs.CellLoad // as the owners told last
-	ownersSynced      bool                            // owners is what the store held not long ago
+	leaseRenewedAt    time.Time                       // when the last answered renewal was sent
+	loads             map[jobs.CellName]jobs.CellLoad // as last reported by the owners
+	ownersSynced      bool                            // owners reflects a recent state of the store
 	stopping          bool
 
 	group     conc.WaitGroup
-	wakeClaim chan struct{} // cells may be free
-	wakeLease chan struct{} // this daemon's key has to be written
+	wakeClaim chan struct{} // signals that cells may be without owner
+	wakeLease chan struct{} // signals that this daemon's key has to be written
 
-	workerCalls atomic.Int64 // in flight
+	workerCalls atomic.Int64 // calls to workers in flight
 	startLimit  *inflight.Limit
-	cancelAgain func(ctx context.Context, id jobs.ID) platform.Outcome // goes on with a job's cancellation
-	yielded     atomic.Pointer[time.Time]                              // when this daemon last left a cell to one that carries more
+	cancelAgain func(ctx context.Context, id jobs.ID) platform.Outcome // resumes the cancellation of a job
+	yielded     atomic.Pointer[time.Time]                              // when this daemon last handed a cell over to a daemon with more capacity
 }
 
 type ownerRecord struct {
 	jobs.Owner
 	version   platform.Version
-	since     time.Time // when this daemon first heard of it
-	suspected bool      // nobody listened at its address
-	asked     bool      // that was confirmed, and its key removed, or tried to
+	since     time.Time // when this daemon first saw the record
+	suspected bool      // a connection to the owner's address was refused
+	asked     bool      // a second refusal confirmed that, and the removal of the owner's key was tried
 }
 
 func newCells(c Config, health *storeHealth, configurations *Configurations) *Cells {
@@ -65,7 +65,7 @@
 	}
 }
 
-// Run owns cells until ctx ends.
+// Run claims and runs cells until ctx ends.
 func (c *Cells) Run(ctx context.Context) {
 	var group conc.WaitGroup
 	group.Go(func() { c.leaseLoop(ctx) })
@@ -84,21 +84,21 @@
 	return c.currentLayout
 }
 
-// several tells whether the layout has more than one cell.
+// several reports whether the layout has more than one cell.
 func (c *Cells) several() bool {
 	layout := c.layout()
 	return layout != nil && layout.Cells > 1
 }
 
-// others are the cells beside one; none before the layout is known.
-func (c *Cells) others(than jobs.CellName) []jobs.CellName {
+// others returns all cells except one; none before the layout is known.
+func (c *Cells) others(except jobs.CellName) []jobs.CellName {
 	layout := c.layout()
 	if layout == nil {
 		return nil
 	}
 	var others []jobs.CellName
 	for n := range layout.Cells {
-		if cell := cellName(n); cell != than {
+		if cell := cellName(n); cell != except {
 			others = append(others, cell)
 		}
 	}
@@ -128,7 +128,7 @@
 	return owners
 }
 
-// Answer answers a query about a cell of this daemon.
+// Answer answers a query about a cell that this daemon owns. For any other cell it returns the zero Answer.
 func (c *Cells) Answer(query jobs.Query) jobs.Answer {
 	c.mu.Lock()
 	owner := c.owned[query.Cell]
@@ -145,69 +145,69 @@
 	}
 }
 
-// nudge lets the loop that claims cells look at once.
+// nudge wakes the loop that claims cells.
 func (c *Cells) nudge() { wake(c.wakeClaim) }
 
-// dropOwner ends this daemon's owner of a cell; the keys in the store stay.
-func (c *Cells) dropOwner(cell jobs.CellName, mine *Owner, reason string) {
-	c.config.Logger.Warn("cell is lost", zap.String("cell", string(cell)), zap.Uint64("epoch", uint64(mine.epoch)), zap.String("reason", reason))
+// dropOwner stops running a cell on this daemon. The owner's keys in the store stay.
+func (c *Cells) dropOwner(cell jobs.CellName, owner *Owner, reason string) {
+	c.config.Logger.Warn("cell is lost", zap.String("cell", string(cell)), zap.Uint64("epoch", uint64(owner.epoch)), zap.String("reason", reason))
 	c.mu.Lock()
-	if c.owned[cell] == mine {
+	if c.owned[cell] == owner {
 		delete(c.owned, cell)
 	}
 	c.mu.Unlock()
-	mine.end()
+	owner.end()
 }
 
 func (c *Cells) dropAllOwners(reason string) {
-	for cell, mine := range c.ownedCells() {
-		c.dropOwner(cell, mine, reason)
+	for cell, owner := range c.ownedCells() {
+		c.dropOwner(cell, owner, reason)
 	}
 }
 
-// releaseRetryPause is the pause before a daemon that is to stop tries again to hand a cell over.
+// releaseRetryPause is the pause before a stopping daemon retries to hand a cell over.
 const releaseRetryPause = 50 * time.Millisecond
 
-// Release hands the cells over: their state is stored, then their owner's keys are removed,
-// so that nobody waits for the lease. While the store is down no daemon could take them, so
-// they are run on for as long as ctx allows. The daemon keeps its lease to the end, because
-// it still takes jobs from callers that are connected.
+// Release hands over all cells of this daemon: it stores their state and then removes the owner's
+// keys, so that no other daemon has to wait for the lease to expire. While the store is down no
+// daemon could claim the cells, so this one goes on running them until ctx ends. The daemon keeps
+// its lease throughout, because it still accepts jobs from connected callers.
 func (c *Cells) Release(ctx context.Context) error {
 	c.mu.Lock()
 	c.stopping = true
 	c.mu.Unlock()
 	var failed error
-	for cell, mine := range c.ownedCells() {
-		failed = errors.CombineErrors(failed, c.release(ctx, cell, mine))
+	for cell, owner := range c.ownedCells() {
+		failed = errors.CombineErrors(failed, c.release(ctx, cell, owner))
 	}
 	return failed
 }
 
-// release hands a cell over before ctx ends, or leaves it then.
-func (c *Cells) release(ctx context.Context, cell jobs.CellName, mine *Owner) error {
+// release retries to hand a cell over until ctx ends, and then drops the cell.
+func (c *Cells) release(ctx context.Context, cell jobs.CellName, owner *Owner) error {
 	for {
-		err := c.handOver(ctx, cell, mine, "daemon stops")
+		err := c.handOver(ctx, cell, owner, "daemon stops")
 		if err == nil {
 			return nil
 		}
 		sleep(ctx, releaseRetryPause)
 		if ctx.Err() != nil {
-			c.dropOwner(cell, mine, "daemon stops, and the store does not answer")
+			c.dropOwner(cell, owner, "daemon stops while the store does not answer")
 			return err
 		}
 	}
 }
 
-// handOver stores a cell's state and removes its owner's keys, so that another daemon can
-// take it at once. The cell is run until the keys are gone: a store that answered a moment
-// ago may be down now. The next owner fences this one as it would one that was frozen.
-func (c *Cells) handOver(ctx context.Context, cell jobs.CellName, mine *Owner, reason string) error {
-	mine.flush(ctx)
-	err := c.removeOwner(ctx, cell, platform.Version(mine.epoch))
+// handOver stores a cell's state and removes its owner's keys, so that another daemon can claim
+// the cell at once. This daemon runs the cell until the keys are removed, because the store may
+// have gone down since its last answer. The next owner fences this one as it would a frozen one.
+func (c *Cells) handOver(ctx context.Context, cell jobs.CellName, owner *Owner, reason string) error {
+	owner.flush(ctx)
+	err := c.removeOwner(ctx, cell, platform.Version(owner.epoch))
 	c.health.note(err)
-	if err != nil && !errors.Is(err, platform.ErrConflict) { // a conflict: the lease was over, and the keys are gone
+	if err != nil && !errors.Is(err, platform.ErrConflict) { // a conflict: the lease had expired, and the keys with it
 		return errors.Wrapf(err, "hand over cell %s", cell)
 	}
-	c.dropOwner(cell, mine, reason)
+	c.dropOwner(cell, owner, reason)
 	return nil
 }
--- a/services/control/claim.go
+++ b/services/control/claim.go
@@ -17,10 +17,10 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// claimEvery is how often cells without owner are looked for unasked.
+// claimEvery is the interval at which the claim loop looks for cells without owner even when nothing wakes it.
 const claimEvery = 500 * time.Millisecond
 
-// claimLoop claims cells that nobody owns.
+// claimLoop claims cells without owner until ctx ends.
 func (c *Cells) claimLoop(ctx context.Context) {
 	ticker := time.NewTicker(claimEvery)
 	defer ticker.Stop()
@@ -34,25 +34,27 @@
 	}
 }
 
-// claimDelayPerCell is by how much a daemon holds back for each cell that it owns already, so
-// that cells spread.
+// claimDelayPerCell is how long a daemon delays a claim for each cell that it already owns, so that
+// the cells spread over the daemons.
 const claimDelayPerCell = 150 * time.Millisecond
 
-// maxCapacityDelay is for how long a daemon leaves a free cell to others that carries nothing of it:
-// after an outage of the store it takes about a second until all daemons are back.
+// maxCapacityDelay is the claim delay of a daemon that has no capacity at all for a cell. After an
+// outage of the store it takes about a second until all daemons are back.
 const maxCapacityDelay = 1200 * time.Millisecond
 
-// holdBack is how long this daemon leaves a free cell to others: the less of it it carries,
-// the longer, so that a cell goes to one that carries it when there is any. One that has just
-// left a cell to another daemon would be the first to see that it is free.
+// holdBack returns how long this daemon leaves a cell without owner to other daemons. The smaller the
+// share of the cell's workers that this daemon can handle, the longer the delay, so that the cell goes
+// to a daemon that can handle all of them if there is one. A daemon that has just handed a cell over
+// waits as if it could handle none, because it is the first to see that the cell is free.
 func (c *Cells) holdBack(owned int) time.Duration {
-	lacks := max(0, 1-float64(carries(c.self()))/float64(c.cellSize()))
+	shortfall := max(0, 1-float64(carries(c.self()))/float64(c.cellSize()))
 	if since := c.yielded.Load(); since != nil && c.config.Clock.Since(*since) < yieldPause {
-		lacks = 1
+		shortfall = 1
 	}
-	return time.Duration(owned)*claimDelayPerCell + time.Duration(lacks*float64(maxCapacityDelay))
+	return time.Duration(owned)*claimDelayPerCell + time.Duration(shortfall*float64(maxCapacityDelay))
 }
 
+// claimFreeCells removes the keys of owners that no longer run and claims cells without owner.
 func (c *Cells) claimFreeCells(ctx context.Context) {
 	c.removeStaleClaims(ctx)
 	c.removeAbandoned(ctx)
@@ -80,9 +82,9 @@
 	}
 }
 
-// removeStaleClaims removes keys that name this daemon as the owner of a cell that it does not
-// run: a claim whose answer was lost, or one of the process that ran here before. Nobody
-// else would claim the cell while the key is there.
+// removeStaleClaims removes the keys that name this daemon as the owner of a cell that it does not
+// run: from a claim whose answer was lost, or from an earlier process of this daemon. No daemon
+// would claim the cell while the key exists.
 func (c *Cells) removeStaleClaims(ctx context.Context) {
 	stale := map[jobs.CellName]platform.Version{}
 	c.mu.Lock()
@@ -95,11 +97,11 @@
 	for cell, version := range stale {
 		err := c.removeOwner(ctx, cell, version)
 		c.health.note(err)
-		c.config.Logger.Info("stale claim is removed", append(log.Err(err), zap.String("cell", string(cell)))...)
+		c.config.Logger.Info("stale claim removed", append(log.Err(err), zap.String("cell", string(cell)))...)
 	}
 }
 
-// removeOwner removes the keys of a cell's owner, if they are still those of the epoch.
+// removeOwner removes the keys of a cell's owner if they still have the version of that owner's epoch.
 func (c *Cells) removeOwner(ctx context.Context, cell jobs.CellName, version platform.Version) error {
 	_, err := c.config.Store.Commit(ctx, platform.Txn{
 		Require: []platform.Precondition{{Key: ownerKey(cell), Version: version}, {Key: markerKey(cell), Version: version}},
@@ -108,19 +110,19 @@
 	return errstep.Wrap(err, "remove owner of cell "+string(cell), "store")
 }
 
-// claim takes a cell that has no owner.
+// claim tries to make this daemon the owner of a cell and, if that succeeds, starts running the cell.
 func (c *Cells) claim(ctx context.Context, cell jobs.CellName) bool {
 	owner := jobs.Owner{Daemon: c.config.Self, Address: c.config.Address, Claim: c.config.NewID()}
 	value, err := json.Marshal(owner)
 	if err != nil {
-		c.config.Logger.Error("claim can't be encoded", log.Err(err)...)
+		c.config.Logger.Error("claim of a cell not written: encoding failed", log.Err(err)...)
 		return false
 	}
 	c.mu.Lock()
 	lease := c.lease
 	c.mu.Unlock()
 	if lease == 0 {
-		return false // over since the cell was found free; keys without lease would stay for ever
+		return false // the lease ended after the cell was found free; keys without lease would never expire
 	}
 	taken := c.config.Clock.Read()
 	version, err := c.config.Store.Commit(ctx, platform.Txn{
@@ -143,8 +145,8 @@
 	return true
 }
 
-// resolveClaim finds out whether a claim without answer was done. One that is done later is
-// removed by removeStaleClaims.
+// resolveClaim finds out whether a claim of unknown outcome was applied. A claim that is applied
+// after this check is removed by removeStaleClaims.
 func (c *Cells) resolveClaim(ctx context.Context, cell jobs.CellName, owner jobs.Owner) (platform.Version, error) {
 	record, err := c.config.Store.Get(ctx, ownerKey(cell))
 	if err != nil {
@@ -160,21 +162,22 @@
 	return record.Version, nil
 }
 
-func (c *Cells) startOwner(ctx context.Context, cell jobs.CellName, owner jobs.Owner, version platform.Version, taken time.Time) {
+// startOwner runs a cell that this daemon has claimed. The version of the owner's keys is the epoch.
+func (c *Cells) startOwner(ctx context.Context, cell jobs.CellName, claim jobs.Owner, version platform.Version, taken time.Time) {
 	c.config.Logger.Info("cell is taken", zap.String("cell", string(cell)), zap.Uint64("epoch", uint64(version)))
 	c.config.Scope.Counter("cells_taken").Inc(1)
-	mine := newOwner(c, cell, jobs.Epoch(version), taken)
+	owner := newOwner(c, cell, jobs.Epoch(version), taken)
 	c.mu.Lock()
-	c.owners[cell] = ownerRecord{Owner: owner, version: version, since: taken}
-	c.owned[cell] = mine
+	c.owners[cell] = ownerRecord{Owner: claim, version: version, since: taken}
+	c.owned[cell] = owner
 	c.mu.Unlock()
-	c.group.Go(func() { c.runOwner(ctx, cell, mine) })
+	c.group.Go(func() { c.runOwner(ctx, cell, owner) })
 }
 
-func (c *Cells) runOwner(ctx context.Context, cell jobs.CellName, mine *Owner) {
-	mine.Run(ctx)
+func (c *Cells) runOwner(ctx context.Context, cell jobs.CellName, owner *Owner) {
+	owner.Run(ctx)
 	c.mu.Lock()
-	if c.owned[cell] == mine {
+	if c.owned[cell] == owner {
 		delete(c.owned, cell)
 	}
 	c.mu.Unlock()
--- a/services/control/clock_uses_test.go
+++ b/services/control/clock_uses_test.go
@@ -17,12 +17,11 @@
 	"rillsail.example/rillsail/modules/casefile"
 )
 
-// steadyTimeFuncs are the functions of package time that tell a time which stands still while the VM
-// is suspended.
+// steadyTimeFuncs are the functions of package time whose clock stops while the VM is suspended.
 var steadyTimeFuncs = map[string]bool{"Now": true, "Since": true, "Until": true}
 
-// TestLeasesAreJudgedByTheClock: here and in package dispatch the time comes from the clock that
-// counts suspensions, but for the uses that testdata/clock_uses.json lists with their reasons.
+// TestLeasesAreJudgedByTheClock checks that this package and package dispatch take the time from the clock
+// that includes suspensions of the VM, except for the uses that testdata/clock_uses.json lists with reasons.
 func TestLeasesAreJudgedByTheClock(t *testing.T) {
 	allowed := casefile.Read[map[string]string](t, "testdata/clock_uses.json")
 	found := map[string]bool{}
@@ -36,14 +35,14 @@
 		}
 	}
 	for use := range found {
-		assert.NotEmpty(t, allowed[use], "%s reads a clock that stands still while the VM is suspended", use)
+		assert.NotEmpty(t, allowed[use], "%s reads a clock that stops while the VM is suspended", use)
 	}
 	for use := range allowed {
-		assert.True(t, found[use], "%s is listed and not there", use)
+		assert.True(t, found[use], "%s is listed in clock_uses.json but does not exist", use)
 	}
 }
 
-// collectSteadyUses notes the functions of a file that use such a time, as FILE FUNCTION.
+// collectSteadyUses adds the functions of a file that use steadyTimeFuncs to found, as "FILE FUNCTION".
 func collectSteadyUses(t *testing.T, file string, found map[string]bool) {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, 0)
@@ -58,7 +57,7 @@
 			if !ok {
 				return true
 			}
-			if of, ok := selector.X.(*ast.Ident); ok && of.Name == "time" && steadyTimeFuncs[selector.Sel.Name] {
+			if pkg, ok := selector.X.(*ast.Ident); ok && pkg.Name == "time" && steadyTimeFuncs[selector.Sel.Name] {
 				found[filepath.Base(file)+" "+name] = true
 			}
 			return true
--- a/services/control/configuration.go
+++ b/services/control/configuration.go
@@ -17,15 +17,15 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Configurations follows the operators' configuration.
+// Configurations watches the operators' configuration and applies its newest version.
 type Configurations struct {
 	config   Config
 	health   *storeHealth
 	current  atomic.Pointer[jobs.Configuration]
 	onChange func(*jobs.Configuration)
-	version  platform.Version // the store's, to wait from; 0: read first; belongs to the loop
+	version  platform.Version // store version to watch from; 0: read first; used by the loop only
 	trouble  *log.Trouble
-	// confirmedAt is when the store last gave a configuration, or said that there is no newer one.
+	// confirmedAt is when the store last returned a configuration, or said that there is no newer one.
 	confirmedAt atomic.Pointer[time.Time]
 }
 
@@ -42,12 +42,12 @@
 	c.confirmedAt.Store(&now)
 }
 
-// unconfirmedFor is for how long the store has not confirmed that the configuration in force is the newest.
+// unconfirmedFor returns the time since the store last confirmed that the configuration in force is the newest.
 func (c *Configurations) unconfirmedFor() time.Duration {
 	return c.config.Clock.Since(*c.confirmedAt.Load())
 }
 
-// publishMetrics hands on which version is in force, and for how long that is unconfirmed.
+// publishMetrics publishes the version in force and the time since it was last confirmed as the newest.
 func (c *Configurations) publishMetrics(scope tally.Scope) {
 	if current := c.current.Load(); current != nil {
 		scope.Gauge("configuration_version").Update(float64(current.Version))
@@ -55,10 +55,10 @@
 	scope.Gauge("configuration_unconfirmed").Update(c.unconfirmedFor().Seconds())
 }
 
-// configurationRetryPause is the pause after a read that failed.
+// configurationRetryPause is the pause after a failed read.
 const configurationRetryPause = 200 * time.Millisecond
 
-// Run follows the configuration until ctx ends.
+// Run watches the configuration until ctx ends.
 func (c *Configurations) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := c.fetchNext(ctx)
@@ -73,8 +73,8 @@
 	}
 }
 
-// fetchNext waits for the next configuration, or reads it when there is none yet or the
-// store has forgotten what came after the current one.
+// fetchNext waits for the next configuration. It reads the configuration instead if there is none
+// yet, or if the store no longer keeps the changes since the current one.
 func (c *Configurations) fetchNext(ctx context.Context) error {
 	read := func() (jobs.Configuration, platform.Version, error) { return c.config.Feed.Configuration(ctx) }
 	if c.version > 0 {
@@ -93,21 +93,21 @@
 	case version > 0 && errors.Is(err, platform.ErrNotFound):
 		c.health.note(nil)
 		c.markConfirmed()
-		return nil // there is none yet, or none newer
+		return nil // there is no configuration yet, or no newer one
 	case c.version > 0 && mustReload(err):
-		// Of several changes only the last matters. Over a narrow link, fetching each in turn falls
-		// further behind with each.
-		c.config.Logger.Info("configuration is read anew in place of its changes", zap.Error(err))
+		// Only the last of several changes matters. A daemon on a narrow link that fetched them one
+		// by one would fall further behind with each.
+		c.config.Logger.Info("changes of the configuration cannot be watched; reading it whole", zap.Error(err))
 		c.version = 0
 		return nil
 	default:
-		// The next watch brings what has changed since the version, and costs nothing when
-		// nothing has; a read would bring the whole each time the store has not answered.
+		// The next watch returns the changes since the version, and transfers nothing if there are none.
+		// A read would transfer the whole configuration after every call that the store does not answer.
 		return err
 	}
 }
 
-// apply puts a configuration in force. It never goes back.
+// apply puts a configuration in force, unless it is not newer than the current one.
 func (c *Configurations) apply(configuration *jobs.Configuration) {
 	if before := c.current.Load(); before != nil && before.Version >= configuration.Version {
 		return
@@ -118,6 +118,7 @@
 	c.onChange(configuration)
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/services/control/control.go
+++ b/services/control/control.go
@@ -1,38 +1,40 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package control runs jobs of steps on a platform: it accepts them from callers, owns
-// cells of workers and jobs, and carries out what package dispatch decides. All daemons
-// run it alike. What must last is in the platform's store:
+// Package control runs jobs of steps on a platform. It accepts jobs from callers, owns cells of
+// workers and jobs, and carries out the decisions of package dispatch. All daemons run the same
+// service. The persistent state is in the platform's store, under these keys:
 //
 //	layout                    jobs.Layout: how workers and jobs are divided into cells
-//	owner/CELL                jobs.Owner, under its daemon's lease; the version is the epoch
-//	job/CELL/owner            the same, among the cell's jobs
-//	daemon/ID                 jobs.Daemon, under its lease: condition of what it accepts
+//	owner/CELL                jobs.Owner, under its daemon's lease; the key's version is the epoch
+//	job/CELL/owner            the same value, among the cell's jobs
+//	daemon/ID                 jobs.Daemon, under the daemon's lease: a precondition of the jobs it accepts
 //	job/CELL/ID               jobs.Record, written by the daemon that accepts the job; see below
 //	job/CELL/ID/cancel        jobs.Cancellation
 //	progress/CELL/ID          jobs.Progress, written by the cell's owner
 //	roster/CELL               jobs.Roster
-//	learned/CELL              jobs.Knowledge, what the owner has learned from reports
-//	journal/CELL              which transaction of an owner was the last
+//	learned/CELL              jobs.Knowledge, the parameters that the owner has learned from reports
+//	journal/CELL              the last transaction of the cell's owner
 //
-// A job is accepted for one of the cells that its id allows. An owner whose cell has no place
-// for it hands tasks to another of them, so that the job may have a record in each:
+// A job is accepted for one of the cells that follow from its id. An owner whose cell has no
+// capacity for the job moves tasks to another of these cells, so that the job may have a record
+// in each:
 //
 //   - a record without Part: the cell has all tasks of the job
-//   - a part: the cell has the tasks that it names; the other records name the others
-//   - a part without tasks: the cell has handed over all that it had; the record stays until
-//     the job is forgotten, so that the job is known to all daemons also during a move
-//   - a part in a further cell, to which the job's id does not lead: the record of one of the job's own cells
-//     names that cell as long as the part is there, so that whoever reads the latter finds all
+//   - a part: the cell has the tasks that the part names; the other records name the other tasks
+//   - a part without tasks: the cell has moved all of its tasks away; the record stays until
+//     the job is forgotten, so that all daemons find the job also during a move
+//   - a part in a further cell, which does not follow from the job's id: the record in one of the job's own
+//     cells names the further cell for as long as the part exists, so that a reader of the own cells finds
+//     every part
 //   - an ended record: the job has ended, whatever the other records say
 //   - an ended record with the state jobs.StateBarred: the job was cancelled before it was
-//     stored; it is shown to nobody, and keeps writes that are on their way from storing it
+//     stored; the record is not shown to callers and prevents writes still in flight from storing the job
 //
-// One transaction changes both records of a move. A job is accepted, moved or cancelled on
-// condition that all its records are as they were read; accepted also on condition that the
-// key of the daemon that accepts it is as it was, so that no write without answer is done
-// once that key has been written anew.
+// One transaction changes both records of a move. Accepting, moving and cancelling a job require
+// that all its records are unchanged since they were read. Accepting a job also requires that the
+// key of the accepting daemon is unchanged, so that a write of unknown outcome can no longer be
+// applied once the daemon has rewritten that key.
 //
 // # Usage
 //
@@ -58,26 +60,26 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Config is what a service works with.
+// Config holds the settings and dependencies of a Service.
 type Config struct {
 	Self     string
-	Address  string // where the other daemons call
+	Address  string // at which the other daemons call this one
 	Settings setting.Jobs
 	Store    platform.TxnStore
 	Workers  platform.JobWorkers
-	// WorkerCalls is the time limit of the calls of Workers, which this service teaches.
+	// WorkerCalls is the adaptive timeout of the calls through Workers. The service feeds it with call results.
 	WorkerCalls *calltime.Limit
-	Connections func() idleconn.Counts // to the store and the workers, so far; nil: not counted
+	Connections func() idleconn.Counts // connections to the store and the workers so far; nil: not counted
 	List        platform.WorkerList
 	Feed        platform.ConfigurationFeed
-	Peers       Peers // nil: calls over the network
+	Peers       Peers // nil: a client that calls over the network
 	NewID       func() string
 	Logger      *zap.Logger
 	Scope       tally.Scope
-	Clock       *clock.Clock // nil: that of this VM
+	Clock       *clock.Clock // nil: the clock of this VM
 }
 
-// Service serves callers and owns cells.
+// Service serves callers and runs the cells that this daemon owns.
 type Service struct {
 	config         Config
 	Configurations *Configurations
@@ -89,7 +91,7 @@
 
 var _ platform.Callers = (*Service)(nil)
 
-// New makes a service.
+// New creates a Service. Its loops run while Configurations.Run and Cells.Run do.
 func New(c Config) *Service {
 	if c.Clock == nil {
 		c.Clock = newClock(c)
@@ -109,39 +111,39 @@
 	return s
 }
 
-// Ready tells whether this daemon should get callers.
+// Ready reports whether this daemon should receive calls from callers.
 func (s *Service) Ready() bool {
 	return !s.stopping.Load() && s.Configured() != nil && s.Cells.layout() != nil && s.health.good()
 }
 
-// BeginStop makes the daemon unready.
+// BeginStop marks the daemon as not ready.
 func (s *Service) BeginStop(context.Context) error {
 	s.stopping.Store(true)
 	return nil
 }
 
-// Configured gives the configuration in force; nil when there is none yet.
+// Configured returns the configuration in force, or nil if there is none yet.
 func (s *Service) Configured() *jobs.Configuration { return s.Configurations.current.Load() }
 
-// storeHealth notes whether the store answers this daemon, so that callers needn't wait
-// for calls that are known to fail.
+// storeHealth tracks whether the store answers this daemon, so that callers do not wait for
+// store calls that are known to fail.
 type storeHealth struct {
 	logger       *zap.Logger
 	clock        *clock.Clock
-	failingSince atomic.Int64 // since when, in nanoseconds since start; 0: not
-	lastAnswer   atomic.Int64 // when the store last answered, in nanoseconds since start
+	failingSince atomic.Int64 // time of the first failure in a row, in nanoseconds since start; 0: not failing
+	lastAnswer   atomic.Int64 // time of the last answer, in nanoseconds since start
 	start        time.Time
 }
 
-// storeDownThreshold is for how long all calls must have failed until the store counts as down:
-// longer than a lost answer's repetition.
+// storeDownThreshold is how long all calls must have failed before the store counts as down.
+// It is longer than the retry of a call whose answer was lost.
 const storeDownThreshold = 400 * time.Millisecond
 
 func newStoreHealth(logger *zap.Logger, clock *clock.Clock) *storeHealth {
 	return &storeHealth{logger: logger, clock: clock, start: clock.Now()}
 }
 
-// note takes the result of a call to the store.
+// note records the result of a call to the store.
 func (h *storeHealth) note(err error) {
 	if err == nil || !isOutage(err) {
 		h.lastAnswer.Store(int64(h.clock.Since(h.start)))
@@ -155,9 +157,10 @@
 	}
 }
 
-// answeredAt is when the store last answered a call of this daemon.
+// answeredAt returns the time at which the store last answered a call of this daemon.
 func (h *storeHealth) answeredAt() time.Time { return h.start.Add(time.Duration(h.lastAnswer.Load())) }
 
+// good reports whether the store has not been failing for storeDownThreshold or longer.
 func (h *storeHealth) good() bool {
 	since := h.failingSince.Load()
 	return since == 0 || h.clock.Since(h.start)-time.Duration(since) < storeDownThreshold
--- a/services/control/control_test.go
+++ b/services/control/control_test.go
@@ -22,7 +22,7 @@
 		w := newWorld(t, 4, 3, nil)
 		w.submit(w.daemons[0], twoSteps(1, time.Second))
 		for _, d := range w.daemons {
-			w.eventually(10*time.Second, "every daemon says so", func() bool { return w.state(d, jobID(1)) == jobs.StateSucceeded })
+			w.eventually(10*time.Second, "every daemon reports success", func() bool { return w.state(d, jobID(1)) == jobs.StateSucceeded })
 		}
 		w.noBreach()
 	})
@@ -82,7 +82,7 @@
 		first := w.owner()
 		first.kill()
 		w.eventually(5*time.Second, "another daemon owns the cell", func() bool { o := w.owner(); return o != nil && o != first })
-		require.Equal(t, 4, w.grid.Running(jobID(1)), "tasks that last ran on meanwhile")
+		require.Equal(t, 4, w.grid.Running(jobID(1)), "long-running tasks kept running meanwhile")
 		w.eventually(15*time.Second, "success", func() bool { return w.state(w.owner(), jobID(2)) == jobs.StateSucceeded })
 		require.Equal(t, 4, w.grid.Running(jobID(1)))
 		w.noBreach()
@@ -105,7 +105,7 @@
 			return false
 		})
 		first.thaw()
-		w.eventually(5*time.Second, "the former owner ends", func() bool { return !first.Cells.Answer(jobs.Query{Cell: cellName(0)}).Owner })
+		w.eventually(5*time.Second, "the previous owner drops the cell", func() bool { return !first.Cells.Answer(jobs.Query{Cell: cellName(0)}).Owner })
 		w.eventually(15*time.Second, "success", func() bool { return w.state(w.owner(), jobID(1)) == jobs.StateSucceeded })
 		w.noBreach()
 	})
@@ -118,10 +118,10 @@
 		w.eventually(10*time.Second, "tasks run", func() bool { return w.grid.Running(jobID(1)) == 4 })
 		w.owner().kill()
 		w.grid.SetFaults(0, faultsCut)
-		w.grid.SetListed(0, false) // also missing in the list: the stored roster names it
+		w.grid.SetListed(0, false) // also removed from the list: only the stored roster names the worker
 		w.eventually(5*time.Second, "another daemon owns the cell", func() bool { return w.owner() != nil })
 		w.submit(w.owner(), twoSteps(2, time.Second))
-		w.eventually(5*time.Second, "a job accepted since then is not held up", func() bool { return w.state(w.owner(), jobID(2)) == jobs.StateSucceeded })
+		w.eventually(5*time.Second, "a job accepted after the takeover is not delayed", func() bool { return w.state(w.owner(), jobID(2)) == jobs.StateSucceeded })
 		w.eventually(15*time.Second, "the lost task runs elsewhere", func() bool { return w.grid.Running(jobID(1)) == 4 })
 		time.Sleep(5 * time.Second)
 		w.noBreach()
@@ -139,10 +139,10 @@
 		refused := w.daemons[1].Submit(w.ctx, twoSteps(2, time.Second), jobs.Queue{Name: testQueue, Terms: testTerms})
 		require.IsType(t, platform.NotDone{}, refused)
 		require.Positive(t, refused.(platform.NotDone).RetryAfter)
-		require.Less(t, time.Since(began), 100*time.Millisecond, "refused at once")
+		require.Less(t, time.Since(began), 100*time.Millisecond, "refused without waiting for the store")
 		w.eventually(5*time.Second, "the next step starts without the store", func() bool { return w.grid.Running(jobID(1)) == 2 })
 		time.Sleep(4 * time.Second)
-		require.NotEqual(t, jobs.StateSucceeded, w.state(w.daemons[0], jobID(1)), "nothing is shown that is not stored")
+		require.NotEqual(t, jobs.StateSucceeded, w.state(w.daemons[0], jobID(1)), "a state that is not stored is not reported")
 		w.setOutage(false)
 		w.eventually(8*time.Second, "success", func() bool { return w.state(w.daemons[0], jobID(1)) == jobs.StateSucceeded })
 		w.noBreach()
@@ -191,7 +191,7 @@
 		time.Sleep(3 * time.Second)
 		require.Zero(t, w.grid.Running(jobID(2)))
 		w.grid.StopDraining(1)
-		w.eventually(3*time.Second, "it starts on the worker that stays", func() bool { return w.grid.Running(jobID(2)) == 1 })
+		w.eventually(3*time.Second, "the task starts on the worker that no longer drains", func() bool { return w.grid.Running(jobID(2)) == 1 })
 		w.noBreach()
 	})
 }
@@ -238,7 +238,7 @@
 		w.eventually(10*time.Second, "tasks run", func() bool { return w.grid.Running(jobID(1)) == 2 })
 		w.grid.Drain(0, 5*time.Second)
 		time.Sleep(5 * time.Second)
-		require.Zero(t, w.grid.RunningOn(0), "nothing is left to be lost")
+		require.Zero(t, w.grid.RunningOn(0), "no run is left on the worker at its deadline")
 		require.Equal(t, 2, w.grid.Running(jobID(1)))
 		w.noBreach()
 	})
@@ -265,7 +265,7 @@
 		require.Equal(t, 4, w.daemons[0].Cells.layout().Cells)
 		for n := range 12 {
 			w.submit(w.daemons[n%3], twoSteps(1+n, 200*time.Millisecond))
-			w.submit(w.daemons[(n+1)%3], twoSteps(1+n, 200*time.Millisecond)) // meets its own key
+			w.submit(w.daemons[(n+1)%3], twoSteps(1+n, 200*time.Millisecond)) // conflicts with the key of the first submission
 		}
 		for n := range 12 {
 			w.eventually(20*time.Second, "success", func() bool { return w.state(w.daemons[(n+1)%3], jobID(1+n)) == jobs.StateSucceeded })
@@ -276,7 +276,7 @@
 
 func TestJobsGoToTheLessLoadedCell(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldOf(t, 4, 2, 2, nil) // two cells of two workers, with room for four such tasks each
+		w := newWorldOf(t, 4, 2, 2, nil) // two cells of two workers, with free capacity for four such tasks each
 		for n := range 8 {
 			w.submit(w.daemons[0], lasting(1+n, 1))
 			time.Sleep(2 * loadEvery)
@@ -296,7 +296,7 @@
 		if w.owner() == cut {
 			cut = w.daemons[0]
 		}
-		w.eventually(5*time.Second, "the daemon takes jobs", func() bool { return cut.Ready() && cut.Cells.registration() != 0 })
+		w.eventually(5*time.Second, "the daemon accepts jobs", func() bool { return cut.Ready() && cut.Cells.registration() != 0 })
 		cut.mu.Lock()
 		cut.heldFor = 8 * time.Second
 		cut.mu.Unlock()
@@ -305,20 +305,20 @@
 		w.grid.Expect(spec, testAttempts)
 		queue := jobs.Queue{Name: testQueue, Terms: testTerms}
 		require.IsType(t, platform.MaybeDone{}, cut.Submit(w.ctx, spec, queue))
-		require.IsType(t, platform.MaybeDone{}, cut.Submit(w.ctx, spec, queue), "not refused while it may still be done")
-		require.IsType(t, platform.NotDone{}, cut.Submit(w.ctx, twoSteps(3, time.Second), queue), "another job is")
+		require.IsType(t, platform.MaybeDone{}, cut.Submit(w.ctx, spec, queue), "not refused while the write may still be applied")
+		require.IsType(t, platform.NotDone{}, cut.Submit(w.ctx, twoSteps(3, time.Second), queue), "another job is refused")
 		cut.mu.Lock()
 		cut.heldFor = 0
 		cut.mu.Unlock()
 		w.eventually(3*time.Second, "the daemon is registered again", func() bool { return cut.Cells.registration() != 0 })
 		time.Sleep(15 * time.Second)
 		_, err := w.daemons[0].State(w.ctx, spec.ID)
-		require.ErrorIs(t, err, platform.ErrNotFound, "the write that was held up is not done")
+		require.ErrorIs(t, err, platform.ErrNotFound, "the delayed write is not applied")
 	})
 }
 
-// TestFiguresOfACellTakenAgain holds what seed 1005 of the soak found: a daemon that took a
-// cell for the second time handed negative counts to its metrics, which ended the process.
+// TestFiguresOfACellTakenAgain guards against a daemon that claims a cell for the second time and publishes
+// negative counts to its metrics, which ended the process (soak test, seed 1005).
 func TestFiguresOfACellTakenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, 1, nil)
@@ -354,8 +354,8 @@
 	})
 }
 
-// TestOwnerWhoseKeyIsMissingTakesNothing: after the store has dropped its history an owner
-// reads all keys anew, and may not hear that its own was removed in between.
+// TestOwnerWhoseKeyIsMissingTakesNothing guards against an owner that goes on after the store compacted its
+// history: the owner then reads all keys again, and no watch reports that its own key was removed in between.
 func TestOwnerWhoseKeyIsMissingTakesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1, 1, nil)
@@ -378,14 +378,14 @@
 func TestCellIsNotClaimedWithoutLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 2, 1, nil)
-		time.Sleep(2100 * time.Millisecond) // not when the lease is being renewed
+		time.Sleep(2100 * time.Millisecond) // between two renewals of the lease
 		c := w.daemons[0].Cells
 		c.mu.Lock()
-		c.lease = 0 // as after an outage, while a free cell is left to others
+		c.lease = 0 // as when the lease expires during the claim delay
 		c.mu.Unlock()
 		require.False(t, c.claim(w.ctx, "other"))
 		_, err := w.daemons[0].config.Store.Get(w.ctx, ownerKey("other"))
-		require.ErrorIs(t, err, platform.ErrNotFound, "nobody would ever remove the key")
+		require.ErrorIs(t, err, platform.ErrNotFound, "a key without lease would never be removed")
 	})
 }
 
@@ -394,8 +394,8 @@
 		w := newWorld(t, 4, 1, nil)
 		d := w.daemons[0]
 		go d.Cells.RunMetrics(w.ctx)
-		// A job that is accepted before the cell is taken counts no first start.
-		w.eventually(10*time.Second, "the cell is taken", func() bool { return w.owner() != nil })
+		// The first start of a job that is accepted before the cell is claimed is not counted.
+		w.eventually(10*time.Second, "the cell is owned", func() bool { return w.owner() != nil })
 		w.submit(d, twoSteps(1, 100*time.Millisecond))
 		w.submit(d, lasting(2, 1))
 		w.eventually(10*time.Second, "the first job ends", func() bool { return w.state(d, jobID(1)) == jobs.StateSucceeded })
--- a/services/control/encoding.go
+++ b/services/control/encoding.go
@@ -14,13 +14,13 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// decode reads a key's value.
+// decode decodes the value of a key.
 func decode[T wire.Checker](record platform.Record) (T, error) {
 	value, err := wire.DecodeBytes[T](record.Value)
 	return value, errors.Wrapf(err, "key %s", record.Key)
 }
 
-// readVersion reads a key's value with its version; both are zero when the key isn't there.
+// readVersion reads the value and the version of a key; both are zero if the key does not exist.
 func readVersion[T wire.Checker](ctx context.Context, store platform.Store, key string) (T, platform.Version, error) {
 	var zero T
 	record, err := store.Get(ctx, key)
@@ -34,26 +34,26 @@
 	return value, record.Version, err
 }
 
-// read reads a key's value; the zero value when the key isn't there.
+// read reads the value of a key, or the zero value if the key does not exist.
 func read[T wire.Checker](ctx context.Context, store platform.Store, key string) (T, error) {
 	value, _, err := readVersion[T](ctx, store, key)
 	return value, err
 }
 
-// decodeRecord reads a job's record, with the version of its key.
+// decodeRecord decodes the record of a job and sets its version to that of the key.
 func decodeRecord(stored platform.Record) (jobs.Record, error) {
 	record, err := decode[jobs.Record](stored)
 	record.Version = uint64(stored.Version)
 	return record, err
 }
 
-// put is a value to be written to a key.
+// put is a key and the value to be written to it.
 type put struct {
 	key   string
 	value any
 }
 
-// encode makes writes of values.
+// encode encodes values as writes.
 func encode(puts []put) ([]platform.Write, error) {
 	writes := make([]platform.Write, 0, len(puts))
 	for _, p := range puts {
--- a/services/control/entries.go
+++ b/services/control/entries.go
@@ -11,18 +11,18 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// jobEntry is what the store holds of a job in one cell.
+// jobEntry is what the store holds about a job in one cell.
 type jobEntry struct {
 	cell      jobs.CellName
-	record    jobs.Record // with version 0 when there is none
+	record    jobs.Record // its version is 0 if there is no record
 	cancelled bool
 }
 
-// jobEntries are a job's entries in its cells.
+// jobEntries are the entries of a job in all its cells.
 type jobEntries []jobEntry
 
-// entriesOf reads what the store holds of a job: first in the cells that follow from its id, then in those
-// that the records there name.
+// entriesOf reads what the store holds about a job: first in the cells that follow from its id, then in the
+// further cells that the records there name.
 func (s *Service) entriesOf(ctx context.Context, id jobs.ID, layout *jobs.Layout) (jobEntries, error) {
 	if !s.health.good() {
 		return nil, platform.ErrUnavailable
@@ -35,7 +35,7 @@
 	return append(entries, further...), err
 }
 
-// readEntriesIn reads what the store holds of a job in some cells.
+// readEntriesIn reads the entries of a job in the given cells.
 func (s *Service) readEntriesIn(ctx context.Context, cells []jobs.CellName, id jobs.ID) (jobEntries, error) {
 	entries := make(jobEntries, 0, len(cells))
 	for _, cell := range cells {
@@ -48,7 +48,7 @@
 	return entries, nil
 }
 
-// furtherCells are the further cells that the records name, each once.
+// furtherCells returns the further cells that the records name, without duplicates.
 func (e jobEntries) furtherCells() []jobs.CellName {
 	var cells []jobs.CellName
 	for _, entry := range e {
@@ -58,7 +58,7 @@
 	return slices.Compact(cells)
 }
 
-// readEntry reads what the store holds of a job in one cell.
+// readEntry reads the entry of a job in one cell.
 func (s *Service) readEntry(ctx context.Context, cell jobs.CellName, id jobs.ID) (jobEntry, error) {
 	entry := jobEntry{cell: cell}
 	records, _, err := s.config.Store.List(ctx, jobKey(cell, id))
@@ -78,37 +78,37 @@
 	return entry, nil
 }
 
-// active tells whether the cell has tasks of the job that has not ended there.
+// active reports whether the cell has tasks of the job and the job has not ended there.
 func (e *jobEntry) active() bool {
 	return e.record.Version != 0 && e.record.Ended == "" && !e.record.Left()
 }
 
-// open are the entries of cells that have tasks of the job and are not told yet that it is cancelled.
+// open returns the entries of the cells that have tasks of the job and no cancellation of it yet.
 func (e jobEntries) open() jobEntries {
-	var open jobEntries
+	var found jobEntries
 	for _, entry := range e {
 		if entry.active() && !entry.cancelled {
-			open = append(open, entry)
+			found = append(found, entry)
 		}
 	}
-	return open
+	return found
 }
 
-// known tells whether any cell has a record of the job, other than one that bars it.
+// known reports whether any cell has a record of the job other than one that bars it.
 func (e jobEntries) known() bool {
 	return slices.ContainsFunc(e, func(entry jobEntry) bool {
 		return entry.record.Version != 0 && entry.record.Ended != jobs.StateBarred
 	})
 }
 
-// barred tells whether the job was cancelled before it was stored.
+// barred reports whether the job was cancelled before it was stored.
 func (e jobEntries) barred() bool {
 	return slices.ContainsFunc(e, func(entry jobEntry) bool { return entry.record.Ended == jobs.StateBarred })
 }
 
-// state is the job's state as far as the store knows it.
+// state returns the job's state as far as the store knows it.
 func (e jobEntries) state() jobs.State {
-	state := jobs.StateQueued // also when one entry was read before a move and one after it
+	state := jobs.StateQueued // also if one entry was read before a move and the other after it
 	for _, entry := range e {
 		switch {
 		case entry.record.Ended != "":
--- a/services/control/faults_test.go
+++ b/services/control/faults_test.go
@@ -9,7 +9,7 @@
 	"rillsail.example/rillsail/services/standin/grid"
 )
 
-// The faults of a worker that the tests use.
+// Worker faults that the tests use.
 var (
 	noFaults   = grid.Faults{}
 	faultsCut  = grid.Faults{Cut: true}
--- a/services/control/figures.go
+++ b/services/control/figures.go
@@ -15,22 +15,22 @@
 	"rillsail.example/rillsail/services/dispatch"
 )
 
-// ofQueue is the scope of figures about one kind of job.
+// ofQueue returns the metrics scope of the jobs of one queue.
 func (s *Service) ofQueue(queue jobs.QueueName) tally.Scope {
 	return s.config.Scope.Tagged(map[string]string{"queue": string(queue)})
 }
 
-// metricsInterval is how often the owners' figures are handed to the metrics.
+// metricsInterval is the interval at which the metrics of the owned cells are published.
 const metricsInterval = time.Second
 
-// RunMetrics hands the owned cells' figures to the metrics until ctx ends.
+// RunMetrics publishes the metrics of the owned cells until ctx ends.
 func (c *Cells) RunMetrics(ctx context.Context) {
 	dropped := log.Dropped()
 	calls := newCallMonitor(c)
 	for ctx.Err() == nil {
-		wanted := time.Now().Add(metricsInterval)
+		due := time.Now().Add(metricsInterval)
 		sleep(ctx, metricsInterval)
-		calls.publish(time.Since(wanted))
+		calls.publish(time.Since(due))
 		now := log.Dropped()
 		c.config.Scope.Counter("log_lines_dropped").Inc(now - dropped)
 		dropped = now
@@ -41,7 +41,7 @@
 	}
 }
 
-// publishMetrics hands an owner's figures on: what has been counted since the last time.
+// publishMetrics publishes the counts of an owner since the last call, and its gauges.
 func (o *Owner) publishMetrics(scope tally.Scope) {
 	o.mu.Lock()
 	counts, summary := o.core.Counts(), o.core.Summary(o.config.Clock.Now())
@@ -82,7 +82,7 @@
 	scope.Gauge("report_age").Update(summary.ReportAge.Duration().Seconds())
 }
 
-// publishCheckpointMetrics hands on how many checkpoints of reports were not taken, by why.
+// publishCheckpointMetrics publishes how many checkpoints in reports were not accepted, by reason.
 func publishCheckpointMetrics(scope tally.Scope, counts, before dispatch.Counts) {
 	for reason, delta := range map[string]int64{
 		"not_asked_of": counts.TextsNotAskedOf - before.TextsNotAskedOf,
@@ -94,7 +94,7 @@
 	}
 }
 
-// publishJobMetrics hands on what has become of jobs, by queue.
+// publishJobMetrics publishes the first starts and the ends of jobs, by queue.
 func publishJobMetrics(scope tally.Scope, figures dispatch.JobFigures) {
 	for _, start := range figures.Starts {
 		queue := scope.Tagged(map[string]string{"queue": string(start.Queue)})
@@ -107,7 +107,7 @@
 	}
 }
 
-// Dump is a daemon's whole state.
+// Dump is the whole state of a daemon.
 type Dump struct {
 	Daemon        string                       `json:"daemon"`
 	Ready         bool                         `json:"ready"`
@@ -115,10 +115,10 @@
 	Configuration jobs.Version                 `json:"configuration"`
 	Layout        *jobs.Layout                 `json:"layout,omitempty"`
 	Owners        map[jobs.CellName]jobs.Owner `json:"owners"`
-	Cells         map[jobs.CellName]CellDump   `json:"cells"` // those of this daemon
+	Cells         map[jobs.CellName]CellDump   `json:"cells"` // the cells of this daemon
 }
 
-// CellDump is the state of a cell at its owner.
+// CellDump is the state of a cell as its owner knows it.
 type CellDump struct {
 	Epoch   jobs.Epoch             `json:"epoch"`
 	Summary dispatch.Summary       `json:"summary"`
@@ -127,7 +127,7 @@
 	Workers []dispatch.WorkerState `json:"workers,omitempty"`
 }
 
-// Dump gives the whole state for operators.
+// Dump returns the whole state of the daemon for operators.
 func (s *Service) Dump() Dump {
 	now := s.config.Clock.Now()
 	d := Dump{
--- a/services/control/incarnations_test.go
+++ b/services/control/incarnations_test.go
@@ -18,20 +18,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// incarnationsPage says of each field that holds or names a worker to which incarnation it belongs.
+// incarnationsPage documents for each field that holds or names a worker to which incarnation it belongs.
 const incarnationsPage = "../../docs/design/incarnations.md"
 
-// workerFolders are the packages that keep something of workers.
+// workerFolders are the packages that keep state about workers.
 var workerFolders = []string{"../../models/jobs", "../platform", "../dispatch", ".", "../../platform"}
 
-// workerType matches the types of such fields.
+// workerType matches the types of fields that hold or name a worker.
 var workerType = regexp.MustCompile(`\b(WorkerID|Incarnation|Worker)\b|\*worker\b`)
 
-// fieldNames match the names of fields in the first column of the page.
+// fieldNames matches the names of fields in the first column of the table in incarnationsPage.
 var fieldNames = regexp.MustCompile("`([a-zA-Z]+\\.[a-zA-Z]+\\.[a-zA-Z]+)`")
 
-// TestEachFieldOfAWorkerIsInTheTableOfIncarnations guards against something that is kept by a worker's
-// id and outlives its incarnation, because nobody has asked.
+// TestEachFieldOfAWorkerIsInTheTableOfIncarnations guards against state that is kept by worker id and
+// outlives the worker's incarnation because nobody considered it when the field was added.
 func TestEachFieldOfAWorkerIsInTheTableOfIncarnations(t *testing.T) {
 	var inCode []string
 	for _, folder := range workerFolders {
@@ -52,10 +52,10 @@
 			inTable = append(inTable, match[1])
 		}
 	}
-	assert.ElementsMatch(t, inCode, inTable, "fields in the code, and in %s", incarnationsPage)
+	assert.ElementsMatch(t, inCode, inTable, "fields in the code (list A) and in %s (list B)", incarnationsPage)
 }
 
-// workerFields are the fields of a file's types that hold or name a worker, as package.Type.field.
+// workerFields returns the fields of a file's types that hold or name a worker, as package.Type.field.
 func workerFields(t *testing.T, path string) []string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
--- a/services/control/journal.go
+++ b/services/control/journal.go
@@ -13,23 +13,23 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// journal orders an owner's transactions: each writes the journal's key under the
-// condition that nobody else has, and that the owner's key is still there. A transaction
-// whose answer was lost can therefore not be done after a later one. The entry names the
-// transaction, so that one that was done late is not taken for another.
+// journal orders the transactions of an owner. Each transaction writes the journal's key, and requires
+// that the key is unchanged and that the owner's key still exists. A transaction whose answer was lost
+// can therefore not be applied after a later one. The entry identifies the transaction, so that one
+// that is applied late is not mistaken for another.
 type journal struct {
 	attempts uint64           // transactions tried in this epoch
-	last     journalEntry     // as stored
+	last     journalEntry     // the entry that the store holds
 	version  platform.Version // of the journal's key
 }
 
-// journalEntry is the stored value of a journal's key.
+// journalEntry is the value stored under a journal's key.
 type journalEntry struct {
 	Epoch   jobs.Epoch `json:"epoch"`
 	Attempt uint64     `json:"attempt"`
 }
 
-// Check is there for the decoder; every value is allowed.
+// Check implements wire.Checker; every value is valid.
 func (e journalEntry) Check() error { return nil }
 
 // load reads the journal's key.
@@ -47,13 +47,13 @@
 	return err
 }
 
-// chain carries out a transaction as the next one of the owner, and gives its version.
+// chain commits a transaction as the owner's next one in the journal, and returns its version.
 func (o *Owner) chain(ctx context.Context, txn platform.Txn) (platform.Version, error) {
 	o.journal.attempts++
 	entry := journalEntry{Epoch: o.epoch, Attempt: o.journal.attempts}
 	value, err := json.Marshal(entry)
 	if err != nil {
-		return 0, errors.Wrap(err, "encode entry of the journal")
+		return 0, errors.Wrap(err, "encode journal entry")
 	}
 	txn.Require = append(txn.Require,
 		platform.Precondition{Key: ownerKey(o.cell), Version: platform.Version(o.epoch)},
@@ -69,19 +69,19 @@
 	case verdictConflict:
 		return o.resolveCommit(ctx, entry, err)
 	default:
-		// The reads that settle it may be turned away, which says nothing of the transaction.
+		// The store may reject the reads of resolveCommit, which says nothing about the transaction.
 		version, err = o.resolveCommit(ctx, entry, err)
 		return version, platform.Unknown(err)
 	}
 }
 
 // resolveCommit finds out what became of a transaction that was not answered, or whose
-// conditions failed: an earlier one may have been done late, or the cell is lost. It gives the
-// version of the transaction if it was done, and otherwise the cause; how a read of its own
-// failed is told in the text alone, for it is no answer to the transaction.
+// preconditions failed because an earlier one was applied late or because the cell is lost. It returns
+// the version of the transaction if it was applied, and the cause otherwise. The error of a read that
+// fails here is only added to the text, not wrapped, because it is no answer to the transaction.
 func (o *Owner) resolveCommit(ctx context.Context, attempted journalEntry, cause error) (platform.Version, error) {
 	if err := o.journal.load(ctx, o.config.Store, o.cell); err != nil {
-		return 0, errors.Wrapf(cause, "journal can't be read (%v)", err)
+		return 0, errors.Wrapf(cause, "outcome unknown, the journal could not be read (%v)", err)
 	}
 	if o.journal.last == attempted {
 		return o.journal.version, nil
@@ -89,9 +89,9 @@
 	record, err := o.config.Store.Get(ctx, ownerKey(o.cell))
 	switch {
 	case errors.Is(err, platform.ErrNotFound), err == nil && record.Version != platform.Version(o.epoch):
-		o.cells.dropOwner(o.cell, o, "store names another owner, or none")
+		o.cells.dropOwner(o.cell, o, "the store names another owner or none")
 	case err != nil:
-		return 0, errors.Wrapf(cause, "owner's key can't be read (%v)", err)
+		return 0, errors.Wrapf(cause, "outcome unknown, the owner's key could not be read (%v)", err)
 	}
 	return 0, cause
 }
--- a/services/control/keys.go
+++ b/services/control/keys.go
@@ -15,7 +15,7 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Keys of the store; see the package comment.
+// Keys in the store; the package comment lists them.
 const (
 	layoutKey      = "layout"
 	ownerPrefix    = "owner/"
@@ -31,16 +31,16 @@
 
 func cellName(number int) jobs.CellName { return jobs.CellName(strconv.Itoa(number)) }
 
-// cellsPerJob is in how many cells a job is looked for. Each costs a condition of its acceptance, a key
-// that is removed when it is forgotten, and a question when nobody knows where it is. Tasks that last
-// may be in further ones, which the records in these name.
+// cellsPerJob is the number of cells in which a job is looked up. Each cell costs a precondition when the
+// job is accepted, a key to delete when it is forgotten, and a query when nobody knows where it is.
+// Long-running tasks may be in further cells, which the records in these cells name.
 const cellsPerJob = 3
 
-// cellsOf gives the cells that a job is accepted for, to choose from. They never change, so that a job that is
-// handed in again meets its own key.
+// cellsOf returns the cells for one of which a job is accepted. They never change, so that a job that is
+// submitted again conflicts with its own key.
 func cellsOf(id jobs.ID, layout *jobs.Layout) []jobs.CellName {
 	hash := xxhash.Sum64String(string(id))
-	left := make([]int, layout.Cells) // not taken yet, from the one after the last that was
+	left := make([]int, layout.Cells) // cells not chosen yet, beginning after the last chosen one
 	for n := range left {
 		left[n] = n
 	}
@@ -68,7 +68,7 @@
 
 func daemonKey(id string) string { return daemonPrefix + id }
 
-// jobKeys are the keys under which a job may be.
+// jobKeys returns the keys of a job's records in the given cells.
 func jobKeys(cells []jobs.CellName, id jobs.ID) []string {
 	keys := make([]string, 0, len(cells))
 	for _, cell := range cells {
@@ -77,26 +77,27 @@
 	return keys
 }
 
-// markerKey is a second key of a cell's owner, among the cell's jobs: whoever watches the
-// jobs sees the change of the owner before any job that was accepted after it.
+// markerKey returns the second key of a cell's owner, which is among the cell's jobs: whoever watches
+// the jobs sees a change of owner before any job that was accepted after the change.
 func markerKey(cell jobs.CellName) string { return jobKeyPrefix(cell) + markerName }
 
 func progressKey(cell jobs.CellName, id jobs.ID) string { return progressKeyPrefix(cell) + string(id) }
 
-// parseJobKey takes a key with a cell's job prefix apart.
+// parseJobKey splits a key with the job prefix of a cell into the job's id and whether the key is that of
+// a cancellation.
 func parseJobKey(cell jobs.CellName, key string) (id jobs.ID, cancel bool) {
 	rest := strings.TrimPrefix(key, jobKeyPrefix(cell))
 	name, cancel := strings.CutSuffix(rest, cancelSuffix)
 	return jobs.ID(name), cancel
 }
 
-// mustReload tells whether a watch can't go on from its version, and the state has to be
-// read: the changes since are no longer kept, or more than an answer may hold.
+// mustReload reports whether a watch cannot continue from its version and the state has to be read whole:
+// the store no longer keeps the changes since then, or they exceed the size limit of an answer.
 func mustReload(err error) bool {
 	return errors.Is(err, platform.ErrCompacted) || errors.Is(err, platform.ErrTooLarge)
 }
 
-// isOutage tells whether an error says that the store can't be used now.
+// isOutage reports whether an error says that the store cannot be used at present.
 func isOutage(err error) bool {
 	return errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrUnknown)
 }
--- a/services/control/keys_test.go
+++ b/services/control/keys_test.go
@@ -12,8 +12,9 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// TestCellsOfAJobNeverChange guards against a job that is handed in again, or asked for, where it can't be:
-// its cells follow from its id, with those that a job could be in when there were two of them first.
+// TestCellsOfAJobNeverChange guards against submitting a job again to cells, or looking it up in cells, where
+// it cannot be: the cells follow from the job's id alone. The first two are those that a job had when
+// each job had two cells.
 func TestCellsOfAJobNeverChange(t *testing.T) {
 	for cells, want := range map[int][]jobs.CellName{
 		1: {"0"}, 2: {"1", "0"}, 3: {"1", "2", "0"}, 4: {"3", "1", "2"}, 7: {"0", "2", "1"},
--- a/services/control/knowledge_test.go
+++ b/services/control/knowledge_test.go
@@ -19,14 +19,14 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// fillerJob is a job of short tasks of one image that fill beside others.
+// fillerJob returns a job of short filler tasks of one image.
 func fillerJob(n, tasks int) jobs.Spec {
 	return jobs.Spec{ID: jobID(n), Payload: "filling", Steps: []jobs.Step{{
 		Count: tasks, Size: models.Resources{CPU: 500, Memory: 100}, Image: "filling", Fills: true, Estimate: 500,
 	}}}
 }
 
-// learnedFactor is what a daemon's owner has learned of the one pair of images.
+// learnedFactor returns what the owner at a daemon has learned about the only pair of images.
 func learnedFactor(d *testDaemon) (learned jobs.Learned, ok bool) {
 	for _, l := range d.Cells.Answer(jobs.Query{Cell: cellName(0), Learned: true}).Learned {
 		if l.Serving == "serving" && l.Filling == "filling" {
@@ -36,12 +36,12 @@
 	return jobs.Learned{}, false
 }
 
-// newLearningCluster is a world whose owner has seen the pair of images for twenty seconds.
+// newLearningCluster returns a cluster whose owner has observed the pair of images for twenty seconds.
 func newLearningCluster(t *testing.T) *world {
 	t.Helper()
 	w := newWorld(t, 4, 3, nil)
 	w.submit(w.daemons[0], lasting(1, 4))
-	w.eventually(10*time.Second, "tasks run", func() bool { return w.grid.Running(jobID(1)) == 4 })
+	w.eventually(10*time.Second, "the long-running tasks run", func() bool { return w.grid.Running(jobID(1)) == 4 })
 	for n := range 40 {
 		w.submit(w.daemons[0], fillerJob(2+n, 4))
 		time.Sleep(500 * time.Millisecond)
@@ -52,12 +52,12 @@
 func TestSuccessorOfKilledOwnerHasLearned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newLearningCluster(t)
-		former := w.owner()
-		before, ok := learnedFactor(former)
+		previous := w.owner()
+		before, ok := learnedFactor(previous)
 		require.True(t, ok)
 		require.Greater(t, before.Observations, 50)
-		former.kill()
-		w.eventually(10*time.Second, "another owner", func() bool { return w.owner() != nil })
+		previous.kill()
+		w.eventually(10*time.Second, "another daemon owns the cell", func() bool { return w.owner() != nil })
 		after, ok := learnedFactor(w.owner())
 		require.True(t, ok)
 		require.InDelta(t, before.Factor, after.Factor, 0.1)
@@ -69,26 +69,26 @@
 func TestKnowledgeThatCannotBeReadCostsNoOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newLearningCluster(t)
-		former := w.owner()
-		former.kill()
+		previous := w.owner()
+		previous.kill()
 		store := &kv.Local{Service: w.store, Fault: w.daemons[1].storeFault, Wait: time.Second}
 		_, err := store.Commit(w.ctx, platform.Txn{Put: []platform.Write{{Key: learnedKey(cellName(0)), Value: []byte("{")}}})
 		require.NoError(t, err)
-		w.eventually(10*time.Second, "another owner", func() bool { return w.owner() != nil })
-		w.eventually(10*time.Second, "its tasks run", func() bool { return w.grid.Running(jobID(1)) == 4 })
+		w.eventually(10*time.Second, "another daemon owns the cell", func() bool { return w.owner() != nil })
+		w.eventually(10*time.Second, "the long-running tasks run", func() bool { return w.grid.Running(jobID(1)) == 4 })
 		w.noBreach()
 	})
 }
 
 func TestKnowledgeThatCannotBeEncodedKeepsNothingFromBeingStored(t *testing.T) {
-	w := &Owner{config: Config{Logger: zap.NewNop()}, cell: cellName(0)}
+	o := &Owner{config: Config{Logger: zap.NewNop()}, cell: cellName(0)}
 	knowledge := &jobs.Knowledge{Speeds: []jobs.QueueSpeed{{Queue: testQueue, Mean: math.NaN()}}}
-	txn, err := w.buildTxn(dispatch.Changes{Roster: &jobs.Roster{}, Knowledge: knowledge})
+	txn, err := o.buildTxn(dispatch.Changes{Roster: &jobs.Roster{}, Knowledge: knowledge})
 	require.NoError(t, err)
 	require.Len(t, txn.Put, 1)
 	require.Equal(t, rosterKey(cellName(0)), txn.Put[0].Key)
 	knowledge.Speeds[0].Mean = 1
-	txn, err = w.buildTxn(dispatch.Changes{Roster: &jobs.Roster{}, Knowledge: knowledge})
+	txn, err = o.buildTxn(dispatch.Changes{Roster: &jobs.Roster{}, Knowledge: knowledge})
 	require.NoError(t, err)
 	require.Len(t, txn.Put, 2)
 }
--- a/services/control/layout.go
+++ b/services/control/layout.go
@@ -20,13 +20,13 @@
 
 const (
 	// workerListPollInterval is how long the number of workers in the list must not have grown before
-	// the first layout is made from it: workers write their entries within a second or so.
+	// the first layout is created from the list: workers write their entries within about a second.
 	workerListPollInterval = 700 * time.Millisecond
-	// maxWorkerListWait ends the waiting for it.
+	// maxWorkerListWait bounds the wait for a stable list.
 	maxWorkerListWait = 8 * time.Second
 )
 
-// readLayout reads the layout, or makes it when there is none.
+// readLayout reads the layout from the store, and creates it if there is none.
 func (c *Cells) readLayout(ctx context.Context) error {
 	record, err := c.config.Store.Get(ctx, layoutKey)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -42,12 +42,12 @@
 	c.mu.Lock()
 	c.currentLayout = &layout
 	c.mu.Unlock()
-	c.config.Logger.Info("layout is known", zap.Int("cells", layout.Cells))
+	c.config.Logger.Info("layout loaded", zap.Int("cells", layout.Cells))
 	return nil
 }
 
-// createLayout divides the workers there are into cells; a race with another daemon is
-// decided by the store.
+// createLayout divides the listed workers into cells and stores the layout. The store decides a race with
+// another daemon.
 func (c *Cells) createLayout(ctx context.Context) error {
 	workers, err := c.waitForStableWorkerList(ctx)
 	if err != nil {
@@ -69,17 +69,18 @@
 	return c.readLayout(ctx)
 }
 
-// waitForStableWorkerList reads the list until it grows no more.
+// waitForStableWorkerList reads the list of workers until it is not empty and no longer grows, or until
+// maxWorkerListWait has passed.
 func (c *Cells) waitForStableWorkerList(ctx context.Context) ([]jobs.Worker, error) {
 	var workers []jobs.Worker
-	for began := time.Now(); ; {
+	for start := time.Now(); ; {
 		list, _, err := c.config.List.JobWorkers(ctx)
 		if err != nil {
 			return nil, err
 		}
-		settled := len(list) > 0 && len(list) <= len(workers)
+		stable := len(list) > 0 && len(list) <= len(workers)
 		workers = list
-		if settled || len(workers) > 0 && time.Since(began) > maxWorkerListWait {
+		if stable || len(workers) > 0 && time.Since(start) > maxWorkerListWait {
 			return workers, nil
 		}
 		sleep(ctx, workerListPollInterval)
@@ -89,8 +90,8 @@
 	}
 }
 
-// divide spreads the racks over so many cells, evenly by capacity; a rack is not divided, and no cell is left
-// without one.
+// divide assigns the racks to cells so that the CPU capacity is spread evenly. A rack is never split. Each
+// cell gets a rack, so there are at most as many cells as racks.
 func divide(workers []jobs.Worker, cells int) jobs.Layout {
 	capacity := map[jobs.RackLabel]int64{}
 	for _, w := range workers {
@@ -100,28 +101,27 @@
 	racks := slices.SortedFunc(maps.Keys(capacity), func(a, b jobs.RackLabel) int {
 		return cmp.Or(cmp.Compare(capacity[b], capacity[a]), cmp.Compare(a, b))
 	})
-	filled := make([]int64, layout.Cells)
+	assigned := make([]int64, layout.Cells)
 	for _, rack := range racks {
 		least := 0
-		for n := range filled {
-			if filled[n] < filled[least] {
+		for n := range assigned {
+			if assigned[n] < assigned[least] {
 				least = n
 			}
 		}
 		layout.Racks[rack] = least
-		filled[least] += capacity[rack]
+		assigned[least] += capacity[rack]
 	}
 	return layout
 }
 
-// workersInCell picks the workers of a cell. Racks that the layout doesn't name yet belong to
-// the first cell.
+// workersInCell returns the workers of a cell. Racks that the layout does not name belong to the first cell.
 func workersInCell(cell jobs.CellName, layout *jobs.Layout, workers []jobs.Worker) []jobs.Worker {
-	var mine []jobs.Worker
+	var members []jobs.Worker
 	for _, w := range workers {
 		if cellName(layout.Racks[w.Rack]) == cell {
-			mine = append(mine, w)
+			members = append(members, w)
 		}
 	}
-	return mine
+	return members
 }
--- a/services/control/learn.go
+++ b/services/control/learn.go
@@ -10,11 +10,11 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// learnInterval is how often an owner asks the others what they have learned: the factors of
-// images change slowly once they are known.
+// learnInterval is the interval at which an owner asks the owners of the other cells for their learned
+// parameters: the interference factors of images change slowly once they are known.
 const learnInterval = 1500 * time.Millisecond
 
-// learnLoop takes what the owners of the other cells have learned of images.
+// learnLoop merges what the owners of the other cells have learned about images into the core.
 func (o *Owner) learnLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, learnInterval)
@@ -24,14 +24,14 @@
 	}
 }
 
-// learnFrom takes what the owner of one other cell has learned.
+// learnFrom merges what the owner of one other cell has learned.
 func (o *Owner) learnFrom(ctx context.Context, cell jobs.CellName) {
 	if ctx.Err() != nil {
 		return
 	}
 	answer, err := o.cells.ask(ctx, jobs.Query{Cell: cell, Learned: true})
 	if err != nil {
-		return // the cell has no owner now; what was learned from it before stays
+		return // no owner answers for the cell; what was learned from it before stays
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/services/control/lease.go
+++ b/services/control/lease.go
@@ -15,10 +15,10 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// renewalsPerLease is how often a lease is renewed before it would run out.
+// renewalsPerLease is how many times the lease is renewed within its duration.
 const renewalsPerLease = 4
 
-// leaseLoop keeps the daemon's lease in the store.
+// leaseLoop renews the daemon's lease in the store until ctx ends.
 func (c *Cells) leaseLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.renewLease(ctx)
@@ -30,6 +30,8 @@
 	}
 }
 
+// renewLease renews the daemon's lease, or requests a new one if there is none. It drops all cells if the
+// lease has expired.
 func (c *Cells) renewLease(ctx context.Context) {
 	sent := c.config.Clock.Read()
 	c.mu.Lock()
@@ -59,16 +61,16 @@
 		c.mu.Unlock()
 		c.dropAllOwners("lease in the store is over")
 		if lease != 0 {
-			c.renewLease(ctx) // a new one at once: cells without owner wait for it
+			c.renewLease(ctx) // request a new lease at once: cells without owner wait for it
 		}
 	}
 }
 
-// register writes this daemon's own key.
+// register writes this daemon's own key under its lease.
 func (c *Cells) register(ctx context.Context, lease platform.LeaseID) {
 	value, err := json.Marshal(c.self())
 	if err != nil {
-		c.config.Logger.Error("daemon's key can't be encoded", log.Err(err)...)
+		c.config.Logger.Error("own daemon key not written: encoding failed", log.Err(err)...)
 		return
 	}
 	version, err := c.config.Store.Commit(ctx, platform.Txn{
@@ -76,7 +78,7 @@
 	})
 	c.health.note(err)
 	if err != nil {
-		return // tried again with the next renewal
+		return // retried with the next renewal of the lease
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,16 +87,16 @@
 	}
 }
 
-// registration is the version of this daemon's own key; 0: not registered now.
+// registration returns the version of this daemon's own key, or 0 if the daemon is not registered.
 func (c *Cells) registration() platform.Version {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.registeredVersion
 }
 
-// unregistered says that this daemon's own key is not there in that version any more, or must
-// not be: a write that depends on it had no answer. The daemon registers anew at once, for it
-// takes no jobs until then.
+// unregistered records that this daemon's own key no longer has that version, or must not keep it
+// because a write that depends on it has an unknown outcome. The daemon registers again at once, because
+// it accepts no jobs until then.
 func (c *Cells) unregistered(version platform.Version) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/services/control/metered.go
+++ b/services/control/metered.go
@@ -15,33 +15,35 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// storeMeter counts calls to the store by kind and result, with their times.
+// storeMeter counts calls to the store by kind and result, and records their durations.
 type storeMeter struct{ scope tally.Scope }
 
-func (m storeMeter) recordTimed(call string, began time.Time, err error) {
+// recordTimed counts a call that has just ended, and records its duration.
+func (m storeMeter) recordTimed(call string, start time.Time, err error) {
 	scope := m.recordCall(call, err)
-	scope.Histogram("store_call_time", metrics.LatencyBuckets).RecordDuration(time.Since(began))
+	scope.Histogram("store_call_time", metrics.LatencyBuckets).RecordDuration(time.Since(start))
 }
 
-// recordCall counts a call whose time says nothing, for it waits for a change.
+// recordCall counts a call without its duration. Watches use it alone: they wait for a change, so that
+// their duration means nothing.
 func (m storeMeter) recordCall(call string, err error) tally.Scope {
 	scope := m.scope.Tagged(map[string]string{"call": call, "result": storeResultTag(err)})
 	scope.Counter("store_calls").Inc(1)
 	return scope
 }
 
-// meteredStore is a store whose calls are counted.
+// meteredStore is a store that counts its calls.
 type meteredStore struct {
 	platform.TxnStore
 	storeMeter
 }
 
-// storeResultTag names the result of a call to the store.
+// storeResultTag returns the value of the metrics tag "result" for a call to the store.
 func storeResultTag(err error) string {
 	switch {
 	case err == nil:
 		return "ok"
-	case errors.Is(err, platform.ErrUnknown): // first, whatever else the error says
+	case errors.Is(err, platform.ErrUnknown): // checked first: the error may wrap others as well
 		return "no_answer"
 	case errors.Is(err, platform.ErrLimited):
 		return "limited"
@@ -56,17 +58,17 @@
 
 // Get implements platform.Store.
 func (m *meteredStore) Get(ctx context.Context, key string) (platform.Record, error) {
-	began := time.Now()
+	start := time.Now()
 	record, err := m.TxnStore.Get(ctx, key)
-	m.recordTimed("get", began, err)
+	m.recordTimed("get", start, err)
 	return record, err
 }
 
 // List implements platform.Store.
 func (m *meteredStore) List(ctx context.Context, prefix string) ([]platform.Record, platform.Version, error) {
-	began := time.Now()
+	start := time.Now()
 	records, at, err := m.TxnStore.List(ctx, prefix)
-	m.recordTimed("list", began, err)
+	m.recordTimed("list", start, err)
 	return records, at, err
 }
 
@@ -79,29 +81,29 @@
 
 // Swap implements platform.Store.
 func (m *meteredStore) Swap(ctx context.Context, key string, value []byte, expect platform.Version, lease platform.LeaseID) (platform.Version, error) {
-	began := time.Now()
+	start := time.Now()
 	version, err := m.TxnStore.Swap(ctx, key, value, expect, lease)
-	m.recordTimed("swap", began, err)
+	m.recordTimed("swap", start, err)
 	return version, err
 }
 
 // Commit implements platform.TxnStore.
 func (m *meteredStore) Commit(ctx context.Context, txn platform.Txn) (platform.Version, error) {
-	began := time.Now()
+	start := time.Now()
 	version, err := m.TxnStore.Commit(ctx, txn)
-	m.recordTimed("commit", began, err)
+	m.recordTimed("commit", start, err)
 	return version, err
 }
 
 // KeepAlive implements platform.Store.
 func (m *meteredStore) KeepAlive(ctx context.Context, lease platform.LeaseID) error {
-	began := time.Now()
+	start := time.Now()
 	err := m.TxnStore.KeepAlive(ctx, lease)
-	m.recordTimed("keep_alive", began, err)
+	m.recordTimed("keep_alive", start, err)
 	return err
 }
 
-// meteredFeed is a configuration feed whose calls are counted.
+// meteredFeed is a configuration feed that counts its calls.
 type meteredFeed struct {
 	platform.ConfigurationFeed
 	storeMeter
@@ -109,9 +111,9 @@
 
 // Configuration implements platform.ConfigurationFeed.
 func (m *meteredFeed) Configuration(ctx context.Context) (jobs.Configuration, platform.Version, error) {
-	began := time.Now()
+	start := time.Now()
 	configuration, at, err := m.ConfigurationFeed.Configuration(ctx)
-	m.recordTimed("read_configuration", began, err)
+	m.recordTimed("read_configuration", start, err)
 	return configuration, at, err
 }
 
@@ -122,7 +124,7 @@
 	return configuration, at, err
 }
 
-// meteredList is a list of workers whose calls are counted.
+// meteredList is a list of workers that counts its calls.
 type meteredList struct {
 	platform.WorkerList
 	storeMeter
@@ -130,9 +132,9 @@
 
 // JobWorkers implements platform.WorkerList.
 func (m *meteredList) JobWorkers(ctx context.Context) ([]jobs.Worker, platform.Version, error) {
-	began := time.Now()
+	start := time.Now()
 	workers, at, err := m.WorkerList.JobWorkers(ctx)
-	m.recordTimed("list_workers", began, err)
+	m.recordTimed("list_workers", start, err)
 	return workers, at, err
 }
 
--- a/services/control/owner.go
+++ b/services/control/owner.go
@@ -16,8 +16,8 @@
 	"rillsail.example/rillsail/services/dispatch"
 )
 
-// Owner runs one cell in one epoch. Its loops call the store and the workers; what they
-// learn goes into the core, which decides.
+// Owner runs one cell in one epoch. Its loops call the store and the workers and pass the results to
+// the core, which decides.
 type Owner struct {
 	config  Config
 	cells   *Cells
@@ -28,13 +28,13 @@
 	mu              sync.Mutex
 	core            *dispatch.Core
 	loaded          bool
-	storing         bool                                 // a transaction is under way
-	calling         map[jobs.WorkerID]context.CancelFunc // ends the call under way, of workers that have a loop
-	publishedCounts dispatch.Counts                      // handed to the metrics so far
+	storing         bool                                 // a transaction is in flight
+	calling         map[jobs.WorkerID]context.CancelFunc // cancels the call in flight, for each worker with a loop
+	publishedCounts dispatch.Counts                      // as last published to the metrics
 
 	journal    journal
-	moves      []*move   // work that is being handed to other cells
-	closed     []jobs.ID // whose cancellation may have been left unfinished
+	moves      []*move   // work that is being moved to other cells
+	closed     []jobs.ID // jobs whose cancellation may be incomplete
 	wakeDecide chan struct{}
 	wakeStore  chan struct{}
 	wakeMove   chan struct{}
@@ -57,7 +57,7 @@
 	}
 }
 
-// Run runs the cell until it is lost, handed over, or ctx ends.
+// Run runs the cell until the cell is lost or handed over, or ctx ends.
 func (o *Owner) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -67,7 +67,7 @@
 	o.group.Wait()
 }
 
-// endLoop ends the calls in flight when the cell is lost.
+// endLoop cancels the calls in flight when the cell is lost.
 func (o *Owner) endLoop(ctx context.Context, cancel context.CancelFunc) {
 	select {
 	case <-o.ended:
@@ -76,7 +76,7 @@
 	cancel()
 }
 
-// runLoops loads the cell and runs its loops; it ends when the loop that decides ends.
+// runLoops loads the cell and starts its loops. It returns when decideLoop does.
 func (o *Owner) runLoops(ctx context.Context) {
 	at, ok := o.load(ctx)
 	if !ok {
@@ -93,10 +93,10 @@
 	o.decideLoop(ctx)
 }
 
-// end ends the loops and the calls in flight.
+// end stops the loops and cancels the calls in flight.
 func (o *Owner) end() { o.endOnce.Do(func() { close(o.ended) }) }
 
-// wake lets a loop look at once; it does nothing when the loop is about to.
+// wake signals a loop to run at once. It does nothing if a signal is already pending.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -112,7 +112,7 @@
 	wake(o.wakeDecide)
 }
 
-// answer answers another daemon's, or this one's, query.
+// answer answers a query of this daemon or of another one.
 func (o *Owner) answer(query jobs.Query) jobs.Answer {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/services/control/owner_jobs.go
+++ b/services/control/owner_jobs.go
@@ -17,10 +17,11 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// loadRetryPause is the pause after a read that failed while the cell is being loaded.
+// loadRetryPause is the pause after a failed call to the store, when a cell is loaded, watched or stored.
 const loadRetryPause = 100 * time.Millisecond
 
-// load reads the cell's jobs, progress and roster; it gives the version to watch from.
+// load reads the cell's jobs, progress and roster, and returns the version to watch from. It retries until the
+// cell is loaded or lost.
 func (o *Owner) load(ctx context.Context) (platform.Version, bool) {
 	for ctx.Err() == nil {
 		at, err := o.tryLoad(ctx)
@@ -29,7 +30,7 @@
 			return at, true
 		}
 		if errors.Is(err, errCellLost) {
-			o.cells.dropOwner(o.cell, o, "its key among the jobs names another owner, or none")
+			o.cells.dropOwner(o.cell, o, "the owner's key among the cell's jobs names another owner or none")
 			return 0, false
 		}
 		o.config.Logger.Warn("cell can't be loaded yet", append(log.Err(err), zap.String("cell", string(o.cell)))...)
@@ -38,7 +39,7 @@
 	return 0, false
 }
 
-// tryLoad reads the cell once; errCellLost when it has another owner, or none.
+// tryLoad reads the cell once. It returns errCellLost if the cell has another owner or none.
 func (o *Owner) tryLoad(ctx context.Context) (platform.Version, error) {
 	store := o.config.Store
 	roster, err := read[jobs.Roster](ctx, store, rosterKey(o.cell))
@@ -77,8 +78,8 @@
 	return at, nil
 }
 
-// loadLearned reads what the former owner has learned. A value that can't be read costs
-// some seconds of learning, and is no reason to leave the cell without owner.
+// loadLearned reads the parameters that the previous owner has learned. A value that cannot be decoded
+// costs some seconds of learning, and is no reason to leave the cell without owner.
 func (o *Owner) loadLearned(ctx context.Context) (jobs.Knowledge, error) {
 	record, err := o.config.Store.Get(ctx, learnedKey(o.cell))
 	if errors.Is(err, platform.ErrNotFound) {
@@ -89,7 +90,7 @@
 	}
 	knowledge, err := decode[jobs.Knowledge](record)
 	if err != nil {
-		o.config.Logger.Error("what the former owner has learned can't be read", append(log.Err(err), zap.String("cell", string(o.cell)))...)
+		o.config.Logger.Error("learned parameters of the previous owner cannot be decoded; learning starts over", append(log.Err(err), zap.String("cell", string(o.cell)))...)
 		return jobs.Knowledge{}, nil
 	}
 	return knowledge, nil
@@ -106,7 +107,7 @@
 	for _, record := range records {
 		p, err := decode[jobs.Progress](record)
 		if err != nil {
-			o.config.Logger.Error("stored progress can't be read", append(log.Err(err), zap.String("key", record.Key))...)
+			o.config.Logger.Error("stored progress of a job cannot be decoded; ignoring it", append(log.Err(err), zap.String("key", record.Key))...)
 			continue
 		}
 		progress[jobs.ID(record.Key[len(prefix):])] = p
@@ -114,19 +115,20 @@
 	return progress, nil
 }
 
-// errCellLost says that the cell has another owner, or none.
+// errCellLost says that the cell has another owner or none.
 var errCellLost = errors.New("cell is lost")
 
-// applyAll takes all keys with the cell's job prefix there are. The cell is lost when the
-// owner's own key is not among them: its removal may be too old to be heard of.
+// applyAll applies the complete list of keys with the cell's job prefix. It reports false if the cell is
+// lost, which includes that this owner's key is missing: its removal may be too old for the watch to
+// report it.
 func (o *Owner) applyAll(records []platform.Record, progress map[jobs.ID]jobs.Progress, now time.Time) bool {
-	mine := slices.ContainsFunc(records, func(r platform.Record) bool { return r.Key == markerKey(o.cell) })
-	return mine && o.applyRecords(records, progress, now)
+	owned := slices.ContainsFunc(records, func(r platform.Record) bool { return r.Key == markerKey(o.cell) })
+	return owned && o.applyRecords(records, progress, now)
 }
 
-// applyRecords takes keys with the cell's job prefix in the order in which they were
-// written, up to the change of the owner: what comes after it belongs to the next one,
-// which may take jobs accepted since then for never started.
+// applyRecords applies keys with the cell's job prefix in the order in which they were written, up to a
+// change of the owner, and reports whether there was none. Later changes belong to the next owner,
+// which may assume that jobs accepted since then were never started.
 func (o *Owner) applyRecords(records []platform.Record, progress map[jobs.ID]jobs.Progress, now time.Time) bool {
 	slices.SortStableFunc(records, func(a, b platform.Record) int { return cmp.Compare(a.Version, b.Version) })
 	for _, record := range records {
@@ -141,7 +143,7 @@
 	return true
 }
 
-// applyRecord takes one key of a job.
+// applyRecord applies one key of a job to the core.
 func (o *Owner) applyRecord(record platform.Record, progress map[jobs.ID]jobs.Progress, now time.Time) {
 	id, cancel := parseJobKey(o.cell, record.Key)
 	switch {
@@ -153,7 +155,7 @@
 	default:
 		job, err := decodeRecord(record)
 		if err != nil {
-			o.config.Logger.Error("stored job can't be read", append(log.Err(err), zap.String("job", string(id)))...)
+			o.config.Logger.Error("stored job cannot be decoded; ignoring it", append(log.Err(err), zap.String("job", string(id)))...)
 			return
 		}
 		o.core.AddJob(job, progress[id], jobs.Epoch(record.Version) > o.epoch, now)
@@ -163,18 +165,18 @@
 	}
 }
 
-// watchPause lets some changes gather between two watches, because each watch is paid
-// for; it delays the start of a job by half of it on average.
+// watchPause is the pause between two watches. It batches changes because each watch has a cost, and
+// delays the start of a job by half of the pause on average.
 const watchPause = 10 * time.Millisecond
 
-// jobsLoop follows the cell's jobs and cancellations.
+// jobsLoop watches the cell's jobs and cancellations until ctx ends or the cell is lost.
 func (o *Owner) jobsLoop(ctx context.Context, at platform.Version) {
 	for ctx.Err() == nil {
-		take := o.applyRecords
+		apply := o.applyRecords
 		sent := o.config.Clock.Now()
 		records, next, err := o.config.Store.Watch(ctx, jobKeyPrefix(o.cell), at)
 		if mustReload(err) {
-			take = o.applyAll
+			apply = o.applyAll
 			records, next, err = o.config.Store.List(ctx, jobKeyPrefix(o.cell))
 		}
 		o.cells.health.note(err)
@@ -185,11 +187,11 @@
 		at = next
 		o.mu.Lock()
 		now := o.config.Clock.Now()
-		mine := take(records, nil, now)
+		owned := apply(records, nil, now)
 		o.core.JobsKnown(sent)
 		o.mu.Unlock()
-		if !mine {
-			o.cells.dropOwner(o.cell, o, "its key among the jobs names another owner, or none")
+		if !owned {
+			o.cells.dropOwner(o.cell, o, "the owner's key among the cell's jobs names another owner or none")
 			return
 		}
 		if len(records) == 0 {
--- a/services/control/owner_orders.go
+++ b/services/control/owner_orders.go
@@ -14,14 +14,14 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Pauses of the loop that decides: at least minDecidePause between two looks, so that what
-// arrives together is looked at once, and at most maxDecidePause.
+// Pauses between two decisions of an owner: at least minDecidePause, so that changes that arrive together
+// lead to a single decision, and at most about maxDecidePause.
 const (
 	minDecidePause = 5 * time.Millisecond
 	maxDecidePause = 100 * time.Millisecond
 )
 
-// decideLoop carries out what the core decides.
+// decideLoop executes the orders that the core decides.
 func (o *Owner) decideLoop(ctx context.Context) {
 	ticker := time.NewTicker(maxDecidePause)
 	defer ticker.Stop()
@@ -58,7 +58,8 @@
 	}
 }
 
-// executeOrder carries out one order that was decided then, and tells the core what became of it.
+// executeOrder sends one order, which the core decided at the given time, and records its result in the
+// core.
 func (o *Owner) executeOrder(ctx context.Context, order dispatch.Order, decided time.Time) {
 	sent := o.beginCall()
 	if o.startExpired(order, decided) {
@@ -78,38 +79,38 @@
 	}
 }
 
-// recordNotSent tells the core that a start was not sent, for it had become too old.
+// recordNotSent records in the core that a start was not sent because it had expired.
 func (o *Owner) recordNotSent(order dispatch.StartOrder, now time.Time) {
 	o.config.Scope.Counter("starts_not_sent").Inc(1)
 	o.cells.workerCalls.Add(-1)
-	o.cells.startLimit.End(inflight.Call{Took: maxStartAge, Answered: true}) // it says that this daemon is late
+	o.cells.startLimit.End(inflight.Call{Took: maxStartAge, Answered: true}) // an expired start means that this daemon lags behind
 	o.mu.Lock()
 	o.core.Started(order, dispatch.Result{Outcome: dispatch.OutcomeNotSent}, now)
 	o.mu.Unlock()
 	wake(o.wakeDecide)
 }
 
-// recordResult tells the core what became of an order that was decided and sent then, and lets it
-// decide.
-func (o *Owner) recordResult(sent, decided time.Time, err error, what func(result dispatch.Result, now time.Time)) {
+// recordResult records in the core what became of an order that was decided and sent at the given times,
+// and wakes the loop that decides.
+func (o *Owner) recordResult(sent, decided time.Time, err error, record func(result dispatch.Result, now time.Time)) {
 	result := classifyCall(err)
 	o.endCall(sent, 0, result.Outcome)
 	o.cells.startLimit.End(inflight.Call{Took: o.config.Clock.Since(decided), Answered: result.Outcome != dispatch.OutcomeUnknown})
 	now := o.config.Clock.Read()
 	o.mu.Lock()
-	what(result, now)
+	record(result, now)
 	o.mu.Unlock()
 	wake(o.wakeDecide)
 }
 
-// classifyCall tells what an error means for an order.
+// classifyCall maps the error of a call to a worker to the result of an order.
 func classifyCall(err error) dispatch.Result {
 	var refused *platform.RefusedError
 	var other *platform.IncarnationError
 	switch {
 	case err == nil:
 		return dispatch.Result{Outcome: dispatch.OutcomeDone}
-	case errors.Is(err, platform.ErrUnknown): // first, whatever else the error says
+	case errors.Is(err, platform.ErrUnknown): // checked first: the error may wrap others as well
 		return dispatch.Result{Outcome: dispatch.OutcomeUnknown}
 	case errors.As(err, &refused):
 		return dispatch.Result{Outcome: dispatch.OutcomeRefused, Refusal: refused.Reason}
--- a/services/control/owner_store.go
+++ b/services/control/owner_store.go
@@ -16,11 +16,11 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// jobsPerTxn keeps a transaction within the store's bound: an ended job has three entries
-// at most, one that is forgotten a key in each of its cells, and five entries are the owner's own.
+// jobsPerTxn keeps a transaction within the store's limit of entries. An ended job takes three entries
+// at most, a forgotten job a key in each of its cells, and the owner itself five.
 const jobsPerTxn = (platform.MaxTxnEntries - 5) / (cellsPerJob + 1)
 
-// storeLoop stores what the core has changed.
+// storeLoop stores the changes of the core.
 func (o *Owner) storeLoop(ctx context.Context) {
 	ticker := time.NewTicker(o.config.Settings.StoreEvery)
 	defer ticker.Stop()
@@ -42,7 +42,7 @@
 	}
 }
 
-// storeOnce stores some changes; more tells whether others wait.
+// storeOnce stores the changes that fit into one transaction; more reports whether others are left.
 func (o *Owner) storeOnce(ctx context.Context) (more bool, err error) {
 	o.mu.Lock()
 	changes := o.core.TakeChanges(jobsPerTxn, o.config.Clock.Now())
@@ -63,13 +63,13 @@
 	more = o.core.HasChanges()
 	o.mu.Unlock()
 	wake(o.wakeDecide)
-	if err != nil && !isOutage(err) { // outages are logged once, when they begin and end
+	if err != nil && !isOutage(err) { // storeHealth logs the begin and the end of an outage
 		o.config.Logger.Warn("progress is not stored", append(log.Err(err), zap.String("cell", string(o.cell)), zap.Int("jobs", len(changes.Jobs)))...)
 	}
 	return more, err
 }
 
-// commit carries out one transaction of the owner.
+// commit stores changes in one transaction of the owner.
 func (o *Owner) commit(ctx context.Context, changes dispatch.Changes) error {
 	txn, err := o.buildTxn(changes)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return err
 }
 
-// buildTxn makes the transaction that stores changes.
+// buildTxn builds the transaction that stores changes.
 func (o *Owner) buildTxn(changes dispatch.Changes) (platform.Txn, error) {
 	var txn platform.Txn
 	var puts []put
@@ -99,7 +99,7 @@
 			txn.Delete = append(txn.Delete, cancelKey(o.cell, change.ID))
 		}
 	}
-	for _, id := range changes.Forget { // also where parts of it were, or it came from
+	for _, id := range changes.Forget { // also in the cells of other parts, and the cell it was moved from
 		cells := cellsOf(id, o.cells.layout())
 		if !slices.Contains(cells, o.cell) {
 			cells = append(cells, o.cell)
@@ -111,23 +111,24 @@
 	return txn, err
 }
 
-// encodeLearned is the write of what the owner has learned, if there is any. What can't be encoded
-// costs a successor some seconds of learning, and must not keep the rest from being stored.
+// encodeLearned returns the write of the learned parameters, if there are any. Parameters that cannot be
+// encoded cost the next owner some seconds of learning, and must not prevent the other changes from being
+// stored.
 func (o *Owner) encodeLearned(knowledge *jobs.Knowledge) []platform.Write {
 	if knowledge == nil {
 		return nil
 	}
 	writes, err := encode([]put{{learnedKey(o.cell), knowledge}})
 	if err != nil {
-		o.config.Logger.Error("what was learned can't be encoded", append(log.Err(err), zap.String("cell", string(o.cell)))...)
+		o.config.Logger.Error("learned parameters cannot be encoded; not storing them", append(log.Err(err), zap.String("cell", string(o.cell)))...)
 	}
 	return writes
 }
 
-// flushTimeout bounds the last transactions of a planned stop.
+// flushTimeout bounds the last transactions before a handover.
 const flushTimeout = time.Second
 
-// flush stores everything before the cell is handed over.
+// flush stores all pending changes before the cell is handed over.
 func (o *Owner) flush(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
--- a/services/control/owner_workers.go
+++ b/services/control/owner_workers.go
@@ -15,11 +15,11 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// workerListPause lets some changes of the list gather between two looks at them; it delays the
-// news that a worker drains by half of it on average.
+// workerListPause is the pause between two watches of the list of workers, which batches changes. It
+// delays the notice that a worker drains by half of the pause on average.
 const workerListPause = 50 * time.Millisecond
 
-// workersLoop follows the list of workers and gives each new one a loop.
+// workersLoop watches the list of workers and starts a loop for each new worker.
 func (o *Owner) workersLoop(ctx context.Context) {
 	o.startWorkerLoops(ctx)
 	list := newWorkerList(o.config.List)
@@ -39,9 +39,9 @@
 	}
 }
 
-// updateWorkers tells the core what the list said then. Without a configuration no pool is
-// known; then nothing may start, and workers that former owners used are called anyway.
-func (o *Owner) updateWorkers(list *workerList, known time.Time) {
+// updateWorkers passes the list of workers as of the given time to the core. Without a configuration no
+// pool is known and nothing may start; the workers of previous owners are called nevertheless.
+func (o *Owner) updateWorkers(list *workerList, asOf time.Time) {
 	configuration := o.cells.configurations.current.Load()
 	layout := o.cells.layout()
 	if configuration == nil || layout == nil {
@@ -56,11 +56,11 @@
 			cancel()
 		}
 	}
-	o.core.WorkersKnown(known)
+	o.core.WorkersKnown(asOf)
 }
 
-// workersInKnownPools picks the workers whose pools the configuration names: an entry that names another
-// pool may not be a worker's own, and its address is not called.
+// workersInKnownPools returns the workers whose pools the configuration names. An entry with another pool
+// may not have been written by a worker, and its address is not called.
 func workersInKnownPools(configuration *jobs.Configuration, workers []jobs.Worker) []jobs.Worker {
 	pools := map[jobs.PoolName]bool{}
 	for _, pool := range configuration.Pools {
@@ -69,7 +69,7 @@
 	return slices.DeleteFunc(workers, func(w jobs.Worker) bool { return !pools[w.Pool] })
 }
 
-// startWorkerLoops gives each worker that has none a loop.
+// startWorkerLoops starts a loop for each worker that has none.
 func (o *Owner) startWorkerLoops(ctx context.Context) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -81,11 +81,11 @@
 	}
 }
 
-// workerRetryPause is the pause after a call to a worker that failed.
+// workerRetryPause is the pause after a failed call to a worker.
 const workerRetryPause = 200 * time.Millisecond
 
-// workerLoop prolongs a worker's lease and takes its reports, also those of later incarnations, until
-// no worker has the id. It makes one call after the other: so the order of answers is that of the
+// workerLoop renews the lease of a worker and records its reports, also those of later incarnations, until
+// no worker has the id. It makes one call at a time, so that answers arrive in the order of the
 // incarnations.
 func (o *Owner) workerLoop(ctx context.Context, id jobs.WorkerID) {
 	for ctx.Err() == nil {
@@ -103,9 +103,9 @@
 			return
 		}
 		err := o.pollWorker(callCtx, worker, call)
-		hurried := callCtx.Err() != nil
+		interrupted := callCtx.Err() != nil
 		cancel()
-		if hurried {
+		if interrupted {
 			continue
 		}
 		pause := o.reportPause()
@@ -116,8 +116,8 @@
 	}
 }
 
-// pollWorker asks a worker for a report and takes it. A call that was ended because its answer is not
-// waited for any more says nothing of the worker.
+// pollWorker renews the lease of a worker and records the report in the answer. A call that this daemon
+// cancelled before the answer says nothing about the worker.
 func (o *Owner) pollWorker(ctx context.Context, worker jobs.Worker, call jobs.LeaseCall) error {
 	sent := o.beginCall()
 	report, err := o.config.Workers.ProlongLease(ctx, worker, call)
@@ -131,24 +131,25 @@
 	return err
 }
 
-// takeReport tells the core what a call that prolongs a lease has brought.
+// takeReport passes the result of a call that renews a lease to the core.
 func (o *Owner) takeReport(worker jobs.Worker, fence jobs.Fence, sent time.Time, report jobs.Report, err error) {
 	result := classifyCall(err)
-	// An answer may have waited in its socket while the VM was suspended: taken for one of before
-	// that, it would let the worker's lease count as over too early, and starts be valid too long.
+	// An answer may have waited in its socket while the VM was suspended. If it were stamped with a time
+	// before the suspension, the worker's lease would count as expired too early, and starts would stay
+	// valid for too long.
 	now := o.config.Clock.Read()
 	o.mu.Lock()
 	changed := true
-	there := o.core.Worker(worker.ID).Incarnation()
+	current := o.core.Worker(worker.ID).Incarnation()
 	switch {
-	case err != nil && there.Differs(worker.Incarnation()): // it says nothing of the one that is there now
+	case err != nil && current.Differs(worker.Incarnation()): // the error says nothing about the current incarnation
 	case err == nil:
 		changed = o.core.Reported(worker.ID, sent, report, now)
 	case result.Outcome == dispatch.OutcomeIncarnation:
 		o.core.OtherAnswers(worker.Incarnation(), result.Born, now)
 	case result.Refusal == jobs.RefusedFence:
 		o.core.FenceRefused(worker.ID, fence)
-	case result.Outcome == dispatch.OutcomeUnreached: // one that answers that it is not well has not left
+	case result.Outcome == dispatch.OutcomeUnreached: // a worker that answers that it is unhealthy has not left
 		o.core.Unreached(worker.ID, errors.Is(err, platform.ErrNobodyListens), now)
 	default:
 		o.core.Overdue(worker.ID, now)
--- a/services/control/peers.go
+++ b/services/control/peers.go
@@ -17,17 +17,17 @@
 	"rillsail.example/rillsail/modules/stall"
 )
 
-// peerTimeout ends a question to the owner of a cell of which nothing moves: daemons are a
-// millisecond apart, and the store is asked instead when it is over.
+// peerTimeout ends a query to the owner of a cell that makes no progress. Daemons are a millisecond apart,
+// and the store is asked instead after the timeout.
 const peerTimeout = 400 * time.Millisecond
 
-// Peers reaches the other daemons.
+// Peers calls the other daemons.
 type Peers interface {
-	// Jobs asks the owner at an address.
+	// Jobs sends a query to the owner of a cell at an address.
 	Jobs(ctx context.Context, address string, query jobs.Query) (jobs.Answer, error)
 }
 
-// peerClient calls the other daemons over the network.
+// peerClient implements Peers over the network.
 type peerClient struct {
 	self      string
 	transport *http.Transport
@@ -40,7 +40,7 @@
 	return newPeerClientWithDial(self, (&net.Dialer{Timeout: peerTimeout, KeepAlive: -1}).DialContext)
 }
 
-// newPeerClientWithDial makes a caller whose connections dial opens.
+// newPeerClientWithDial creates a peerClient that opens its connections with dial.
 func newPeerClientWithDial(self string, dial idleconn.DialFunc) *peerClient {
 	conns := idleconn.New(idleconn.Config{Dial: dial})
 	transport := &http.Transport{
@@ -58,15 +58,15 @@
 	return peerrpc.Call[jobs.Answer](ctx, p.self, "ask owner", address, p.clients.At(address).Jobs, query)
 }
 
-// closeIdle closes the connections that no call uses.
-func (p *peerClient) closeIdle() { p.transport.CloseIdleConnections() }
+// close closes the idle connections.
+func (p *peerClient) close() { p.transport.CloseIdleConnections() }
 
-// newOwnerClient makes a client without options.
+// newOwnerClient creates a Protobuf client without options.
 func newOwnerClient(base string, http peerrpc.HTTPClient) peerrpc.Owner {
 	return peerrpc.NewOwnerProtobufClient(base, http)
 }
 
-// Handler serves the other daemons.
+// Handler returns the HTTP handler for the calls of the other daemons.
 func (s *Service) Handler() http.Handler { return peerrpc.NewOwnerServer(&ownerServer{s}) }
 
 type ownerServer struct{ service *Service }
@@ -78,10 +78,10 @@
 	})
 }
 
-// errNoOwner says that nobody known owns the cell now.
-var errNoOwner = errors.New("cell has no owner that answers")
+// errNoOwner says that no known daemon owns the cell at present.
+var errNoOwner = errors.New("no daemon answers as the owner of the cell")
 
-// ask asks the owner of a cell, here or at another daemon.
+// ask sends a query to the owner of a cell, which may be this daemon or another one.
 func (c *Cells) ask(ctx context.Context, query jobs.Query) (jobs.Answer, error) {
 	if answer := c.Answer(query); answer.Owner {
 		return answer, nil
--- a/services/control/peers_test.go
+++ b/services/control/peers_test.go
@@ -21,21 +21,21 @@
 	"rillsail.example/rillsail/services/standin/link"
 )
 
-// stubOwner answers every query with what it has learned.
+// stubOwner answers every query with the same learned parameters.
 type stubOwner struct{ learned []jobs.Learned }
 
 // Jobs implements peerrpc.Owner.
-func (k *stubOwner) Jobs(_ context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
+func (o *stubOwner) Jobs(_ context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
 	return peerrpc.Serve("owner", in, func(jobs.Query) (jobs.Answer, error) {
-		return jobs.Answer{Owner: true, Learned: k.learned}, nil
+		return jobs.Answer{Owner: true, Learned: o.learned}, nil
 	})
 }
 
-// TestLargeAnswerOfAPeerOverANarrowLink asks an owner for what it has learned of so many
-// images that the answer takes longer than a question may stay without one.
+// TestLargeAnswerOfAPeerOverANarrowLink checks that an answer that takes longer than peerTimeout to transfer
+// arrives whole: the timeout ends only queries that make no progress.
 func TestLargeAnswerOfAPeerOverANarrowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		draw := rand.New(rand.NewPCG(1, 1)) // figures that hardly compress
+		draw := rand.New(rand.NewPCG(1, 1)) // random values hardly compress
 		owner := &stubOwner{}
 		for i := range 20_000 {
 			owner.learned = append(owner.learned, jobs.Learned{
@@ -50,10 +50,10 @@
 		listener := l.Listen("owner:80")
 		group.Go(func() { _ = server.Serve(listener) }) // ends with Shutdown
 		peers := newPeerClientWithDial("asker", l.Dial)
-		began := time.Now()
+		start := time.Now()
 		answer, err := peers.Jobs(t.Context(), "owner:80", jobs.Query{Cell: "0", Learned: true})
-		took := time.Since(began)
-		peers.closeIdle()
+		took := time.Since(start)
+		peers.close()
 		require.NoError(t, server.Shutdown(context.Background()))
 		group.Wait()
 		require.NoError(t, err)
@@ -62,7 +62,7 @@
 	})
 }
 
-// silentOwner answers nothing for longer than any question waits.
+// silentOwner delays every answer for longer than any query waits.
 type silentOwner struct{ stubOwner }
 
 // Jobs implements peerrpc.Owner.
@@ -71,9 +71,9 @@
 	return s.stubOwner.Jobs(ctx, in)
 }
 
-// TestSilentPeerCostsNoConnectionsToOthers asks an owner that is well, then one that is frozen, then
-// the first again. Each question to the frozen one closed the idle connections to all daemons, in
-// case they had gone silent with the one that was used.
+// TestSilentPeerCostsNoConnectionsToOthers guards against closing the idle connections to all daemons when a
+// query to one of them times out. It queries a healthy owner, then a frozen one, then the healthy one
+// again, which must reuse its connection.
 func TestSilentPeerCostsNoConnectionsToOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := link.New(link.Config{Rate: 1_250_000})
@@ -90,7 +90,7 @@
 			opened[address]++
 			return l.Dial(ctx, network, address)
 		})
-		defer peers.closeIdle()
+		defer peers.close()
 		ask := func(address string) error {
 			_, err := peers.Jobs(t.Context(), address, jobs.Query{Cell: "0"})
 			return err
--- a/services/control/proof_test.go
+++ b/services/control/proof_test.go
@@ -12,17 +12,17 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// cut keeps a daemon from one worker.
+// cut disconnects a daemon from one worker.
 func (d *testDaemon) cut(from jobs.WorkerID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cutFrom[from] = true
 }
 
-// TestThawedOwnerStartsNothingBeforeItKnowsThatItIsTheOwner: it has not heard of one worker
-// since before it stood still, and takes what runs there for lapsed; its successor has
-// prolonged it, and has not reached another worker yet, which would obey the former owner, the
-// only one that this one still reaches.
+// TestThawedOwnerStartsNothingBeforeItKnowsThatItIsTheOwner guards against an owner that starts duplicate
+// runs after it was frozen. It assumes that the runs on a worker that it cannot reach have lapsed, although
+// the next owner has renewed that worker's lease. The only worker that it still reaches has not heard from the
+// next owner, and would accept its starts.
 func TestThawedOwnerStartsNothingBeforeItKnowsThatItIsTheOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const workers = 7
@@ -30,8 +30,8 @@
 		spec := lasting(1, workers-1)
 		spec.Steps[0].PerWorker = 1
 		w.submit(w.daemons[0], spec)
-		w.eventually(10*time.Second, "tasks run", func() bool { return w.grid.Running(jobID(1)) == workers-1 })
-		former := w.owner()
+		w.eventually(10*time.Second, "all tasks run", func() bool { return w.grid.Running(jobID(1)) == workers-1 })
+		previous := w.owner()
 		idle, busy := jobs.WorkerID(""), []jobs.WorkerID{}
 		for place, id := range w.grid.IDs() {
 			if w.grid.RunningOn(place) == 0 {
@@ -40,24 +40,24 @@
 				busy = append(busy, id)
 			}
 		}
-		others := slices.DeleteFunc(slices.Clone(w.daemons), func(d *testDaemon) bool { return d == former })
+		others := slices.DeleteFunc(slices.Clone(w.daemons), func(d *testDaemon) bool { return d == previous })
 		for _, d := range others {
 			d.cut(idle)
 		}
-		former.cut(busy[0])
+		previous.cut(busy[0])
 		time.Sleep(3 * time.Second)
-		former.freeze()
-		former.mu.Lock()
-		former.storeCut = true
-		former.mu.Unlock()
+		previous.freeze()
+		previous.mu.Lock()
+		previous.storeCut = true
+		previous.mu.Unlock()
 		for _, id := range busy {
-			former.cut(id)
+			previous.cut(id)
 		}
-		w.eventually(10*time.Second, "another owner", func() bool {
+		w.eventually(10*time.Second, "another daemon owns the cell", func() bool {
 			return slices.ContainsFunc(others, func(d *testDaemon) bool { return d.Cells.Answer(jobs.Query{Cell: cellName(0)}).Owner })
 		})
 		time.Sleep(4 * time.Second)
-		former.thaw()
+		previous.thaw()
 		time.Sleep(8 * time.Second)
 		w.noBreach()
 	})
--- a/services/control/services_test.go
+++ b/services/control/services_test.go
@@ -17,7 +17,7 @@
 	"rillsail.example/rillsail/services/standin/grid"
 )
 
-// servicesCase is how services behave that nothing in the policy is made for.
+// servicesCase describes the behaviour of services that the policy is not tuned for.
 type servicesCase struct {
 	Name    string  `json:"name"`
 	Idle    float64 `json:"idle"`
@@ -25,41 +25,42 @@
 	Swing   float64 `json:"swing"`
 	PeriodS float64 `json:"period_s"`
 	Heavy   int     `json:"heavy"`
-	// LeastUse is the share of the workers that filling work must use on average.
+	// LeastUse is the share of the workers' CPU that filler tasks must use on average.
 	LeastUse float64 `json:"least_use"`
-	// Repetitions is how many plays LeastUse is the mean of; 0: one. The order of what happens at
-	// the same moment differs between plays, and with it the use, by 0.018 (standard
-	// deviation of 40 plays with high loads).
+	// Repetitions is the number of simulations over which the use is averaged; 0: one. The order of
+	// simultaneous events differs between simulations, and with it the use, by 0.018 (standard
+	// deviation of 40 simulations with high loads).
 	Repetitions int `json:"plays"`
 }
 
-// Figures of the services played.
+// Parameters of the simulations.
 const (
 	servingImages, fillingImages = 3, 4
-	servicesWarmup               = 10 * time.Second // until when the policy must have adapted
+	servicesWarmup               = 10 * time.Second // time within which the policy must adapt
 	servicesDuration             = 50 * time.Second
-	maxHarm                      = 4 * time.Second // without a break, as the users bound it
+	maxHarm                      = 4 * time.Second // bound on uninterrupted harm, set by the users
 )
 
-// TestServicesKeepTheirTargets lets work fill beside services that differ from the users' in
-// every figure: none may stay over its target for long, and the work must get its room.
+// TestServicesKeepTheirTargets runs filler tasks beside services that differ from the users' services in
+// every parameter. No service may stay over its target for longer than maxHarm, and the filler tasks must
+// get their share of the capacity.
 func TestServicesKeepTheirTargets(t *testing.T) {
 	for _, c := range casefile.Read[[]servicesCase](t, "testdata/services.json") {
 		t.Run(c.Name, func(t *testing.T) {
-			plays := max(1, c.Repetitions)
+			repetitions := max(1, c.Repetitions)
 			sum := 0.0
-			for range plays {
+			for range repetitions {
 				synctest.Test(t, func(t *testing.T) { sum += c.simulate(t) })
 			}
-			share := sum / float64(plays)
-			t.Logf("filling work uses %.3f of the workers", share)
+			share := sum / float64(repetitions)
+			t.Logf("filler tasks use %.3f of the workers' CPU", share)
 			require.GreaterOrEqual(t, share, c.LeastUse)
 		})
 	}
 }
 
-// simulate runs services and more filling work than there is room for. It gives the share of
-// the workers that the filling work uses.
+// simulate runs services and more filler tasks than there is capacity for. It returns the share of the
+// workers' CPU that the filler tasks use.
 func (c servicesCase) simulate(t *testing.T) float64 {
 	w := newWorld(t, 6, 2, nil)
 	w.grid.SetServices(grid.Services{Idle: c.Idle, Load: c.Load, Swing: c.Swing, Period: time.Duration(c.PeriodS * float64(time.Second)), Heavy: c.Heavy})
@@ -68,21 +69,21 @@
 		spec.Steps[0].Image = jobs.ImageName(fmt.Sprint("serving-", n%servingImages))
 		w.submit(w.daemons[0], spec)
 	}
-	begin := time.Now()
+	start := time.Now()
 	harm := map[jobs.TaskID]time.Duration{}
 	var use models.MilliCPU
 	samples, next := 0, 100
-	const look = 100 * time.Millisecond
-	for passed := time.Duration(0); passed < servicesDuration; passed = time.Since(begin) {
-		if int(passed/look)%5 == 0 {
+	const interval = 100 * time.Millisecond
+	for passed := time.Duration(0); passed < servicesDuration; passed = time.Since(start) {
+		if int(passed/interval)%5 == 0 {
 			spec := fillerJob(next, 12)
 			spec.Steps[0].Image = jobs.ImageName(fmt.Sprint("filling-", next%fillingImages))
 			spec.Steps[0].Estimate = 1500
 			w.submit(w.daemons[0], spec)
 			next++
 		}
-		time.Sleep(look)
-		w.recordHarm(harm, look)
+		time.Sleep(interval)
+		w.recordHarm(harm, interval)
 		if passed > servicesWarmup {
 			use += w.grid.FillingUse()
 			samples++
@@ -92,7 +93,7 @@
 	return float64(use) / float64(samples) / float64(6*4000)
 }
 
-// recordHarm counts for how long services have been harmed without a break.
+// recordHarm updates how long each service has been harmed without interruption, and checks the bound.
 func (w *world) recordHarm(harm map[jobs.TaskID]time.Duration, passed time.Duration) {
 	w.t.Helper()
 	now := map[jobs.TaskID]bool{}
--- a/services/control/starts.go
+++ b/services/control/starts.go
@@ -10,22 +10,23 @@
 	"rillsail.example/rillsail/services/dispatch"
 )
 
-// An owner whose link or processor can't carry what its cell could start comes first to what
-// must not be late: its lease in the store, the leases of running work, reports, stops and
-// throttling. Starts wait for what is left over. They are bounded by what is answered in time,
-// and stay with the core until they are sent, so that the most urgent goes next and none grows
-// old on its way. Then reports become fewer.
+// An owner whose link or processor cannot handle all the starts of its cell first does what must not be
+// late: it renews its lease in the store and the leases of running work, receives reports, and sends
+// stops and throttling orders. Starts get the remaining capacity. Their number in flight is limited to
+// what workers answer in time. The core keeps starts until they are sent, so that the most urgent one
+// goes next and none expires on the way. Last, reports become less frequent.
 
-// The bound of a daemon's orders under way, of all its cells together, for they share its link.
+// Limits of the orders in flight from this daemon. They apply to all its cells together, which share its link.
 const (
-	// minStarts keeps work going whatever is seen; a narrow link carries them in some 50 ms.
+	// minStarts keeps work going however late answers are; a narrow link carries this many in about 50 ms.
 	minStarts = 8
-	// initialStarts is above what an owner needs whose calls are answered within some milliseconds.
+	// initialStarts is more than an owner needs whose calls are answered within some milliseconds.
 	initialStarts = 64
-	// maxStarts is some times as many as an owner of 300 workers has in a burst.
+	// maxStarts is several times the burst of an owner of 300 workers.
 	maxStarts = 512
-	// An answer is late well below the time limit of a call to the store, which shares the link.
+	// fastAnswerTime is how long the answers to an owner that keeps up take at most.
 	fastAnswerTime = 100 * time.Millisecond
+	// slowAnswerTime is well below the timeout of a call to the store, which shares the link.
 	slowAnswerTime = 200 * time.Millisecond
 )
 
@@ -35,30 +36,30 @@
 	})
 }
 
-// maxStartAge is how old a start may be when it is sent: later than that it would reach the
-// worker after the time at which the worker refuses it, and cost the link all the same.
+// maxStartAge is how old a start may be when it is sent. An older start would reach the worker after the
+// deadline at which the worker refuses it, and would still use the link.
 const maxStartAge = 500 * time.Millisecond
 
-// startExpired tells whether an order that was decided then is not worth sending any more. A stop
-// always is, and a throttling order is not bounded in time by its worker. The VM may have been
-// suspended since.
+// startExpired reports whether an order is a start that was decided too long ago to be sent. A stop is
+// always worth sending, and a worker accepts a throttling order of any age. The age includes the time
+// for which the VM was suspended.
 func (o *Owner) startExpired(order dispatch.Order, decided time.Time) bool {
 	_, start := order.(dispatch.StartOrder)
 	return start && o.config.Clock.Read().Sub(decided) > maxStartAge
 }
 
-// How reports become fewer while orders take longer than those of an owner that keeps up do:
-// pauses grow by so many times the excess, up to the longest, which still sees every end well
-// within the second that a report may wait.
+// Reports become less frequent while orders take longer than those of an owner that keeps up. The pause
+// between reports is reportPauseFactor times the excess over normalAnswerTime, up to maxReportPause,
+// which still delivers every end of a run well within the second that a report may wait.
 const (
 	normalAnswerTime  = 50 * time.Millisecond
 	reportPauseFactor = 4
 	maxReportPause    = 400 * time.Millisecond
 )
 
-// reportPause is the pause before the next report of a worker.
+// reportPause returns the pause before the next call for a report of a worker.
 func (o *Owner) reportPause() time.Duration {
-	least := o.config.Settings.ReportPause
+	shortest := o.config.Settings.ReportPause
 	excess := o.cells.startLimit.Typical() - normalAnswerTime
-	return max(least, min(reportPauseFactor*excess, maxReportPause))
+	return max(shortest, min(reportPauseFactor*excess, maxReportPause))
 }
--- a/services/control/suspension_test.go
+++ b/services/control/suspension_test.go
@@ -17,14 +17,14 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// suspension is what the clocks of a daemon's VM show that is suspended now and then.
+// suspension simulates the clocks of a VM that is suspended at times.
 type suspension struct {
 	mu    sync.Mutex
-	since time.Time     // of the one now; zero: the VM runs
-	total time.Duration // of those that are over
+	since time.Time     // start of the current suspension; zero: the VM runs
+	total time.Duration // duration of all previous suspensions
 }
 
-// steady is the time that stands still meanwhile.
+// steady returns the time of a clock that stops during suspensions.
 func (s *suspension) steady() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,72 +41,73 @@
 	return s.total, nil
 }
 
-// suspend lets the daemon's VM stand still, with its steady clock.
+// suspend suspends the daemon's VM, which stops its steady clock.
 func (d *testDaemon) suspend() {
 	d.freeze()
-	d.suspension.mu.Lock()
-	defer d.suspension.mu.Unlock()
-	d.suspension.since = time.Now()
+	d.vmSuspension.mu.Lock()
+	defer d.vmSuspension.mu.Unlock()
+	d.vmSuspension.since = time.Now()
 }
 
-// resume lets it go on.
+// resume resumes the daemon's VM.
 func (d *testDaemon) resume() {
-	d.suspension.mu.Lock()
-	d.suspension.total += time.Since(d.suspension.since)
-	d.suspension.since = time.Time{}
-	d.suspension.mu.Unlock()
+	d.vmSuspension.mu.Lock()
+	d.vmSuspension.total += time.Since(d.vmSuspension.since)
+	d.vmSuspension.since = time.Time{}
+	d.vmSuspension.mu.Unlock()
 	d.thaw()
 }
 
-// wholeWorkerJob is a task that takes a whole worker with some label.
+// wholeWorkerJob returns a job whose tasks each take a whole worker with a label.
 func wholeWorkerJob(n int, label string, step jobs.Step) jobs.Spec {
 	step.Count, step.Requires = max(1, step.Count), label
 	step.Size = models.Resources{CPU: 4000, Memory: 500}
 	return jobs.Spec{ID: jobID(n), Steps: []jobs.Step{step}}
 }
 
-// TestSuspendedOwnerStartsNothingBeforeItKnowsThatItIsTheOwner: its VM stood still, and the steady
-// clock with it, so that its last proof looked as recent as before. Meanwhile a successor started
-// what waited, on a worker that the former owner doesn't reach any more. The room that it still
-// knows of is on a worker that the successor hasn't reached, and which would obey.
+// TestSuspendedOwnerStartsNothingBeforeItKnowsThatItIsTheOwner guards against an owner that starts duplicate
+// runs after its VM was suspended. The steady clock stopped as well, so that the owner's last proof of
+// ownership looked recent. Meanwhile the next owner started the waiting task on a worker that the previous
+// owner no longer reaches. The free capacity that the previous owner knows of is on a worker that the next
+// owner has not reached, and which would accept its starts.
 func TestSuspendedOwnerStartsNothingBeforeItKnowsThatItIsTheOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3, 3, nil) // two in a rack, one in another
-		var former *testDaemon
-		w.eventually(10*time.Second, "the cell has an owner", func() bool { former = w.owner(); return former != nil })
-		others := slices.DeleteFunc(slices.Clone(w.daemons), func(d *testDaemon) bool { return d == former })
-		w.submit(former, wholeWorkerJob(1, "rack-0", jobs.Step{Count: 2, Lasts: true, Image: "serving", Target: 100}))
-		w.submit(former, wholeWorkerJob(2, "rack-1", jobs.Step{Estimate: 3000}))
+		w := newWorld(t, 3, 3, nil) // two in one rack, the third in another
+		var previous *testDaemon
+		w.eventually(10*time.Second, "the cell has an owner", func() bool { previous = w.owner(); return previous != nil })
+		others := slices.DeleteFunc(slices.Clone(w.daemons), func(d *testDaemon) bool { return d == previous })
+		w.submit(previous, wholeWorkerJob(1, "rack-0", jobs.Step{Count: 2, Lasts: true, Image: "serving", Target: 100}))
+		w.submit(previous, wholeWorkerJob(2, "rack-1", jobs.Step{Estimate: 3000}))
 		w.eventually(5*time.Second, "all workers are full", func() bool {
 			return w.grid.Running(jobID(1)) == 2 && w.grid.Running(jobID(2)) == 1
 		})
 		waiting := jobID(3)
-		w.submit(former, jobs.Spec{ID: waiting, Steps: []jobs.Step{{
+		w.submit(previous, jobs.Spec{ID: waiting, Steps: []jobs.Step{{
 			Count: 1, Size: models.Resources{CPU: 3000, Memory: 500}, Estimate: 60_000,
 		}}})
 		time.Sleep(500 * time.Millisecond)
 
-		alone := w.grid.IDs()[2]
+		isolated := w.grid.IDs()[2]
 		for _, d := range others {
-			d.cut(alone)
+			d.cut(isolated)
 		}
-		former.suspend()
+		previous.suspend()
 		for _, id := range w.grid.IDs()[:2] {
-			former.cut(id)
+			previous.cut(id)
 		}
-		former.set(func() { former.storeCut = true })
-		w.eventually(20*time.Second, "the job that lasts is cancelled", func() bool {
+		previous.set(func() { previous.storeCut = true })
+		w.eventually(20*time.Second, "the long-running job is cancelled", func() bool {
 			return others[0].Cancel(w.ctx, jobID(1)) == platform.Outcome(platform.Done{})
 		})
-		w.eventually(30*time.Second, "what waited runs", func() bool { return w.grid.Running(waiting) == 1 })
-		former.resume()
+		w.eventually(30*time.Second, "the waiting task runs", func() bool { return w.grid.Running(waiting) == 1 })
+		previous.resume()
 		time.Sleep(5 * time.Second)
 		w.noBreach()
 	})
 }
 
-// TestReportIsStampedWithTheSuspensionBeforeIt: an answer that waited in its socket until the VM went
-// on was stamped as if it had come before, by the whole suspension too early.
+// TestReportIsStampedWithTheSuspensionBeforeIt guards against stamping a report that waited in its socket
+// until the VM resumed with a time that does not include the suspension.
 func TestReportIsStampedWithTheSuspensionBeforeIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1, 1, nil)
@@ -117,7 +118,7 @@
 		id := w.grid.IDs()[0]
 		report, err := w.grid.ProlongLease(w.ctx, jobs.Worker{ID: id}, jobs.LeaseCall{Fence: owner.epoch.Fence(1)})
 		require.NoError(t, err)
-		report.Clock += models.MilliOf(time.Minute) // later than any that the owner has
+		report.Clock += models.MilliOf(time.Minute) // later than the clock of any report that the owner has
 		d.suspend()
 		time.Sleep(400 * time.Millisecond)
 		d.resume()
--- a/services/control/watch.go
+++ b/services/control/watch.go
@@ -15,7 +15,7 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// watchLoop follows the layout and the owners of all cells.
+// watchLoop reads the layout, and watches the owners of all cells until ctx ends.
 func (c *Cells) watchLoop(ctx context.Context) {
 	var at platform.Version
 	for ctx.Err() == nil {
@@ -32,9 +32,11 @@
 	}
 }
 
-// ownersRetryPause is the pause after a read of the owners that failed.
+// ownersRetryPause is the pause after a failed read of the owners.
 const ownersRetryPause = 100 * time.Millisecond
 
+// readOwners reads the owners of all cells, and first the layout if it is not known yet. It returns the
+// version to watch from.
 func (c *Cells) readOwners(ctx context.Context) (platform.Version, error) {
 	if c.layout() == nil {
 		if err := c.readLayout(ctx); err != nil {
@@ -58,6 +60,8 @@
 	return at, nil
 }
 
+// watchOwners waits for changes of owners after a version and applies them. It returns the next version to
+// watch from, or 0 if the owners have to be read again.
 func (c *Cells) watchOwners(ctx context.Context, at platform.Version) (platform.Version, error) {
 	records, next, err := c.config.Store.Watch(ctx, ownerPrefix, at)
 	switch {
@@ -78,12 +82,12 @@
 	return next, nil
 }
 
-// noteOwner takes a key of an owner as the store holds it.
+// noteOwner applies a stored owner's key, and drops this daemon's own cell if the key says that the cell is lost.
 func (c *Cells) noteOwner(record platform.Record) {
 	cell := jobs.CellName(record.Key[len(ownerPrefix):])
 	owner, err := wire.DecodeBytes[jobs.Owner](record.Value)
 	if !record.Deleted && err != nil {
-		c.config.Logger.Error("stored owner can't be read", append(log.Err(err), zap.String("cell", string(cell)))...)
+		c.config.Logger.Error("stored owner of a cell cannot be decoded; ignoring it", append(log.Err(err), zap.String("cell", string(cell)))...)
 		return
 	}
 	c.mu.Lock()
@@ -92,12 +96,12 @@
 	} else if c.owners[cell].version != record.Version {
 		c.owners[cell] = ownerRecord{Owner: owner, version: record.Version, since: c.config.Clock.Now()}
 	}
-	mine := c.owned[cell]
-	// A watch that is behind tells of the keys of former owners, whose end says nothing of this one.
-	lost := mine != nil && record.Version >= platform.Version(mine.epoch) &&
-		(record.Deleted || record.Version > platform.Version(mine.epoch))
+	local := c.owned[cell]
+	// A watch that lags behind reports keys of previous owners, whose removal says nothing about this owner.
+	lost := local != nil && record.Version >= platform.Version(local.epoch) &&
+		(record.Deleted || record.Version > platform.Version(local.epoch))
 	c.mu.Unlock()
 	if lost {
-		c.dropOwner(cell, mine, "store names another owner, or none")
+		c.dropOwner(cell, local, "the store names another owner or none")
 	}
 }
--- a/services/control/worker_calls.go
+++ b/services/control/worker_calls.go
@@ -14,97 +14,99 @@
 	"rillsail.example/rillsail/services/dispatch"
 )
 
-// maxWorkerCallTimeout is the longest time limit of a call to a worker: a worker that has not
-// been heard of for half a second more gets no starts.
+// maxWorkerCallTimeout is the longest timeout of a call to a worker. A worker that has been silent for
+// half a second more than that gets no starts.
 const maxWorkerCallTimeout = 2 * time.Second
 
-// NewWorkerCalls makes the time limit of calls to workers, at least what the settings say.
-// That is short, for a worker whose calls get lost one by one is silent after several in a
-// row, and the shorter each is, the more fit into that time. But an owner whose own calls
-// take longer than that would give up every one of them and make it again at once, on a new
-// connection: more work than before, and for ever.
+// NewWorkerCalls creates the adaptive timeout of calls to workers, which is never below the one in the
+// settings. That one is short: a worker counts as silent after a time without answer, and the shorter
+// the timeout, the more calls can be tried within that time when single calls get lost. An owner whose
+// own calls take longer than the timeout would cancel each of them and retry at once on a new connection,
+// which adds load and never ends; therefore the timeout adapts.
 func NewWorkerCalls(least time.Duration) *calltime.Limit {
 	return calltime.New(calltime.Config{Least: least, Most: max(least, maxWorkerCallTimeout)})
 }
 
-// callMonitor says in metrics and logs how the calls to workers go: an owner that can't keep up
-// has a long time limit, late loops and old reports; of workers that don't answer only the
-// reports are old.
+// callMonitor reports the state of the calls to workers in metrics and logs. They tell an overloaded owner,
+// which has a long call timeout, late loops and old reports, from workers that do not answer, where only
+// the reports are old.
 type callMonitor struct {
 	cells        *Cells
 	slowCalls    *log.Trouble
 	startBacklog *log.Trouble
 	closedConns  *log.Trouble
-	lastConns    idleconn.Counts // as counted last
+	lastConns    idleconn.Counts // counts at the last call of publishConnections
 }
 
 func newCallMonitor(c *Cells) *callMonitor {
 	return &callMonitor{cells: c, slowCalls: log.NewTrouble(log.TroubleConfig{
 		Logger: c.config.Logger, Began: "calls to workers take long", Ended: "calls to workers are quick again",
 	}), startBacklog: log.NewTrouble(log.TroubleConfig{
-		Logger: c.config.Logger, Began: "starts wait, answers come late", Ended: "starts wait no more for late answers",
+		Logger: c.config.Logger, Began: "starts are held back because workers answer late", Ended: "starts are no longer held back by late answers",
 	}), closedConns: log.NewTrouble(log.TroubleConfig{
-		Logger: c.config.Logger, Began: "idle connections are closed, others to their peers are silent", Ended: "no more connections are silent",
+		Logger: c.config.Logger, Began: "idle connections closed because connections to the same peers stopped answering",
+		Ended: "no more connections have stopped answering",
 	})}
 }
 
-// publish looks once, so much later than it was to.
-func (n *callMonitor) publish(late time.Duration) {
-	config := n.cells.config
+// publish publishes the current state once. late is how much later than scheduled it is called.
+func (m *callMonitor) publish(late time.Duration) {
+	config := m.cells.config
 	config.Scope.Gauge("loops_late").Update(late.Seconds())
-	config.Scope.Gauge("worker_calls_in_flight").Update(float64(n.cells.workerCalls.Load()))
-	n.publishStartLimit(n.cells.startLimit.Current())
+	config.Scope.Gauge("worker_calls_in_flight").Update(float64(m.cells.workerCalls.Load()))
+	m.publishStartLimit(m.cells.startLimit.Current())
 	if config.Connections != nil {
-		n.publishConnections(config.Connections())
+		m.publishConnections(config.Connections())
 	}
 	if config.WorkerCalls != nil {
-		n.publishCallTimeout(config.WorkerCalls)
+		m.publishCallTimeout(config.WorkerCalls)
 	}
 }
 
-// publishConnections says how many connections are new, and how many were given up: both rise once
-// when all open ones go silent, and go on rising when calls get lost.
-func (n *callMonitor) publishConnections(now idleconn.Counts) {
-	scope, givenUp := n.cells.config.Scope, now.GivenUp-n.lastConns.GivenUp
-	scope.Counter("connections_opened").Inc(now.Opened - n.lastConns.Opened)
+// publishConnections publishes how many connections were opened and how many were closed as silent. Both
+// counts rise once when all open connections go silent, and keep rising when calls get lost.
+func (m *callMonitor) publishConnections(now idleconn.Counts) {
+	scope, givenUp := m.cells.config.Scope, now.GivenUp-m.lastConns.GivenUp
+	scope.Counter("connections_opened").Inc(now.Opened - m.lastConns.Opened)
 	scope.Counter("connections_given_up").Inc(givenUp)
-	n.lastConns = now
+	m.lastConns = now
 	if givenUp > 0 {
-		n.closedConns.Note(errors.Newf("%d were closed", givenUp))
+		m.closedConns.Note(errors.Newf("%d connections closed", givenUp))
 		return
 	}
-	n.closedConns.Note(nil)
+	m.closedConns.Note(nil)
 }
 
-// publishStartLimit says whether this daemon has more to start than it can: the bound is below where it
-// began, and all of it is taken.
-func (n *callMonitor) publishStartLimit(bound int) {
-	n.cells.config.Scope.Gauge("starts_bound").Update(float64(bound))
-	if bound < initialStarts && n.cells.startLimit.Free() == 0 {
-		n.startBacklog.Note(errors.Newf("%d may be under way", bound))
+// publishStartLimit publishes the limit of starts in flight. The daemon has more to start than it can if
+// the limit is below its initial value and exhausted.
+func (m *callMonitor) publishStartLimit(limit int) {
+	m.cells.config.Scope.Gauge("starts_bound").Update(float64(limit))
+	if limit < initialStarts && m.cells.startLimit.Free() == 0 {
+		m.startBacklog.Note(errors.Newf("the limit of %d starts in flight is exhausted", limit))
 		return
 	}
-	n.startBacklog.Note(nil)
+	m.startBacklog.Note(nil)
 }
 
-func (n *callMonitor) publishCallTimeout(calls *calltime.Limit) {
+func (m *callMonitor) publishCallTimeout(calls *calltime.Limit) {
 	limit := calls.Current()
-	n.cells.config.Scope.Gauge("worker_call_limit").Update(limit.Seconds())
+	m.cells.config.Scope.Gauge("worker_call_limit").Update(limit.Seconds())
 	if limit > calls.Least() {
-		n.slowCalls.Note(errors.Newf("their time limit is %s", limit))
+		m.slowCalls.Note(errors.Newf("their timeout is raised to %s", limit))
 		return
 	}
-	n.slowCalls.Note(nil)
+	m.slowCalls.Note(nil)
 }
 
-// beginCall notes that a call to a worker is sent now.
+// beginCall counts a call to a worker that is sent now, and returns the current time.
 func (o *Owner) beginCall() time.Time {
 	o.cells.workerCalls.Add(1)
 	return o.config.Clock.Now()
 }
 
-// endCall teaches the time limit what became of a call to a worker that was sent then, and
-// whose answer might wait. Calls that were not done, or ended early, say nothing of it.
+// endCall passes the result of a call to a worker to the adaptive timeout. sent is when the call was sent,
+// and wait how long the worker may delay its answer. Calls that the worker did not carry out, or that it
+// answered before wait was over, say nothing about the timeout.
 func (o *Owner) endCall(sent time.Time, wait time.Duration, outcome dispatch.Outcome) {
 	o.cells.workerCalls.Add(-1)
 	answered := outcome != dispatch.OutcomeUnknown
--- a/services/control/worker_calls_test.go
+++ b/services/control/worker_calls_test.go
@@ -14,20 +14,23 @@
 	"rillsail.example/rillsail/modules/idleconn"
 )
 
-// TestConnectionsThatAreGivenUpAreToldOnce looks five times at connections of which some were
-// given up between the first and the third look.
+// TestConnectionsThatAreGivenUpAreToldOnce publishes five connection counts, of which the second and the
+// third contain closed connections. Both must be logged as one occurrence, and its end once.
 func TestConnectionsThatAreGivenUpAreToldOnce(t *testing.T) {
 	core, lines := observer.New(zap.InfoLevel)
 	scope := tally.NewTestScope("", nil)
-	note := newCallMonitor(&Cells{config: Config{Logger: zap.New(core), Scope: scope}})
+	monitor := newCallMonitor(&Cells{config: Config{Logger: zap.New(core), Scope: scope}})
 	for _, counts := range []idleconn.Counts{{Opened: 9}, {Opened: 10, GivenUp: 4}, {Opened: 12, GivenUp: 7}, {Opened: 12, GivenUp: 7}, {Opened: 12, GivenUp: 7}} {
-		note.publishConnections(counts)
+		monitor.publishConnections(counts)
 	}
 	var messages []string
 	for _, line := range lines.All() {
 		messages = append(messages, line.Message)
 	}
-	require.Equal(t, []string{"idle connections are closed, others to their peers are silent", "no more connections are silent"}, messages)
+	require.Equal(t, []string{
+		"idle connections closed because connections to the same peers stopped answering",
+		"no more connections have stopped answering",
+	}, messages)
 	counters := scope.Snapshot().Counters()
 	require.EqualValues(t, 12, counters["connections_opened+"].Value())
 	require.EqualValues(t, 7, counters["connections_given_up+"].Value())
--- a/services/control/worker_list.go
+++ b/services/control/worker_list.go
@@ -12,22 +12,22 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// workerList is the platform's list of workers as one owner knows it: read once, then
-// followed by its changes. An entry hardly ever changes, and reading all of them again and again
-// would take most of a small VM's link.
+// workerList is an owner's copy of the platform's list of workers. It is read once and then updated with
+// the changes. An entry hardly ever changes, and reading the whole list repeatedly would take most of a
+// small VM's link.
 type workerList struct {
 	source  platform.WorkerList
 	workers map[jobs.WorkerID]jobs.Worker
 	at      platform.Version
-	synced  bool // workers is the list as it was at the version
+	synced  bool // workers is the list as of version at
 }
 
 func newWorkerList(source platform.WorkerList) *workerList {
 	return &workerList{source: source, workers: map[jobs.WorkerID]jobs.Worker{}}
 }
 
-// update waits for a change, or reads the list when its changes are not known. Everything
-// is known after it that the list said when it was called.
+// update waits for a change and applies it, or reads the whole list if the changes are not available.
+// Afterwards the copy is at least as new as the list was at the time of the call.
 func (l *workerList) update(ctx context.Context) error {
 	if !l.synced {
 		return l.read(ctx)
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// read takes the whole list. Until it succeeds, changes are asked for after a version that
-// may be too old; then it is called again.
+// read reads the whole list. If it fails, the version to watch from stays, and may be too old; update then
+// reads the list again.
 func (l *workerList) read(ctx context.Context) error {
 	workers, at, err := l.source.JobWorkers(ctx)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// apply takes one change.
+// apply applies one change.
 func (l *workerList) apply(change platform.WorkerChange) {
 	if change.Gone {
 		delete(l.workers, change.Worker.ID)
@@ -70,5 +70,5 @@
 	l.workers[change.Worker.ID] = change.Worker
 }
 
-// all are the workers that the list names.
+// all returns the workers in the list.
 func (l *workerList) all() []jobs.Worker { return slices.Collect(maps.Values(l.workers)) }
--- a/services/control/world_test.go
+++ b/services/control/world_test.go
@@ -27,8 +27,8 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// world is a store, a grid of workers and any number of daemons in one process, on the
-// clock of a synctest bubble. The daemons are the real ones; only wires are replaced.
+// world is a store, a grid of workers and any number of daemons in one process, on the clock of a synctest
+// bubble. The daemons run the production code; only their connections and clocks are replaced.
 type world struct {
 	t       *testing.T
 	ctx     context.Context
@@ -36,22 +36,22 @@
 	grid    *grid.Grid
 	daemons []*testDaemon
 	feed    *testFeed
-	made    int
+	made    int // number of daemons started so far
 	perCell int
 	scope   tally.TestScope
-	cores   float64 // of daemons that are started from now on; 0: those of testSettings
-	mbit    float64 // of their links; 0: not known
+	cores   float64 // processor cores of daemons started from now on; 0: as in testSettings
+	mbit    float64 // link rate of daemons started from now on; 0: unknown
 	logs    zapcore.Core
 	written *observer.ObservedLogs
-	// wrapStore puts more faults on the way to the store of daemons that are started from now on; nil: none.
+	// wrapStore adds faults to the store connection of daemons started from now on; nil: none.
 	wrapStore func(d *testDaemon, store platform.TxnStore) platform.TxnStore
 
 	mu     sync.Mutex
 	outage bool
-	byName map[string]*testDaemon // all that were ever started
+	byName map[string]*testDaemon // all daemons ever started
 }
 
-// testDaemon is one daemon with the faults of its own connections.
+// testDaemon is a daemon with the simulated faults of its own connections.
 type testDaemon struct {
 	*Service
 	world  *world
@@ -60,20 +60,20 @@
 	done   chan struct{}
 
 	mu        sync.Mutex
-	frozen    chan struct{} // calls wait until it closes; nil: not frozen
+	frozen    chan struct{} // closed when the daemon thaws; calls wait for that; nil: not frozen
 	storeCut  bool
-	loseWrite *rand.Rand // draws which writes have no answer, 3 of 10
+	loseWrite *rand.Rand // draws which writes lose their answer, 3 of 10; nil: none
 	workerCut bool
-	cutFrom   map[jobs.WorkerID]bool // workers that it doesn't reach
+	cutFrom   map[jobs.WorkerID]bool // workers that the daemon does not reach
 	heldFor   time.Duration          // see testStore
-	slowFor   time.Duration          // its orders reach the workers so much later, unanswered in time
-	watchLost bool                   // changes in the store don't reach it, while its other calls are answered
+	slowFor   time.Duration          // delay of the daemon's orders to workers, whose calls time out; 0: none
+	watchLost bool                   // watches of the store fail, while other calls are answered
 
-	suspension *suspension // of its VM
+	vmSuspension *suspension
 
-	ended bool // its process is gone from a VM that is there: nobody listens at its address
+	ended bool // the process has exited while its VM runs: connections to its address are refused
 
-	beforeCommit func() // called before each of its transactions; nil: nothing
+	beforeCommit func() // called before each of the daemon's transactions; nil: nothing
 }
 
 type testFeed struct{ configuration jobs.Configuration }
@@ -106,13 +106,14 @@
 	return newWorldOf(t, workers, daemons, testSettings.WorkersPerCell, work)
 }
 
-// newWorldOf makes a world whose cells have so many workers.
+// newWorldOf creates a cluster with perCell workers in each cell.
 func newWorldOf(t *testing.T, workers, daemons, perCell int, work func(jobs.TaskID, jobs.RunID) (time.Duration, jobs.End)) *world {
 	t.Helper()
 	return newWorldWith(t, daemons, perCell, grid.Config{Workers: workers, Work: work})
 }
 
-// newWorldWith makes a world with workers as configured, of the tests' usual size.
+// newWorldWith creates a cluster with workers as configured. It sets their racks, pool, capacity, lease and
+// stop time to the tests' defaults.
 func newWorldWith(t *testing.T, daemons, perCell int, workers grid.Config) *world {
 	t.Helper()
 	workers.PerRack, workers.Pool, workers.Capacity = 2, testPool, models.Resources{CPU: 4000, Memory: 8000}
@@ -144,7 +145,7 @@
 	w.made++
 	name := fmt.Sprintf("daemon-%d", w.made)
 	ctx, cancel := context.WithCancel(w.ctx)
-	d := &testDaemon{world: w, name: name, cancel: cancel, done: make(chan struct{}), cutFrom: map[jobs.WorkerID]bool{}, suspension: &suspension{}}
+	d := &testDaemon{world: w, name: name, cancel: cancel, done: make(chan struct{}), cutFrom: map[jobs.WorkerID]bool{}, vmSuspension: &suspension{}}
 	ids := 0
 	settings := testSettings
 	settings.WorkersPerCell = w.perCell
@@ -158,7 +159,7 @@
 	}
 	d.Service = New(Config{
 		Self: name, Address: name, Settings: settings, Store: store,
-		Clock:   clock.New(clock.Config{Steady: d.suspension.steady, Meter: d.suspension}),
+		Clock:   clock.New(clock.Config{Steady: d.vmSuspension.steady, Meter: d.vmSuspension}),
 		Workers: &testWorkers{d}, List: &testList{d}, Feed: w.feed, Peers: &testPeers{w},
 		NewID: func() string {
 			ids++
@@ -185,14 +186,14 @@
 	<-configured
 }
 
-// kill ends a daemon as a loss of power would: nothing is handed over.
+// kill ends a daemon as a power failure does: it hands nothing over.
 func (d *testDaemon) kill() {
 	d.thaw()
 	d.cancel()
 	<-d.done
 }
 
-// end ends a daemon as a signal does that ends its process at once: its VM refuses connections.
+// end ends a daemon as SIGKILL does: it hands nothing over, and its VM refuses connections.
 func (d *testDaemon) end() {
 	d.kill()
 	d.set(func() { d.ended = true })
@@ -204,7 +205,7 @@
 	return d.ended
 }
 
-// freeze lets all calls of a daemon wait, as they do in a process that stands still.
+// freeze blocks all calls of a daemon, as in a stopped process.
 func (d *testDaemon) freeze() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -246,7 +247,7 @@
 	w.outage = outage
 }
 
-// owner gives the daemon that owns the first cell, as the store says.
+// owner returns the daemon that answers as the owner of the first cell, or nil.
 func (w *world) owner() *testDaemon {
 	for _, d := range w.daemons {
 		if d.Cells.Answer(jobs.Query{Cell: cellName(0)}).Owner {
@@ -256,19 +257,19 @@
 	return nil
 }
 
-// eventually waits for a condition on the bubble's clock.
-func (w *world) eventually(within time.Duration, what string, condition func() bool) {
+// eventually waits until a condition holds, on the bubble's clock.
+func (w *world) eventually(within time.Duration, description string, condition func() bool) {
 	w.t.Helper()
 	deadline := time.Now().Add(within)
 	for !condition() {
 		if time.Now().After(deadline) {
-			require.Fail(w.t, "did not come about: "+what, "breaches: %v", w.grid.Breaches())
+			require.Fail(w.t, "condition not met in time: "+description, "breaches: %v", w.grid.Breaches())
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// submit hands a job in at a daemon until it is accepted.
+// submit submits a job to a daemon until the job is accepted.
 func (w *world) submit(d *testDaemon, spec jobs.Spec) {
 	w.t.Helper()
 	spec.Queue = testQueue
@@ -290,7 +291,7 @@
 	return state
 }
 
-// log gives what all daemons logged.
+// log returns the log lines of all daemons.
 func (w *world) log() string {
 	var b strings.Builder
 	for _, entry := range w.written.All() {
@@ -306,7 +307,7 @@
 
 func jobID(n int) jobs.ID { return jobs.ID(fmt.Sprintf("%016x", n)) }
 
-// twoSteps is a job whose second step waits for the first.
+// twoSteps returns a job of two steps, the second of which depends on the first.
 func twoSteps(n int, work time.Duration) jobs.Spec {
 	size := models.Resources{CPU: 1000, Memory: 500}
 	return jobs.Spec{ID: jobID(n), Payload: jobs.Text(fmt.Sprint("payload ", n)), Steps: []jobs.Step{
@@ -315,6 +316,7 @@
 	}}
 }
 
+// lasting returns a job of long-running tasks.
 func lasting(n, tasks int) jobs.Spec {
 	return jobs.Spec{ID: jobID(n), Payload: jobs.Text(fmt.Sprint("payload ", n)), Steps: []jobs.Step{{
 		Count: tasks, Size: models.Resources{CPU: 1500, Memory: 1000}, Lasts: true, Image: "serving", Target: 100,
--- a/services/control/world_ways_test.go
+++ b/services/control/world_ways_test.go
@@ -16,12 +16,14 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// The ways of a test's daemon to the store, the workers, their list and its peers, with the
-// faults of each.
+// The connections of a test daemon to the store, the workers, the list of workers and the other daemons,
+// with the simulated faults of each.
 
-// callTime is the time limit of a test's calls.
+// callTime is the timeout of the calls of test daemons.
 const callTime = 700 * time.Millisecond
 
+// storeFault returns the error of a call to the store that the current faults cause, before or after the
+// store carries out the call.
 func (d *testDaemon) storeFault(ctx context.Context, write, after bool, _ string) error {
 	d.waitThawed(ctx)
 	d.mu.Lock()
@@ -41,14 +43,14 @@
 	return ctx.Err()
 }
 
-// testStore is a daemon's way to the store; with heldFor, its transactions are held up on
-// their way and done so much later, without answer.
+// testStore is a daemon's connection to the store. With heldFor, the store receives the daemon's transactions
+// that much later, and their calls time out.
 type testStore struct {
 	*kv.Local
 	daemon *testDaemon
 }
 
-// losesWatch tells whether changes don't reach the daemon now, after the time of a call.
+// losesWatch reports whether the daemon's watches fail at present; if so, it waits for callTime first.
 func (d *testDaemon) losesWatch(ctx context.Context) bool {
 	d.mu.Lock()
 	lost := d.watchLost
@@ -81,7 +83,7 @@
 	if held == 0 {
 		return s.Local.Commit(ctx, txn)
 	}
-	time.AfterFunc(held, func() { _, _ = s.Local.Commit(context.Background(), txn) }) // nobody hears of it
+	time.AfterFunc(held, func() { _, _ = s.Local.Commit(context.Background(), txn) }) // the result is lost
 	sleep(ctx, callTime)
 	return 0, platform.ErrUnknown
 }
@@ -97,7 +99,7 @@
 	return platform.ErrUnknown
 }
 
-// testWorkers is a daemon's way to the workers.
+// testWorkers is a daemon's connection to the workers.
 type testWorkers struct{ *testDaemon }
 
 func (w *testWorkers) call(ctx context.Context, to jobs.Worker, wait time.Duration, perform func(ctx context.Context) error) error {
@@ -116,7 +118,7 @@
 	return err
 }
 
-// order is call for what may be held up on its way.
+// order makes a call that slowFor may delay.
 func (w *testWorkers) order(ctx context.Context, to jobs.Worker, perform func(ctx context.Context) error) error {
 	w.mu.Lock()
 	slow := w.slowFor
@@ -124,7 +126,7 @@
 	if slow == 0 {
 		return w.call(ctx, to, 0, perform)
 	}
-	time.AfterFunc(slow, func() { _ = perform(context.Background()) }) // nobody hears of it
+	time.AfterFunc(slow, func() { _ = perform(context.Background()) }) // the result is lost
 	sleep(ctx, callTime)
 	return platform.ErrUnknown
 }
@@ -181,7 +183,7 @@
 	return changes, at, err
 }
 
-// fault is what keeps the daemon from the list now.
+// fault returns the error of a call to the list of workers that the current faults cause.
 func (l *testList) fault(ctx context.Context) error {
 	if err := l.storeFault(ctx, false, false, ""); err != nil {
 		return err
@@ -192,7 +194,7 @@
 	return nil
 }
 
-// testPeers reaches the other daemons of the world.
+// testPeers calls the other daemons of the cluster.
 type testPeers struct{ *world }
 
 func (p *testPeers) Jobs(_ context.Context, address string, query jobs.Query) (jobs.Answer, error) {
--- a/services/control/write.go
+++ b/services/control/write.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	// writeRetryPause is the pause before a write without answer is repeated.
+	// writeRetryPause is the pause before a write of unknown outcome is retried.
 	writeRetryPause = 50 * time.Millisecond
-	// maxWriteTime is for how long it is repeated: a caller that hears that nothing is known
+	// maxWriteTime is how long a write is retried. A caller that is told that the outcome is unknown
 	// asks another daemon, which may reach the store.
 	maxWriteTime = 900 * time.Millisecond
 )
 
-// writeOutcome is what is known of a transaction, from all of its tries together: committed,
-// conflicting, turnedAway or unsettled. The set is closed. An error could not say it: what the
-// store answers to the last try is one thing, what became of the tries before it another, and
-// an error that carried both was taken for a refusal of writes that had been done.
+// writeOutcome is what all tries of a transaction together say about it: committed, conflicting, turnedAway
+// or unsettled. The set is closed. An error cannot express it, because the store's answer to the last try
+// and the fate of the earlier tries are independent: an error that carried both was mistaken for a
+// rejection of writes that had been applied.
 type writeOutcome interface{ writeOutcome() }
 
 type (
-	// committed says that it is done.
+	// committed says that the transaction was applied.
 	committed struct{}
-	// conflicting says that a condition does not hold.
+	// conflicting says that a precondition does not hold.
 	conflicting struct {
-		// unsure: an earlier try had no answer, and may have been done.
+		// unsure: the outcome of an earlier try is unknown, and it may have been applied.
 		unsure bool
 	}
-	// turnedAway says that it was sent once, and that the store did nothing, or not at all.
+	// turnedAway says that the transaction was not sent, or that the store rejected its only try.
 	turnedAway struct{ cause error }
-	// unsettled says that a try may have been done, or may still be.
+	// unsettled says that a try may have been applied, or may still be.
 	unsettled struct{ cause error }
 )
 
@@ -47,17 +47,17 @@
 func (turnedAway) writeOutcome()  {}
 func (unsettled) writeOutcome()   {}
 
-// write carries out a transaction. Once a try has had no answer it is repeated for a while:
-// only the transaction itself, or its conditions, can tell then what became of it.
+// write commits a transaction. Once the outcome of a try is unknown, write retries for up to maxWriteTime,
+// because only the transaction itself or its preconditions can then tell what became of it.
 func (s *Service) write(ctx context.Context, txn platform.Txn) writeOutcome {
 	if ctx.Err() != nil {
 		return turnedAway{errstep.Wrap(ctx.Err(), "write", "store")}
 	}
-	began := s.config.Clock.Now()
-	var first error // of the tries of unknown outcome
+	start := s.config.Clock.Now()
+	var first error // the error of the first try of unknown outcome
 	for tries := 1; ; tries++ {
 		_, err := s.config.Store.Commit(ctx, txn)
-		if ctx.Err() == nil { // a call that its caller's deadline has ended says nothing of the store
+		if ctx.Err() == nil { // a call that the deadline of ctx has ended says nothing about the store
 			s.health.note(err)
 		}
 		switch classifyCommit(err) {
@@ -74,31 +74,32 @@
 				first = err
 			}
 		}
-		if s.config.Clock.Since(began) > maxWriteTime || ctx.Err() != nil {
-			s.config.Logger.Info("write is not settled", zap.Int("tries", tries), zap.NamedError("first", first), zap.NamedError("last", err))
+		if s.config.Clock.Since(start) > maxWriteTime || ctx.Err() != nil {
+			s.config.Logger.Info("outcome of a write is unknown, giving up", zap.Int("tries", tries), zap.NamedError("first", first), zap.NamedError("last", err))
 			return unsettled{errstep.Wrap(platform.Unknown(first), "write", "store")}
 		}
 		sleep(ctx, writeRetryPause)
 	}
 }
 
-// commitVerdict is what a transaction's answer says of it. Only what the store names is a denial: an
-// error of no class, as one of a call that its caller has given up, leaves all open.
+// commitVerdict is what the store's answer says about a transaction. Only the errors that the store defines
+// mean that it was not applied. Any other error, such as that of a call whose context ended, leaves the
+// outcome unknown.
 type commitVerdict uint8
 
 const (
-	verdictUnknown  commitVerdict = iota // it may have been done, or may still be
-	verdictDone                          // it is stored
-	verdictConflict                      // not done: a condition failed
-	verdictRejected                      // not done: the store did not look at it
+	verdictUnknown  commitVerdict = iota // the transaction may have been applied, or may still be
+	verdictDone                          // applied
+	verdictConflict                      // not applied: a precondition failed
+	verdictRejected                      // not applied: the store did not process it
 )
 
-// classifyCommit draws the verdict from one answer.
+// classifyCommit derives the verdict from the error of one try.
 func classifyCommit(err error) commitVerdict {
 	switch {
 	case err == nil:
 		return verdictDone
-	case errors.Is(err, platform.ErrUnknown): // first, whatever else the error says
+	case errors.Is(err, platform.ErrUnknown): // checked first: the error may wrap others as well
 		return verdictUnknown
 	case errors.Is(err, platform.ErrConflict):
 		return verdictConflict
