--- a/services/control/cells.go
+++ b/services/control/cells.go
@@ -48,6 +48,7 @@
 	yielded     atomic.Pointer[time.Time]                              // when this daemon last handed a cell over to a daemon with more capacity
 }
 
+// ownerRecord is the owner of a cell as the store names it, and what this daemon has observed about the owner.
 type ownerRecord struct {
 	jobs.Owner
 	version   platform.Version
--- a/services/control/claim.go
+++ b/services/control/claim.go
@@ -38,9 +38,9 @@
 // the cells spread over the daemons.
 const claimDelayPerCell = 150 * time.Millisecond
 
-// maxCapacityDelay is the claim delay of a daemon that has no capacity at all for a cell. After an
+// maxShortfallDelay is the claim delay of a daemon that has no capacity at all for a cell. After an
 // outage of the store it takes about a second until all daemons are back.
-const maxCapacityDelay = 1200 * time.Millisecond
+const maxShortfallDelay = 1200 * time.Millisecond
 
 // holdBack returns how long this daemon leaves a cell without owner to other daemons. The smaller the
 // share of the cell's workers that this daemon can handle, the longer the delay, so that the cell goes
@@ -51,7 +51,7 @@
 	if since := c.yielded.Load(); since != nil && c.config.Clock.Since(*since) < yieldPause {
 		shortfall = 1
 	}
-	return time.Duration(owned)*claimDelayPerCell + time.Duration(shortfall*float64(maxCapacityDelay))
+	return time.Duration(owned)*claimDelayPerCell + time.Duration(shortfall*float64(maxShortfallDelay))
 }
 
 // claimFreeCells removes the keys of owners that no longer run and claims cells without owner.
--- a/services/control/journal.go
+++ b/services/control/journal.go
@@ -81,7 +81,7 @@
 // fails here is only added to the text, not wrapped, because it is no answer to the transaction.
 func (o *Owner) resolveCommit(ctx context.Context, attempted journalEntry, cause error) (platform.Version, error) {
 	if err := o.journal.load(ctx, o.config.Store, o.cell); err != nil {
-		return 0, errors.Wrapf(cause, "outcome unknown, the journal could not be read (%v)", err)
+		return 0, errors.Wrapf(cause, "journal could not be read to resolve the transaction (%v)", err)
 	}
 	if o.journal.last == attempted {
 		return o.journal.version, nil
@@ -91,7 +91,7 @@
 	case errors.Is(err, platform.ErrNotFound), err == nil && record.Version != platform.Version(o.epoch):
 		o.cells.dropOwner(o.cell, o, "the store names another owner or none")
 	case err != nil:
-		return 0, errors.Wrapf(cause, "outcome unknown, the owner's key could not be read (%v)", err)
+		return 0, errors.Wrapf(cause, "owner's key could not be read to resolve the transaction (%v)", err)
 	}
 	return 0, cause
 }
--- a/services/control/worker_calls.go
+++ b/services/control/worker_calls.go
@@ -27,9 +27,8 @@
 	return calltime.New(calltime.Config{Least: least, Most: max(least, maxWorkerCallTimeout)})
 }
 
-// callMonitor reports the state of the calls to workers in metrics and logs. They tell an overloaded owner,
-// which has a long call timeout, late loops and old reports, from workers that do not answer, where only
-// the reports are old.
+// callMonitor reports the state of the calls to workers in metrics and logs. An overloaded owner shows a long
+// call timeout, late loops and old reports. If workers do not answer, only the reports are old.
 type callMonitor struct {
 	cells        *Cells
 	slowCalls    *log.Trouble
