--- a/services/control/world_test.go
+++ b/services/control/world_test.go
@@ -247,7 +247,7 @@
 	w.outage = outage
 }
 
-// owner returns the daemon that answers as the owner of the first cell, or nil.
+// owner gives the daemon that owns the first cell, as the store says.
 func (w *world) owner() *testDaemon {
 	for _, d := range w.daemons {
 		if d.Cells.Answer(jobs.Query{Cell: cellName(0)}).Owner {
