--- a/services/control/write.go
+++ b/services/control/write.go
@@ -22,10 +22,10 @@
 	maxWriteTime = 900 * time.Millisecond
 )
 
-// writeOutcome is what all tries of a transaction together say about it: committed, conflicting, turnedAway
-// or unsettled. The set is closed. An error cannot express it, because the store's answer to the last try
-// and the fate of the earlier tries are independent: an error that carried both was mistaken for a
-// rejection of writes that had been applied.
+// writeOutcome is what all tries of a transaction together say about it. The types below are the only
+// outcomes. An error cannot express them, because the store's answer to the last try and the fate of the
+// earlier tries are independent: an error that carried both was mistaken for a rejection of writes that
+// had been applied.
 type writeOutcome interface{ writeOutcome() }
 
 type (
