--- a/services/control/owner_jobs.go
+++ b/services/control/owner_jobs.go
@@ -17,10 +17,11 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// loadRetry is the pause after a read that failed while the cell is being loaded.
-const loadRetry = 100 * time.Millisecond
+// loadRetryPause is the pause after a failed call to the store, when a cell is loaded, watched or stored.
+const loadRetryPause = 100 * time.Millisecond
 
-// load reads the cell's jobs, progress and roster; it gives the version to watch from.
+// load reads the cell's jobs, progress and roster, and returns the version to watch from. It retries until the
+// cell is loaded or lost.
 func (o *Owner) load(ctx context.Context) (platform.Version, bool) {
 	for ctx.Err() == nil {
 		at, err := o.tryLoad(ctx)
@@ -28,17 +29,17 @@
 		if err == nil {
 			return at, true
 		}
-		if errors.Is(err, errLost) {
-			o.cells.drop(o.cell, o, "its key among the jobs names another owner, or none")
+		if errors.Is(err, errCellLost) {
+			o.cells.dropOwner(o.cell, o, "the owner's key among the cell's jobs names another owner or none")
 			return 0, false
 		}
 		o.config.Logger.Warn("cell can't be loaded yet", append(log.Err(err), zap.String("cell", string(o.cell)))...)
-		sleep(ctx, loadRetry)
+		sleep(ctx, loadRetryPause)
 	}
 	return 0, false
 }
 
-// tryLoad reads the cell once; errLost when it has another owner, or none.
+// tryLoad reads the cell once. It returns errCellLost if the cell has another owner or none.
 func (o *Owner) tryLoad(ctx context.Context) (platform.Version, error) {
 	store := o.config.Store
 	roster, err := read[jobs.Roster](ctx, store, rosterKey(o.cell))
@@ -53,11 +54,11 @@
 		return 0, err
 	}
 	sent := o.config.Clock.Now()
-	records, at, err := store.List(ctx, jobsOf(o.cell))
+	records, at, err := store.List(ctx, jobKeyPrefix(o.cell))
 	if err != nil {
 		return 0, err
 	}
-	knowledge, err := o.loadKnowledge(ctx)
+	knowledge, err := o.loadLearned(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -66,20 +67,20 @@
 	now := o.config.Clock.Now()
 	o.core.Enrol(roster, now)
 	o.core.Restore(knowledge, now)
-	if !o.takeAll(records, progress, now) {
-		return 0, errLost
+	if !o.applyAll(records, progress, now) {
+		return 0, errCellLost
 	}
 	o.core.JobsKnown(sent)
 	o.loaded = true
 	o.config.Logger.Info("cell is loaded", zap.String("cell", string(o.cell)), zap.Int("keys", len(records)),
 		zap.Int("roster", len(roster.Workers)),
-		zap.Int("images_learned", len(knowledge.Factors)), zap.Duration("after", now.Sub(o.taken)))
+		zap.Int("images_learned", len(knowledge.Factors)), zap.Duration("after", now.Sub(o.takenAt)))
 	return at, nil
 }
 
-// loadKnowledge reads what the former owner has learned. A value that can't be read costs
-// some seconds of learning, and is no reason to leave the cell without owner.
-func (o *Owner) loadKnowledge(ctx context.Context) (jobs.Knowledge, error) {
+// loadLearned reads the parameters that the previous owner has learned. A value that cannot be decoded
+// costs some seconds of learning, and is no reason to leave the cell without owner.
+func (o *Owner) loadLearned(ctx context.Context) (jobs.Knowledge, error) {
 	record, err := o.config.Store.Get(ctx, learnedKey(o.cell))
 	if errors.Is(err, platform.ErrNotFound) {
 		return jobs.Knowledge{}, nil
@@ -89,7 +90,7 @@
 	}
 	knowledge, err := decode[jobs.Knowledge](record)
 	if err != nil {
-		o.config.Logger.Error("what the former owner has learned can't be read", append(log.Err(err), zap.String("cell", string(o.cell)))...)
+		o.config.Logger.Error("learned parameters of the previous owner cannot be decoded; learning starts over", append(log.Err(err), zap.String("cell", string(o.cell)))...)
 		return jobs.Knowledge{}, nil
 	}
 	return knowledge, nil
@@ -97,7 +98,7 @@
 
 // loadProgress reads the progress of the cell's active jobs.
 func (o *Owner) loadProgress(ctx context.Context) (map[jobs.ID]jobs.Progress, error) {
-	prefix := progressOf(o.cell)
+	prefix := progressKeyPrefix(o.cell)
 	records, _, err := o.config.Store.List(ctx, prefix)
 	if err != nil {
 		return nil, err
@@ -106,7 +107,7 @@
 	for _, record := range records {
 		p, err := decode[jobs.Progress](record)
 		if err != nil {
-			o.config.Logger.Error("stored progress can't be read", append(log.Err(err), zap.String("key", record.Key))...)
+			o.config.Logger.Error("stored progress of a job cannot be decoded; ignoring it", append(log.Err(err), zap.String("key", record.Key))...)
 			continue
 		}
 		progress[jobs.ID(record.Key[len(prefix):])] = p
@@ -114,24 +115,25 @@
 	return progress, nil
 }
 
-// errLost says that the cell has another owner, or none.
-var errLost = errors.New("cell is lost")
+// errCellLost says that the cell has another owner or none.
+var errCellLost = errors.New("cell is lost")
 
-// takeAll takes all keys with the cell's job prefix there are. The cell is lost when the
-// owner's own key is not among them: its removal may be too old to be heard of.
-func (o *Owner) takeAll(records []platform.Record, progress map[jobs.ID]jobs.Progress, now time.Time) bool {
-	mine := slices.ContainsFunc(records, func(r platform.Record) bool { return r.Key == markerKey(o.cell) })
-	return mine && o.takeRecords(records, progress, now)
+// applyAll applies the complete list of keys with the cell's job prefix. It reports false if the cell is
+// lost, which includes that this owner's key is missing: its removal may be too old for the watch to
+// report it.
+func (o *Owner) applyAll(records []platform.Record, progress map[jobs.ID]jobs.Progress, now time.Time) bool {
+	owned := slices.ContainsFunc(records, func(r platform.Record) bool { return r.Key == markerKey(o.cell) })
+	return owned && o.applyRecords(records, progress, now)
 }
 
-// takeRecords takes keys with the cell's job prefix in the order in which they were
-// written, up to the change of the owner: what comes after it belongs to the next one,
-// which may take jobs accepted since then for never started.
-func (o *Owner) takeRecords(records []platform.Record, progress map[jobs.ID]jobs.Progress, now time.Time) bool {
+// applyRecords applies keys with the cell's job prefix in the order in which they were written, up to a
+// change of the owner, and reports whether there was none. Later changes belong to the next owner,
+// which may assume that jobs accepted since then were never started.
+func (o *Owner) applyRecords(records []platform.Record, progress map[jobs.ID]jobs.Progress, now time.Time) bool {
 	slices.SortStableFunc(records, func(a, b platform.Record) int { return cmp.Compare(a.Version, b.Version) })
 	for _, record := range records {
 		if record.Key != markerKey(o.cell) {
-			o.takeRecord(record, progress, now)
+			o.applyRecord(record, progress, now)
 			continue
 		}
 		if record.Deleted || record.Version != platform.Version(o.epoch) {
@@ -141,9 +143,9 @@
 	return true
 }
 
-// takeRecord takes one key of a job.
-func (o *Owner) takeRecord(record platform.Record, progress map[jobs.ID]jobs.Progress, now time.Time) {
-	id, cancel := jobOfKey(o.cell, record.Key)
+// applyRecord applies one key of a job to the core.
+func (o *Owner) applyRecord(record platform.Record, progress map[jobs.ID]jobs.Progress, now time.Time) {
+	id, cancel := parseJobKey(o.cell, record.Key)
 	switch {
 	case record.Deleted && cancel:
 	case record.Deleted:
@@ -153,7 +155,7 @@
 	default:
 		job, err := decodeRecord(record)
 		if err != nil {
-			o.config.Logger.Error("stored job can't be read", append(log.Err(err), zap.String("job", string(id)))...)
+			o.config.Logger.Error("stored job cannot be decoded; ignoring it", append(log.Err(err), zap.String("job", string(id)))...)
 			return
 		}
 		o.core.AddJob(job, progress[id], jobs.Epoch(record.Version) > o.epoch, now)
@@ -163,33 +165,33 @@
 	}
 }
 
-// watchPause lets some changes gather between two watches, because each watch is paid
-// for; it delays the start of a job by half of it on average.
+// watchPause is the pause between two watches. It batches changes because each watch has a cost, and
+// delays the start of a job by half of the pause on average.
 const watchPause = 10 * time.Millisecond
 
-// jobsLoop follows the cell's jobs and cancellations.
+// jobsLoop watches the cell's jobs and cancellations until ctx ends or the cell is lost.
 func (o *Owner) jobsLoop(ctx context.Context, at platform.Version) {
 	for ctx.Err() == nil {
-		take := o.takeRecords
+		apply := o.applyRecords
 		sent := o.config.Clock.Now()
-		records, next, err := o.config.Store.Watch(ctx, jobsOf(o.cell), at)
-		if mustReadAnew(err) {
-			take = o.takeAll
-			records, next, err = o.config.Store.List(ctx, jobsOf(o.cell))
+		records, next, err := o.config.Store.Watch(ctx, jobKeyPrefix(o.cell), at)
+		if mustReload(err) {
+			apply = o.applyAll
+			records, next, err = o.config.Store.List(ctx, jobKeyPrefix(o.cell))
 		}
 		o.cells.health.note(err)
 		if err != nil {
-			sleep(ctx, loadRetry)
+			sleep(ctx, loadRetryPause)
 			continue
 		}
 		at = next
 		o.mu.Lock()
 		now := o.config.Clock.Now()
-		mine := take(records, nil, now)
+		owned := apply(records, nil, now)
 		o.core.JobsKnown(sent)
 		o.mu.Unlock()
-		if !mine {
-			o.cells.drop(o.cell, o, "its key among the jobs names another owner, or none")
+		if !owned {
+			o.cells.dropOwner(o.cell, o, "the owner's key among the cell's jobs names another owner or none")
 			return
 		}
 		if len(records) == 0 {
--- a/services/control/owner_store.go
+++ b/services/control/owner_store.go
@@ -16,11 +16,11 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// jobsPerTxn keeps a transaction within the store's bound: an ended job has three entries
-// at most, one that is forgotten a key in each of its cells, and five entries are the owner's own.
-const jobsPerTxn = (platform.MaxTxnEntries - 5) / (cellsOfJob + 1)
+// jobsPerTxn keeps a transaction within the store's limit of entries. An ended job takes three entries
+// at most, a forgotten job a key in each of its cells, and the owner itself five.
+const jobsPerTxn = (platform.MaxTxnEntries - 5) / (cellsPerJob + 1)
 
-// storeLoop stores what the core has changed.
+// storeLoop stores the changes of the core.
 func (o *Owner) storeLoop(ctx context.Context) {
 	ticker := time.NewTicker(o.config.Settings.StoreEvery)
 	defer ticker.Stop()
@@ -28,7 +28,7 @@
 		more, err := o.storeOnce(ctx)
 		switch {
 		case err != nil:
-			sleep(ctx, loadRetry)
+			sleep(ctx, loadRetryPause)
 		case more:
 			continue
 		default:
@@ -42,7 +42,7 @@
 	}
 }
 
-// storeOnce stores some changes; more tells whether others wait.
+// storeOnce stores the changes that fit into one transaction; more reports whether others are left.
 func (o *Owner) storeOnce(ctx context.Context) (more bool, err error) {
 	o.mu.Lock()
 	changes := o.core.TakeChanges(jobsPerTxn, o.config.Clock.Now())
@@ -63,15 +63,15 @@
 	more = o.core.HasChanges()
 	o.mu.Unlock()
 	wake(o.wakeDecide)
-	if err != nil && !isOutage(err) { // outages are logged once, when they begin and end
+	if err != nil && !isOutage(err) { // storeHealth logs the begin and the end of an outage
 		o.config.Logger.Warn("progress is not stored", append(log.Err(err), zap.String("cell", string(o.cell)), zap.Int("jobs", len(changes.Jobs)))...)
 	}
 	return more, err
 }
 
-// commit carries out one transaction of the owner.
+// commit stores changes in one transaction of the owner.
 func (o *Owner) commit(ctx context.Context, changes dispatch.Changes) error {
-	txn, err := o.txnOf(changes)
+	txn, err := o.buildTxn(changes)
 	if err != nil {
 		return err
 	}
@@ -79,8 +79,8 @@
 	return err
 }
 
-// txnOf makes the transaction that stores changes.
-func (o *Owner) txnOf(changes dispatch.Changes) (platform.Txn, error) {
+// buildTxn builds the transaction that stores changes.
+func (o *Owner) buildTxn(changes dispatch.Changes) (platform.Txn, error) {
 	var txn platform.Txn
 	var puts []put
 	if changes.Roster != nil {
@@ -99,7 +99,7 @@
 			txn.Delete = append(txn.Delete, cancelKey(o.cell, change.ID))
 		}
 	}
-	for _, id := range changes.Forget { // also where parts of it were, or it came from
+	for _, id := range changes.Forget { // also in the cells of other parts, and the cell it was moved from
 		cells := cellsOf(id, o.cells.layout())
 		if !slices.Contains(cells, o.cell) {
 			cells = append(cells, o.cell)
@@ -107,29 +107,30 @@
 		txn.Delete = append(txn.Delete, jobKeys(cells, id)...)
 	}
 	writes, err := encode(puts)
-	txn.Put = append(writes, o.writeOf(changes.Knowledge)...)
+	txn.Put = append(writes, o.encodeLearned(changes.Knowledge)...)
 	return txn, err
 }
 
-// writeOf is the write of what the owner has learned, if there is any. What can't be encoded
-// costs a successor some seconds of learning, and must not keep the rest from being stored.
-func (o *Owner) writeOf(knowledge *jobs.Knowledge) []platform.Write {
+// encodeLearned returns the write of the learned parameters, if there are any. Parameters that cannot be
+// encoded cost the next owner some seconds of learning, and must not prevent the other changes from being
+// stored.
+func (o *Owner) encodeLearned(knowledge *jobs.Knowledge) []platform.Write {
 	if knowledge == nil {
 		return nil
 	}
 	writes, err := encode([]put{{learnedKey(o.cell), knowledge}})
 	if err != nil {
-		o.config.Logger.Error("what was learned can't be encoded", append(log.Err(err), zap.String("cell", string(o.cell)))...)
+		o.config.Logger.Error("learned parameters cannot be encoded; not storing them", append(log.Err(err), zap.String("cell", string(o.cell)))...)
 	}
 	return writes
 }
 
-// finishTime bounds the last transactions of a planned stop.
-const finishTime = time.Second
+// flushTimeout bounds the last transactions before a handover.
+const flushTimeout = time.Second
 
-// finish stores everything before the cell is handed over.
-func (o *Owner) finish(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, finishTime)
+// flush stores all pending changes before the cell is handed over.
+func (o *Owner) flush(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		o.mu.Lock()
@@ -139,6 +140,6 @@
 			return
 		}
 		wake(o.wakeStore)
-		sleep(ctx, decideLeast)
+		sleep(ctx, minDecidePause)
 	}
 }
--- a/services/control/peers_test.go
+++ b/services/control/peers_test.go
@@ -21,22 +21,22 @@
 	"rillsail.example/rillsail/services/standin/link"
 )
 
-// knowingOwner answers every query with what it has learned.
-type knowingOwner struct{ learned []jobs.Learned }
+// stubOwner answers every query with the same learned parameters.
+type stubOwner struct{ learned []jobs.Learned }
 
 // Jobs implements peerrpc.Owner.
-func (k *knowingOwner) Jobs(_ context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
+func (o *stubOwner) Jobs(_ context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
 	return peerrpc.Serve("owner", in, func(jobs.Query) (jobs.Answer, error) {
-		return jobs.Answer{Owner: true, Learned: k.learned}, nil
+		return jobs.Answer{Owner: true, Learned: o.learned}, nil
 	})
 }
 
-// TestLargeAnswerOfAPeerOverANarrowLink asks an owner for what it has learned of so many
-// images that the answer takes longer than a question may stay without one.
+// TestLargeAnswerOfAPeerOverANarrowLink checks that an answer that takes longer than peerTimeout to transfer
+// arrives whole: the timeout ends only queries that make no progress.
 func TestLargeAnswerOfAPeerOverANarrowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		draw := rand.New(rand.NewPCG(1, 1)) // figures that hardly compress
-		owner := &knowingOwner{}
+		draw := rand.New(rand.NewPCG(1, 1)) // random values hardly compress
+		owner := &stubOwner{}
 		for i := range 20_000 {
 			owner.learned = append(owner.learned, jobs.Learned{
 				Serving: jobs.ImageName(fmt.Sprintf("serving-%d", i)), Filling: jobs.ImageName(fmt.Sprintf("filling-%d", i)),
@@ -49,10 +49,10 @@
 		var group conc.WaitGroup
 		listener := l.Listen("owner:80")
 		group.Go(func() { _ = server.Serve(listener) }) // ends with Shutdown
-		peers := newCallerOver("asker", l.Dial)
-		began := time.Now()
+		peers := newPeerClientWithDial("asker", l.Dial)
+		start := time.Now()
 		answer, err := peers.Jobs(t.Context(), "owner:80", jobs.Query{Cell: "0", Learned: true})
-		took := time.Since(began)
+		took := time.Since(start)
 		peers.close()
 		require.NoError(t, server.Shutdown(context.Background()))
 		group.Wait()
@@ -62,31 +62,31 @@
 	})
 }
 
-// silentOwner answers nothing for longer than any question waits.
-type silentOwner struct{ knowingOwner }
+// silentOwner delays every answer for longer than any query waits.
+type silentOwner struct{ stubOwner }
 
 // Jobs implements peerrpc.Owner.
 func (s *silentOwner) Jobs(ctx context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
 	time.Sleep(10 * peerTimeout)
-	return s.knowingOwner.Jobs(ctx, in)
+	return s.stubOwner.Jobs(ctx, in)
 }
 
-// TestSilentPeerCostsNoConnectionsToOthers asks an owner that is well, then one that is frozen, then
-// the first again. Each question to the frozen one closed the idle connections to all daemons, in
-// case they had gone silent with the one that was used.
+// TestSilentPeerCostsNoConnectionsToOthers guards against closing the idle connections to all daemons when a
+// query to one of them times out. It queries a healthy owner, then a frozen one, then the healthy one
+// again, which must reuse its connection.
 func TestSilentPeerCostsNoConnectionsToOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := link.New(link.Config{Rate: 1_250_000})
 		var group conc.WaitGroup
 		defer group.Wait()
-		for address, owner := range map[string]peerrpc.Owner{"well:80": &knowingOwner{}, "frozen:80": &silentOwner{}} {
+		for address, owner := range map[string]peerrpc.Owner{"well:80": &stubOwner{}, "frozen:80": &silentOwner{}} {
 			server := &http.Server{Handler: peerrpc.NewOwnerServer(owner), ReadHeaderTimeout: time.Minute}
 			listener := l.Listen(address)
 			group.Go(func() { _ = server.Serve(listener) }) // ends with Shutdown
 			defer func() { require.NoError(t, server.Shutdown(context.Background())) }()
 		}
 		opened := map[string]int{}
-		peers := newCallerOver("asker", func(ctx context.Context, network, address string) (net.Conn, error) {
+		peers := newPeerClientWithDial("asker", func(ctx context.Context, network, address string) (net.Conn, error) {
 			opened[address]++
 			return l.Dial(ctx, network, address)
 		})
