--- a/services/control/random_test.go
+++ b/services/control/random_test.go
@@ -138,14 +138,14 @@
 	})
 }
 
-// runsPerScript is how often each script is run. A seed fixes the script but not its run: all clocks are those of the
+// playsOfEach is how often each script is run. A seed fixes the script but not its run: all clocks are those of the
 // synctest bubble, but goroutines that are ready at the same instant run in any order, even on one processor, a select
 // with several ready cases takes any, and maps are iterated in any order. Go allows none of these to be fixed.
-const runsPerScript = 3
+const playsOfEach = 3
 
 // runScriptRepeatedly runs a script several times and returns the first failure.
 func runScriptRepeatedly(t *testing.T, script []scriptStep, in scenario) (failure string) {
-	for range runsPerScript {
+	for range playsOfEach {
 		if failure = runScript(t, script, in); failure != "" {
 			return failure
 		}
