--- a/services/claim/claim.go
+++ b/services/claim/claim.go
@@ -46,14 +46,14 @@
 	Client  *peer.Client
 	// Keep is how long the key of an ended request is kept.
 	Keep time.Duration
-	// Most bounds the keys kept; beyond it claims are refused. 0: the default.
-	Most int
+	// MaxKeys bounds the keys kept; beyond it claims are refused. 0: the default.
+	MaxKeys int
 }
 
-const defaultMost = 200_000
+const defaultMaxKeys = 200_000
 
-// homesWanted is how many daemons that are old enough have to grant a claim.
-const homesWanted = 2
+// requiredHomes is how many daemons that are old enough have to grant a claim.
+const requiredHomes = 2
 
 // ErrFull says that a home keeps as many keys as it may.
 var ErrFull = errors.New("too many idempotency keys are kept; try again later")
@@ -62,24 +62,24 @@
 var errNoHome = errors.New("no home of the key is known")
 
 type record struct {
-	holder  string
-	ended   bool
-	touched time.Time
+	holder    string
+	ended     bool
+	updatedAt time.Time
 }
 
 // Service holds the keys whose home this daemon is.
 type Service struct {
 	config Config
 
-	mu      sync.Mutex
-	records map[string]record
-	swept   time.Time
+	mu        sync.Mutex
+	records   map[string]record
+	lastSweep time.Time
 }
 
 // New makes a service without keys.
 func New(config Config) *Service {
-	if config.Most == 0 {
-		config.Most = defaultMost
+	if config.MaxKeys == 0 {
+		config.MaxKeys = defaultMaxKeys
 	}
 	return &Service{config: config, records: map[string]record{}}
 }
@@ -87,19 +87,19 @@
 // Claim asks the homes for the right to send. On an error nothing is claimed and
 // the request must not be sent.
 func (s *Service) Claim(ctx context.Context, key, holder string) (state models.ClaimState, ended bool, err error) {
-	if s.uncertain(key) {
+	if s.homesLost(key) {
 		return models.ClaimUnknown, false, nil
 	}
 	call := models.ClaimCall{Action: models.ClaimTake, Records: []models.ClaimRecord{{Key: key, Holder: holder}}}
 	old := 0
 	var granted []models.MemberID
-	for _, home := range s.order(key) {
-		if old >= homesWanted {
+	for _, home := range s.homeOrder(key) {
+		if old >= requiredHomes {
 			break
 		}
 		answer, err := s.ask(ctx, home, call)
 		if err != nil || answer.State != models.ClaimGranted {
-			s.tell(granted, models.ClaimFree, key, holder)
+			s.notify(granted, models.ClaimFree, key, holder)
 			return answer.State, answer.Ended, err
 		}
 		granted = append(granted, home)
@@ -113,9 +113,9 @@
 	return models.ClaimGranted, false, nil
 }
 
-// order lists the daemons by the key's hash, the second one from another failure
+// homeOrder lists the daemons by the key's hash, the second one from another failure
 // domain than the first where there is one.
-func (s *Service) order(key string) []models.MemberID {
+func (s *Service) homeOrder(key string) []models.MemberID {
 	live := s.config.Members.Live()
 	domains := make(map[models.MemberID]models.FailureDomain, len(live))
 	ids := make([]models.MemberID, len(live))
@@ -137,10 +137,10 @@
 	return order
 }
 
-// uncertain tells whether the homes that the key had were both lost lately.
-func (s *Service) uncertain(key string) bool {
+// homesLost tells whether the homes that the key had were both lost lately.
+func (s *Service) homesLost(key string) bool {
 	lost := s.config.Members.LostSince(s.config.Keep)
-	if len(lost) < homesWanted {
+	if len(lost) < requiredHomes {
 		return false
 	}
 	all := s.config.Members.LiveIDs()
@@ -149,7 +149,7 @@
 			all = append(all, id)
 		}
 	}
-	for _, home := range rendezvous.Order(key, all)[:homesWanted] {
+	for _, home := range rendezvous.Order(key, all)[:requiredHomes] {
 		if !slices.Contains(lost, home) {
 			return false
 		}
@@ -174,15 +174,15 @@
 	if notRun {
 		action = models.ClaimFree
 	}
-	order := s.order(key)
-	s.tell(order[:min(len(order), s.asked(order))], action, key, holder)
+	order := s.homeOrder(key)
+	s.notify(order[:min(len(order), s.homesAsked(order))], action, key, holder)
 }
 
-// asked is how many of the order a claim asks.
-func (s *Service) asked(order []models.MemberID) int {
+// homesAsked is how many of the order a claim asks.
+func (s *Service) homesAsked(order []models.MemberID) int {
 	old := 0
 	for i, home := range order {
-		if old >= homesWanted {
+		if old >= requiredHomes {
 			return i
 		}
 		if s.config.Members.Uptime(home) >= s.config.Keep {
@@ -192,13 +192,13 @@
 	return len(order)
 }
 
-// tellTimeout bounds how long a caller waits for the homes to hear of the end.
-const tellTimeout = time.Second
+// notifyTimeout bounds how long a caller waits for the homes to hear of the end.
+const notifyTimeout = time.Second
 
-// tell tells homes what became of a claim. One that doesn't hear it keeps the key as
+// notify tells homes what became of a claim. One that doesn't hear it keeps the key as
 // taken, which is safe.
-func (s *Service) tell(homes []models.MemberID, action models.ClaimAction, key, holder string) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+func (s *Service) notify(homes []models.MemberID, action models.ClaimAction, key, holder string) {
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	call := models.ClaimCall{Action: action, Records: []models.ClaimRecord{{Key: key, Holder: holder}}}
 	for _, home := range homes {
@@ -220,7 +220,7 @@
 	case models.ClaimFree:
 		s.free(call.Records[0])
 	case models.ClaimCarry:
-		s.carryIn(call.Records, now)
+		s.importRecords(call.Records, now)
 	}
 	return models.ClaimAnswer{State: models.ClaimGranted}, nil
 }
@@ -230,16 +230,16 @@
 	if ok && held.holder != r.Holder {
 		return models.ClaimAnswer{State: models.ClaimTaken, Ended: held.ended}, nil
 	}
-	if !ok && len(s.records) >= s.config.Most {
+	if !ok && len(s.records) >= s.config.MaxKeys {
 		return models.ClaimAnswer{}, ErrFull
 	}
-	s.records[r.Key] = record{holder: r.Holder, touched: now}
+	s.records[r.Key] = record{holder: r.Holder, updatedAt: now}
 	return models.ClaimAnswer{State: models.ClaimGranted}, nil
 }
 
 func (s *Service) end(r models.ClaimRecord, now time.Time) {
 	if held, ok := s.records[r.Key]; ok && held.holder == r.Holder {
-		s.records[r.Key] = record{holder: r.Holder, ended: true, touched: now}
+		s.records[r.Key] = record{holder: r.Holder, ended: true, updatedAt: now}
 	}
 }
 
@@ -249,30 +249,30 @@
 	}
 }
 
-func (s *Service) carryIn(records []models.ClaimRecord, now time.Time) {
+func (s *Service) importRecords(records []models.ClaimRecord, now time.Time) {
 	for _, r := range records {
 		if _, ok := s.records[r.Key]; !ok {
-			s.records[r.Key] = record{holder: r.Holder, ended: r.Ended, touched: now}
+			s.records[r.Key] = record{holder: r.Holder, ended: r.Ended, updatedAt: now}
 		}
 	}
 }
 
-// openFactor is by how much longer a key is kept whose request never ended, for its
+// openRetentionFactor is by how much longer a key is kept whose request never ended, for its
 // daemon may have died.
-const openFactor = 2
+const openRetentionFactor = 2
 
 // sweep forgets keys that were kept long enough; the caller holds the lock.
 func (s *Service) sweep(now time.Time) {
-	if now.Sub(s.swept) < s.config.Keep/10 {
+	if now.Sub(s.lastSweep) < s.config.Keep/10 {
 		return
 	}
-	s.swept = now
+	s.lastSweep = now
 	for key, r := range s.records {
 		keep := s.config.Keep
 		if !r.ended {
-			keep *= openFactor
+			keep *= openRetentionFactor
 		}
-		if now.Sub(r.touched) > keep {
+		if now.Sub(r.updatedAt) > keep {
 			delete(s.records, key)
 		}
 	}
@@ -283,8 +283,8 @@
 	byHome := map[models.MemberID][]models.ClaimRecord{}
 	s.mu.Lock()
 	for key, r := range s.records {
-		order := s.order(key)
-		for _, home := range order[:min(homesWanted, len(order))] {
+		order := s.homeOrder(key)
+		for _, home := range order[:min(requiredHomes, len(order))] {
 			byHome[home] = append(byHome[home], models.ClaimRecord{Key: key, Holder: r.holder, Ended: r.ended})
 		}
 	}
--- a/services/claim/claim_test.go
+++ b/services/claim/claim_test.go
@@ -31,7 +31,7 @@
 	server  *httptest.Server
 }
 
-const keep = time.Hour
+const retention = time.Hour
 
 // newHomes makes daemons that know each other as live and as having run for longer
 // than keys are kept; of itself each knows that it is young.
@@ -49,7 +49,7 @@
 			Self: h.self, Store: platform.NewHTTPStore(platform.HTTPConfig{Address: "127.0.0.1:1", CallTimeout: time.Second}),
 			Client: client, Logger: zap.NewNop(), Scope: tally.NoopScope, SilentAfter: time.Hour, Heartbeat: time.Hour, Lease: time.Hour,
 		})
-		h.claims = claim.New(claim.Config{Self: h.self.ID, Members: h.members, Client: client, Keep: keep})
+		h.claims = claim.New(claim.Config{Self: h.self.ID, Members: h.members, Client: client, Keep: retention})
 		h.server.Config.Handler = routers.New(routers.Config{
 			Self: h.self.ID, Members: h.members, Claims: h.claims, Heard: func(models.Heartbeat) {},
 		})
@@ -59,14 +59,14 @@
 	}
 	for _, h := range homes {
 		for _, other := range homes {
-			h.hear(other.self)
+			h.receive(other.self)
 		}
 	}
 	return homes
 }
 
-func (h *home) hear(m models.Member) {
-	h.members.Receive(models.Heartbeat{Member: m, Uptime: models.MilliOf(2 * keep)})
+func (h *home) receive(m models.Member) {
+	h.members.Receive(models.Heartbeat{Member: m, Uptime: models.MilliOf(2 * retention)})
 }
 
 // TestOneOfTwoIsGranted claims keys through two daemons.
@@ -121,7 +121,7 @@
 	}
 	for _, lost := range homes[1:3] {
 		lost.self.Incarnation = "2"
-		asked.hear(lost.self)
+		asked.receive(lost.self)
 	}
 	states := map[models.ClaimState]int{}
 	for i := range 60 {
@@ -147,7 +147,7 @@
 		require.NoError(t, leaving.claims.Carry(t.Context()))
 		for _, other := range homes {
 			if other != leaving {
-				other.hear(leaving.self)
+				other.receive(leaving.self)
 			}
 		}
 	}
@@ -160,7 +160,7 @@
 
 // TestFullHomeRefuses fills a home; further keys are refused, not forgotten.
 func TestFullHomeRefuses(t *testing.T) {
-	h := claim.New(claim.Config{Self: "e", Keep: keep, Most: 2})
+	h := claim.New(claim.Config{Self: "e", Keep: retention, MaxKeys: 2})
 	for i := range 3 {
 		_, err := h.Serve(models.ClaimCall{Action: models.ClaimTake, Records: []models.ClaimRecord{{Key: strings.Repeat("k", i+1), Holder: "h"}}})
 		assert.Equal(t, i == 2, err != nil)
--- a/services/entry/budget.go
+++ b/services/entry/budget.go
@@ -21,30 +21,30 @@
 	return errors.New("the upstream answered " + strconv.Itoa(status))
 }
 
-// budget allows retries as a part of requests, so that retries can't multiply the
+// retryBudget allows retries as a part of requests, so that retries can't multiply the
 // load when upstreams fail.
-type budget struct {
-	mu      sync.Mutex
-	percent float64
-	tokens  float64
+type retryBudget struct {
+	mu         sync.Mutex
+	perRequest float64
+	tokens     float64
 }
 
-// budgetMost is how many retries can be saved up.
-const budgetMost = 20
+// maxRetryTokens is how many retries can be saved up.
+const maxRetryTokens = 20
 
-func newBudget(percent int) *budget {
-	return &budget{percent: float64(percent) / 100, tokens: budgetMost / 2}
+func newRetryBudget(percent int) *retryBudget {
+	return &retryBudget{perRequest: float64(percent) / 100, tokens: maxRetryTokens / 2}
 }
 
-// earn counts one request.
-func (b *budget) earn() {
+// deposit counts one request.
+func (b *retryBudget) deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(budgetMost, b.tokens+b.percent)
+	b.tokens = min(maxRetryTokens, b.tokens+b.perRequest)
 }
 
-// take uses up one retry; false when there is none.
-func (b *budget) take() bool {
+// tryWithdraw uses up one retry; false when there is none.
+func (b *retryBudget) tryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/services/entry/claim.go
+++ b/services/entry/claim.go
@@ -20,19 +20,19 @@
 	switch {
 	case err != nil:
 		req.key = "" // nothing to end
-		return notRunYet("the idempotency key could not be claimed: "+err.Error(), comeBack)
+		return notRunRefusal("the idempotency key could not be claimed: "+err.Error(), minRetryAfter)
 	case state == models.ClaimGranted:
 		return nil
 	}
 	req.key = ""
-	r := &refusal{status: http.StatusConflict, outcome: models.RequestUnknown, retry: comeBack}
+	r := &refusal{status: http.StatusConflict, outcome: models.RequestUnknown, retryAfter: minRetryAfter}
 	switch {
 	case state == models.ClaimUnknown:
 		r.reason = "the daemons that knew whether this key was used are gone; check at the booking whether it ran"
-		r.retry = 0
+		r.retryAfter = 0
 	case ended:
 		r.reason = "a request with this key was sent before; it is over"
-		r.retry = 0
+		r.retryAfter = 0
 	default:
 		r.reason = "a request with this key is under way"
 	}
--- a/services/entry/decode.go
+++ b/services/entry/decode.go
@@ -28,7 +28,7 @@
 // decode reads the whole request, so that half a request never reaches an upstream.
 func (s *Service) decode(w http.ResponseWriter, r *http.Request) (*request, *refusal) {
 	req := &request{
-		id: s.config.NewID(), arrived: time.Now(), source: r, class: defaultClass, tried: map[models.VMID]bool{},
+		id: s.config.NewID(), arrived: time.Now(), incoming: r, class: defaultClass, triedUpstreams: map[models.VMID]bool{},
 	}
 	var err error
 	if req.labels, err = parseLabels(r.Header.Get(models.HeaderLabels)); err != nil {
--- a/services/entry/dump.go
+++ b/services/entry/dump.go
@@ -16,10 +16,10 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	statuses := make([]models.UpstreamStatus, 0, len(g.order))
-	for _, u := range g.order {
+	statuses := make([]models.UpstreamStatus, 0, len(g.sorted))
+	for _, u := range g.sorted {
 		statuses = append(statuses, models.UpstreamStatus{
-			VM: u.id(), State: u.state(now), Own: u.own, Peers: int(math.Round(u.peers)), Share: u.share, Slots: u.vm.Slots,
+			VM: u.id(), State: u.state(now), Own: u.ownInFlight, Peers: int(math.Round(u.peerLoad)), Share: u.share, Slots: u.vm.Slots,
 			Latency: models.MilliOf(time.Duration(u.latency.value * float64(time.Second))),
 		})
 	}
@@ -28,11 +28,11 @@
 
 func (u *upstream) state(now time.Time) string {
 	switch {
-	case u.vm.State == models.VMLeaving || now.Before(u.leaving):
+	case u.vm.State == models.VMLeaving || now.Before(u.leavingUntil):
 		return "leaving"
 	case u.drained:
 		return "drained"
-	case now.Before(u.ejected) || u.strikes > 0:
+	case now.Before(u.ejectedUntil) || u.consecutiveEjections > 0:
 		return "ejected"
 	default:
 		return "live"
@@ -41,25 +41,25 @@
 
 // Dump is the entry's whole state.
 type Dump struct {
-	InFlight  int64                    `json:"in_flight"`
-	Waiting   map[models.ClassName]int `json:"waiting"`
-	Capacity  int                      `json:"capacity"`
-	Deferred  int                      `json:"deferred"`
-	Service   float64                  `json:"mean_service_seconds"`
-	Retries   float64                  `json:"retry_tokens"`
-	Upstreams []models.UpstreamStatus  `json:"upstreams"`
+	InFlight           int64                    `json:"in_flight"`
+	Waiting            map[models.ClassName]int `json:"waiting"`
+	Capacity           int                      `json:"capacity"`
+	Deferred           int                      `json:"deferred"`
+	MeanServiceSeconds float64                  `json:"mean_service_seconds"`
+	RetryTokens        float64                  `json:"retry_tokens"`
+	Upstreams          []models.UpstreamStatus  `json:"upstreams"`
 }
 
 // Dump gives the whole state for operators.
 func (s *Service) Dump() Dump {
 	d := Dump{InFlight: s.InFlight(), Waiting: map[models.ClassName]int{}, Upstreams: s.Upstreams()}
 	s.budget.mu.Lock()
-	d.Retries = s.budget.tokens
+	d.RetryTokens = s.budget.tokens
 	s.budget.mu.Unlock()
 	g := s.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	d.Capacity, d.Deferred, d.Service = g.capacity, g.deferred, g.service.value
+	d.Capacity, d.Deferred, d.MeanServiceSeconds = g.capacity, g.deferredSlots, g.meanServiceTime.value
 	for name, q := range g.classes {
 		d.Waiting[name] = len(q.waiters)
 	}
--- a/services/entry/entry.go
+++ b/services/entry/entry.go
@@ -60,29 +60,29 @@
 
 // Service is the entry of one daemon.
 type Service struct {
-	config    Config
-	selectors *selector.Set
-	gate      *gate
-	budget    *budget
-	repeat    http.RoundTripper // keeps connections
-	once      http.RoundTripper // a new connection for each request, never resent
-	draining  atomic.Bool
-	inFlight  atomic.Int64
-	counters  counters
-	refusals  refusals
+	config             Config
+	selectors          *selector.Set
+	gate               *gate
+	budget             *retryBudget
+	pooledTransport    http.RoundTripper // keeps connections
+	singleUseTransport http.RoundTripper // a new connection for each request, never resent
+	draining           atomic.Bool
+	inFlight           atomic.Int64
+	counters           counters
+	refusals           refusals
 }
 
-const idlePerUpstream = 16
+const maxIdlePerUpstream = 16
 
 // New makes an entry that knows no upstream yet.
 func New(c Config) *Service {
 	selectors := selector.New()
 	return &Service{
-		config: c, selectors: selectors, budget: newBudget(c.Settings.RetryPercent),
-		gate:     newGate(gateConfig{Settings: c.Settings, Self: c.Self, Selectors: selectors, Logger: c.Logger, Scope: c.Scope}),
-		repeat:   newTransport(c.Settings.DialTimeout, false),
-		once:     newTransport(c.Settings.DialTimeout, true),
-		counters: newCounters(c.Scope), refusals: newRefusals(),
+		config: c, selectors: selectors, budget: newRetryBudget(c.Settings.RetryPercent),
+		gate:               newGate(gateConfig{Settings: c.Settings, Self: c.Self, Selectors: selectors, Logger: c.Logger, Scope: c.Scope}),
+		pooledTransport:    newTransport(c.Settings.DialTimeout, false),
+		singleUseTransport: newTransport(c.Settings.DialTimeout, true),
+		counters:           newCounters(c.Scope), refusals: newRefusals(),
 	}
 }
 
@@ -91,7 +91,7 @@
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		DisableKeepAlives:   single,
 		DisableCompression:  true,
-		MaxIdleConnsPerHost: idlePerUpstream,
+		MaxIdleConnsPerHost: maxIdlePerUpstream,
 		IdleConnTimeout:     time.Minute,
 	}
 }
@@ -102,7 +102,7 @@
 }
 
 // Beat is the source of the entry's part in heartbeats.
-func (s *Service) Beat(beat *models.Heartbeat) { s.gate.beat(beat) }
+func (s *Service) Beat(beat *models.Heartbeat) { s.gate.fillHeartbeat(beat) }
 
 // InFlight counts the requests that are not over.
 func (s *Service) InFlight() int64 { return s.inFlight.Load() }
--- a/services/entry/fake_upstream_test.go
+++ b/services/entry/fake_upstream_test.go
@@ -16,36 +16,36 @@
 
 // fakeUpstream has slots, before which requests wait in order.
 type fakeUpstream struct {
-	trial    *trialRun
-	slots    chan struct{}
-	factor   float64
-	fails    bool
-	leavesAt time.Time
-	present  int // requests that wait or are served
-	got      int
-	gotLate  int // new requests more than 3 s after it began to leave
+	trial        *trialRun
+	slots        chan struct{}
+	slowdown     float64
+	fails        bool
+	leavesAt     time.Time
+	active       int // requests that wait or are served
+	received     int
+	receivedLate int // new requests more than 3 s after it began to leave
 }
 
 // accept counts a request and draws its service time.
 func (u *fakeUpstream) accept() time.Duration {
 	u.trial.mu.Lock()
 	defer u.trial.mu.Unlock()
-	u.got++
-	u.present++
+	u.received++
+	u.active++
 	u.trial.reached++
-	if u.present > u.trial.slots+1 {
+	if u.active > u.trial.slots+1 {
 		u.trial.overruns++ // one more than there are slots hides the time on the wire
 	}
 	if !u.leavesAt.IsZero() && time.Since(u.leavesAt) > 3*time.Second {
-		u.gotLate++
+		u.receivedLate++
 	}
-	return time.Duration(float64(trialMedian) * math.Exp(trialSigma*u.trial.random.NormFloat64()) * u.factor)
+	return time.Duration(float64(trialMedian) * math.Exp(trialSigma*u.trial.random.NormFloat64()) * u.slowdown)
 }
 
 func (u *fakeUpstream) leave() {
 	u.trial.mu.Lock()
 	defer u.trial.mu.Unlock()
-	u.present--
+	u.active--
 }
 
 // RoundTrip implements http.RoundTripper: the wire, the slots and the service.
--- a/services/entry/gate.go
+++ b/services/entry/gate.go
@@ -31,94 +31,94 @@
 	config gateConfig
 	picker Picker
 
-	mu        sync.Mutex
-	upstreams map[models.VMID]*upstream
-	order     []*upstream // by id
-	classes   map[models.ClassName]*classQueue
-	waiting   int
-	service   average // of service times, in seconds
-	deferred  int     // slots held by deferred requests
-	capacity  int     // slots that are this daemon's to give
-	contended bool    // the own share was used up since the last heartbeat
-	slacks    map[models.MemberID]float64
-	borrow    float64 // part of peers' unused shares that may be used
+	mu              sync.Mutex
+	upstreams       map[models.VMID]*upstream
+	sorted          []*upstream // by id
+	classes         map[models.ClassName]*classQueue
+	waiting         int
+	meanServiceTime average // of service times, in seconds
+	deferredSlots   int     // slots held by deferred requests
+	capacity        int     // slots that are this daemon's to give
+	shareExhausted  bool    // the own share was used up since the last heartbeat
+	peerSlack       map[models.MemberID]float64
+	borrowFraction  float64 // part of peers' unused shares that may be used
 }
 
 // classQueue holds the waiting requests of one class, the oldest first.
 type classQueue struct {
-	class   models.Class
-	waiters []*waiter
-	credit  float64 // of the class's floor; a grant is due from 1 on
-	gap     average // seconds between two grants while others wait
-	granted time.Time
+	class         models.Class
+	waiters       []*waiter
+	credit        float64 // of the class's floor; a grant is due from 1 on
+	grantInterval average // seconds between two grants while others wait
+	lastGrant     time.Time
 }
 
 type waiter struct {
-	req     *request
-	granted chan grant // receives once
+	req    *request
+	result chan admitResult // receives once
 }
 
-// grant is what a waiter gets: a slot, or the final refusal.
-type grant struct {
+// admitResult is what a waiter gets: a slot, or the final refusal.
+type admitResult struct {
 	slot    *slot
 	refusal *refusal
 }
 
 func newGate(c gateConfig) *gate {
 	return &gate{
-		config: c, picker: pickerOf(c.Settings.Picker),
+		config: c, picker: newPicker(c.Settings.Picker),
 		upstreams: map[models.VMID]*upstream{}, classes: map[models.ClassName]*classQueue{},
-		slacks: map[models.MemberID]float64{},
+		peerSlack: map[models.MemberID]float64{},
 	}
 }
 
 // admit waits for a slot. A request that cannot make its deadline is refused at
 // once; one whose deadline passes while it waits, at that moment.
 func (g *gate) admit(ctx context.Context, req *request) (*slot, *refusal) {
-	w := &waiter{req: req, granted: make(chan grant, 1)}
+	w := &waiter{req: req, result: make(chan admitResult, 1)}
 	if refusal := g.enqueue(w); refusal != nil {
 		return nil, refusal
 	}
 	select {
-	case given := <-w.granted:
+	case given := <-w.result:
 		return given.slot, given.refusal
 	case <-ctx.Done():
 	}
-	if given, ok := g.withdraw(w); ok {
+	if given, ok := g.removeWaiter(w); ok {
 		return given.slot, given.refusal
 	}
-	return nil, notRunYet("deadline passed while waiting for a slot", g.estimate(req.class))
+	return nil, notRunRefusal("deadline passed while waiting for a slot", g.estimateWait(req.class))
 }
 
 func (g *gate) enqueue(w *waiter) *refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	class := w.req.class
-	if !g.anyFor(class) {
-		return notRunYet("no upstream serves class "+string(class.Name)+" now", comeBack)
+	if !g.hasUpstreamFor(class) {
+		return notRunRefusal("no upstream serves class "+string(class.Name)+" now", minRetryAfter)
 	}
-	if wait := g.estimateLocked(class); g.tooLate(w.req, wait) {
-		return notRunYet("the queue is too long for the request's deadline", max(wait, comeBack))
+	if wait := g.estimateWaitLocked(class); g.wouldMissDeadline(w.req, wait) {
+		return notRunRefusal("the queue is too long for the request's deadline", max(wait, minRetryAfter))
 	}
 	if g.waiting >= g.config.Settings.MaxWaiting && !g.displace(class) {
-		return notRunYet("too many requests wait", max(g.estimateLocked(class), comeBack))
+		return notRunRefusal("too many requests wait", max(g.estimateWaitLocked(class), minRetryAfter))
 	}
-	q := g.queueOf(class)
+	q := g.queueFor(class)
 	q.waiters = append(q.waiters, w)
 	g.waiting++
 	g.dispatch()
 	return nil
 }
 
-// comeBack is the least time that a refused caller is told to wait.
-const comeBack = time.Second
+// minRetryAfter is the least time that a refused caller is told to wait.
+const minRetryAfter = time.Second
 
-// anyFor tells whether any upstream may serve the class; the caller holds the lock.
-func (g *gate) anyFor(class models.Class) bool {
-	return slices.ContainsFunc(g.order, func(u *upstream) bool { return u.serves(class, g.config.Selectors) })
+// hasUpstreamFor tells whether any upstream may serve the class; the caller holds the lock.
+func (g *gate) hasUpstreamFor(class models.Class) bool {
+	return slices.ContainsFunc(g.sorted, func(u *upstream) bool { return u.serves(class, g.config.Selectors) })
 }
 
-func (g *gate) queueOf(class models.Class) *classQueue {
+func (g *gate) queueFor(class models.Class) *classQueue {
 	q, ok := g.classes[class.Name]
 	if !ok {
 		q = &classQueue{}
@@ -128,12 +128,12 @@
 	return q
 }
 
-// withdraw takes a waiter out; ok gives what it was granted a moment before.
-func (g *gate) withdraw(w *waiter) (given grant, ok bool) {
+// removeWaiter takes a waiter out; ok gives what it was granted a moment before.
+func (g *gate) removeWaiter(w *waiter) (given admitResult, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
-	case given = <-w.granted:
+	case given = <-w.result:
 		return given, true
 	default:
 	}
@@ -142,5 +142,5 @@
 		q.waiters = slices.Delete(q.waiters, i, i+1)
 		g.waiting--
 	}
-	return grant{}, false
+	return admitResult{}, false
 }
--- a/services/entry/measure_test.go
+++ b/services/entry/measure_test.go
@@ -30,12 +30,12 @@
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "| trial | picker | urgent p50 / p99 / p99.9 ms | ordinary p50 / p99 / p99.9 ms | ordinary p99, least to most | goodput urgent / ordinary / deferred | overruns %% | wasted %% |\n|---|---|---|---|---|---|---|---|\n")
-	for _, scene := range scenes(seconds) {
+	for _, scene := range scenarios(seconds) {
 		if !strings.Contains(scene.name, *measureOnly) {
 			continue
 		}
 		for _, picker := range []string{"random", "least-loaded", "two-choices", "divided"} {
-			fmt.Fprint(&b, measureScene(t, scene, picker, seeds))
+			fmt.Fprint(&b, measureScenario(t, scene, picker, seeds))
 		}
 	}
 	if *measureTo == "" {
@@ -45,21 +45,21 @@
 	require.NoError(t, os.WriteFile(*measureTo, []byte(b.String()), 0o600))
 }
 
-// scene is a trial with the name that it has in the table.
-type scene struct {
+// scenario is a trial with the name that it has in the table.
+type scenario struct {
 	name string
 	trial
 }
 
-// scenes are what the whole measurement runs.
-func scenes(seconds int) []scene {
+// scenarios are what the whole measurement runs.
+func scenarios(seconds int) []scenario {
 	base := trial{entries: 4, upstreams: 12, slots: 8, seconds: seconds, load: 0.8}
-	with := func(name string, change func(*trial)) scene {
+	with := func(name string, change func(*trial)) scenario {
 		t := base
 		change(&t)
-		return scene{name, t}
+		return scenario{name, t}
 	}
-	return []scene{
+	return []scenario{
 		with("50 %", func(t *trial) { t.load = 0.5 }),
 		with("80 %", func(*trial) {}),
 		with("95 %", func(t *trial) { t.load = 0.95 }),
@@ -72,13 +72,13 @@
 	}
 }
 
-// measureScene runs one scene with each seed and gives its row.
-func measureScene(t *testing.T, s scene, picker string, seeds []uint64) string {
+// measureScenario runs one scene with each seed and gives its row.
+func measureScenario(t *testing.T, s scenario, picker string, seeds []uint64) string {
 	t.Helper()
-	var runs sceneRuns
+	var runs scenarioRuns
 	for _, seed := range seeds {
 		s.picker, s.seed = picker, seed
-		runs = append(runs, play(t, s.trial))
+		runs = append(runs, runTrial(t, s.trial))
 	}
 	low, high := runs.spread("ordinary", 99)
 	return fmt.Sprintf("| %s | %s | %s | %s | %.1f to %.1f | %s | %.1f | %.2f |\n",
@@ -86,11 +86,11 @@
 		runs.percent(func(r *trialRun) int { return r.overruns }), runs.percent(func(r *trialRun) int { return r.wasted }))
 }
 
-// sceneRuns are the runs of one scene, one for each seed.
-type sceneRuns []*trialRun
+// scenarioRuns are the runs of one scene, one for each seed.
+type scenarioRuns []*trialRun
 
 // median is that of a figure over the runs.
-func (s sceneRuns) median(figure func(*trialRun) float64) float64 {
+func (s scenarioRuns) median(figure func(*trialRun) float64) float64 {
 	values := make([]float64, len(s))
 	for i, r := range s {
 		values[i] = figure(r)
@@ -100,7 +100,7 @@
 }
 
 // quantiles are p50, p99 and p99.9 of the latencies of a class, in milliseconds.
-func (s sceneRuns) quantiles(class string) string {
+func (s scenarioRuns) quantiles(class string) string {
 	var parts []string
 	for _, q := range []float64{50, 99, 99.9} {
 		parts = append(parts, fmt.Sprintf("%.1f", s.median(func(r *trialRun) float64 { return r.classes[class].ms(q) })))
@@ -109,7 +109,7 @@
 }
 
 // goodput is that of each class.
-func (s sceneRuns) goodput() string {
+func (s scenarioRuns) goodput() string {
 	var parts []string
 	for _, class := range trialClassNames {
 		parts = append(parts, fmt.Sprintf("%.4f", s.median(func(r *trialRun) float64 { return r.classes[class].goodput() })))
@@ -118,12 +118,12 @@
 }
 
 // percent is the share of a count in the requests that reached upstreams.
-func (s sceneRuns) percent(count func(*trialRun) int) float64 {
+func (s scenarioRuns) percent(count func(*trialRun) int) float64 {
 	return s.median(func(r *trialRun) float64 { return 100 * float64(count(r)) / float64(max(r.reached, 1)) })
 }
 
 // spread is the least and the most of a quantile over the runs.
-func (s sceneRuns) spread(class string, q float64) (low, high float64) {
+func (s scenarioRuns) spread(class string, q float64) (low, high float64) {
 	low = math.Inf(1)
 	for _, r := range s {
 		ms := r.classes[class].ms(q)
--- a/services/entry/moved_test.go
+++ b/services/entry/moved_test.go
@@ -20,14 +20,14 @@
 	"rillsail.example/rillsail/services/config"
 )
 
-// hosts answers all requests and notes where they were sent.
-type hosts struct {
+// hostRecorder answers all requests and notes where they were sent.
+type hostRecorder struct {
 	mu   sync.Mutex
 	seen map[string]bool
 }
 
 // RoundTrip implements http.RoundTripper.
-func (h *hosts) RoundTrip(r *http.Request) (*http.Response, error) {
+func (h *hostRecorder) RoundTrip(r *http.Request) (*http.Response, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.seen[r.URL.Host] = true
@@ -45,8 +45,8 @@
 		Self: "e0", Settings: setting.Defaults().Entry, MaxBody: 1 << 20, View: func() *config.View { return config.ViewOf(1, trialClasses...) },
 		Logger: zap.NewNop(), Scope: tally.NoopScope, NewID: func() string { return "id" },
 	})
-	sent := &hosts{seen: map[string]bool{}}
-	s.repeat, s.once = sent, sent
+	sent := &hostRecorder{seen: map[string]bool{}}
+	s.pooledTransport, s.singleUseTransport = sent, sent
 	move := func(n int) {
 		s.Sync([]models.VM{{
 			ID: "u0", Kind: models.KindUpstream, State: models.VMLive, Address: addresses[n%len(addresses)], Slots: 64, MaxConns: 64,
--- a/services/entry/notrun_test.go
+++ b/services/entry/notrun_test.go
@@ -20,16 +20,16 @@
 	"rillsail.example/rillsail/services/config"
 )
 
-// forgetful is an upstream that answers the first request, runs the second and closes its
+// scriptedUpstream is an upstream that answers the first request, runs the second and closes its
 // connection without a word, and refuses all others without running them.
-type forgetful struct {
+type scriptedUpstream struct {
 	mu   sync.Mutex
 	seen int
 	ran  int
 }
 
 // ServeHTTP implements http.Handler.
-func (f *forgetful) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *scriptedUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.seen++
@@ -46,8 +46,8 @@
 	}
 }
 
-// entryFor is an entry with one upstream.
-func entryFor(t *testing.T, upstream http.Handler, class models.Class) *Service {
+// newTestEntry is an entry with one upstream.
+func newTestEntry(t *testing.T, upstream http.Handler, class models.Class) *Service {
 	server := httptest.NewServer(upstream)
 	t.Cleanup(server.Close)
 	made := 0
@@ -70,8 +70,8 @@
 // when a kept connection ends without answer: the refusal of the second sending says nothing
 // of the first.
 func TestRequestSentTwiceByTheTransport(t *testing.T) {
-	upstream := &forgetful{}
-	s := entryFor(t, upstream, models.Class{Name: "quotes", Priority: models.PriorityOrdinary})
+	upstream := &scriptedUpstream{}
+	s := newTestEntry(t, upstream, models.Class{Name: "quotes", Priority: models.PriorityOrdinary})
 	get := func() *httptest.ResponseRecorder {
 		recorder := httptest.NewRecorder()
 		s.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/quote", nil))
--- a/services/entry/path.go
+++ b/services/entry/path.go
@@ -13,16 +13,16 @@
 
 // request is one caller's request on its way through the filters.
 type request struct {
-	id       string
-	arrived  time.Time
-	class    models.Class
-	labels   map[string]string
-	deadline time.Time // zero: none
-	key      string    // idempotency key, of unrepeatable requests
-	body     []byte
-	source   *http.Request
-	tried    map[models.VMID]bool
-	sent     int // times it may have reached an upstream
+	id             string
+	arrived        time.Time
+	class          models.Class
+	labels         map[string]string
+	deadline       time.Time // zero: none
+	key            string    // idempotency key, of unrepeatable requests
+	body           []byte
+	incoming       *http.Request
+	triedUpstreams map[models.VMID]bool
+	sendCount      int // times it may have reached an upstream
 }
 
 // ServeHTTP is the path of a request. Each filter either hands it on or refuses.
@@ -37,7 +37,7 @@
 		s.refuse(w, req, *refusal)
 		return
 	}
-	s.budget.earn()
+	s.budget.deposit()
 	s.classify(req)
 	ctx, cancel := req.context(r.Context())
 	defer cancel()
@@ -56,9 +56,9 @@
 
 // outcome is how the sending of a request ended.
 type outcome struct {
-	refusal *refusal // nil: an answer was relayed
-	cut     bool     // the answer was cut off after its header had been relayed
-	aborted bool     // the caller went away
+	refusal    *refusal // nil: an answer was relayed
+	truncated  bool     // the answer was cut off after its header had been relayed
+	callerGone bool     // the caller went away
 }
 
 // forward admits, picks, sends and relays, again while that is safe and within the
@@ -67,32 +67,32 @@
 	for {
 		slot, refusal := s.gate.admit(ctx, req)
 		if refusal != nil {
-			return outcome{refusal: refusal.after(req)}
+			return outcome{refusal: refusal.adjustOutcome(req)}
 		}
 		answer, failure := s.send(ctx, req, slot)
 		if failure == nil {
 			return s.relay(w, req, slot, answer)
 		}
 		slot.release(failure.verdict(), 0)
-		req.tried[slot.id] = true
+		req.triedUpstreams[slot.id] = true
 		if !s.mayRetry(req, failure) {
 			if failure.answer != nil {
-				return s.relayHeld(w, failure.answer)
+				return s.relayBuffered(w, failure.answer)
 			}
-			return outcome{refusal: failure.refusal(req), aborted: ctx.Err() != nil}
+			return outcome{refusal: failure.refusal(req), callerGone: ctx.Err() != nil}
 		}
-		s.counters.of(req.class.Name).retried.Inc(1)
+		s.counters.forClass(req.class.Name).retried.Inc(1)
 	}
 }
 
 // finish counts an answered request.
 func (s *Service) finish(req *request, o outcome) {
-	c := s.counters.of(req.class.Name)
+	c := s.counters.forClass(req.class.Name)
 	switch {
-	case o.cut:
+	case o.truncated:
 		c.unknown.Inc(1)
 		panic(http.ErrAbortHandler) // never passes for a whole answer
-	case o.aborted:
+	case o.callerGone:
 		return
 	default:
 		c.answered.Inc(1)
@@ -109,13 +109,13 @@
 
 // mayRetry tells whether a failed request may be sent to another upstream.
 func (s *Service) mayRetry(req *request, f *failure) bool {
-	if req.source.Context().Err() != nil {
+	if req.incoming.Context().Err() != nil {
 		return false
 	}
-	if f.notRun && len(req.tried) < maxTries {
-		return s.budget.take()
+	if f.notRun && len(req.triedUpstreams) < maxTries {
+		return s.budget.tryWithdraw()
 	}
-	return !req.class.Unrepeatable && len(req.tried) < maxTries && s.budget.take()
+	return !req.class.Unrepeatable && len(req.triedUpstreams) < maxTries && s.budget.tryWithdraw()
 }
 
 // maxTries bounds how often one request is sent.
--- a/services/entry/pick.go
+++ b/services/entry/pick.go
@@ -25,7 +25,7 @@
 	Divided struct{}
 )
 
-func pickerOf(name string) Picker {
+func newPicker(name string) Picker {
 	switch name {
 	case "random":
 		return Random{}
@@ -42,7 +42,7 @@
 	start := rand.IntN(len(candidates) + 1)
 	for i := range candidates {
 		u := candidates[(start+i)%len(candidates)]
-		if u.own < u.vm.Slots {
+		if u.ownInFlight < u.vm.Slots {
 			return u
 		}
 	}
@@ -50,8 +50,8 @@
 }
 
 func (LeastLoaded) pick(candidates []*upstream) *upstream {
-	return least(candidates, func(u *upstream) (float64, bool) {
-		return float64(u.own), u.own < u.vm.Slots
+	return lowestCost(candidates, func(u *upstream) (float64, bool) {
+		return float64(u.ownInFlight), u.ownInFlight < u.vm.Slots
 	})
 }
 
@@ -65,41 +65,41 @@
 	for range twoChoiceTries {
 		a := candidates[rand.IntN(len(candidates))]
 		b := candidates[rand.IntN(len(candidates))]
-		if b.inFlight() < a.inFlight() {
+		if b.estimatedInFlight() < a.estimatedInFlight() {
 			a = b
 		}
-		if a.inFlight() < float64(a.vm.Slots) {
+		if a.estimatedInFlight() < float64(a.vm.Slots) {
 			return a
 		}
 	}
 	return nil
 }
 
-// inFlight is what is known to be in flight at the upstream, of all daemons.
-func (u *upstream) inFlight() float64 { return float64(u.own) + u.peers }
+// estimatedInFlight is what is known to be in flight at the upstream, of all daemons.
+func (u *upstream) estimatedInFlight() float64 { return float64(u.ownInFlight) + u.peerLoad }
 
 func (Divided) pick(candidates []*upstream) *upstream {
-	own := least(candidates, func(u *upstream) (float64, bool) {
-		return expectedWait(u), u.own < u.share
+	own := lowestCost(candidates, func(u *upstream) (float64, bool) {
+		return expectedWait(u), u.ownInFlight < u.share
 	})
 	if own != nil {
 		return own
 	}
-	return least(candidates, func(u *upstream) (float64, bool) {
-		return expectedWait(u), u.own < u.share+u.borrowed
+	return lowestCost(candidates, func(u *upstream) (float64, bool) {
+		return expectedWait(u), u.ownInFlight < u.share+u.borrowable
 	})
 }
 
 // expectedWait grows with what is in flight there and with how slow it has been.
 func expectedWait(u *upstream) float64 {
-	return float64(u.own+1) * max(u.latency.value, minLatency)
+	return float64(u.ownInFlight+1) * max(u.latency.value, minLatency)
 }
 
 // minLatency keeps upstreams that were never measured comparable, in seconds.
 const minLatency = 0.0005
 
-// least gives the allowed candidate with the lowest cost; equal ones are drawn.
-func least(candidates []*upstream, cost func(*upstream) (float64, bool)) *upstream {
+// lowestCost gives the allowed candidate with the lowest cost; equal ones are drawn.
+func lowestCost(candidates []*upstream, cost func(*upstream) (float64, bool)) *upstream {
 	var best *upstream
 	lowest, ties := 0.0, 0
 	for _, u := range candidates {
--- a/services/entry/refusal.go
+++ b/services/entry/refusal.go
@@ -19,20 +19,20 @@
 
 // refusal is the final answer to a request that gets none of an upstream.
 type refusal struct {
-	status  int
-	outcome models.RequestOutcome
-	reason  string
-	retry   time.Duration // when to come back; 0: not worth it
+	status     int
+	outcome    models.RequestOutcome
+	reason     string
+	retryAfter time.Duration // when to come back; 0: not worth it
 }
 
-// notRunYet refuses a request of which no byte has left this daemon.
-func notRunYet(reason string, retry time.Duration) *refusal {
-	return &refusal{status: http.StatusServiceUnavailable, outcome: models.RequestNotRun, reason: reason, retry: retry}
+// notRunRefusal refuses a request of which no byte has left this daemon.
+func notRunRefusal(reason string, retry time.Duration) *refusal {
+	return &refusal{status: http.StatusServiceUnavailable, outcome: models.RequestNotRun, reason: reason, retryAfter: retry}
 }
 
-// after makes the refusal of a request that may have reached an upstream before say so.
-func (r *refusal) after(req *request) *refusal {
-	if req.sent > 0 {
+// adjustOutcome makes the refusal of a request that may have reached an upstream before say so.
+func (r *refusal) adjustOutcome(req *request) *refusal {
+	if req.sendCount > 0 {
 		r.outcome = models.RequestUnknown
 	}
 	return r
@@ -46,7 +46,7 @@
 }
 
 func (s *Service) refuse(w http.ResponseWriter, req *request, r refusal) {
-	c := s.counters.of(req.class.Name)
+	c := s.counters.forClass(req.class.Name)
 	if r.outcome == models.RequestNotRun {
 		c.refused.Inc(1)
 	} else {
@@ -59,14 +59,14 @@
 	w.Header().Set(models.HeaderRequestID, req.id)
 	w.Header().Set(models.HeaderOutcome, string(r.outcome))
 	w.Header().Set(models.HeaderReason, r.reason)
-	if r.retry > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(r.retry.Seconds()))))
+	if r.retryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(r.retryAfter.Seconds()))))
 	}
 	wire.Write(w, r.status, Problem{Outcome: r.outcome, Reason: r.reason, Class: req.class.Name})
 }
 
-// keptRefusals bounds what an entry remembers for operators.
-const keptRefusals = 256
+// maxKeptRefusals bounds what an entry remembers for operators.
+const maxKeptRefusals = 256
 
 // refusals are the latest refusals.
 type refusals struct {
@@ -74,7 +74,9 @@
 	latest *ring.Ring[models.RequestRefusal]
 }
 
-func newRefusals() refusals { return refusals{latest: ring.New[models.RequestRefusal](keptRefusals)} }
+func newRefusals() refusals {
+	return refusals{latest: ring.New[models.RequestRefusal](maxKeptRefusals)}
+}
 
 func (r *refusals) add(refusal models.RequestRefusal) {
 	r.mu.Lock()
@@ -89,7 +91,7 @@
 	return s.refusals.latest.All()
 }
 
-func (c *counters) of(class models.ClassName) classCounters {
+func (c *counters) forClass(class models.ClassName) classCounters {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	counters, ok := c.byClass[class]
@@ -111,9 +113,9 @@
 // moment, or with ctx's error.
 func (s *Service) Drain(ctx context.Context) error {
 	s.BeginDrain()
-	quiet := time.NewTicker(drainLook)
+	quiet := time.NewTicker(drainPollInterval)
 	defer quiet.Stop()
-	for calm := 0; calm < drainCalm; {
+	for calm := 0; calm < drainIdlePolls; {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -133,10 +135,10 @@
 
 // A drain ends when so many looks one after the other have found nothing in flight.
 const (
-	drainLook = 100 * time.Millisecond
-	drainCalm = 10
+	drainPollInterval = 100 * time.Millisecond
+	drainIdlePolls    = 10
 )
 
 // Healthy tells the balancer whether to send new requests here: not during a planned
 // stop, and not before the upstreams are known.
-func (s *Service) Healthy() bool { return !s.draining.Load() && s.gate.ready() }
+func (s *Service) Healthy() bool { return !s.draining.Load() && s.gate.hasUpstreams() }
--- a/services/entry/routing_test.go
+++ b/services/entry/routing_test.go
@@ -9,29 +9,29 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// small is the trial that the tests vary.
-func small(picker string) trial {
+// smallTrial is the trial that the tests vary.
+func smallTrial(picker string) trial {
 	return trial{picker: picker, load: 0.8, entries: 3, upstreams: 6, slots: 8, seconds: 3, seed: 1}
 }
 
 // TestDividedSlotsAreNotOverrun sends an even load near all slots: entries that see
 // only their own requests don't send an upstream more than it has slots.
 func TestDividedSlotsAreNotOverrun(t *testing.T) {
-	settings := small("divided")
+	settings := smallTrial("divided")
 	settings.load = 0.95
-	divided := play(t, settings)
+	divided := runTrial(t, settings)
 	settings.picker = "two-choices"
-	choices := play(t, settings)
+	choices := runTrial(t, settings)
 	assert.Less(t, float64(divided.overruns), 0.02*float64(divided.reached))
 	assert.Less(t, divided.overruns, choices.overruns/4)
 }
 
 // TestFailingUpstreamAttractsNothing lets one of six upstreams fail at once.
 func TestFailingUpstreamAttractsNothing(t *testing.T) {
-	settings := small("divided")
+	settings := smallTrial("divided")
 	settings.failing = true
-	r := play(t, settings)
-	assert.Less(t, r.upstreams[0].got, r.reached/50)
+	r := runTrial(t, settings)
+	assert.Less(t, r.upstreams[0].received, r.reached/50)
 	for name, c := range r.classes {
 		assert.Greater(t, c.goodput(), 0.99, "%s: %v", name, c.status)
 	}
@@ -39,22 +39,22 @@
 
 // TestLeavingUpstreamIsNoticedBeforeTheList lets one leave while the list lags.
 func TestLeavingUpstreamIsNoticedBeforeTheList(t *testing.T) {
-	settings := small("divided")
+	settings := smallTrial("divided")
 	settings.leaving, settings.seconds = true, 10
-	r := play(t, settings)
-	assert.Zero(t, r.upstreams[0].gotLate)
+	r := runTrial(t, settings)
+	assert.Zero(t, r.upstreams[0].receivedLate)
 }
 
 // TestOverloadKeepsTheOrderOfClasses sends a fifth more than all slots take: urgent
 // and ordinary requests keep their deadlines, and those that can wait get their
 // floor.
 func TestOverloadKeepsTheOrderOfClasses(t *testing.T) {
-	settings := small("divided")
+	settings := smallTrial("divided")
 	settings.load, settings.seconds = 1.2, 12
-	r := play(t, settings)
+	r := runTrial(t, settings)
 	assert.Greater(t, r.classes["urgent"].goodput(), 0.99, "%v", r.classes["urgent"].status)
 	deferred := r.classes["deferred"]
-	share := float64(deferred.right) / float64(deferred.right+r.classes["urgent"].right+r.classes["ordinary"].right)
+	share := float64(deferred.succeeded) / float64(deferred.succeeded+r.classes["urgent"].succeeded+r.classes["ordinary"].succeeded)
 	assert.Greater(t, share, 0.05, "the floor of those that can wait")
 	assert.Zero(t, deferred.failed+r.classes["urgent"].failed+r.classes["ordinary"].failed, "what can't make it is refused, not left to time out: %v %v %v",
 		deferred.status, r.classes["urgent"].status, r.classes["ordinary"].status)
--- a/services/entry/send.go
+++ b/services/entry/send.go
@@ -19,35 +19,35 @@
 
 // answer is an upstream's answer whose header has come.
 type answer struct {
-	response *http.Response
-	wait     time.Duration // until the header
-	whole    []byte        // the body, when it was held back to be checked
-	held     bool
+	response     *http.Response
+	timeToHeader time.Duration // until the header
+	body         []byte        // the body, when it was held back to be checked
+	buffered     bool
 }
 
 // failure is a sending without usable answer.
 type failure struct {
-	err    error
-	notRun bool // no byte reached the upstream, or it said so itself
-	caller bool // the caller went away or its deadline passed
+	err         error
+	notRun      bool // no byte reached the upstream, or it said so itself
+	contextDone bool // the caller went away or its deadline passed
 	// answer is the upstream's own error, to be relayed when nothing else is tried.
 	answer *answer
 }
 
 func (f *failure) verdict() verdict {
-	if f.caller {
+	if f.contextDone {
 		return verdictNone
 	}
 	return verdictFailure
 }
 
 func (f *failure) refusal(req *request) *refusal {
-	r := &refusal{status: http.StatusBadGateway, outcome: models.RequestUnknown, reason: f.err.Error(), retry: comeBack}
-	if f.caller {
+	r := &refusal{status: http.StatusBadGateway, outcome: models.RequestUnknown, reason: f.err.Error(), retryAfter: minRetryAfter}
+	if f.contextDone {
 		r.status = http.StatusGatewayTimeout
 		r.reason = "deadline passed while the upstream worked: " + f.err.Error()
 	}
-	if f.notRun && req.sent == 0 {
+	if f.notRun && req.sendCount == 0 {
 		r.status, r.outcome = http.StatusServiceUnavailable, models.RequestNotRun
 	}
 	return r
@@ -66,21 +66,21 @@
 	// each is a sending of its own, and the answer on the last says nothing of the others.
 	connections := 0
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connections++ }}
-	sending, id := s.outgoing(httptrace.WithClientTrace(ctx, trace), req, slot.address)
+	sending, id := s.newUpstreamRequest(httptrace.WithClientTrace(ctx, trace), req, slot.address)
 	began := time.Now()
 	response, err := s.transportFor(req).RoundTrip(sending)
-	req.sent += connections
+	req.sendCount += connections
 	peer := string(slot.id)
 	if err != nil {
-		return nil, &failure{err: errstep.Wrap(err, "send request", peer), notRun: connections == 0, caller: ctx.Err() != nil}
+		return nil, &failure{err: errstep.Wrap(err, "send request", peer), notRun: connections == 0, contextDone: ctx.Err() != nil}
 	}
 	if response.Close && !req.class.Unrepeatable {
-		s.gate.noteLeaving(slot.upstream)
+		s.gate.recordLeaving(slot.upstream)
 	}
-	a := &answer{response: response, wait: time.Since(began)}
+	a := &answer{response: response, timeToHeader: time.Since(began)}
 	if f := s.inspect(req, a, id, peer); f != nil {
 		_ = response.Body.Close()
-		f.caller = ctx.Err() != nil
+		f.contextDone = ctx.Err() != nil
 		return nil, f
 	}
 	return a, nil
@@ -90,17 +90,17 @@
 // library may send a request a second time by itself.
 func (s *Service) transportFor(req *request) http.RoundTripper {
 	if req.class.Unrepeatable {
-		return s.once
+		return s.singleUseTransport
 	}
-	return s.repeat
+	return s.pooledTransport
 }
 
-func (s *Service) outgoing(ctx context.Context, req *request, address string) (*http.Request, string) {
+func (s *Service) newUpstreamRequest(ctx context.Context, req *request, address string) (*http.Request, string) {
 	id := s.config.NewID()
 	out := &http.Request{
-		Method: req.source.Method,
-		URL:    &url.URL{Scheme: "http", Host: address, Path: req.source.URL.Path, RawPath: req.source.URL.RawPath, RawQuery: req.source.URL.RawQuery},
-		Header: req.source.Header.Clone(), Host: req.source.Host,
+		Method: req.incoming.Method,
+		URL:    &url.URL{Scheme: "http", Host: address, Path: req.incoming.URL.Path, RawPath: req.incoming.URL.RawPath, RawQuery: req.incoming.URL.RawQuery},
+		Header: req.incoming.Header.Clone(), Host: req.incoming.Host,
 		Body: io.NopCloser(bytes.NewReader(req.body)), ContentLength: int64(len(req.body)),
 	}
 	if len(req.body) == 0 {
@@ -121,17 +121,17 @@
 		return &failure{err: errstep.Wrap(errForeignAnswer, "check answer", peer)}
 	}
 	if r.Header.Get(models.HeaderOutcome) == string(models.RequestNotRun) {
-		req.sent--
+		req.sendCount--
 		return &failure{err: errstep.Wrap(errUpstreamRefused, "send request", peer), notRun: true}
 	}
 	if r.ContentLength < 0 || r.ContentLength > int64(s.config.Settings.BufferAnswer) {
 		return nil // streamed; a cut aborts the caller's connection
 	}
 	body, err := io.ReadAll(r.Body)
-	if err != nil || int64(len(body)) != r.ContentLength && req.source.Method != http.MethodHead {
+	if err != nil || int64(len(body)) != r.ContentLength && req.incoming.Method != http.MethodHead {
 		return &failure{err: errstep.Wrap(errShortAnswer, "read answer", peer)}
 	}
-	a.whole, a.held = body, true
+	a.body, a.buffered = body, true
 	if r.StatusCode >= http.StatusInternalServerError && !req.class.Unrepeatable {
 		return &failure{err: errstep.Wrap(statusError(r.StatusCode), "send request", peer), answer: a}
 	}
@@ -145,25 +145,25 @@
 	if a.response.StatusCode >= http.StatusInternalServerError {
 		v = verdictFailure
 	}
-	if a.held {
-		slot.release(v, a.wait)
-		return s.relayHeld(w, a)
+	if a.buffered {
+		slot.release(v, a.timeToHeader)
+		return s.relayBuffered(w, a)
 	}
 	copyHeader(w.Header(), a.response.Header)
 	o := s.stream(w, req, a)
-	if o.cut {
+	if o.truncated {
 		v = verdictFailure
 	}
-	slot.release(v, a.wait)
+	slot.release(v, a.timeToHeader)
 	return o
 }
 
-// relayHeld passes on an answer that was held back until it was whole.
-func (s *Service) relayHeld(w http.ResponseWriter, a *answer) outcome {
+// relayBuffered passes on an answer that was held back until it was whole.
+func (s *Service) relayBuffered(w http.ResponseWriter, a *answer) outcome {
 	copyHeader(w.Header(), a.response.Header)
 	w.WriteHeader(a.response.StatusCode)
-	_, err := w.Write(a.whole)
-	return outcome{aborted: err != nil}
+	_, err := w.Write(a.body)
+	return outcome{callerGone: err != nil}
 }
 
 func copyHeader(to, from http.Header) {
@@ -174,19 +174,19 @@
 	}
 }
 
-const streamChunk = 32 << 10
+const streamBufferSize = 32 << 10
 
 // stream passes on an answer piece by piece as it comes.
 func (s *Service) stream(w http.ResponseWriter, req *request, a *answer) outcome {
 	w.WriteHeader(a.response.StatusCode)
 	controller := http.NewResponseController(w)
 	_ = controller.Flush()
-	buffer := make([]byte, streamChunk)
+	buffer := make([]byte, streamBufferSize)
 	for {
 		n, err := a.response.Body.Read(buffer)
 		if n > 0 {
 			if _, err := w.Write(buffer[:n]); err != nil {
-				return outcome{aborted: true}
+				return outcome{callerGone: true}
 			}
 			_ = controller.Flush()
 		}
@@ -194,7 +194,7 @@
 		case err == io.EOF:
 			return outcome{}
 		case err != nil:
-			return outcome{cut: true, aborted: req.source.Context().Err() != nil}
+			return outcome{truncated: true, callerGone: req.incoming.Context().Err() != nil}
 		}
 	}
 }
--- a/services/entry/slot.go
+++ b/services/entry/slot.go
@@ -24,11 +24,11 @@
 	address string
 }
 
-// used counts this daemon's requests in flight.
-func (g *gate) used() int {
+// ownInFlight counts this daemon's requests in flight.
+func (g *gate) ownInFlight() int {
 	used := 0
-	for _, u := range g.order {
-		used += u.own
+	for _, u := range g.sorted {
+		used += u.ownInFlight
 	}
 	return used
 }
@@ -38,32 +38,32 @@
 // has borrowed much. The rest stays for the lenders' next surge.
 const (
 	borrowStep = 0.45
-	borrowMost = 0.9
+	maxBorrow  = 0.9
 )
 
-// adaptBorrowing follows whether the own share was used up since the last heartbeat,
+// updateBorrowing follows whether the own share was used up since the last heartbeat,
 // and says how much may be borrowed of each upstream; parts of slots add up along
 // the list.
-func (g *gate) adaptBorrowing() {
-	if g.contended {
-		g.borrow = min(borrowMost, g.borrow+borrowStep)
+func (g *gate) updateBorrowing() {
+	if g.shareExhausted {
+		g.borrowFraction = min(maxBorrow, g.borrowFraction+borrowStep)
 	} else {
-		g.borrow = 0
+		g.borrowFraction = 0
 	}
-	g.contended = false
+	g.shareExhausted = false
 	left := 0.0
-	for _, u := range g.order {
-		left += g.borrow * u.spare
-		u.borrowed = int(left)
-		left -= float64(u.borrowed)
+	for _, u := range g.sorted {
+		left += g.borrowFraction * u.peerSpare
+		u.borrowable = int(left)
+		left -= float64(u.borrowable)
 	}
 }
 
-func (g *gate) take(u *upstream, class models.Class) *slot {
-	u.use.note(u.own, time.Now())
-	u.own++
+func (g *gate) takeSlot(u *upstream, class models.Class) *slot {
+	u.ownLoad.update(u.ownInFlight, time.Now())
+	u.ownInFlight++
 	if class.Priority == models.PriorityDeferred {
-		g.deferred++
+		g.deferredSlots++
 	}
 	return &slot{gate: g, upstream: u, class: class, id: u.id(), address: u.vm.Address}
 }
@@ -75,19 +75,19 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	s.upstream.use.note(s.upstream.own, now)
-	s.upstream.own--
+	s.upstream.ownLoad.update(s.upstream.ownInFlight, now)
+	s.upstream.ownInFlight--
 	if s.class.Priority == models.PriorityDeferred {
-		g.deferred--
+		g.deferredSlots--
 	}
 	if wait > 0 {
-		g.service.add(wait.Seconds())
+		g.meanServiceTime.add(wait.Seconds())
 		s.upstream.latency.add(wait.Seconds())
 	}
-	if s.upstream.note(v, now) {
+	if s.upstream.record(v, now) {
 		g.config.Scope.Counter("ejections").Inc(1)
 		g.config.Logger.Warn("upstream fails; it gets single requests until one succeeds",
-			zap.String("upstream", string(s.upstream.id())), zap.Duration("for", s.upstream.ejected.Sub(now)))
+			zap.String("upstream", string(s.upstream.id())), zap.Duration("for", s.upstream.ejectedUntil.Sub(now)))
 	}
 	g.dispatch()
 }
@@ -112,28 +112,28 @@
 			delete(g.upstreams, id)
 		}
 	}
-	g.reorder()
-	g.share(live)
-	g.hear(live, beats)
-	g.adaptBorrowing()
+	g.sortUpstreams()
+	g.computeShares(live)
+	g.applyHeartbeats(live, beats)
+	g.updateBorrowing()
 	g.dispatch()
 	g.config.Scope.Gauge("waiting").Update(float64(g.waiting))
 	g.config.Scope.Gauge("capacity").Update(float64(g.capacity))
 }
 
-// ready tells whether any upstream is known.
-func (g *gate) ready() bool {
+// hasUpstreams tells whether any upstream is known.
+func (g *gate) hasUpstreams() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.order) > 0
+	return len(g.sorted) > 0
 }
 
-func (g *gate) reorder() {
-	g.order = g.order[:0]
+func (g *gate) sortUpstreams() {
+	g.sorted = g.sorted[:0]
 	for _, u := range g.upstreams {
-		g.order = append(g.order, u)
+		g.sorted = append(g.sorted, u)
 	}
-	slices.SortFunc(g.order, func(a, b *upstream) int {
+	slices.SortFunc(g.sorted, func(a, b *upstream) int {
 		if a.id() < b.id() {
 			return -1
 		}
--- a/services/entry/trial_test.go
+++ b/services/entry/trial_test.go
@@ -80,9 +80,9 @@
 
 // trialClass is what became of the requests of one class.
 type trialClass struct {
-	sent, right, refused, failed int
-	status                       map[int]int
-	latency                      *hdrhistogram.Histogram
+	sent, succeeded, refused, failed int
+	status                           map[int]int
+	latency                          *hdrhistogram.Histogram
 }
 
 func newTrialClass() *trialClass {
@@ -90,7 +90,7 @@
 }
 
 func (c *trialClass) ms(q float64) float64 { return float64(c.latency.ValueAtQuantile(q)) / 1000 }
-func (c *trialClass) goodput() float64     { return float64(c.right) / float64(max(c.sent, 1)) }
+func (c *trialClass) goodput() float64     { return float64(c.succeeded) / float64(max(c.sent, 1)) }
 
 // count takes the last answer to a request that was meant to be sent at a time.
 func (c *trialClass) count(status int, meant time.Time) {
@@ -98,7 +98,7 @@
 	c.status[status]++
 	switch status {
 	case http.StatusOK:
-		c.right++
+		c.succeeded++
 		_ = c.latency.RecordValue(max(1, time.Since(meant).Microseconds())) // at most the deadline
 	case http.StatusServiceUnavailable:
 		c.refused++
@@ -110,13 +110,13 @@
 func newTrialRun(t trial) *trialRun {
 	r := &trialRun{trial: t, random: rand.New(rand.NewPCG(t.seed, 1)), classes: map[string]*trialClass{}, view: config.ViewOf(1, trialClasses...)}
 	for i := range t.upstreams {
-		r.upstreams = append(r.upstreams, &fakeUpstream{trial: r, slots: make(chan struct{}, t.slots), factor: 1})
+		r.upstreams = append(r.upstreams, &fakeUpstream{trial: r, slots: make(chan struct{}, t.slots), slowdown: 1})
 		r.vms = append(r.vms, models.VM{
 			ID: models.VMID(fmt.Sprint("u", i)), Kind: models.KindUpstream, State: models.VMLive,
 			Address: fmt.Sprintf("10.0.0.1:%d", i+1), Slots: t.slots, MaxConns: 64,
 		})
 	}
-	r.spoil(r.upstreams[0])
+	r.injectFaults(r.upstreams[0])
 	for _, name := range trialClassNames {
 		r.classes[name] = newTrialClass()
 	}
@@ -126,10 +126,10 @@
 	return r
 }
 
-// spoil gives an upstream the faults of the trial.
-func (r *trialRun) spoil(u *fakeUpstream) {
+// injectFaults gives an upstream the faults of the trial.
+func (r *trialRun) injectFaults(u *fakeUpstream) {
 	if r.slow {
-		u.factor = 5
+		u.slowdown = 5
 	}
 	u.fails = r.failing
 	if r.leaving {
@@ -144,7 +144,7 @@
 		Self: models.MemberID(fmt.Sprint("e", i)), Settings: settings, MaxBody: 1 << 20, View: func() *config.View { return r.view },
 		Logger: zap.NewNop(), Scope: tally.NoopScope, NewID: func() string { return "id" },
 	})
-	s.repeat, s.once = r, r
+	s.pooledTransport, s.singleUseTransport = r, r
 	return s
 }
 
@@ -169,13 +169,13 @@
 	start := time.Now()
 	for at := time.Duration(0); at < time.Duration(r.seconds)*time.Second; at += gap() {
 		time.Sleep(time.Until(start.Add(at)))
-		class, entry := r.draw(random)
+		class, entry := r.drawRequest(random)
 		group.Go(func() { r.send(class, entry, start.Add(at)) })
 	}
 }
 
-// draw chooses the class of a request and the entry that it is sent to.
-func (r *trialRun) draw(random *rand.Rand) (class string, entry int) {
+// drawRequest chooses the class of a request and the entry that it is sent to.
+func (r *trialRun) drawRequest(random *rand.Rand) (class string, entry int) {
 	class = []string{"urgent", "ordinary", "ordinary", "ordinary", "deferred"}[random.IntN(5)]
 	entry = random.IntN(len(r.entries))
 	if r.uneven && random.IntN(len(r.entries)+2) < 3 {
@@ -214,7 +214,7 @@
 	}
 	beats := make([]models.Heartbeat, len(r.entries))
 	for _, e := range r.entries {
-		e.Sync(r.listed(), live, nil)
+		e.Sync(r.listedVMs(), live, nil)
 	}
 	for {
 		for i, e := range r.entries {
@@ -222,13 +222,13 @@
 				return
 			}
 			e.Beat(&beats[i])
-			e.Sync(r.listed(), live, heardBy(i, live, beats))
+			e.Sync(r.listedVMs(), live, heartbeatsFor(i, live, beats))
 		}
 	}
 }
 
-// heardBy are the others' heartbeats as entry i has them.
-func heardBy(i int, live []models.MemberID, beats []models.Heartbeat) map[models.MemberID]models.Heartbeat {
+// heartbeatsFor are the others' heartbeats as entry i has them.
+func heartbeatsFor(i int, live []models.MemberID, beats []models.Heartbeat) map[models.MemberID]models.Heartbeat {
 	heard := map[models.MemberID]models.Heartbeat{}
 	for j := range beats {
 		if j != i {
@@ -238,8 +238,8 @@
 	return heard
 }
 
-// listed is the platform's list, which lags.
-func (r *trialRun) listed() []models.VM {
+// listedVMs is the platform's list, which lags.
+func (r *trialRun) listedVMs() []models.VM {
 	vms := append([]models.VM(nil), r.vms...)
 	for i, u := range r.upstreams {
 		if !u.leavesAt.IsZero() && time.Since(u.leavesAt) > trialListLag {
@@ -255,8 +255,8 @@
 	*n++
 }
 
-// play runs a trial in a bubble of its own.
-func play(t *testing.T, settings trial) *trialRun {
+// runTrial runs a trial in a bubble of its own.
+func runTrial(t *testing.T, settings trial) *trialRun {
 	t.Helper()
 	var r *trialRun
 	synctest.Test(t, func(*testing.T) {
--- a/services/entry/upstream.go
+++ b/services/entry/upstream.go
@@ -19,36 +19,36 @@
 	labels  map[string]string
 	drained bool
 
-	own      int     // requests of this daemon in flight there
-	use      load    // their number over the last while
-	peers    float64 // the peers' numbers over the last while, as last told
-	spare    float64 // what peers that have no one waiting leave of their shares
-	share    int     // slots that are this daemon's
-	borrowed int     // slots of peers' shares that it may use
-	latency  average // time to the answer's header, in seconds
-
-	failing average   // 1 for a failure, 0 for a success
-	samples int       // since the last ejection
-	ejected time.Time // until when it gets nothing
-	strikes int       // ejections one after the other
-	leaving time.Time // until when its own word, or a peer's, counts
-	ownWord bool      // leaving by its own word, which peers are told
+	ownInFlight int         // requests of this daemon in flight there
+	ownLoad     loadAverage // their number over the last while
+	peerLoad    float64     // the peers' numbers over the last while, as last told
+	peerSpare   float64     // what peers that have no one waiting leave of their shares
+	share       int         // slots that are this daemon's
+	borrowable  int         // slots of peers' shares that it may use
+	latency     average     // time to the answer's header, in seconds
+
+	failureRate          average   // 1 for a failure, 0 for a success
+	samples              int       // since the last ejection
+	ejectedUntil         time.Time // until when it gets nothing
+	consecutiveEjections int       // ejections one after the other
+	leavingUntil         time.Time // until when its own word, or a peer's, counts
+	leavingObserved      bool      // leaving by its own word, which peers are told
 }
 
-// load is the number of requests in flight, averaged over time.
-type load struct {
-	value float64
-	at    time.Time
+// loadAverage is the number of requests in flight, averaged over time.
+type loadAverage struct {
+	value     float64
+	updatedAt time.Time
 }
 
-// loadMemory is the time over which a load is averaged.
-const loadMemory = 300 * time.Millisecond
+// loadTimeConstant is the time over which a load is averaged.
+const loadTimeConstant = 300 * time.Millisecond
 
-// note takes the number that has been in flight since the last call.
-func (l *load) note(inFlight int, now time.Time) {
-	passed := now.Sub(l.at).Seconds() / loadMemory.Seconds()
+// update takes the number that has been in flight since the last call.
+func (l *loadAverage) update(inFlight int, now time.Time) {
+	passed := now.Sub(l.updatedAt).Seconds() / loadTimeConstant.Seconds()
 	l.value += (float64(inFlight) - l.value) * (1 - math.Exp(-passed))
-	l.at = now
+	l.updatedAt = now
 }
 
 // average is an exponentially weighted mean.
@@ -74,7 +74,7 @@
 
 // serves tells whether new requests of the class may go there at all.
 func (u *upstream) serves(class models.Class, selectors *selector.Set) bool {
-	if u.vm.State != models.VMLive || u.drained || time.Now().Before(u.leaving) {
+	if u.vm.State != models.VMLive || u.drained || time.Now().Before(u.leavingUntil) {
 		return false
 	}
 	return selectors.Matches(class.Upstreams, u.labels)
@@ -82,19 +82,19 @@
 
 // Ejection of an upstream that fails.
 const (
-	ejectRate    = 0.5 // failures among the latest requests
-	ejectSamples = 5
-	ejectFor     = time.Second
-	ejectMost    = 30 * time.Second
+	ejectFailureRate = 0.5 // failures among the latest requests
+	ejectMinSamples  = 5
+	baseEjectionTime = time.Second
+	maxEjectionTime  = 30 * time.Second
 )
 
 // healthy tells whether the upstream is not ejected; after an ejection it gets one
 // request at a time until one succeeds.
 func (u *upstream) healthy(now time.Time) bool {
-	if now.Before(u.ejected) {
+	if now.Before(u.ejectedUntil) {
 		return false
 	}
-	return u.strikes == 0 || u.own == 0
+	return u.consecutiveEjections == 0 || u.ownInFlight == 0
 }
 
 // verdict is what one request tells of its upstream.
@@ -106,39 +106,39 @@
 	verdictFailure                // it did not, or with an error of its own
 )
 
-// note takes a verdict; ejected tells that the upstream was just ejected.
-func (u *upstream) note(v verdict, now time.Time) (ejected bool) {
+// record takes a verdict; ejected tells that the upstream was just ejected.
+func (u *upstream) record(v verdict, now time.Time) (ejected bool) {
 	switch v {
 	case verdictNone:
 		return false
 	case verdictSuccess:
-		u.failing.add(0)
+		u.failureRate.add(0)
 		u.samples++
-		u.strikes = 0
+		u.consecutiveEjections = 0
 		return false
 	}
-	u.failing.add(1)
+	u.failureRate.add(1)
 	u.samples++
-	if u.strikes == 0 && (u.samples < ejectSamples || u.failing.value < ejectRate) {
+	if u.consecutiveEjections == 0 && (u.samples < ejectMinSamples || u.failureRate.value < ejectFailureRate) {
 		return false
 	}
-	u.ejected = now.Add(min(ejectMost, ejectFor<<min(u.strikes, 5)))
-	u.strikes++
+	u.ejectedUntil = now.Add(min(maxEjectionTime, baseEjectionTime<<min(u.consecutiveEjections, 5)))
+	u.consecutiveEjections++
 	u.samples = 0
 	return true
 }
 
-// ahead is how many requests an upstream gets beyond its slots, as a part of them:
+// slotsPerExtraRequest is how many requests an upstream gets beyond its slots, as a part of them:
 // the next one is there when a slot becomes free, and no slot is idle while an
 // answer and the next request are on the wire.
-const ahead = 8
+const slotsPerExtraRequest = 8
 
-// share divides each upstream's slots, and one more for each eight, among the
+// computeShares divides each upstream's slots, and one more for each eight, among the
 // entries: everyone gets as many, and what is left goes to the first in the
 // upstream's hash order.
-func (g *gate) share(live []models.MemberID) {
+func (g *gate) computeShares(live []models.MemberID) {
 	g.capacity = 0
-	for _, u := range g.order {
+	for _, u := range g.sorted {
 		u.share = shareOf(u.vm, g.config.Self, live)
 		if u.vm.State == models.VMLive && !u.drained {
 			g.capacity += u.share
@@ -150,7 +150,7 @@
 	if len(live) == 0 || !slices.Contains(live, self) {
 		return max(1, vm.Slots/(len(live)+1)) // this daemon leaves, or has heard nobody
 	}
-	slots := vm.Slots + (vm.Slots+ahead-1)/ahead
+	slots := vm.Slots + (vm.Slots+slotsPerExtraRequest-1)/slotsPerExtraRequest
 	share := slots / len(live)
 	rank := slices.Index(rendezvous.Order(string(vm.ID), live), self)
 	if rank < slots%len(live) {
@@ -159,37 +159,37 @@
 	return share
 }
 
-// leavingFor is for how long an upstream's or a peer's word of leaving counts; the
+// leavingTimeout is for how long an upstream's or a peer's word of leaving counts; the
 // VM list has caught up by then.
-const leavingFor = 15 * time.Second
+const leavingTimeout = 15 * time.Second
 
 // loadUnit is the part of a slot in which loads are told.
 const loadUnit = 0.01
 
-// lendFrom is the part of its share that a peer must leave unused, on average over
+// minLendSlack is the part of its share that a peer must leave unused, on average over
 // all upstreams, before others may borrow of it.
-const lendFrom = 0.2
+const minLendSlack = 0.2
 
-// hear takes the peers' loads and what they say of leaving upstreams.
-func (g *gate) hear(live []models.MemberID, beats map[models.MemberID]models.Heartbeat) {
-	for _, u := range g.order {
-		u.peers, u.spare = 0, 0
+// applyHeartbeats takes the peers' loads and what they say of leaving upstreams.
+func (g *gate) applyHeartbeats(live []models.MemberID, beats map[models.MemberID]models.Heartbeat) {
+	for _, u := range g.sorted {
+		u.peerLoad, u.peerSpare = 0, 0
 	}
 	for id, beat := range beats {
-		lends := beat.Load != nil && beat.Waiting == 0 && slices.Contains(live, id) && g.noteSlack(id, g.slack(beat, len(live))) > lendFrom
-		for _, u := range g.order {
+		lends := beat.Load != nil && beat.Waiting == 0 && slices.Contains(live, id) && g.recordSlack(id, g.slack(beat, len(live))) > minLendSlack
+		for _, u := range g.sorted {
 			told := float64(beat.Load[u.id()]) * loadUnit
-			u.peers += told
+			u.peerLoad += told
 			if lends {
-				u.spare += max(0, evenShare(u, len(live))-told)
+				u.peerSpare += max(0, evenShare(u, len(live))-told)
 			}
 		}
 	}
 	now := time.Now()
 	for _, beat := range beats {
 		for _, id := range beat.LeavingVMs {
-			if u, ok := g.upstreams[id]; ok && !u.ownWord {
-				u.leaving = now.Add(leavingFor)
+			if u, ok := g.upstreams[id]; ok && !u.leavingObserved {
+				u.leavingUntil = now.Add(leavingTimeout)
 			}
 		}
 	}
@@ -201,16 +201,16 @@
 // moment of a busy peer is no reason to borrow.
 const slackWeight = 0.5
 
-// noteSlack follows a peer's slack over its heartbeats, from none on.
-func (g *gate) noteSlack(id models.MemberID, now float64) float64 {
-	g.slacks[id] += slackWeight * (now - g.slacks[id])
-	return g.slacks[id]
+// recordSlack follows a peer's slack over its heartbeats, from none on.
+func (g *gate) recordSlack(id models.MemberID, now float64) float64 {
+	g.peerSlack[id] += slackWeight * (now - g.peerSlack[id])
+	return g.peerSlack[id]
 }
 
 // slack is the part of its share that a peer leaves unused.
 func (g *gate) slack(beat models.Heartbeat, entries int) float64 {
 	share, used := 0.0, 0.0
-	for _, u := range g.order {
+	for _, u := range g.sorted {
 		share += evenShare(u, entries)
 		used += float64(beat.Load[u.id()]) * loadUnit
 	}
@@ -220,41 +220,41 @@
 	return 1 - used/share
 }
 
-// noteLeaving takes an upstream's own word that it closes its connections. When
+// recordLeaving takes an upstream's own word that it closes its connections. When
 // most of them do so, it says nothing of leaving and is not believed.
-func (g *gate) noteLeaving(u *upstream) {
+func (g *gate) recordLeaving(u *upstream) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
 	leaving := 1
-	for _, other := range g.order {
-		if other != u && now.Before(other.leaving) {
+	for _, other := range g.sorted {
+		if other != u && now.Before(other.leavingUntil) {
 			leaving++
 		}
 	}
-	if 2*leaving > len(g.order) {
+	if 2*leaving > len(g.sorted) {
 		return
 	}
-	u.leaving, u.ownWord = now.Add(leavingFor), true
+	u.leavingUntil, u.leavingObserved = now.Add(leavingTimeout), true
 }
 
-// beat tells the peers what this daemon has in flight, and who leaves by its own word.
-func (g *gate) beat(beat *models.Heartbeat) {
+// fillHeartbeat tells the peers what this daemon has in flight, and who leaves by its own word.
+func (g *gate) fillHeartbeat(beat *models.Heartbeat) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	beat.Load = map[models.VMID]int{}
 	beat.Waiting = g.waiting
 	now := time.Now()
-	for _, u := range g.order {
-		u.use.note(u.own, now)
+	for _, u := range g.sorted {
+		u.ownLoad.update(u.ownInFlight, now)
 		// A surge shows in what is in flight now before it shows in the average.
-		if told := int(max(u.use.value, float64(u.own)) / loadUnit); told > 0 {
+		if told := int(max(u.ownLoad.value, float64(u.ownInFlight)) / loadUnit); told > 0 {
 			beat.Load[u.id()] = told
 		}
-		if u.ownWord && now.Before(u.leaving) {
+		if u.leavingObserved && now.Before(u.leavingUntil) {
 			beat.LeavingVMs = append(beat.LeavingVMs, u.id())
 		} else {
-			u.ownWord = false
+			u.leavingObserved = false
 		}
 	}
 }
--- a/services/member/beat.go
+++ b/services/member/beat.go
@@ -14,24 +14,24 @@
 	"rillsail.example/rillsail/models"
 )
 
-// forgetAfter is after how many silent periods a peer that isn't listed any more
+// forgetAfterPeriods is after how many silent periods a peer that isn't listed any more
 // is forgotten.
-const forgetAfter = 10
+const forgetAfterPeriods = 10
 
-// beatLoop sends heartbeats. A peer that was heard within the period has had this
+// heartbeatLoop sends heartbeats. A peer that was heard within the period has had this
 // daemon's own with the answer, so of each two daemons one asks and one answers.
-func (s *Service) beatLoop(ctx context.Context) {
+func (s *Service) heartbeatLoop(ctx context.Context) {
 	ticker := time.NewTicker(s.config.Heartbeat)
 	defer ticker.Stop()
-	s.Round(ctx)
+	s.SendHeartbeats(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			s.round(ctx, s.addresses(s.config.Heartbeat*9/10))
-		case <-s.nudge:
-			s.Round(ctx)
+			s.sendHeartbeats(ctx, s.heartbeatTargets(s.config.Heartbeat*9/10))
+		case <-s.roundRequested:
+			s.SendHeartbeats(ctx)
 		}
 	}
 }
@@ -40,34 +40,34 @@
 // the peers should know.
 func (s *Service) Nudge() {
 	select {
-	case s.nudge <- struct{}{}:
+	case s.roundRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Round sends one heartbeat to every peer and waits for the answers.
-func (s *Service) Round(ctx context.Context) { s.round(ctx, s.addresses(0)) }
+// SendHeartbeats sends one heartbeat to every peer and waits for the answers.
+func (s *Service) SendHeartbeats(ctx context.Context) { s.sendHeartbeats(ctx, s.heartbeatTargets(0)) }
 
-func (s *Service) round(ctx context.Context, addresses []string) {
+func (s *Service) sendHeartbeats(ctx context.Context, addresses []string) {
 	beat := s.compose()
 	ctx, cancel := context.WithTimeout(ctx, s.config.SilentAfter/2)
 	defer cancel()
 	var group conc.WaitGroup
 	for _, address := range addresses {
-		group.Go(func() { s.send(ctx, address, beat) })
+		group.Go(func() { s.sendHeartbeat(ctx, address, beat) })
 	}
 	group.Wait()
-	s.sweep()
+	s.sweepSilent()
 }
 
-func (s *Service) send(ctx context.Context, address string, beat models.Heartbeat) {
+func (s *Service) sendHeartbeat(ctx context.Context, address string, beat models.Heartbeat) {
 	answer, err := s.config.Client.Heartbeat(ctx, address, beat)
 	if err != nil {
 		s.config.Scope.Counter("heartbeats_failed").Inc(1)
 		return
 	}
 	s.config.Scope.Counter("heartbeats").Inc(1)
-	s.hear(answer)
+	s.recordHeartbeat(answer)
 }
 
 // compose makes this daemon's heartbeat with the parts of all sources.
@@ -79,35 +79,35 @@
 	return beat
 }
 
-// addresses lists whom to send heartbeats: the known members that were not heard
+// heartbeatTargets lists whom to send heartbeats: the known members that were not heard
 // within the time, and the seeds that are no known members.
-func (s *Service) addresses(unheardFor time.Duration) []string {
+func (s *Service) heartbeatTargets(unheardFor time.Duration) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	set := map[string]bool{}
 	for _, seed := range s.config.Seeds {
 		set[seed] = true
 	}
-	for _, k := range s.known {
-		set[k.member.PeerAddress] = k.heard.IsZero() || time.Since(k.heard) >= unheardFor
+	for _, k := range s.peers {
+		set[k.member.PeerAddress] = k.lastHeard.IsZero() || time.Since(k.lastHeard) >= unheardFor
 	}
 	delete(set, s.self.PeerAddress)
 	maps.DeleteFunc(set, func(_ string, wanted bool) bool { return !wanted })
 	return slices.Collect(maps.Keys(set))
 }
 
-// sweep logs who fell silent and forgets who was silent for long.
-func (s *Service) sweep() {
+// sweepSilent logs who fell silent and forgets who was silent for long.
+func (s *Service) sweepSilent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, k := range s.known {
-		s.noteLive(k)
-		if !k.heard.IsZero() && time.Since(k.heard) > forgetAfter*s.config.SilentAfter {
-			s.noteLost(k)
-			delete(s.known, id)
+	for id, k := range s.peers {
+		s.updateLiveness(k)
+		if !k.lastHeard.IsZero() && time.Since(k.lastHeard) > forgetAfterPeriods*s.config.SilentAfter {
+			s.recordLost(k)
+			delete(s.peers, id)
 		}
 	}
-	s.config.Scope.Gauge("known").Update(float64(len(s.known)))
+	s.config.Scope.Gauge("known").Update(float64(len(s.peers)))
 }
 
 // Leave tells every peer that this daemon leaves and takes its key out of the
@@ -116,6 +116,6 @@
 	s.mu.Lock()
 	s.self.Leaving = true
 	s.mu.Unlock()
-	s.Round(ctx)
+	s.SendHeartbeats(ctx)
 	return s.deregister(ctx)
 }
--- a/services/member/dump.go
+++ b/services/member/dump.go
@@ -17,7 +17,7 @@
 	dump := Dump{Self: s.Self(), Members: s.Beats(), Silent: map[models.MemberID]models.Member{}}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, k := range s.known {
+	for id, k := range s.peers {
 		if !s.isLive(k) {
 			dump.Silent[id] = k.member
 		}
--- a/services/member/live.go
+++ b/services/member/live.go
@@ -22,8 +22,8 @@
 	if !s.listRead {
 		return false
 	}
-	for _, k := range s.known {
-		if k.heard.IsZero() {
+	for _, k := range s.peers {
+		if k.lastHeard.IsZero() {
 			return false
 		}
 	}
@@ -37,12 +37,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	heard := 1
-	for _, k := range s.known {
+	for _, k := range s.peers {
 		if s.isLive(k) {
 			heard++
 		}
 	}
-	return 2*heard >= len(s.known)+1
+	return 2*heard >= len(s.peers)+1
 }
 
 // Live lists the members that work, this one included unless it leaves, by id.
@@ -53,7 +53,7 @@
 	if !s.self.Leaving {
 		live = append(live, s.self)
 	}
-	for _, k := range s.known {
+	for _, k := range s.peers {
 		if s.isLive(k) && !k.member.Leaving {
 			live = append(live, k.member)
 		}
@@ -76,10 +76,10 @@
 func (s *Service) Beats() map[models.MemberID]models.Heartbeat {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	beats := make(map[models.MemberID]models.Heartbeat, len(s.known))
-	for id, k := range s.known {
+	beats := make(map[models.MemberID]models.Heartbeat, len(s.peers))
+	for id, k := range s.peers {
 		if s.isLive(k) {
-			beats[id] = k.beat
+			beats[id] = k.heartbeat
 		}
 	}
 	return beats
@@ -92,7 +92,7 @@
 	if id == s.self.ID {
 		return s.self, true
 	}
-	k, ok := s.known[id]
+	k, ok := s.peers[id]
 	if !ok || !s.isLive(k) {
 		return models.Member{}, false
 	}
@@ -117,8 +117,8 @@
 	if id == s.self.ID {
 		return time.Since(s.started)
 	}
-	if k, ok := s.known[id]; ok {
-		return k.beat.Uptime.Duration()
+	if k, ok := s.peers[id]; ok {
+		return k.heartbeat.Uptime.Duration()
 	}
 	return 0
 }
--- a/services/member/member.go
+++ b/services/member/member.go
@@ -51,17 +51,17 @@
 
 // Service knows the members.
 type Service struct {
-	config  Config
-	sources []Source
-	started time.Time
-	nudge   chan struct{} // asks for a round of heartbeats at once
+	config         Config
+	sources        []Source
+	started        time.Time
+	roundRequested chan struct{} // asks for a round of heartbeats at once
 
 	mu    sync.Mutex
 	self  models.Member
-	known map[models.MemberID]*peerState
-	// lost holds when members were last seen to lose their memory, by dying or by
+	peers map[models.MemberID]*peerState
+	// lostAt holds when members were last seen to lose their memory, by dying or by
 	// starting anew, without having passed it on.
-	lost map[models.MemberID]time.Time
+	lostAt map[models.MemberID]time.Time
 	// listRead tells that the member list has been read once from the store.
 	listRead bool
 
@@ -71,8 +71,8 @@
 // New makes the service.
 func New(config Config) *Service {
 	return &Service{
-		config: config, self: config.Self, known: map[models.MemberID]*peerState{}, lost: map[models.MemberID]time.Time{},
-		nudge: make(chan struct{}, 1), started: time.Now(),
+		config: config, self: config.Self, peers: map[models.MemberID]*peerState{}, lostAt: map[models.MemberID]time.Time{},
+		roundRequested: make(chan struct{}, 1), started: time.Now(),
 		registration: registration{trouble: log.NewTrouble(log.TroubleConfig{
 			Logger: config.Logger,
 			Began:  "membership key can't be kept; heartbeats go on without it",
@@ -90,7 +90,7 @@
 	var group conc.WaitGroup
 	group.Go(func() { s.registerLoop(ctx) })
 	group.Go(func() { s.watchLoop(ctx) })
-	group.Go(func() { s.beatLoop(ctx) })
+	group.Go(func() { s.heartbeatLoop(ctx) })
 	group.Wait()
 }
 
--- a/services/member/peer_state.go
+++ b/services/member/peer_state.go
@@ -13,79 +13,79 @@
 
 // peerState is what is known of one peer.
 type peerState struct {
-	member models.Member
-	beat   models.Heartbeat
-	heard  time.Time // zero: never
-	live   bool      // as last logged
+	member     models.Member
+	heartbeat  models.Heartbeat
+	lastHeard  time.Time // zero: never
+	loggedLive bool      // as last logged
 }
 
 // Receive takes a peer's heartbeat and gives this daemon's own.
 func (s *Service) Receive(beat models.Heartbeat) models.Heartbeat {
-	s.hear(beat)
+	s.recordHeartbeat(beat)
 	return s.compose()
 }
 
-// hear takes a heartbeat into what is known of its sender.
-func (s *Service) hear(beat models.Heartbeat) {
+// recordHeartbeat takes a heartbeat into what is known of its sender.
+func (s *Service) recordHeartbeat(beat models.Heartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if beat.Member.ID == s.self.ID {
 		return
 	}
-	k := s.stateOf(beat.Member.ID)
-	if !k.heard.IsZero() && k.member.Incarnation != beat.Member.Incarnation {
-		s.noteLost(k)
+	k := s.peerStateOf(beat.Member.ID)
+	if !k.lastHeard.IsZero() && k.member.Incarnation != beat.Member.Incarnation {
+		s.recordLost(k)
 	}
-	k.member, k.beat, k.heard = beat.Member, beat, time.Now()
-	s.noteLive(k)
+	k.member, k.heartbeat, k.lastHeard = beat.Member, beat, time.Now()
+	s.updateLiveness(k)
 }
 
-// stateOf gives the state of a peer and makes it for a new one; the caller holds the lock.
-func (s *Service) stateOf(id models.MemberID) *peerState {
-	k, ok := s.known[id]
+// peerStateOf gives the state of a peer and makes it for a new one; the caller holds the lock.
+func (s *Service) peerStateOf(id models.MemberID) *peerState {
+	k, ok := s.peers[id]
 	if !ok {
 		k = &peerState{}
-		s.known[id] = k
+		s.peers[id] = k
 	}
 	return k
 }
 
-// forget drops a peer that isn't live.
-func (s *Service) forget(id models.MemberID) {
+// forgetPeer drops a peer that isn't live.
+func (s *Service) forgetPeer(id models.MemberID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if k, ok := s.known[id]; ok && !s.isLive(k) {
-		s.noteLost(k)
-		delete(s.known, id)
+	if k, ok := s.peers[id]; ok && !s.isLive(k) {
+		s.recordLost(k)
+		delete(s.peers, id)
 	}
 }
 
 // isLive tells whether the peer was heard lately; the caller holds the lock.
 func (s *Service) isLive(k *peerState) bool {
-	return !k.heard.IsZero() && time.Since(k.heard) < s.config.SilentAfter
+	return !k.lastHeard.IsZero() && time.Since(k.lastHeard) < s.config.SilentAfter
 }
 
-// noteLive logs when a peer comes or goes; the caller holds the lock.
-func (s *Service) noteLive(k *peerState) {
+// updateLiveness logs when a peer comes or goes; the caller holds the lock.
+func (s *Service) updateLiveness(k *peerState) {
 	live := s.isLive(k)
-	if live == k.live {
+	if live == k.loggedLive {
 		return
 	}
-	k.live = live
+	k.loggedLive = live
 	state := "peer is silent"
 	if live {
 		state = "peer is live"
 	} else {
-		s.noteLost(k)
+		s.recordLost(k)
 	}
 	s.config.Logger.Info(state, zap.String("peer", string(k.member.ID)), zap.String("address", k.member.PeerAddress))
 }
 
-// noteLost notes that a member may have died with what it knew; the caller holds
+// recordLost notes that a member may have died with what it knew; the caller holds
 // the lock. One that left as planned has passed it on.
-func (s *Service) noteLost(k *peerState) {
+func (s *Service) recordLost(k *peerState) {
 	if !k.member.Leaving {
-		s.lost[k.member.ID] = time.Now()
+		s.lostAt[k.member.ID] = time.Now()
 	}
 }
 
@@ -94,11 +94,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var ids []models.MemberID
-	for id, at := range s.lost {
+	for id, at := range s.lostAt {
 		if time.Since(at) < within {
 			ids = append(ids, id)
 		} else {
-			delete(s.lost, id)
+			delete(s.lostAt, id)
 		}
 	}
 	return ids
--- a/services/member/register.go
+++ b/services/member/register.go
@@ -37,7 +37,7 @@
 	ticker := time.NewTicker(s.config.Lease / 3)
 	defer ticker.Stop()
 	for {
-		err := s.keepRegistered(ctx)
+		err := s.ensureRegistered(ctx)
 		if ctx.Err() != nil {
 			return
 		}
@@ -50,7 +50,7 @@
 	}
 }
 
-func (s *Service) keepRegistered(ctx context.Context) error {
+func (s *Service) ensureRegistered(ctx context.Context) error {
 	if s.Self().Leaving {
 		return nil
 	}
@@ -110,12 +110,12 @@
 // can, the list is read now and then.
 func (s *Service) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		revision, err := s.readList(ctx)
+		revision, err := s.listMembers(ctx)
 		for err == nil && ctx.Err() == nil {
 			var records []platform.Record
 			records, revision, err = s.config.Store.Watch(ctx, Prefix, revision)
 			for _, record := range records {
-				s.learn(record)
+				s.applyRecord(record)
 			}
 		}
 		s.config.Scope.Counter("watch_failed").Inc(1)
@@ -123,13 +123,13 @@
 	}
 }
 
-func (s *Service) readList(ctx context.Context) (platform.Version, error) {
+func (s *Service) listMembers(ctx context.Context) (platform.Version, error) {
 	records, revision, err := s.config.Store.List(ctx, Prefix)
 	if err != nil {
 		return 0, errstep.Wrap(err, "list members", "store")
 	}
 	for _, record := range records {
-		s.learn(record)
+		s.applyRecord(record)
 	}
 	s.mu.Lock()
 	s.listRead = true
@@ -137,14 +137,14 @@
 	return revision, nil
 }
 
-// learn takes the address of a member from its key. A key that goes says nothing
+// applyRecord takes the address of a member from its key. A key that goes says nothing
 // of a daemon that is heard; one that isn't is forgotten with it.
-func (s *Service) learn(record platform.Record) {
+func (s *Service) applyRecord(record platform.Record) {
 	if record.Key == s.key() {
 		return
 	}
 	if record.Deleted {
-		s.forget(models.MemberID(strings.TrimPrefix(record.Key, Prefix)))
+		s.forgetPeer(models.MemberID(strings.TrimPrefix(record.Key, Prefix)))
 		return
 	}
 	m, err := wire.DecodeBytes[models.Member](record.Value)
@@ -153,9 +153,9 @@
 		return
 	}
 	s.mu.Lock()
-	k := s.stateOf(m.ID)
+	k := s.peerStateOf(m.ID)
 	isNew := k.member.PeerAddress != m.PeerAddress
-	if k.heard.IsZero() || isNew {
+	if k.lastHeard.IsZero() || isNew {
 		k.member = m
 	}
 	s.mu.Unlock()
--- a/services/peer/peer.go
+++ b/services/peer/peer.go
@@ -36,16 +36,16 @@
 	config Config
 	peers  *peerrpc.Clients[peerrpc.Peer]
 
-	calls     atomic.Int64
-	bytesSent atomic.Int64
-	bytesGot  atomic.Int64
+	calls         atomic.Int64
+	bytesSent     atomic.Int64
+	bytesReceived atomic.Int64
 }
 
 // Counts is what the calls to peers have cost so far.
 type Counts struct {
-	Calls     int64 `json:"calls"`
-	BytesSent int64 `json:"bytes_sent"`
-	BytesGot  int64 `json:"bytes_got"`
+	Calls         int64 `json:"calls"`
+	BytesSent     int64 `json:"bytes_sent"`
+	BytesReceived int64 `json:"bytes_got"`
 }
 
 const idleConnections = 4
@@ -63,11 +63,11 @@
 		Limits: stall.Evenly(config.Timeout),
 		Conns:  conns,
 	}
-	return &Client{config: config, peers: peerrpc.NewClients(peerClient, client)}
+	return &Client{config: config, peers: peerrpc.NewClients(newPeerClient, client)}
 }
 
-// peerClient makes a client without options.
-func peerClient(base string, http peerrpc.HTTPClient) peerrpc.Peer {
+// newPeerClient makes a client without options.
+func newPeerClient(base string, http peerrpc.HTTPClient) peerrpc.Peer {
 	return peerrpc.NewPeerProtobufClient(base, http)
 }
 
@@ -86,7 +86,7 @@
 
 // Counts is what the calls have cost so far.
 func (c *Client) Counts() Counts {
-	return Counts{Calls: c.calls.Load(), BytesSent: c.bytesSent.Load(), BytesGot: c.bytesGot.Load()}
+	return Counts{Calls: c.calls.Load(), BytesSent: c.bytesSent.Load(), BytesReceived: c.bytesReceived.Load()}
 }
 
 // Heartbeat exchanges heartbeats.
@@ -131,7 +131,7 @@
 		out, err := do(c.peers.At(address), ctx, in)
 		c.calls.Add(1)
 		c.bytesSent.Add(int64(len(in.GetBody())))
-		c.bytesGot.Add(int64(len(out.GetBody())))
+		c.bytesReceived.Add(int64(len(out.GetBody())))
 		return out, err
 	}
 	return peerrpc.Call[A](ctx, string(c.config.Self), step, address, counted, body)
