--- a/services/claim/claim.go
+++ b/services/claim/claim.go
@@ -1,27 +1,27 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package claim keeps the idempotency keys of unrepeatable requests, so that a
-// request that its caller sends again, through whatever daemon, runs at most once.
+// Package claim keeps the idempotency keys of unrepeatable requests, so that a request runs
+// at most once even if its caller sends it again through another daemon.
 //
-// A key has two homes: the first two daemons in the hash order of the key, in
-// different failure domains where there are two. A request asks the homes one after
-// the other, always in that order, and is sent only when all grant it; so of two
-// requests with one key the first home decides. A daemon younger than the time keys
-// are kept can't know them all, and the next in the order is asked as well until
-// two have answered that are old enough. When the homes a key had have both died
-// within that time, nobody knows whether it was used, and the answer is "unknown".
-// A daemon that leaves as planned carries its keys to their next homes.
+// A key has two homes: the first two daemons in the rendezvous order of the key, in different
+// failure domains if there are two. A daemon asks the homes in that order, and sends the
+// request only if all grant the key. The first home therefore decides between two requests
+// with the same key. A daemon that has run for less than the retention time cannot know all
+// keys, so the next daemons in the order are asked as well, until two that have run for long
+// enough have answered. If both former homes of a key were lost within the retention time, no
+// daemon knows whether the key was used, and the answer is "unknown". A daemon that leaves as
+// planned transfers its keys to their next homes.
 //
 // # Usage
 //
 //	claims := claim.New(claim.Config{Members: members, Client: client, Keep: 10 * time.Minute})
 //	state, ended, err := claims.Claim(ctx, key, requestID)
 //	claims.End(key, requestID, notRun)
-//	answer := claims.Serve(call)      // from a peer
+//	answer := claims.Serve(call)      // a call from a peer
 //	err := claims.Carry(ctx)          // planned stop
 //
-// docs/design/claims.md weighs this against claims in the platform's store.
+// docs/design/claims.md compares this design with claims in the platform's store.
 package claim
 
 import (
@@ -39,35 +39,36 @@
 	"rillsail.example/rillsail/services/peer"
 )
 
-// Config says who the homes are.
+// Config holds the settings of the service and the members among which the homes are chosen.
 type Config struct {
 	Self    models.MemberID
 	Members *member.Service
 	Client  *peer.Client
-	// Keep is how long the key of an ended request is kept.
+	// Keep is the time for which the key of an ended request is kept.
 	Keep time.Duration
-	// MaxKeys bounds the keys kept; beyond it claims are refused. 0: the default.
+	// MaxKeys bounds the number of keys kept; further claims are refused. 0 means defaultMaxKeys.
 	MaxKeys int
 }
 
 const defaultMaxKeys = 200_000
 
-// requiredHomes is how many daemons that are old enough have to grant a claim.
+// requiredHomes is the number of daemons with an uptime of at least Config.Keep that have to grant a claim.
 const requiredHomes = 2
 
-// ErrFull says that a home keeps as many keys as it may.
+// ErrFull is returned by a home that already keeps the maximum number of keys.
 var ErrFull = errors.New("too many idempotency keys are kept; try again later")
 
-// errNoHome says that no daemon is known to be live.
+// errNoHome is returned if no live daemon is known that could be a home of the key.
 var errNoHome = errors.New("no home of the key is known")
 
+// record is the claim of one key.
 type record struct {
-	holder    string
-	ended     bool
+	holder    string // id of the request that holds the key
+	ended     bool   // the request has ended
 	updatedAt time.Time
 }
 
-// Service holds the keys whose home this daemon is.
+// Service claims keys at their homes, and holds the keys of which this daemon is a home.
 type Service struct {
 	config Config
 
@@ -76,7 +77,7 @@
 	lastSweep time.Time
 }
 
-// New makes a service without keys.
+// New returns a service without keys.
 func New(config Config) *Service {
 	if config.MaxKeys == 0 {
 		config.MaxKeys = defaultMaxKeys
@@ -84,17 +85,17 @@
 	return &Service{config: config, records: map[string]record{}}
 }
 
-// Claim asks the homes for the right to send. On an error nothing is claimed and
-// the request must not be sent.
+// Claim asks the homes of the key for the right to send the request holder. On an error
+// nothing is claimed, and the request must not be sent.
 func (s *Service) Claim(ctx context.Context, key, holder string) (state models.ClaimState, ended bool, err error) {
 	if s.homesLost(key) {
 		return models.ClaimUnknown, false, nil
 	}
 	call := models.ClaimCall{Action: models.ClaimTake, Records: []models.ClaimRecord{{Key: key, Holder: holder}}}
-	old := 0
+	established := 0 // granting homes that have run for at least Config.Keep
 	var granted []models.MemberID
 	for _, home := range s.homeOrder(key) {
-		if old >= requiredHomes {
+		if established >= requiredHomes {
 			break
 		}
 		answer, err := s.ask(ctx, home, call)
@@ -104,7 +105,7 @@
 		}
 		granted = append(granted, home)
 		if s.config.Members.Uptime(home) >= s.config.Keep {
-			old++
+			established++
 		}
 	}
 	if len(granted) == 0 {
@@ -113,8 +114,8 @@
 	return models.ClaimGranted, false, nil
 }
 
-// homeOrder lists the daemons by the key's hash, the second one from another failure
-// domain than the first where there is one.
+// homeOrder lists the live daemons in the rendezvous order of the key. The second daemon is
+// from another failure domain than the first if there is one.
 func (s *Service) homeOrder(key string) []models.MemberID {
 	live := s.config.Members.Live()
 	domains := make(map[models.MemberID]models.FailureDomain, len(live))
@@ -126,6 +127,7 @@
 	return spreadDomains(rendezvous.Order(key, ids), domains)
 }
 
+// spreadDomains moves the first member of another failure domain than that of order[0] to the second place.
 func spreadDomains(order []models.MemberID, domains map[models.MemberID]models.FailureDomain) []models.MemberID {
 	for i := 1; i < len(order); i++ {
 		if domains[order[i]] != domains[order[0]] {
@@ -137,7 +139,7 @@
 	return order
 }
 
-// homesLost tells whether the homes that the key had were both lost lately.
+// homesLost reports whether both former homes of the key were lost within Config.Keep.
 func (s *Service) homesLost(key string) bool {
 	lost := s.config.Members.LostSince(s.config.Keep)
 	if len(lost) < requiredHomes {
@@ -157,6 +159,7 @@
 	return true
 }
 
+// ask sends a call to a home, or serves the call here if this daemon is the home.
 func (s *Service) ask(ctx context.Context, home models.MemberID, call models.ClaimCall) (models.ClaimAnswer, error) {
 	if home == s.config.Self {
 		return s.Serve(call)
@@ -168,7 +171,7 @@
 	return s.config.Client.Claim(ctx, m.PeerAddress, call)
 }
 
-// End tells the homes that the request is over; with notRun the key is free again.
+// End tells the homes that the request has ended; if notRun is set, the key is freed.
 func (s *Service) End(key, holder string, notRun bool) {
 	action := models.ClaimEnd
 	if notRun {
@@ -178,35 +181,35 @@
 	s.notify(order[:min(len(order), s.homesAsked(order))], action, key, holder)
 }
 
-// homesAsked is how many of the order a claim asks.
+// homesAsked returns the number of daemons in the order that a claim asks.
 func (s *Service) homesAsked(order []models.MemberID) int {
-	old := 0
+	established := 0
 	for i, home := range order {
-		if old >= requiredHomes {
+		if established >= requiredHomes {
 			return i
 		}
 		if s.config.Members.Uptime(home) >= s.config.Keep {
-			old++
+			established++
 		}
 	}
 	return len(order)
 }
 
-// notifyTimeout bounds how long a caller waits for the homes to hear of the end.
+// notifyTimeout bounds the time for which a caller waits until the homes are notified of the end.
 const notifyTimeout = time.Second
 
-// notify tells homes what became of a claim. One that doesn't hear it keeps the key as
-// taken, which is safe.
+// notify tells homes that a claim has ended or is freed. A home that is not reached keeps the
+// key as taken, which is safe.
 func (s *Service) notify(homes []models.MemberID, action models.ClaimAction, key, holder string) {
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	call := models.ClaimCall{Action: action, Records: []models.ClaimRecord{{Key: key, Holder: holder}}}
 	for _, home := range homes {
-		_, _ = s.ask(ctx, home, call) // see above
+		_, _ = s.ask(ctx, home, call) // errors are ignored, as the doc comment explains
 	}
 }
 
-// Serve answers a claim at this daemon as a home.
+// Serve answers a call at this daemon as a home of the keys.
 func (s *Service) Serve(call models.ClaimCall) (models.ClaimAnswer, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -257,28 +260,28 @@
 	}
 }
 
-// openRetentionFactor is by how much longer a key is kept whose request never ended, for its
-// daemon may have died.
+// openRetentionFactor extends the retention of a key whose request has not ended, because the
+// daemon that sent the request may have been lost.
 const openRetentionFactor = 2
 
-// sweep forgets keys that were kept long enough; the caller holds the lock.
+// sweep removes keys whose retention time has passed; s.mu must be held.
 func (s *Service) sweep(now time.Time) {
 	if now.Sub(s.lastSweep) < s.config.Keep/10 {
 		return
 	}
 	s.lastSweep = now
 	for key, r := range s.records {
-		keep := s.config.Keep
+		retention := s.config.Keep
 		if !r.ended {
-			keep *= openRetentionFactor
+			retention *= openRetentionFactor
 		}
-		if now.Sub(r.updatedAt) > keep {
+		if now.Sub(r.updatedAt) > retention {
 			delete(s.records, key)
 		}
 	}
 }
 
-// Carry passes every key to the homes it has once this daemon has left.
+// Carry passes every key to the homes that the key has after this daemon has left.
 func (s *Service) Carry(ctx context.Context) error {
 	byHome := map[models.MemberID][]models.ClaimRecord{}
 	s.mu.Lock()
@@ -289,17 +292,17 @@
 		}
 	}
 	s.mu.Unlock()
-	var failed error
+	var failures error
 	for home, records := range byHome {
 		for batch := range slices.Chunk(records, models.MaxCarried) {
 			_, err := s.ask(ctx, home, models.ClaimCall{Action: models.ClaimCarry, Records: batch})
-			failed = errors.CombineErrors(failed, errstep.Wrap(err, "carry claims", string(home)))
+			failures = errors.CombineErrors(failures, errstep.Wrap(err, "carry claims", string(home)))
 		}
 	}
-	return failed
+	return failures
 }
 
-// Count is how many keys this daemon keeps.
+// Count returns the number of keys that this daemon keeps.
 func (s *Service) Count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/services/claim/claim_test.go
+++ b/services/claim/claim_test.go
@@ -23,7 +23,7 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// home is one daemon's claims, served to the others over HTTP.
+// home is a daemon with a claim service, which the other daemons call over HTTP.
 type home struct {
 	members *member.Service
 	claims  *claim.Service
@@ -33,8 +33,8 @@
 
 const retention = time.Hour
 
-// newHomes makes daemons that know each other as live and as having run for longer
-// than keys are kept; of itself each knows that it is young.
+// newHomes starts daemons that consider each other live, with an uptime above the retention
+// time of keys. Their own uptime is below that time.
 func newHomes(t *testing.T, n int) []*home {
 	t.Helper()
 	homes := make([]*home, n)
@@ -69,7 +69,8 @@
 	h.members.Receive(models.Heartbeat{Member: m, Uptime: models.MilliOf(2 * retention)})
 }
 
-// TestOneOfTwoIsGranted claims keys through two daemons.
+// TestOneOfTwoIsGranted claims the same keys through several daemons: only the first claim is granted,
+// until it is freed.
 func TestOneOfTwoIsGranted(t *testing.T) {
 	homes := newHomes(t, 4)
 	for i := range 50 {
@@ -85,7 +86,7 @@
 		third, ended, err := homes[(i+2)%4].claims.Claim(t.Context(), key, "third")
 		require.NoError(t, err)
 		if i%2 == 0 {
-			assert.Equal(t, models.ClaimGranted, third, "what was not run may be claimed again")
+			assert.Equal(t, models.ClaimGranted, third, "the key of a request that did not run may be claimed again")
 		} else {
 			assert.Equal(t, models.ClaimTaken, third)
 			assert.True(t, ended)
@@ -93,8 +94,8 @@
 	}
 }
 
-// TestHomeOutOfReachRefuses closes a home that counts as live: what it is a home of
-// is refused, and nothing stays claimed at the other.
+// TestHomeOutOfReachRefuses stops a home that counts as live: claims of its keys are refused,
+// and nothing stays claimed at the other home.
 func TestHomeOutOfReachRefuses(t *testing.T) {
 	homes := newHomes(t, 6)
 	homes[2].server.Close()
@@ -110,8 +111,8 @@
 	assert.Less(t, refused, 50)
 }
 
-// TestBothHomesLost lets daemons start anew without what they knew: keys that had
-// both homes among them are unknown, all others are still decided.
+// TestBothHomesLost restarts two daemons without their keys: keys that had both homes at these
+// daemons are unknown, all others are still known as taken.
 func TestBothHomesLost(t *testing.T) {
 	homes := newHomes(t, 4)
 	asked := homes[0]
@@ -134,7 +135,7 @@
 	assert.Positive(t, states[models.ClaimTaken])
 }
 
-// TestLeavingHomeCarriesItsKeys lets daemons leave one after the other.
+// TestLeavingHomeCarriesItsKeys makes two daemons leave one after the other: their keys stay taken.
 func TestLeavingHomeCarriesItsKeys(t *testing.T) {
 	homes := newHomes(t, 4)
 	for i := range 60 {
@@ -143,7 +144,7 @@
 	}
 	for _, leaving := range homes[:2] {
 		leaving.self.Leaving = true
-		_ = leaving.members.Leave(t.Context()) // there is no store to take the key out of
+		_ = leaving.members.Leave(t.Context()) // fails, as there is no store from which to delete the member key
 		require.NoError(t, leaving.claims.Carry(t.Context()))
 		for _, other := range homes {
 			if other != leaving {
@@ -158,7 +159,7 @@
 	}
 }
 
-// TestFullHomeRefuses fills a home; further keys are refused, not forgotten.
+// TestFullHomeRefuses fills a home: further keys are refused, and no key is dropped in their favour.
 func TestFullHomeRefuses(t *testing.T) {
 	h := claim.New(claim.Config{Self: "e", Keep: retention, MaxKeys: 2})
 	for i := range 3 {
--- a/services/entry/budget.go
+++ b/services/entry/budget.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Failures of an answer.
+// Errors of an upstream's answer.
 var (
 	errForeignAnswer   = errors.New("the answer belongs to another request")
 	errShortAnswer     = errors.New("the answer was cut off")
@@ -21,29 +21,29 @@
 	return errors.New("the upstream answered " + strconv.Itoa(status))
 }
 
-// retryBudget allows retries as a part of requests, so that retries can't multiply the
-// load when upstreams fail.
+// retryBudget limits retries to a fraction of the requests, so that retries cannot multiply
+// the load while upstreams fail.
 type retryBudget struct {
 	mu         sync.Mutex
-	perRequest float64
-	tokens     float64
+	perRequest float64 // tokens that a request adds
+	tokens     float64 // retries available
 }
 
-// maxRetryTokens is how many retries can be saved up.
+// maxRetryTokens bounds the retries that can accumulate.
 const maxRetryTokens = 20
 
 func newRetryBudget(percent int) *retryBudget {
 	return &retryBudget{perRequest: float64(percent) / 100, tokens: maxRetryTokens / 2}
 }
 
-// deposit counts one request.
+// deposit adds the tokens of one request.
 func (b *retryBudget) deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(maxRetryTokens, b.tokens+b.perRequest)
 }
 
-// tryWithdraw uses up one retry; false when there is none.
+// tryWithdraw consumes the token of one retry; false if less than one token is left.
 func (b *retryBudget) tryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/services/entry/claim.go
+++ b/services/entry/claim.go
@@ -10,8 +10,8 @@
 	"rillsail.example/rillsail/models"
 )
 
-// claim gets the right to send an unrepeatable request that names a key, so that a
-// caller may send it again through any daemon and it still runs at most once.
+// claim requests the right to send an unrepeatable request that carries an idempotency key, so
+// that the request runs at most once even if its caller sends it again through another daemon.
 func (s *Service) claim(ctx context.Context, req *request) *refusal {
 	if !req.class.Unrepeatable || req.key == "" {
 		return nil
@@ -19,7 +19,7 @@
 	state, ended, err := s.config.Claims.Claim(ctx, req.key, req.id)
 	switch {
 	case err != nil:
-		req.key = "" // nothing to end
+		req.key = "" // no claim is held, so endClaim has nothing to do
 		return notRunRefusal("the idempotency key could not be claimed: "+err.Error(), minRetryAfter)
 	case state == models.ClaimGranted:
 		return nil
@@ -39,8 +39,8 @@
 	return r
 }
 
-// endClaim says what became of a request that held its key. A request that was not
-// run frees the key before its caller hears so.
+// endClaim reports the end of a request that holds its key. The key of a request that did
+// not run is freed before the caller receives the refusal.
 func (s *Service) endClaim(req *request, o outcome) {
 	if !req.class.Unrepeatable || req.key == "" {
 		return
--- a/services/entry/decode.go
+++ b/services/entry/decode.go
@@ -15,17 +15,17 @@
 	"rillsail.example/rillsail/models"
 )
 
-// defaultClass takes the requests that no class of the configuration selects. It
-// is unrepeatable, so that nothing is sent twice that nobody declared safe.
+// defaultClass applies to requests that no class of the configuration selects. The class
+// is unrepeatable, so that a request which nobody declared safe to repeat is never sent twice.
 var defaultClass = models.Class{Name: "default", Priority: models.PriorityOrdinary, Unrepeatable: true}
 
-// Bounds on what a request may say of itself.
+// Limits on the headers of a request.
 const (
 	maxLabels   = 32
 	maxDeadline = 24 * time.Hour
 )
 
-// decode reads the whole request, so that half a request never reaches an upstream.
+// decode parses the headers and reads the whole body, so that a truncated request never reaches an upstream.
 func (s *Service) decode(w http.ResponseWriter, r *http.Request) (*request, *refusal) {
 	req := &request{
 		id: s.config.NewID(), arrived: time.Now(), incoming: r, class: defaultClass, triedUpstreams: map[models.VMID]bool{},
@@ -52,9 +52,9 @@
 	return req, nil
 }
 
-// readBody reads the body within its time and size. The deadline is lifted only from a
-// connection whose request came whole: on others the server would wait for the rest.
-// Connections that can't have a deadline are tests' own.
+// readBody reads the body within the time and size limits. The read deadline is cleared only
+// if the body arrived completely: otherwise the server would wait for the rest of the body.
+// Only connections of tests do not support a read deadline.
 func (s *Service) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	controller := http.NewResponseController(w)
 	limited := s.config.BodyTimeout > 0 && controller.SetReadDeadline(time.Now().Add(s.config.BodyTimeout)) == nil
@@ -69,7 +69,7 @@
 	return &refusal{status: http.StatusBadRequest, outcome: models.RequestNotRun, reason: err.Error()}
 }
 
-// parseLabels reads "key=value,key=value".
+// parseLabels parses a header of the form "key=value,key=value".
 func parseLabels(text string) (map[string]string, error) {
 	labels := map[string]string{}
 	if text == "" {
@@ -88,7 +88,7 @@
 	return labels, nil
 }
 
-// parseDeadline reads milliseconds from now; zero time when there are none.
+// parseDeadline parses a number of milliseconds from now; the time is zero if the header is empty.
 func parseDeadline(text string, now time.Time) (time.Time, error) {
 	if text == "" {
 		return time.Time{}, nil
@@ -100,7 +100,8 @@
 	return now.Add(time.Duration(ms) * time.Millisecond), nil
 }
 
-// classify finds the first class whose selector takes the request's labels.
+// classify assigns the first class whose selector matches the request's labels, and a default deadline
+// to a request that names none.
 func (s *Service) classify(req *request) {
 	for _, class := range s.config.View().Classes {
 		if s.selectors.Matches(class.Selector, req.labels) {
--- a/services/entry/dump.go
+++ b/services/entry/dump.go
@@ -10,7 +10,7 @@
 	"rillsail.example/rillsail/models"
 )
 
-// Upstreams lists the upstreams as this daemon sees them.
+// Upstreams lists the upstreams with this daemon's view of their state and load.
 func (s *Service) Upstreams() []models.UpstreamStatus {
 	g := s.gate
 	g.mu.Lock()
@@ -39,7 +39,7 @@
 	}
 }
 
-// Dump is the entry's whole state.
+// Dump is the state of the entry, for operators.
 type Dump struct {
 	InFlight           int64                    `json:"in_flight"`
 	Waiting            map[models.ClassName]int `json:"waiting"`
@@ -50,7 +50,7 @@
 	Upstreams          []models.UpstreamStatus  `json:"upstreams"`
 }
 
-// Dump gives the whole state for operators.
+// Dump returns the state of the entry.
 func (s *Service) Dump() Dump {
 	d := Dump{InFlight: s.InFlight(), Waiting: map[models.ClassName]int{}, Upstreams: s.Upstreams()}
 	s.budget.mu.Lock()
--- a/services/entry/entry.go
+++ b/services/entry/entry.go
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package entry is the path of callers' requests to upstreams. Each request passes
-// the same filters, see Service.ServeHTTP in path.go:
+// Package entry forwards callers' requests to upstreams. Each request passes the same
+// filters; see Service.ServeHTTP in path.go:
 //
 //	decode → classify → admit → pick → send → relay
 //
-// A refusal always says whether the request may have run: "not-run" only when no
-// byte reached an upstream or the upstream itself said so, "unknown" otherwise. It
-// is given as soon as it is certain, with a time to come back.
+// A refusal always states whether the request may have run: "not-run" only if no byte
+// reached an upstream or the upstream itself said so, "unknown" otherwise. A refusal is
+// sent as soon as it is certain, with the time after which the caller may retry.
 //
 // # Usage
 //
@@ -37,19 +37,19 @@
 
 // Claimer claims idempotency keys of unrepeatable requests.
 type Claimer interface {
-	// Claim gives the right to send; ended tells, of a key that is taken, whether
-	// the request that holds it is over.
+	// Claim requests the right to send the request that holder names. If the key is
+	// already taken, ended reports whether the request that holds the key has ended.
 	Claim(ctx context.Context, key, holder string) (state models.ClaimState, ended bool, err error)
-	// End says that the request that holds the key is over; notRun frees the key.
+	// End reports that the request that holds the key has ended; notRun frees the key.
 	End(key, holder string, notRun bool)
 }
 
-// Config is what the entry works with.
+// Config holds the settings and dependencies of the entry.
 type Config struct {
 	Self     models.MemberID
 	Settings setting.Entry
 	MaxBody  int64
-	// BodyTimeout bounds the arrival of a request's body.
+	// BodyTimeout limits the time in which a request's body must arrive; 0 means no limit.
 	BodyTimeout time.Duration
 	View        func() *config.View
 	Claims      Claimer
@@ -58,23 +58,24 @@
 	NewID       func() string
 }
 
-// Service is the entry of one daemon.
+// Service receives callers' requests at one daemon.
 type Service struct {
 	config             Config
 	selectors          *selector.Set
 	gate               *gate
 	budget             *retryBudget
-	pooledTransport    http.RoundTripper // keeps connections
-	singleUseTransport http.RoundTripper // a new connection for each request, never resent
+	pooledTransport    http.RoundTripper // reuses idle connections
+	singleUseTransport http.RoundTripper // opens a connection per request, so that the transport never resends
 	draining           atomic.Bool
 	inFlight           atomic.Int64
 	counters           counters
 	refusals           refusals
 }
 
+// maxIdlePerUpstream bounds the idle connections kept to each upstream.
 const maxIdlePerUpstream = 16
 
-// New makes an entry that knows no upstream yet.
+// New returns an entry without upstreams; Sync adds them.
 func New(c Config) *Service {
 	selectors := selector.New()
 	return &Service{
@@ -86,28 +87,28 @@
 	}
 }
 
-func newTransport(dialTimeout time.Duration, single bool) *http.Transport {
+func newTransport(dialTimeout time.Duration, singleUse bool) *http.Transport {
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		DisableKeepAlives:   single,
+		DisableKeepAlives:   singleUse,
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: maxIdlePerUpstream,
 		IdleConnTimeout:     time.Minute,
 	}
 }
 
-// Sync takes the upstreams of the VM list and the peers' heartbeats.
+// Sync applies the upstreams of the VM list, the live members and the peers' heartbeats.
 func (s *Service) Sync(vms []models.VM, live []models.MemberID, beats map[models.MemberID]models.Heartbeat) {
 	s.gate.sync(vms, live, beats, s.config.View())
 }
 
-// Beat is the source of the entry's part in heartbeats.
+// Beat adds the entry's load, queue length and leaving upstreams to a heartbeat.
 func (s *Service) Beat(beat *models.Heartbeat) { s.gate.fillHeartbeat(beat) }
 
-// InFlight counts the requests that are not over.
+// InFlight returns the number of requests that have not ended.
 func (s *Service) InFlight() int64 { return s.inFlight.Load() }
 
-// counters are the entry's metrics, kept at hand for the request path.
+// counters caches the metrics of each class, so that the request path does not look them up in the scope.
 type counters struct {
 	scope   tally.Scope
 	mu      sync.Mutex
--- a/services/entry/fake_upstream_test.go
+++ b/services/entry/fake_upstream_test.go
@@ -14,19 +14,19 @@
 	"time"
 )
 
-// fakeUpstream has slots, before which requests wait in order.
+// fakeUpstream is an upstream with slots, for which requests queue in order.
 type fakeUpstream struct {
 	trial        *trialRun
 	slots        chan struct{}
 	slowdown     float64
 	fails        bool
 	leavesAt     time.Time
-	active       int // requests that wait or are served
+	active       int // requests that wait or are being served
 	received     int
-	receivedLate int // new requests more than 3 s after it began to leave
+	receivedLate int // requests received more than 3 s after leavesAt
 }
 
-// accept counts a request and draws its service time.
+// accept counts a request and returns a random service time.
 func (u *fakeUpstream) accept() time.Duration {
 	u.trial.mu.Lock()
 	defer u.trial.mu.Unlock()
@@ -34,7 +34,7 @@
 	u.active++
 	u.trial.reached++
 	if u.active > u.trial.slots+1 {
-		u.trial.overruns++ // one more than there are slots hides the time on the wire
+		u.trial.overruns++ // one extra request is allowed, which hides the time on the wire
 	}
 	if !u.leavesAt.IsZero() && time.Since(u.leavesAt) > 3*time.Second {
 		u.receivedLate++
@@ -48,7 +48,7 @@
 	u.active--
 }
 
-// RoundTrip implements http.RoundTripper: the wire, the slots and the service.
+// RoundTrip implements http.RoundTripper: it simulates the network, the queue for slots and the service.
 func (r *trialRun) RoundTrip(request *http.Request) (*http.Response, error) {
 	number, err := strconv.Atoi(strings.TrimPrefix(request.URL.Host, "10.0.0.1:"))
 	if err != nil {
@@ -71,7 +71,7 @@
 	case <-request.Context().Done():
 		return nil, request.Context().Err()
 	}
-	time.Sleep(work) // the upstream goes on when its caller has given up
+	time.Sleep(work) // the upstream completes the work even if the caller has disconnected
 	<-u.slots
 	if err := wait(request.Context(), trialOneWay); err != nil {
 		r.count(&r.wasted)
@@ -80,7 +80,7 @@
 	return u.respond(request, http.StatusOK), nil
 }
 
-// respond answers; an upstream that leaves says so by closing the connection.
+// respond returns an answer; a leaving upstream closes the connection with it.
 func (u *fakeUpstream) respond(request *http.Request, status int) *http.Response {
 	leaving := !u.leavesAt.IsZero() && !time.Now().Before(u.leavesAt)
 	return &http.Response{
@@ -89,7 +89,7 @@
 	}
 }
 
-// wait lets time pass unless ctx ends before.
+// wait sleeps for d, or returns the error of ctx if ctx ends earlier.
 func wait(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/services/entry/gate.go
+++ b/services/entry/gate.go
@@ -25,40 +25,42 @@
 	Scope     tally.Scope
 }
 
-// gate admits requests to upstreams' slots. What finds no slot waits in its class;
-// classes are served by priority, with a floor for those that can wait.
+// gate grants requests slots of upstreams. A request that finds no free slot waits in the
+// queue of its class. Queues are served by priority; a class with a floor gets at least
+// that percentage of the grants while requests of the class wait.
 type gate struct {
 	config gateConfig
 	picker Picker
 
 	mu              sync.Mutex
 	upstreams       map[models.VMID]*upstream
-	sorted          []*upstream // by id
+	sorted          []*upstream // by VM id
 	classes         map[models.ClassName]*classQueue
-	waiting         int
-	meanServiceTime average // of service times, in seconds
-	deferredSlots   int     // slots held by deferred requests
-	capacity        int     // slots that are this daemon's to give
-	shareExhausted  bool    // the own share was used up since the last heartbeat
-	peerSlack       map[models.MemberID]float64
-	borrowFraction  float64 // part of peers' unused shares that may be used
+	waiting         int                         // requests in all queues
+	meanServiceTime average                     // time to the answer's header, in seconds
+	deferredSlots   int                         // slots held by deferred requests
+	capacity        int                         // this daemon's shares of the slots of all usable upstreams
+	shareExhausted  bool                        // this daemon's shares were used up since the last heartbeat
+	peerSlack       map[models.MemberID]float64 // unused fraction of each peer's shares, averaged
+	borrowFraction  float64                     // fraction of the peers' unused shares that this daemon may borrow
 }
 
-// classQueue holds the waiting requests of one class, the oldest first.
+// classQueue is the queue of one class, the oldest request first.
 type classQueue struct {
 	class         models.Class
 	waiters       []*waiter
-	credit        float64 // of the class's floor; a grant is due from 1 on
-	grantInterval average // seconds between two grants while others wait
-	lastGrant     time.Time
+	credit        float64   // grants earned by the class's floor; from 1 on the class precedes others
+	grantInterval average   // seconds between two grants while requests of the class wait
+	lastGrant     time.Time // zero if the queue was empty after the last grant
 }
 
+// waiter is a request in a queue.
 type waiter struct {
 	req    *request
-	result chan admitResult // receives once
+	result chan admitResult // receives at most one value
 }
 
-// admitResult is what a waiter gets: a slot, or the final refusal.
+// admitResult is either a slot or the final refusal.
 type admitResult struct {
 	slot    *slot
 	refusal *refusal
@@ -72,20 +74,20 @@
 	}
 }
 
-// admit waits for a slot. A request that cannot make its deadline is refused at
-// once; one whose deadline passes while it waits, at that moment.
+// admit waits for a slot. A request that cannot meet its deadline is refused at once; a
+// request whose deadline passes in the queue is refused at that moment.
 func (g *gate) admit(ctx context.Context, req *request) (*slot, *refusal) {
 	w := &waiter{req: req, result: make(chan admitResult, 1)}
 	if refusal := g.enqueue(w); refusal != nil {
 		return nil, refusal
 	}
 	select {
-	case given := <-w.result:
-		return given.slot, given.refusal
+	case result := <-w.result:
+		return result.slot, result.refusal
 	case <-ctx.Done():
 	}
-	if given, ok := g.removeWaiter(w); ok {
-		return given.slot, given.refusal
+	if result, ok := g.removeWaiter(w); ok {
+		return result.slot, result.refusal
 	}
 	return nil, notRunRefusal("deadline passed while waiting for a slot", g.estimateWait(req.class))
 }
@@ -110,10 +112,10 @@
 	return nil
 }
 
-// minRetryAfter is the least time that a refused caller is told to wait.
+// minRetryAfter is the shortest time after which a refused caller is told to retry.
 const minRetryAfter = time.Second
 
-// hasUpstreamFor tells whether any upstream may serve the class; the caller holds the lock.
+// hasUpstreamFor reports whether any upstream accepts requests of the class; g.mu must be held.
 func (g *gate) hasUpstreamFor(class models.Class) bool {
 	return slices.ContainsFunc(g.sorted, func(u *upstream) bool { return u.serves(class, g.config.Selectors) })
 }
@@ -128,13 +130,14 @@
 	return q
 }
 
-// removeWaiter takes a waiter out; ok gives what it was granted a moment before.
-func (g *gate) removeWaiter(w *waiter) (given admitResult, ok bool) {
+// removeWaiter removes a waiter whose context has ended from its queue. If the waiter has
+// received a result in the meantime, removeWaiter returns that result and true instead.
+func (g *gate) removeWaiter(w *waiter) (result admitResult, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
-	case given = <-w.result:
-		return given, true
+	case result = <-w.result:
+		return result, true
 	default:
 	}
 	q := g.classes[w.req.class.Name]
--- a/services/entry/grant.go
+++ b/services/entry/grant.go
@@ -10,7 +10,8 @@
 	"rillsail.example/rillsail/models"
 )
 
-// displace refuses the newest waiting request of a lower priority to make room.
+// displace refuses the newest waiting request of the lowest priority below the class's, to free
+// a place in the queue. It reports whether there was such a request.
 func (g *gate) displace(class models.Class) bool {
 	var lowest *classQueue
 	for _, q := range g.classes {
@@ -29,7 +30,7 @@
 	return true
 }
 
-// priorityRank orders priorities, served first first.
+// priorityRank returns the position of the class's priority in the order of service, 0 for the first.
 func priorityRank(class models.Class) int {
 	switch class.Priority {
 	case models.PriorityUrgent:
@@ -41,7 +42,7 @@
 	}
 }
 
-// estimateWait is how long a request of the class would wait now.
+// estimateWait estimates how long a request of the class would wait now, at least minRetryAfter.
 func (g *gate) estimateWait(class models.Class) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -60,12 +61,12 @@
 	return time.Duration(float64(len(q.waiters)) * gap * float64(time.Second))
 }
 
-// serviceMargin is how many mean service times a request needs from its grant on
-// to be likely answered in time.
+// serviceMargin is the number of mean service times that must remain to the deadline at the
+// grant, so that the request is likely answered in time.
 const serviceMargin = 2
 
-// wouldMissDeadline tells whether a request that waits so long would likely miss its
-// deadline; sending it then would only waste the slot.
+// wouldMissDeadline reports whether a request that waits for the given time would likely miss
+// its deadline; sending such a request would only waste the slot.
 func (g *gate) wouldMissDeadline(req *request, wait time.Duration) bool {
 	if req.deadline.IsZero() {
 		return false
@@ -74,7 +75,7 @@
 	return time.Now().Add(wait + needed).After(req.deadline)
 }
 
-// dispatch grants slots to waiters while there are any; the caller holds the lock.
+// dispatch grants free slots to waiters; g.mu must be held.
 func (g *gate) dispatch() {
 	g.refuseLateWaiters()
 	for g.waiting > 0 {
@@ -84,7 +85,7 @@
 	}
 }
 
-// refuseLateWaiters refuses the requests at the head of each class that can't make it.
+// refuseLateWaiters refuses the requests at the head of each queue that cannot meet their deadlines.
 func (g *gate) refuseLateWaiters() {
 	for _, q := range g.classes {
 		for len(q.waiters) > 0 && g.wouldMissDeadline(q.waiters[0].req, 0) {
@@ -96,8 +97,8 @@
 	}
 }
 
-// grantNext serves the class that is due: one whose floor is due before all others,
-// then by priority, then by age.
+// grantNext grants a slot to the first queue that can use one: queues whose floor is due come
+// first, then the order is by priority, then by age. It reports whether a slot was granted.
 func (g *gate) grantNext() bool {
 	for _, q := range g.queuesInServiceOrder() {
 		w := q.waiters[0]
@@ -116,13 +117,13 @@
 }
 
 func (g *gate) queuesInServiceOrder() []*classQueue {
-	due := make([]*classQueue, 0, len(g.classes))
+	queues := make([]*classQueue, 0, len(g.classes))
 	for _, q := range g.classes {
 		if len(q.waiters) > 0 {
-			due = append(due, q)
+			queues = append(queues, q)
 		}
 	}
-	slices.SortFunc(due, func(a, b *classQueue) int {
+	slices.SortFunc(queues, func(a, b *classQueue) int {
 		switch {
 		case (a.credit >= 1) != (b.credit >= 1):
 			if a.credit >= 1 {
@@ -135,24 +136,25 @@
 			return a.waiters[0].req.arrived.Compare(b.waiters[0].req.arrived)
 		}
 	})
-	return due
+	return queues
 }
 
-// recordGrant measures how fast the class is served while others of it wait.
+// recordGrant measures the interval between grants while further requests of the class wait.
 func (q *classQueue) recordGrant(now time.Time) {
 	if !q.lastGrant.IsZero() {
 		q.grantInterval.add(now.Sub(q.lastGrant).Seconds())
 	}
 	q.lastGrant = now
 	if len(q.waiters) == 0 {
-		q.lastGrant = time.Time{} // the next gap says nothing of the speed
+		q.lastGrant = time.Time{} // the interval to the next grant would include idle time
 	}
 }
 
-// maxCredit bounds what a class can save up.
+// maxCredit bounds the grants that a class can accumulate by its floor.
 const maxCredit = 4
 
-// updateCredits counts a grant: each waiting class earns its floor, the served one pays.
+// updateCredits accounts for a grant: each class that waits, and the served class, earns its floor
+// percentage of a grant; the served class pays a whole grant if it has the credit.
 func (g *gate) updateCredits(served *classQueue) {
 	for _, q := range g.classes {
 		if len(q.waiters) > 0 || q == served {
@@ -164,7 +166,7 @@
 	}
 }
 
-// pick chooses an upstream with a free slot that the request has not tried.
+// pick returns an upstream with a free slot that the request has not tried, or nil.
 func (g *gate) pick(class models.Class, req *request) *upstream {
 	if class.Priority == models.PriorityDeferred && g.deferredSlots*100 >= g.capacity*g.config.Settings.WatcherSlots {
 		return nil
@@ -185,13 +187,13 @@
 	return g.picker.pick(candidates)
 }
 
-// fallbackCandidates is for requests that have tried all healthy upstreams: any that serves.
+// fallbackCandidates returns every upstream that serves the class, for requests that have tried all healthy ones.
 func (g *gate) fallbackCandidates(class models.Class) []*upstream {
-	var all []*upstream
+	var candidates []*upstream
 	for _, u := range g.sorted {
 		if u.serves(class, g.config.Selectors) {
-			all = append(all, u)
+			candidates = append(candidates, u)
 		}
 	}
-	return all
+	return candidates
 }
--- a/services/entry/measure_test.go
+++ b/services/entry/measure_test.go
@@ -17,12 +17,13 @@
 )
 
 var (
-	measureOnly    = flag.String("only", "", "part of the names of the scenes to measure")
-	measureTo      = flag.String("measure", "", "file to write the figures of the whole measurement to")
-	measureSeconds = flag.Int("seconds", 6, "length of each run of the whole measurement")
+	measureOnly    = flag.String("only", "", "measure only scenarios whose names contain this text")
+	measureTo      = flag.String("measure", "", "file for the table of the full measurement; empty runs a short check")
+	measureSeconds = flag.Int("seconds", 6, "simulated length of each run of the full measurement, in seconds")
 )
 
-// TestMeasureRouting is the whole measurement; "make measure" asks for it.
+// TestMeasureRouting runs the full measurement if -measure names a file, as "make measure" does. Otherwise
+// it runs each scenario with one seed for one second.
 func TestMeasureRouting(t *testing.T) {
 	seconds, seeds := 1, []uint64{1}
 	if *measureTo != "" {
@@ -45,13 +46,13 @@
 	require.NoError(t, os.WriteFile(*measureTo, []byte(b.String()), 0o600))
 }
 
-// scenario is a trial with the name that it has in the table.
+// scenario is a trial with its name in the table.
 type scenario struct {
 	name string
 	trial
 }
 
-// scenarios are what the whole measurement runs.
+// scenarios returns the scenarios of the measurement.
 func scenarios(seconds int) []scenario {
 	base := trial{entries: 4, upstreams: 12, slots: 8, seconds: seconds, load: 0.8}
 	with := func(name string, change func(*trial)) scenario {
@@ -72,7 +73,7 @@
 	}
 }
 
-// measureScenario runs one scene with each seed and gives its row.
+// measureScenario runs a scenario with each seed and returns its row of the table.
 func measureScenario(t *testing.T, s scenario, picker string, seeds []uint64) string {
 	t.Helper()
 	var runs scenarioRuns
@@ -86,10 +87,10 @@
 		runs.percent(func(r *trialRun) int { return r.overruns }), runs.percent(func(r *trialRun) int { return r.wasted }))
 }
 
-// scenarioRuns are the runs of one scene, one for each seed.
+// scenarioRuns holds the runs of one scenario, one for each seed.
 type scenarioRuns []*trialRun
 
-// median is that of a figure over the runs.
+// median returns the median of a figure over the runs.
 func (s scenarioRuns) median(figure func(*trialRun) float64) float64 {
 	values := make([]float64, len(s))
 	for i, r := range s {
@@ -99,7 +100,7 @@
 	return values[len(values)/2]
 }
 
-// quantiles are p50, p99 and p99.9 of the latencies of a class, in milliseconds.
+// quantiles formats the p50, p99 and p99.9 latencies of a class, in milliseconds.
 func (s scenarioRuns) quantiles(class string) string {
 	var parts []string
 	for _, q := range []float64{50, 99, 99.9} {
@@ -108,7 +109,7 @@
 	return strings.Join(parts, " / ")
 }
 
-// goodput is that of each class.
+// goodput formats the median goodput of each class.
 func (s scenarioRuns) goodput() string {
 	var parts []string
 	for _, class := range trialClassNames {
@@ -117,12 +118,12 @@
 	return strings.Join(parts, " / ")
 }
 
-// percent is the share of a count in the requests that reached upstreams.
+// percent returns the median of a count as a percentage of the requests that reached upstreams.
 func (s scenarioRuns) percent(count func(*trialRun) int) float64 {
 	return s.median(func(r *trialRun) float64 { return 100 * float64(count(r)) / float64(max(r.reached, 1)) })
 }
 
-// spread is the least and the most of a quantile over the runs.
+// spread returns the lowest and the highest value of a quantile over the runs.
 func (s scenarioRuns) spread(class string, q float64) (low, high float64) {
 	low = math.Inf(1)
 	for _, r := range s {
--- a/services/entry/moved_test.go
+++ b/services/entry/moved_test.go
@@ -20,7 +20,7 @@
 	"rillsail.example/rillsail/services/config"
 )
 
-// hostRecorder answers all requests and notes where they were sent.
+// hostRecorder answers every request and records the host that it was sent to.
 type hostRecorder struct {
 	mu   sync.Mutex
 	seen map[string]bool
@@ -34,10 +34,10 @@
 	return &http.Response{StatusCode: http.StatusNoContent, Body: http.NoBody, Header: http.Header{}}, nil
 }
 
-// TestRequestGoesToAnAddressOfItsUpstream: the list gives an upstream another address while
-// requests are on their way to it. The race detector showed that send read the upstream without
-// the gate's lock, while the list's loop wrote it: the address could have been the beginning of
-// one with the length of the other.
+// TestRequestGoesToAnAddressOfItsUpstream changes an upstream's address in the VM list while requests
+// are sent to it. It guards against reading the address without the gate's lock while Sync writes it,
+// a data race that the race detector reported: the string could combine the bytes of one address with
+// the length of the other.
 func TestRequestGoesToAnAddressOfItsUpstream(t *testing.T) {
 	const requests, changes, callers = 500, 4000, 4
 	addresses := []string{"10.0.0.1:1", "192.168.100.100:65000"}
@@ -45,14 +45,14 @@
 		Self: "e0", Settings: setting.Defaults().Entry, MaxBody: 1 << 20, View: func() *config.View { return config.ViewOf(1, trialClasses...) },
 		Logger: zap.NewNop(), Scope: tally.NoopScope, NewID: func() string { return "id" },
 	})
-	sent := &hostRecorder{seen: map[string]bool{}}
-	s.pooledTransport, s.singleUseTransport = sent, sent
-	move := func(n int) {
+	recorder := &hostRecorder{seen: map[string]bool{}}
+	s.pooledTransport, s.singleUseTransport = recorder, recorder
+	setAddress := func(n int) {
 		s.Sync([]models.VM{{
 			ID: "u0", Kind: models.KindUpstream, State: models.VMLive, Address: addresses[n%len(addresses)], Slots: 64, MaxConns: 64,
 		}}, []models.MemberID{"e0"}, nil)
 	}
-	move(0)
+	setAddress(0)
 	var group conc.WaitGroup
 	for range callers {
 		group.Go(func() {
@@ -64,11 +64,11 @@
 		})
 	}
 	for n := range changes {
-		move(n)
+		setAddress(n)
 	}
 	group.Wait()
 	for _, address := range addresses {
-		delete(sent.seen, address)
+		delete(recorder.seen, address)
 	}
-	require.Empty(t, sent.seen)
+	require.Empty(t, recorder.seen)
 }
--- a/services/entry/notrun_test.go
+++ b/services/entry/notrun_test.go
@@ -20,8 +20,8 @@
 	"rillsail.example/rillsail/services/config"
 )
 
-// scriptedUpstream is an upstream that answers the first request, runs the second and closes its
-// connection without a word, and refuses all others without running them.
+// scriptedUpstream answers the first request, runs the second and closes the connection without
+// an answer, and refuses all further requests without running them.
 type scriptedUpstream struct {
 	mu   sync.Mutex
 	seen int
@@ -46,18 +46,18 @@
 	}
 }
 
-// newTestEntry is an entry with one upstream.
+// newTestEntry returns an entry with one upstream.
 func newTestEntry(t *testing.T, upstream http.Handler, class models.Class) *Service {
 	server := httptest.NewServer(upstream)
 	t.Cleanup(server.Close)
-	made := 0
+	lastID := 0
 	s := New(Config{
 		Self: "e0", Settings: setting.Defaults().Entry, MaxBody: 1 << 20,
 		View:   func() *config.View { return config.ViewOf(1, class) },
 		Logger: zap.NewNop(), Scope: tally.NoopScope,
 		NewID: func() string {
-			made++
-			return "id-" + strconv.Itoa(made)
+			lastID++
+			return "id-" + strconv.Itoa(lastID)
 		},
 	})
 	address := server.Listener.Addr().(*net.TCPAddr).String()
@@ -66,9 +66,9 @@
 	return s
 }
 
-// TestRequestSentTwiceByTheTransport lets the HTTP library send a request again by itself,
-// when a kept connection ends without answer: the refusal of the second sending says nothing
-// of the first.
+// TestRequestSentTwiceByTheTransport makes the HTTP library resend a request by itself, which it does
+// if a reused connection closes without an answer. The upstream's "not-run" answer to the second
+// attempt says nothing about the first, so the outcome must be unknown.
 func TestRequestSentTwiceByTheTransport(t *testing.T) {
 	upstream := &scriptedUpstream{}
 	s := newTestEntry(t, upstream, models.Class{Name: "quotes", Priority: models.PriorityOrdinary})
@@ -80,5 +80,5 @@
 	require.Equal(t, http.StatusNoContent, get().Code)
 	answer := get()
 	require.Equal(t, 1, upstream.ran)
-	require.Equal(t, string(models.RequestUnknown), answer.Header().Get(models.HeaderOutcome), "an upstream has run it")
+	require.Equal(t, string(models.RequestUnknown), answer.Header().Get(models.HeaderOutcome), "the upstream ran the first attempt")
 }
--- a/services/entry/path.go
+++ b/services/entry/path.go
@@ -11,26 +11,26 @@
 	"rillsail.example/rillsail/models"
 )
 
-// request is one caller's request on its way through the filters.
+// request is the state of a caller's request while it passes the filters.
 type request struct {
 	id             string
 	arrived        time.Time
 	class          models.Class
 	labels         map[string]string
-	deadline       time.Time // zero: none
-	key            string    // idempotency key, of unrepeatable requests
+	deadline       time.Time // zero means none
+	key            string    // idempotency key, used if the class is unrepeatable; cleared if its claim is not granted
 	body           []byte
 	incoming       *http.Request
 	triedUpstreams map[models.VMID]bool
-	sendCount      int // times it may have reached an upstream
+	sendCount      int // attempts that may have reached an upstream
 }
 
-// ServeHTTP is the path of a request. Each filter either hands it on or refuses.
+// ServeHTTP passes a request through the filters. Each filter either passes the request on or refuses it.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	if s.draining.Load() {
-		w.Header().Set("Connection", "close") // the balancer's kept connections end here
+		w.Header().Set("Connection", "close") // closes the load balancer's idle connections to this daemon
 	}
 	req, refusal := s.decode(w, r)
 	if refusal != nil {
@@ -54,15 +54,15 @@
 	s.finish(req, outcome)
 }
 
-// outcome is how the sending of a request ended.
+// outcome is the result of forwarding a request.
 type outcome struct {
-	refusal    *refusal // nil: an answer was relayed
-	truncated  bool     // the answer was cut off after its header had been relayed
-	callerGone bool     // the caller went away
+	refusal    *refusal // nil if an answer was relayed
+	truncated  bool     // the answer ended early, after its header had been relayed
+	callerGone bool     // the caller disconnected
 }
 
-// forward admits, picks, sends and relays, again while that is safe and within the
-// retry budget.
+// forward admits the request, picks an upstream, sends the request and relays the answer.
+// After a failure it retries as long as that is safe and within the retry budget.
 func (s *Service) forward(ctx context.Context, w http.ResponseWriter, req *request) outcome {
 	for {
 		slot, refusal := s.gate.admit(ctx, req)
@@ -85,13 +85,13 @@
 	}
 }
 
-// finish counts an answered request.
+// finish updates the metrics of a request whose answer was relayed.
 func (s *Service) finish(req *request, o outcome) {
 	c := s.counters.forClass(req.class.Name)
 	switch {
 	case o.truncated:
 		c.unknown.Inc(1)
-		panic(http.ErrAbortHandler) // never passes for a whole answer
+		panic(http.ErrAbortHandler) // aborts the connection, so that the caller cannot take the answer for complete
 	case o.callerGone:
 		return
 	default:
@@ -107,7 +107,7 @@
 	return context.WithDeadline(parent, r.deadline)
 }
 
-// mayRetry tells whether a failed request may be sent to another upstream.
+// mayRetry reports whether a failed request may be sent to another upstream, and charges the retry budget if so.
 func (s *Service) mayRetry(req *request, f *failure) bool {
 	if req.incoming.Context().Err() != nil {
 		return false
--- a/services/entry/pick.go
+++ b/services/entry/pick.go
@@ -5,23 +5,23 @@
 
 import "math/rand/v2"
 
-// Picker chooses among upstreams. The set is closed: Random, LeastLoaded,
-// TwoChoices and Divided; docs/design/routing.md weighs them.
+// Picker selects an upstream. The set is closed: Random, LeastLoaded, TwoChoices and
+// Divided; docs/design/routing.md compares them.
 type Picker interface {
-	// pick gives an upstream with a free slot, or nil. The candidates serve the class
+	// pick returns an upstream with a free slot, or nil. The candidates serve the class
 	// and are healthy.
 	pick(candidates []*upstream) *upstream
 }
 
 type (
-	// Random takes any upstream on which this daemon uses fewer than all slots.
+	// Random picks any upstream at which this daemon's own requests occupy fewer than all slots.
 	Random struct{}
-	// LeastLoaded takes the one on which this daemon has the least in flight.
+	// LeastLoaded picks the upstream at which this daemon has the fewest requests in flight.
 	LeastLoaded struct{}
-	// TwoChoices takes the less loaded of two, counting what peers have told.
+	// TwoChoices picks the less loaded of two random upstreams, including the load in the peers' heartbeats.
 	TwoChoices struct{}
-	// Divided keeps to this daemon's share of each upstream's slots, and borrows what
-	// peers have not used for a while only when its own share is used up.
+	// Divided uses this daemon's share of each upstream's slots. Only when its own shares are
+	// used up does it borrow slots that peers have left unused for some time.
 	Divided struct{}
 )
 
@@ -55,7 +55,7 @@
 	})
 }
 
-// twoChoiceTries is how many pairs are drawn before the request waits.
+// twoChoiceTries is the number of pairs drawn before the request has to wait.
 const twoChoiceTries = 4
 
 func (TwoChoices) pick(candidates []*upstream) *upstream {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// estimatedInFlight is what is known to be in flight at the upstream, of all daemons.
+// estimatedInFlight is this daemon's requests in flight plus the load that peers have reported.
 func (u *upstream) estimatedInFlight() float64 { return float64(u.ownInFlight) + u.peerLoad }
 
 func (Divided) pick(candidates []*upstream) *upstream {
@@ -90,15 +90,16 @@
 	})
 }
 
-// expectedWait grows with what is in flight there and with how slow it has been.
+// expectedWait is a cost that grows with this daemon's requests in flight at the upstream and
+// with the upstream's latency.
 func expectedWait(u *upstream) float64 {
 	return float64(u.ownInFlight+1) * max(u.latency.value, minLatency)
 }
 
-// minLatency keeps upstreams that were never measured comparable, in seconds.
+// minLatency, in seconds, keeps upstreams without a measured latency comparable.
 const minLatency = 0.0005
 
-// lowestCost gives the allowed candidate with the lowest cost; equal ones are drawn.
+// lowestCost returns the allowed candidate with the lowest cost, or nil; ties are broken at random.
 func lowestCost(candidates []*upstream, cost func(*upstream) (float64, bool)) *upstream {
 	var best *upstream
 	lowest, ties := 0.0, 0
--- a/services/entry/refusal.go
+++ b/services/entry/refusal.go
@@ -17,20 +17,20 @@
 	"rillsail.example/rillsail/modules/wire"
 )
 
-// refusal is the final answer to a request that gets none of an upstream.
+// refusal is the final answer to a request for which no upstream's answer is relayed.
 type refusal struct {
 	status     int
 	outcome    models.RequestOutcome
 	reason     string
-	retryAfter time.Duration // when to come back; 0: not worth it
+	retryAfter time.Duration // time after which the caller may retry; 0 if a retry is pointless
 }
 
-// notRunRefusal refuses a request of which no byte has left this daemon.
-func notRunRefusal(reason string, retry time.Duration) *refusal {
-	return &refusal{status: http.StatusServiceUnavailable, outcome: models.RequestNotRun, reason: reason, retryAfter: retry}
+// notRunRefusal returns a refusal of a request of which no byte has left this daemon.
+func notRunRefusal(reason string, retryAfter time.Duration) *refusal {
+	return &refusal{status: http.StatusServiceUnavailable, outcome: models.RequestNotRun, reason: reason, retryAfter: retryAfter}
 }
 
-// adjustOutcome makes the refusal of a request that may have reached an upstream before say so.
+// adjustOutcome sets the outcome to unknown if an earlier attempt may have reached an upstream.
 func (r *refusal) adjustOutcome(req *request) *refusal {
 	if req.sendCount > 0 {
 		r.outcome = models.RequestUnknown
@@ -65,10 +65,10 @@
 	wire.Write(w, r.status, Problem{Outcome: r.outcome, Reason: r.reason, Class: req.class.Name})
 }
 
-// maxKeptRefusals bounds what an entry remembers for operators.
+// maxKeptRefusals bounds the refusals that an entry keeps for operators.
 const maxKeptRefusals = 256
 
-// refusals are the latest refusals.
+// refusals keeps the latest refusals.
 type refusals struct {
 	mu     sync.Mutex
 	latest *ring.Ring[models.RequestRefusal]
@@ -84,7 +84,7 @@
 	r.latest.Add(refusal)
 }
 
-// Refusals gives the latest refusals, the oldest first.
+// Refusals returns the latest refusals, the oldest first.
 func (s *Service) Refusals() []models.RequestRefusal {
 	s.refusals.mu.Lock()
 	defer s.refusals.mu.Unlock()
@@ -107,38 +107,38 @@
 	return counters
 }
 
-// Drain ends the entry for a planned stop: the health check fails and kept
-// connections are closed with their next answer, while everything in flight, and
-// what still arrives, is served. It returns when nothing has been in flight for a
-// moment, or with ctx's error.
+// Drain stops the entry as planned: the health check fails and keep-alive connections are
+// closed with their next answer, while requests in flight and requests that still arrive are
+// served. Drain returns once drainIdlePolls polls in a row have found no request in flight,
+// or with ctx's error.
 func (s *Service) Drain(ctx context.Context) error {
 	s.BeginDrain()
-	quiet := time.NewTicker(drainPollInterval)
-	defer quiet.Stop()
-	for calm := 0; calm < drainIdlePolls; {
+	ticker := time.NewTicker(drainPollInterval)
+	defer ticker.Stop()
+	for idlePolls := 0; idlePolls < drainIdlePolls; {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-quiet.C:
+		case <-ticker.C:
 			if s.InFlight() == 0 {
-				calm++
+				idlePolls++
 			} else {
-				calm = 0
+				idlePolls = 0
 			}
 		}
 	}
 	return nil
 }
 
-// BeginDrain lets the health check fail and kept connections end.
+// BeginDrain makes the health check fail and keep-alive connections close with their next answer.
 func (s *Service) BeginDrain() { s.draining.Store(true) }
 
-// A drain ends when so many looks one after the other have found nothing in flight.
+// A drain ends after drainIdlePolls consecutive polls without a request in flight.
 const (
 	drainPollInterval = 100 * time.Millisecond
 	drainIdlePolls    = 10
 )
 
-// Healthy tells the balancer whether to send new requests here: not during a planned
-// stop, and not before the upstreams are known.
+// Healthy reports to the load balancer whether to send new requests to this daemon: false
+// during a planned stop, and before any upstream is known.
 func (s *Service) Healthy() bool { return !s.draining.Load() && s.gate.hasUpstreams() }
--- a/services/entry/routing_test.go
+++ b/services/entry/routing_test.go
@@ -9,13 +9,13 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// smallTrial is the trial that the tests vary.
+// smallTrial returns the trial that the tests vary.
 func smallTrial(picker string) trial {
 	return trial{picker: picker, load: 0.8, entries: 3, upstreams: 6, slots: 8, seconds: 3, seed: 1}
 }
 
-// TestDividedSlotsAreNotOverrun sends an even load near all slots: entries that see
-// only their own requests don't send an upstream more than it has slots.
+// TestDividedSlotsAreNotOverrun sends an even load of 95 % of all slots. With the divided picker,
+// entries that see only their own requests rarely send an upstream more requests than it has slots.
 func TestDividedSlotsAreNotOverrun(t *testing.T) {
 	settings := smallTrial("divided")
 	settings.load = 0.95
@@ -26,7 +26,8 @@
 	assert.Less(t, divided.overruns, choices.overruns/4)
 }
 
-// TestFailingUpstreamAttractsNothing lets one of six upstreams fail at once.
+// TestFailingUpstreamAttractsNothing makes one of six upstreams fail every request immediately. Its short
+// answer times must not attract requests.
 func TestFailingUpstreamAttractsNothing(t *testing.T) {
 	settings := smallTrial("divided")
 	settings.failing = true
@@ -37,7 +38,8 @@
 	}
 }
 
-// TestLeavingUpstreamIsNoticedBeforeTheList lets one leave while the list lags.
+// TestLeavingUpstreamIsNoticedBeforeTheList makes an upstream leave while the VM list lags behind. The
+// entries must stop sending to it before the list shows that it leaves.
 func TestLeavingUpstreamIsNoticedBeforeTheList(t *testing.T) {
 	settings := smallTrial("divided")
 	settings.leaving, settings.seconds = true, 10
@@ -45,9 +47,8 @@
 	assert.Zero(t, r.upstreams[0].receivedLate)
 }
 
-// TestOverloadKeepsTheOrderOfClasses sends a fifth more than all slots take: urgent
-// and ordinary requests keep their deadlines, and those that can wait get their
-// floor.
+// TestOverloadKeepsTheOrderOfClasses sends 120 % of the capacity: urgent and ordinary requests meet
+// their deadlines, and deferred requests get their floor.
 func TestOverloadKeepsTheOrderOfClasses(t *testing.T) {
 	settings := smallTrial("divided")
 	settings.load, settings.seconds = 1.2, 12
@@ -55,7 +56,7 @@
 	assert.Greater(t, r.classes["urgent"].goodput(), 0.99, "%v", r.classes["urgent"].status)
 	deferred := r.classes["deferred"]
 	share := float64(deferred.succeeded) / float64(deferred.succeeded+r.classes["urgent"].succeeded+r.classes["ordinary"].succeeded)
-	assert.Greater(t, share, 0.05, "the floor of those that can wait")
-	assert.Zero(t, deferred.failed+r.classes["urgent"].failed+r.classes["ordinary"].failed, "what can't make it is refused, not left to time out: %v %v %v",
+	assert.Greater(t, share, 0.05, "share of deferred requests")
+	assert.Zero(t, deferred.failed+r.classes["urgent"].failed+r.classes["ordinary"].failed, "requests that cannot meet their deadlines are refused and do not time out: %v %v %v",
 		deferred.status, r.classes["urgent"].status, r.classes["ordinary"].status)
 }
--- a/services/entry/send.go
+++ b/services/entry/send.go
@@ -17,20 +17,20 @@
 	"rillsail.example/rillsail/modules/errstep"
 )
 
-// answer is an upstream's answer whose header has come.
+// answer is an upstream's answer whose header has arrived.
 type answer struct {
 	response     *http.Response
-	timeToHeader time.Duration // until the header
-	body         []byte        // the body, when it was held back to be checked
-	buffered     bool
+	timeToHeader time.Duration // from the start of the send to the header
+	body         []byte        // the whole body, if buffered
+	buffered     bool          // the body was read completely before relaying
 }
 
-// failure is a sending without usable answer.
+// failure is an attempt without a usable answer.
 type failure struct {
 	err         error
-	notRun      bool // no byte reached the upstream, or it said so itself
-	contextDone bool // the caller went away or its deadline passed
-	// answer is the upstream's own error, to be relayed when nothing else is tried.
+	notRun      bool // no byte reached the upstream, or the upstream said that the request did not run
+	contextDone bool // the caller disconnected or the deadline passed
+	// answer is the upstream's own error answer, relayed if the request is not retried.
 	answer *answer
 }
 
@@ -53,22 +53,23 @@
 	return r
 }
 
-// hopHeaders belong to one connection and are not passed on.
+// hopHeaders are hop-by-hop headers, which are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// send sends the request once and waits for the answer's header, or for the whole
-// answer when it is short.
+// send makes one attempt and waits for the answer's header, or for the whole answer if its
+// body fits into the buffer.
 func (s *Service) send(ctx context.Context, req *request, slot *slot) (*answer, *failure) {
-	// The transport may send a repeatable request again by itself, on another connection:
-	// each is a sending of its own, and the answer on the last says nothing of the others.
+	// The transport may resend a repeatable request by itself on another connection. Each
+	// connection counts as an attempt, because the answer to the last one says nothing about
+	// the others.
 	connections := 0
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connections++ }}
-	sending, id := s.newUpstreamRequest(httptrace.WithClientTrace(ctx, trace), req, slot.address)
-	began := time.Now()
-	response, err := s.transportFor(req).RoundTrip(sending)
+	outgoing, id := s.newUpstreamRequest(httptrace.WithClientTrace(ctx, trace), req, slot.address)
+	start := time.Now()
+	response, err := s.transportFor(req).RoundTrip(outgoing)
 	req.sendCount += connections
 	peer := string(slot.id)
 	if err != nil {
@@ -77,7 +78,7 @@
 	if response.Close && !req.class.Unrepeatable {
 		s.gate.recordLeaving(slot.upstream)
 	}
-	a := &answer{response: response, timeToHeader: time.Since(began)}
+	a := &answer{response: response, timeToHeader: time.Since(start)}
 	if f := s.inspect(req, a, id, peer); f != nil {
 		_ = response.Body.Close()
 		f.contextDone = ctx.Err() != nil
@@ -86,8 +87,8 @@
 	return a, nil
 }
 
-// transportFor keeps unrepeatable requests off kept connections, on which a client
-// library may send a request a second time by itself.
+// transportFor returns the transport for the request. Each unrepeatable request uses a new
+// connection, because an HTTP library may resend a request by itself after a reused one fails.
 func (s *Service) transportFor(req *request) http.RoundTripper {
 	if req.class.Unrepeatable {
 		return s.singleUseTransport
@@ -113,8 +114,8 @@
 	return out.WithContext(ctx), id
 }
 
-// inspect checks that the answer is this request's own, and holds back a short one
-// until it is whole.
+// inspect checks that the answer belongs to this request, and buffers a short answer until it
+// is complete.
 func (s *Service) inspect(req *request, a *answer, id, peer string) *failure {
 	r := a.response
 	if echoed := r.Header.Get(models.HeaderRequestID); echoed != "" && echoed != id {
@@ -125,7 +126,7 @@
 		return &failure{err: errstep.Wrap(errUpstreamRefused, "send request", peer), notRun: true}
 	}
 	if r.ContentLength < 0 || r.ContentLength > int64(s.config.Settings.BufferAnswer) {
-		return nil // streamed; a cut aborts the caller's connection
+		return nil // streamed; if the answer ends early, the caller's connection is aborted
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil || int64(len(body)) != r.ContentLength && req.incoming.Method != http.MethodHead {
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// relay passes the answer on to the caller and gives the slot back.
+// relay passes the answer on to the caller and releases the slot.
 func (s *Service) relay(w http.ResponseWriter, req *request, slot *slot, a *answer) outcome {
 	defer func() { _ = a.response.Body.Close() }()
 	v := verdictSuccess
@@ -158,7 +159,7 @@
 	return o
 }
 
-// relayBuffered passes on an answer that was held back until it was whole.
+// relayBuffered passes on an answer whose body was buffered.
 func (s *Service) relayBuffered(w http.ResponseWriter, a *answer) outcome {
 	copyHeader(w.Header(), a.response.Header)
 	w.WriteHeader(a.response.StatusCode)
@@ -174,9 +175,10 @@
 	}
 }
 
+// streamBufferSize is the size in bytes of the buffer for streamed answers.
 const streamBufferSize = 32 << 10
 
-// stream passes on an answer piece by piece as it comes.
+// stream passes on an answer in chunks as they arrive, flushing each.
 func (s *Service) stream(w http.ResponseWriter, req *request, a *answer) outcome {
 	w.WriteHeader(a.response.StatusCode)
 	controller := http.NewResponseController(w)
--- a/services/entry/slot.go
+++ b/services/entry/slot.go
@@ -13,37 +13,37 @@
 	"rillsail.example/rillsail/services/config"
 )
 
-// slot is one request's place at an upstream.
+// slot is a slot of an upstream that one request holds.
 type slot struct {
 	gate     *gate
 	upstream *upstream
 	class    models.Class
-	// id and address are the upstream's when the slot was taken. Who sends the request holds no
-	// lock, and the VM list may give the upstream another address meanwhile.
+	// id and address are copied from the upstream when the slot is taken: the request is sent
+	// without the gate's lock, and the VM list may change the upstream's address meanwhile.
 	id      models.VMID
 	address string
 }
 
-// ownInFlight counts this daemon's requests in flight.
+// ownInFlight returns the number of this daemon's requests in flight at all upstreams.
 func (g *gate) ownInFlight() int {
-	used := 0
+	total := 0
 	for _, u := range g.sorted {
-		used += u.ownInFlight
+		total += u.ownInFlight
 	}
-	return used
+	return total
 }
 
-// Borrowing grows with each heartbeat in which this daemon's own share was used up,
-// so that when all entries meet a surge at once each hears of the others' before it
-// has borrowed much. The rest stays for the lenders' next surge.
+// Borrowing grows by borrowStep with each heartbeat in which this daemon's own shares were
+// used up: when a surge reaches all entries at once, each learns of the others' load before
+// it has borrowed much. maxBorrow leaves the rest to the lenders for their next surge.
 const (
 	borrowStep = 0.45
 	maxBorrow  = 0.9
 )
 
-// updateBorrowing follows whether the own share was used up since the last heartbeat,
-// and says how much may be borrowed of each upstream; parts of slots add up along
-// the list.
+// updateBorrowing adapts the fraction that may be borrowed to whether this daemon's shares
+// were used up since the last heartbeat, and computes the slots that may be borrowed at each
+// upstream. Fractions of slots carry over to the next upstream in the list.
 func (g *gate) updateBorrowing() {
 	if g.shareExhausted {
 		g.borrowFraction = min(maxBorrow, g.borrowFraction+borrowStep)
@@ -51,11 +51,11 @@
 		g.borrowFraction = 0
 	}
 	g.shareExhausted = false
-	left := 0.0
+	carry := 0.0
 	for _, u := range g.sorted {
-		left += g.borrowFraction * u.peerSpare
-		u.borrowable = int(left)
-		left -= float64(u.borrowable)
+		carry += g.borrowFraction * u.peerSpare
+		u.borrowable = int(carry)
+		carry -= float64(u.borrowable)
 	}
 }
 
@@ -68,9 +68,9 @@
 	return &slot{gate: g, upstream: u, class: class, id: u.id(), address: u.vm.Address}
 }
 
-// release gives the slot back with what was learned of the upstream. wait is the
-// time to the answer's header, 0 when there was none.
-func (s *slot) release(v verdict, wait time.Duration) {
+// release returns the slot and records the verdict on the upstream. timeToHeader is the time
+// to the answer's header, 0 if there was none.
+func (s *slot) release(v verdict, timeToHeader time.Duration) {
 	g := s.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -80,19 +80,19 @@
 	if s.class.Priority == models.PriorityDeferred {
 		g.deferredSlots--
 	}
-	if wait > 0 {
-		g.meanServiceTime.add(wait.Seconds())
-		s.upstream.latency.add(wait.Seconds())
+	if timeToHeader > 0 {
+		g.meanServiceTime.add(timeToHeader.Seconds())
+		s.upstream.latency.add(timeToHeader.Seconds())
 	}
 	if s.upstream.record(v, now) {
 		g.config.Scope.Counter("ejections").Inc(1)
-		g.config.Logger.Warn("upstream fails; it gets single requests until one succeeds",
+		g.config.Logger.Warn("upstream ejected after failures; afterwards it gets one request at a time until one succeeds",
 			zap.String("upstream", string(s.upstream.id())), zap.Duration("for", s.upstream.ejectedUntil.Sub(now)))
 	}
 	g.dispatch()
 }
 
-// sync follows the VM list, the members and their heartbeats.
+// sync applies the VM list, the live members, the peers' heartbeats and the configuration.
 func (g *gate) sync(vms []models.VM, live []models.MemberID, beats map[models.MemberID]models.Heartbeat, view *config.View) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -121,7 +121,7 @@
 	g.config.Scope.Gauge("capacity").Update(float64(g.capacity))
 }
 
-// hasUpstreams tells whether any upstream is known.
+// hasUpstreams reports whether any upstream is known.
 func (g *gate) hasUpstreams() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/services/entry/trial_test.go
+++ b/services/entry/trial_test.go
@@ -25,22 +25,22 @@
 	"rillsail.example/rillsail/services/config"
 )
 
-// trial is one run: the real entries on the clock of a synctest bubble, before fake
-// upstreams with slots; only the wire is replaced. Time is exact, so tails don't
-// show the noise of the machine.
+// trial configures one run of real entries in front of fake upstreams with slots, in a
+// synctest bubble. Only the network is replaced. The fake clock is exact, so tail latencies
+// do not contain noise of the machine.
 type trial struct {
 	picker    string
-	load      float64 // of all slots
+	load      float64 // fraction of the capacity of all slots
 	entries   int
 	upstreams int
 	slots     int
 	seconds   int
 	seed      uint64
 	slow      bool // upstream 0 is 5 times slower
-	failing   bool // upstream 0 fails everything at once
-	leaving   bool // upstream 0 leaves in the middle; the list lags by 5 s
+	failing   bool // upstream 0 fails every request immediately
+	leaving   bool // upstream 0 leaves halfway through; the VM list lags by trialListLag
 	uneven    bool // entry 0 gets three times its share
-	storm     bool // callers send again at once what was refused, up to 3 times
+	storm     bool // callers resend refused requests at once, up to 3 times
 }
 
 const (
@@ -53,7 +53,7 @@
 
 var trialMean = time.Duration(float64(trialMedian) * math.Exp(trialSigma*trialSigma/2))
 
-// trialClassNames are the names of trialClasses, the first served first.
+// trialClassNames lists the names of trialClasses in the order of service.
 var trialClassNames = []string{"urgent", "ordinary", "deferred"}
 
 var trialClasses = []models.Object{
@@ -62,7 +62,7 @@
 	models.Class{Name: "deferred", Selector: "class=deferred", Priority: models.PriorityDeferred, Deadline: 10_000, Floor: 10},
 }
 
-// trialRun is a trial under way.
+// trialRun is the state of a running trial.
 type trialRun struct {
 	trial
 	upstreams []*fakeUpstream
@@ -78,7 +78,7 @@
 	classes  map[string]*trialClass
 }
 
-// trialClass is what became of the requests of one class.
+// trialClass counts the results of the requests of one class.
 type trialClass struct {
 	sent, succeeded, refused, failed int
 	status                           map[int]int
@@ -92,14 +92,14 @@
 func (c *trialClass) ms(q float64) float64 { return float64(c.latency.ValueAtQuantile(q)) / 1000 }
 func (c *trialClass) goodput() float64     { return float64(c.succeeded) / float64(max(c.sent, 1)) }
 
-// count takes the last answer to a request that was meant to be sent at a time.
-func (c *trialClass) count(status int, meant time.Time) {
+// count records the last answer to a request that was scheduled for the given time.
+func (c *trialClass) count(status int, scheduled time.Time) {
 	c.sent++
 	c.status[status]++
 	switch status {
 	case http.StatusOK:
 		c.succeeded++
-		_ = c.latency.RecordValue(max(1, time.Since(meant).Microseconds())) // at most the deadline
+		_ = c.latency.RecordValue(max(1, time.Since(scheduled).Microseconds())) // in range: no answer is later than the deadline
 	case http.StatusServiceUnavailable:
 		c.refused++
 	default:
@@ -126,7 +126,7 @@
 	return r
 }
 
-// injectFaults gives an upstream the faults of the trial.
+// injectFaults applies the faults of the trial to an upstream.
 func (r *trialRun) injectFaults(u *fakeUpstream) {
 	if r.slow {
 		u.slowdown = 5
@@ -148,7 +148,7 @@
 	return s
 }
 
-// run sends at a fixed rate for the trial's time and waits for all answers.
+// run exchanges heartbeats, sends requests for the trial's duration, and waits for all answers.
 func (r *trialRun) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	go r.heartbeats(ctx)
@@ -159,7 +159,8 @@
 	synctest.Wait()
 }
 
-// sendAll sends for the trial's time, as independent callers do, and waits for the answers.
+// sendAll sends requests at random intervals for the trial's duration, as independent callers do, and
+// waits for the answers.
 func (r *trialRun) sendAll() {
 	rate := r.load * float64(len(r.upstreams)*r.slots) / trialMean.Seconds()
 	random := rand.New(rand.NewPCG(r.seed, 2))
@@ -174,7 +175,7 @@
 	}
 }
 
-// drawRequest chooses the class of a request and the entry that it is sent to.
+// drawRequest draws the class of a request and the entry that receives it.
 func (r *trialRun) drawRequest(random *rand.Rand) (class string, entry int) {
 	class = []string{"urgent", "ordinary", "ordinary", "ordinary", "deferred"}[random.IntN(5)]
 	entry = random.IntN(len(r.entries))
@@ -184,14 +185,14 @@
 	return class, entry
 }
 
-// send sends a request, in a storm again and again, and counts the last answer.
-func (r *trialRun) send(class string, entry int, meant time.Time) {
-	tries := 1
+// send sends a request, resends it in a storm as long as it is refused, and counts the last answer.
+func (r *trialRun) send(class string, entry int, scheduled time.Time) {
+	attempts := 1
 	if r.storm {
-		tries = 4
+		attempts = 4
 	}
 	status := 0
-	for range tries {
+	for range attempts {
 		request := httptest.NewRequest(http.MethodPost, "/", strings.NewReader("x"))
 		request.Header.Set(models.HeaderLabels, "class="+class)
 		recorder := httptest.NewRecorder()
@@ -203,10 +204,10 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.classes[class].count(status, meant)
+	r.classes[class].count(status, scheduled)
 }
 
-// heartbeats exchanges what the entries tell each other, each in its turn.
+// heartbeats exchanges the heartbeats of the entries in turn.
 func (r *trialRun) heartbeats(ctx context.Context) {
 	var live []models.MemberID
 	for _, e := range r.entries {
@@ -227,18 +228,18 @@
 	}
 }
 
-// heartbeatsFor are the others' heartbeats as entry i has them.
+// heartbeatsFor returns the other entries' heartbeats, which entry i has received.
 func heartbeatsFor(i int, live []models.MemberID, beats []models.Heartbeat) map[models.MemberID]models.Heartbeat {
-	heard := map[models.MemberID]models.Heartbeat{}
+	received := map[models.MemberID]models.Heartbeat{}
 	for j := range beats {
 		if j != i {
-			heard[live[j]] = beats[j]
+			received[live[j]] = beats[j]
 		}
 	}
-	return heard
+	return received
 }
 
-// listedVMs is the platform's list, which lags.
+// listedVMs returns the platform's VM list, which lags by trialListLag.
 func (r *trialRun) listedVMs() []models.VM {
 	vms := append([]models.VM(nil), r.vms...)
 	for i, u := range r.upstreams {
@@ -255,7 +256,7 @@
 	*n++
 }
 
-// runTrial runs a trial in a bubble of its own.
+// runTrial runs a trial in a synctest bubble of its own.
 func runTrial(t *testing.T, settings trial) *trialRun {
 	t.Helper()
 	var r *trialRun
--- a/services/entry/upstream.go
+++ b/services/entry/upstream.go
@@ -13,41 +13,41 @@
 	"rillsail.example/rillsail/modules/selector"
 )
 
-// upstream is what this daemon knows of an upstream; the gate's lock guards it.
+// upstream is this daemon's view of an upstream, guarded by gate.mu.
 type upstream struct {
 	vm      models.VM
 	labels  map[string]string
 	drained bool
 
-	ownInFlight int         // requests of this daemon in flight there
-	ownLoad     loadAverage // their number over the last while
-	peerLoad    float64     // the peers' numbers over the last while, as last told
-	peerSpare   float64     // what peers that have no one waiting leave of their shares
-	share       int         // slots that are this daemon's
-	borrowable  int         // slots of peers' shares that it may use
+	ownInFlight int         // this daemon's requests in flight
+	ownLoad     loadAverage // ownInFlight averaged over time
+	peerLoad    float64     // sum of the loads in the peers' last heartbeats
+	peerSpare   float64     // slots that peers without waiting requests leave unused in their shares
+	share       int         // slots that belong to this daemon
+	borrowable  int         // slots of peers' shares that this daemon may use
 	latency     average     // time to the answer's header, in seconds
 
-	failureRate          average   // 1 for a failure, 0 for a success
-	samples              int       // since the last ejection
-	ejectedUntil         time.Time // until when it gets nothing
-	consecutiveEjections int       // ejections one after the other
-	leavingUntil         time.Time // until when its own word, or a peer's, counts
-	leavingObserved      bool      // leaving by its own word, which peers are told
+	failureRate          average   // average over 1 for each failure and 0 for each success
+	samples              int       // verdicts since the last ejection
+	ejectedUntil         time.Time // until when the upstream gets no requests
+	consecutiveEjections int       // ejections without a success in between
+	leavingUntil         time.Time // until when the upstream counts as leaving, by its own notice or a peer's
+	leavingObserved      bool      // this daemon received the notice itself, and reports it to the peers
 }
 
-// loadAverage is the number of requests in flight, averaged over time.
+// loadAverage is an exponentially decaying average of the number of requests in flight.
 type loadAverage struct {
 	value     float64
 	updatedAt time.Time
 }
 
-// loadTimeConstant is the time over which a load is averaged.
+// loadTimeConstant is the time constant of a loadAverage.
 const loadTimeConstant = 300 * time.Millisecond
 
-// update takes the number that has been in flight since the last call.
+// update adds the time since the last call, in which inFlight requests were in flight.
 func (l *loadAverage) update(inFlight int, now time.Time) {
-	passed := now.Sub(l.updatedAt).Seconds() / loadTimeConstant.Seconds()
-	l.value += (float64(inFlight) - l.value) * (1 - math.Exp(-passed))
+	elapsed := now.Sub(l.updatedAt).Seconds() / loadTimeConstant.Seconds()
+	l.value += (float64(inFlight) - l.value) * (1 - math.Exp(-elapsed))
 	l.updatedAt = now
 }
 
@@ -72,7 +72,7 @@
 
 func (u *upstream) id() models.VMID { return u.vm.ID }
 
-// serves tells whether new requests of the class may go there at all.
+// serves reports whether the upstream accepts new requests of the class, regardless of load and health.
 func (u *upstream) serves(class models.Class, selectors *selector.Set) bool {
 	if u.vm.State != models.VMLive || u.drained || time.Now().Before(u.leavingUntil) {
 		return false
@@ -80,16 +80,16 @@
 	return selectors.Matches(class.Upstreams, u.labels)
 }
 
-// Ejection of an upstream that fails.
+// Ejection of a failing upstream: baseEjectionTime doubles with each ejection in a row, up to maxEjectionTime.
 const (
-	ejectFailureRate = 0.5 // failures among the latest requests
-	ejectMinSamples  = 5
+	ejectFailureRate = 0.5 // failure rate among the latest requests, from which an upstream is ejected
+	ejectMinSamples  = 5   // verdicts required for a first ejection
 	baseEjectionTime = time.Second
 	maxEjectionTime  = 30 * time.Second
 )
 
-// healthy tells whether the upstream is not ejected; after an ejection it gets one
-// request at a time until one succeeds.
+// healthy reports whether the upstream is not ejected. After an ejection the upstream is
+// healthy for one request at a time until one succeeds.
 func (u *upstream) healthy(now time.Time) bool {
 	if now.Before(u.ejectedUntil) {
 		return false
@@ -97,16 +97,16 @@
 	return u.consecutiveEjections == 0 || u.ownInFlight == 0
 }
 
-// verdict is what one request tells of its upstream.
+// verdict is what the result of one request says about its upstream.
 type verdict int
 
 const (
-	verdictNone    verdict = iota // nothing: the caller went away
-	verdictSuccess                // it answered
-	verdictFailure                // it did not, or with an error of its own
+	verdictNone    verdict = iota // nothing, because the caller disconnected
+	verdictSuccess                // the upstream answered
+	verdictFailure                // the upstream did not answer, or answered with a server error
 )
 
-// record takes a verdict; ejected tells that the upstream was just ejected.
+// record adds a verdict to the failure rate and reports whether the upstream is ejected by it.
 func (u *upstream) record(v verdict, now time.Time) (ejected bool) {
 	switch v {
 	case verdictNone:
@@ -128,14 +128,14 @@
 	return true
 }
 
-// slotsPerExtraRequest is how many requests an upstream gets beyond its slots, as a part of them:
-// the next one is there when a slot becomes free, and no slot is idle while an
-// answer and the next request are on the wire.
+// slotsPerExtraRequest is the number of slots for which an upstream gets one request beyond its
+// slots. The extra request is already there when a slot becomes free, so that no slot is idle
+// while an answer and the next request are on the wire.
 const slotsPerExtraRequest = 8
 
-// computeShares divides each upstream's slots, and one more for each eight, among the
-// entries: everyone gets as many, and what is left goes to the first in the
-// upstream's hash order.
+// computeShares divides each upstream's slots, plus one extra for each slotsPerExtraRequest,
+// among the live entries: each gets an equal number, and the remainder goes to the first
+// entries in the upstream's rendezvous order.
 func (g *gate) computeShares(live []models.MemberID) {
 	g.capacity = 0
 	for _, u := range g.sorted {
@@ -148,7 +148,7 @@
 
 func shareOf(vm models.VM, self models.MemberID, live []models.MemberID) int {
 	if len(live) == 0 || !slices.Contains(live, self) {
-		return max(1, vm.Slots/(len(live)+1)) // this daemon leaves, or has heard nobody
+		return max(1, vm.Slots/(len(live)+1)) // this daemon is leaving, or has not heard any peer
 	}
 	slots := vm.Slots + (vm.Slots+slotsPerExtraRequest-1)/slotsPerExtraRequest
 	share := slots / len(live)
@@ -159,18 +159,18 @@
 	return share
 }
 
-// leavingTimeout is for how long an upstream's or a peer's word of leaving counts; the
-// VM list has caught up by then.
+// leavingTimeout is the time for which a notice of leaving, by the upstream or a peer, counts;
+// by then the VM list has caught up.
 const leavingTimeout = 15 * time.Second
 
-// loadUnit is the part of a slot in which loads are told.
+// loadUnit is the unit of loads in heartbeats, in slots.
 const loadUnit = 0.01
 
-// minLendSlack is the part of its share that a peer must leave unused, on average over
-// all upstreams, before others may borrow of it.
+// minLendSlack is the fraction of its shares, on average over all upstreams, that a peer must
+// leave unused before other entries may borrow from the peer.
 const minLendSlack = 0.2
 
-// applyHeartbeats takes the peers' loads and what they say of leaving upstreams.
+// applyHeartbeats applies the peers' loads and their reports of leaving upstreams.
 func (g *gate) applyHeartbeats(live []models.MemberID, beats map[models.MemberID]models.Heartbeat) {
 	for _, u := range g.sorted {
 		u.peerLoad, u.peerSpare = 0, 0
@@ -178,10 +178,10 @@
 	for id, beat := range beats {
 		lends := beat.Load != nil && beat.Waiting == 0 && slices.Contains(live, id) && g.recordSlack(id, g.slack(beat, len(live))) > minLendSlack
 		for _, u := range g.sorted {
-			told := float64(beat.Load[u.id()]) * loadUnit
-			u.peerLoad += told
+			reported := float64(beat.Load[u.id()]) * loadUnit
+			u.peerLoad += reported
 			if lends {
-				u.peerSpare += max(0, evenShare(u, len(live))-told)
+				u.peerSpare += max(0, evenShare(u, len(live))-reported)
 			}
 		}
 	}
@@ -197,17 +197,17 @@
 
 func evenShare(u *upstream, entries int) float64 { return float64(u.vm.Slots) / float64(entries) }
 
-// slackWeight is the weight of the newest heartbeat in a peer's slack; one quiet
-// moment of a busy peer is no reason to borrow.
+// slackWeight is the weight of the newest heartbeat in a peer's averaged slack, so that a
+// short idle period of a busy peer does not allow borrowing.
 const slackWeight = 0.5
 
-// recordSlack follows a peer's slack over its heartbeats, from none on.
-func (g *gate) recordSlack(id models.MemberID, now float64) float64 {
-	g.peerSlack[id] += slackWeight * (now - g.peerSlack[id])
+// recordSlack averages a peer's slack over its heartbeats, starting at 0, and returns the average.
+func (g *gate) recordSlack(id models.MemberID, slack float64) float64 {
+	g.peerSlack[id] += slackWeight * (slack - g.peerSlack[id])
 	return g.peerSlack[id]
 }
 
-// slack is the part of its share that a peer leaves unused.
+// slack is the fraction of its shares that a peer leaves unused.
 func (g *gate) slack(beat models.Heartbeat, entries int) float64 {
 	share, used := 0.0, 0.0
 	for _, u := range g.sorted {
@@ -220,8 +220,9 @@
 	return 1 - used/share
 }
 
-// recordLeaving takes an upstream's own word that it closes its connections. When
-// most of them do so, it says nothing of leaving and is not believed.
+// recordLeaving records that an upstream has closed its connection after an answer, which
+// counts as a notice of leaving. If most upstreams do so, the close does not indicate leaving
+// and is ignored.
 func (g *gate) recordLeaving(u *upstream) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -238,7 +239,7 @@
 	u.leavingUntil, u.leavingObserved = now.Add(leavingTimeout), true
 }
 
-// fillHeartbeat tells the peers what this daemon has in flight, and who leaves by its own word.
+// fillHeartbeat adds this daemon's load, queue length and the upstreams whose notice of leaving it received.
 func (g *gate) fillHeartbeat(beat *models.Heartbeat) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -247,9 +248,9 @@
 	now := time.Now()
 	for _, u := range g.sorted {
 		u.ownLoad.update(u.ownInFlight, now)
-		// A surge shows in what is in flight now before it shows in the average.
-		if told := int(max(u.ownLoad.value, float64(u.ownInFlight)) / loadUnit); told > 0 {
-			beat.Load[u.id()] = told
+		// The current number in flight shows a surge earlier than the average does.
+		if units := int(max(u.ownLoad.value, float64(u.ownInFlight)) / loadUnit); units > 0 {
+			beat.Load[u.id()] = units
 		}
 		if u.leavingObserved && now.Before(u.leavingUntil) {
 			beat.LeavingVMs = append(beat.LeavingVMs, u.id())
--- a/services/member/beat.go
+++ b/services/member/beat.go
@@ -14,12 +14,12 @@
 	"rillsail.example/rillsail/models"
 )
 
-// forgetAfterPeriods is after how many silent periods a peer that isn't listed any more
-// is forgotten.
+// forgetAfterPeriods is the number of SilentAfter periods without a heartbeat after which a
+// peer that is no longer listed is forgotten.
 const forgetAfterPeriods = 10
 
-// heartbeatLoop sends heartbeats. A peer that was heard within the period has had this
-// daemon's own with the answer, so of each two daemons one asks and one answers.
+// heartbeatLoop sends heartbeats. A peer whose heartbeat arrived within the period has received
+// this daemon's heartbeat in the answer, so of each pair of daemons only one has to send.
 func (s *Service) heartbeatLoop(ctx context.Context) {
 	ticker := time.NewTicker(s.config.Heartbeat)
 	defer ticker.Stop()
@@ -36,8 +36,8 @@
 	}
 }
 
-// Nudge asks for a round of heartbeats at once, because something changed that
-// the peers should know.
+// Nudge requests an immediate round of heartbeats, because something has changed that the
+// peers should know.
 func (s *Service) Nudge() {
 	select {
 	case s.roundRequested <- struct{}{}:
@@ -45,7 +45,7 @@
 	}
 }
 
-// SendHeartbeats sends one heartbeat to every peer and waits for the answers.
+// SendHeartbeats sends a heartbeat to every peer and waits for the answers.
 func (s *Service) SendHeartbeats(ctx context.Context) { s.sendHeartbeats(ctx, s.heartbeatTargets(0)) }
 
 func (s *Service) sendHeartbeats(ctx context.Context, addresses []string) {
@@ -70,7 +70,7 @@
 	s.recordHeartbeat(answer)
 }
 
-// compose makes this daemon's heartbeat with the parts of all sources.
+// compose returns this daemon's heartbeat with the contributions of all sources.
 func (s *Service) compose() models.Heartbeat {
 	beat := models.Heartbeat{Member: s.Self(), Uptime: models.MilliOf(time.Since(s.started))}
 	for _, source := range s.sources {
@@ -79,39 +79,39 @@
 	return beat
 }
 
-// heartbeatTargets lists whom to send heartbeats: the known members that were not heard
-// within the time, and the seeds that are no known members.
+// heartbeatTargets lists the addresses to which to send heartbeats: those of known members
+// from which no heartbeat arrived within unheardFor, and of seeds that are not known members.
 func (s *Service) heartbeatTargets(unheardFor time.Duration) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	set := map[string]bool{}
+	wanted := map[string]bool{}
 	for _, seed := range s.config.Seeds {
-		set[seed] = true
+		wanted[seed] = true
 	}
-	for _, k := range s.peers {
-		set[k.member.PeerAddress] = k.lastHeard.IsZero() || time.Since(k.lastHeard) >= unheardFor
+	for _, p := range s.peers {
+		wanted[p.member.PeerAddress] = p.lastHeard.IsZero() || time.Since(p.lastHeard) >= unheardFor
 	}
-	delete(set, s.self.PeerAddress)
-	maps.DeleteFunc(set, func(_ string, wanted bool) bool { return !wanted })
-	return slices.Collect(maps.Keys(set))
+	delete(wanted, s.self.PeerAddress)
+	maps.DeleteFunc(wanted, func(_ string, send bool) bool { return !send })
+	return slices.Collect(maps.Keys(wanted))
 }
 
-// sweepSilent logs who fell silent and forgets who was silent for long.
+// sweepSilent logs peers that have become silent, and forgets peers that have been silent for forgetAfterPeriods.
 func (s *Service) sweepSilent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, k := range s.peers {
-		s.updateLiveness(k)
-		if !k.lastHeard.IsZero() && time.Since(k.lastHeard) > forgetAfterPeriods*s.config.SilentAfter {
-			s.recordLost(k)
+	for id, p := range s.peers {
+		s.updateLiveness(p)
+		if !p.lastHeard.IsZero() && time.Since(p.lastHeard) > forgetAfterPeriods*s.config.SilentAfter {
+			s.recordLost(p)
 			delete(s.peers, id)
 		}
 	}
 	s.config.Scope.Gauge("known").Update(float64(len(s.peers)))
 }
 
-// Leave tells every peer that this daemon leaves and takes its key out of the
-// store. New work goes elsewhere; what is in flight here goes on.
+// Leave announces to every peer that this daemon leaves, and deletes its key from the store.
+// New work goes to other daemons; work in flight here continues.
 func (s *Service) Leave(ctx context.Context) error {
 	s.mu.Lock()
 	s.self.Leaving = true
--- a/services/member/live.go
+++ b/services/member/live.go
@@ -11,8 +11,8 @@
 	"rillsail.example/rillsail/models"
 )
 
-// Settled tells whether enough time has passed, or all listed members have been
-// heard, so that a peer that isn't live is really gone and not just unheard yet.
+// Settled reports whether SilentAfter has passed since the start, or a heartbeat of every listed
+// member has arrived. Before that, a peer that is not live may just not have been heard yet.
 func (s *Service) Settled() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -22,30 +22,30 @@
 	if !s.listRead {
 		return false
 	}
-	for _, k := range s.peers {
-		if k.lastHeard.IsZero() {
+	for _, p := range s.peers {
+		if p.lastHeard.IsZero() {
 			return false
 		}
 	}
 	return true
 }
 
-// HearsMost tells whether this daemon hears at least half of the members it knows,
-// itself included. One that doesn't is more likely cut off than left alone, and
-// takes nothing over until the others' leases in the store have lapsed.
+// HearsMost reports whether at least half of the known members, including this daemon, are live.
+// Otherwise this daemon is more likely to be partitioned than all the others to be lost, and it
+// takes no cell over until the others' leases in the store have lapsed.
 func (s *Service) HearsMost() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	heard := 1
-	for _, k := range s.peers {
-		if s.isLive(k) {
-			heard++
+	live := 1 // this daemon
+	for _, p := range s.peers {
+		if s.isLive(p) {
+			live++
 		}
 	}
-	return 2*heard >= len(s.peers)+1
+	return 2*live >= len(s.peers)+1
 }
 
-// Live lists the members that work, this one included unless it leaves, by id.
+// Live lists the live members that are not leaving, including this daemon, ordered by id.
 func (s *Service) Live() []models.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,16 +53,16 @@
 	if !s.self.Leaving {
 		live = append(live, s.self)
 	}
-	for _, k := range s.peers {
-		if s.isLive(k) && !k.member.Leaving {
-			live = append(live, k.member)
+	for _, p := range s.peers {
+		if s.isLive(p) && !p.member.Leaving {
+			live = append(live, p.member)
 		}
 	}
 	slices.SortFunc(live, func(a, b models.Member) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	return live
 }
 
-// LiveIDs lists the ids of Live.
+// LiveIDs lists the ids of the members that Live returns, in the same order.
 func (s *Service) LiveIDs() []models.MemberID {
 	live := s.Live()
 	ids := make([]models.MemberID, len(live))
@@ -72,35 +72,35 @@
 	return ids
 }
 
-// Beats gives the last heartbeat of each peer that is live or leaving.
+// Beats returns the last heartbeat of each peer that is live, including peers that are leaving.
 func (s *Service) Beats() map[models.MemberID]models.Heartbeat {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	beats := make(map[models.MemberID]models.Heartbeat, len(s.peers))
-	for id, k := range s.peers {
-		if s.isLive(k) {
-			beats[id] = k.heartbeat
+	for id, p := range s.peers {
+		if s.isLive(p) {
+			beats[id] = p.heartbeat
 		}
 	}
 	return beats
 }
 
-// Find gives a member that is live or leaving, by id.
+// Find returns the live member with the id, even if the member is leaving.
 func (s *Service) Find(id models.MemberID) (models.Member, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if id == s.self.ID {
 		return s.self, true
 	}
-	k, ok := s.peers[id]
-	if !ok || !s.isLive(k) {
+	p, ok := s.peers[id]
+	if !ok || !s.isLive(p) {
 		return models.Member{}, false
 	}
-	return k.member, true
+	return p.member, true
 }
 
-// OwnerOf finds who says in its heartbeats that it owns the cell, the highest epoch
-// first.
+// OwnerOf returns the peer whose heartbeat claims ownership of the cell; if several do, the
+// one with the highest epoch.
 func (s *Service) OwnerOf(cell models.CellID) (owner models.Member, epoch models.Epoch, ok bool) {
 	for _, beat := range s.Beats() {
 		if c, owned := beat.Cells[cell]; owned && (!ok || c.Epoch > epoch) {
@@ -110,15 +110,15 @@
 	return owner, epoch, ok
 }
 
-// Uptime is how long a live member has been running, by its own word.
+// Uptime returns how long a live member has been running, according to its last heartbeat.
 func (s *Service) Uptime(id models.MemberID) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if id == s.self.ID {
 		return time.Since(s.started)
 	}
-	if k, ok := s.peers[id]; ok {
-		return k.heartbeat.Uptime.Duration()
+	if p, ok := s.peers[id]; ok {
+		return p.heartbeat.Uptime.Duration()
 	}
 	return 0
 }
--- a/services/member/member.go
+++ b/services/member/member.go
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package member knows which daemons there are. Each daemon keeps a leased key in
-// the platform's store, by which the others learn its address, and exchanges
-// heartbeats with every other one, which carry load and cells. Who counts as live
-// is decided by heartbeats alone, on this daemon's own clock, so that an outage of
-// the store, in which leases lapse, removes nobody.
+// Package member maintains the membership of the daemons. Each daemon keeps a leased key in
+// the platform's store, from which the others learn its address, and exchanges heartbeats,
+// which carry load and cells, with every other daemon. Liveness is decided by heartbeats
+// alone, on this daemon's own clock, so that an outage of the store, in which leases lapse,
+// removes no member.
 //
 // # Usage
 //
@@ -30,7 +30,7 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Config says who this daemon is and whom it talks to.
+// Config holds the settings and dependencies of the service.
 type Config struct {
 	Self   models.Member
 	Store  platform.Store
@@ -38,54 +38,54 @@
 	Logger *zap.Logger
 	Scope  tally.Scope
 
-	Lease       time.Duration
-	Heartbeat   time.Duration
-	SilentAfter time.Duration
-	Sync        time.Duration
-	// Seeds are peers' addresses to try when the store can't be read.
+	Lease       time.Duration // of the member key in the store
+	Heartbeat   time.Duration // interval between heartbeats
+	SilentAfter time.Duration // time without a heartbeat after which a peer is not live
+	Sync        time.Duration // longest wait before the member list is read again after a failed watch
+	// Seeds are addresses of peers that receive heartbeats even if the store cannot be read.
 	Seeds []string
 }
 
-// Source adds its part to each heartbeat that is sent.
+// Source adds its part to each heartbeat before it is sent.
 type Source func(*models.Heartbeat)
 
-// Service knows the members.
+// Service maintains the list of members and their liveness.
 type Service struct {
 	config         Config
 	sources        []Source
 	started        time.Time
-	roundRequested chan struct{} // asks for a round of heartbeats at once
+	roundRequested chan struct{} // requests an immediate round of heartbeats
 
 	mu    sync.Mutex
 	self  models.Member
 	peers map[models.MemberID]*peerState
-	// lostAt holds when members were last seen to lose their memory, by dying or by
-	// starting anew, without having passed it on.
+	// lostAt holds the times at which members were last observed to lose their state, by a
+	// crash or a restart, without having handed it over.
 	lostAt map[models.MemberID]time.Time
-	// listRead tells that the member list has been read once from the store.
+	// listRead is set once the member list has been read from the store.
 	listRead bool
 
 	registration
 }
 
-// New makes the service.
+// New returns a service that knows no peers; Run starts it.
 func New(config Config) *Service {
 	return &Service{
 		config: config, self: config.Self, peers: map[models.MemberID]*peerState{}, lostAt: map[models.MemberID]time.Time{},
 		roundRequested: make(chan struct{}, 1), started: time.Now(),
 		registration: registration{trouble: log.NewTrouble(log.TroubleConfig{
 			Logger: config.Logger,
-			Began:  "membership key can't be kept; heartbeats go on without it",
-			Ended:  "membership key is in the store",
+			Began:  "cannot keep the membership key in the store; heartbeats continue without it",
+			Ended:  "membership key is in the store again",
 		})},
 	}
 }
 
-// AddSource adds a part to the heartbeats. Call it before Run.
+// AddSource registers a source of heartbeat contents. It must be called before Run.
 func (s *Service) AddSource(source Source) { s.sources = append(s.sources, source) }
 
-// Run keeps this daemon's key, reads the others' and exchanges heartbeats until
-// ctx ends.
+// Run keeps this daemon's key in the store, follows the other daemons' keys and exchanges
+// heartbeats until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	var group conc.WaitGroup
 	group.Go(func() { s.registerLoop(ctx) })
@@ -94,7 +94,7 @@
 	group.Wait()
 }
 
-// Self is this daemon as it tells the others.
+// Self returns this daemon as announced to the others.
 func (s *Service) Self() models.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/services/member/peer_state.go
+++ b/services/member/peer_state.go
@@ -11,85 +11,86 @@
 	"rillsail.example/rillsail/models"
 )
 
-// peerState is what is known of one peer.
+// peerState is the known state of one peer.
 type peerState struct {
 	member     models.Member
 	heartbeat  models.Heartbeat
-	lastHeard  time.Time // zero: never
-	loggedLive bool      // as last logged
+	lastHeard  time.Time // zero if no heartbeat has arrived
+	loggedLive bool      // liveness as last logged
 }
 
-// Receive takes a peer's heartbeat and gives this daemon's own.
+// Receive records a peer's heartbeat and returns this daemon's own.
 func (s *Service) Receive(beat models.Heartbeat) models.Heartbeat {
 	s.recordHeartbeat(beat)
 	return s.compose()
 }
 
-// recordHeartbeat takes a heartbeat into what is known of its sender.
+// recordHeartbeat updates the state of the sender with its heartbeat. A new incarnation means that the
+// previous one was lost.
 func (s *Service) recordHeartbeat(beat models.Heartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if beat.Member.ID == s.self.ID {
 		return
 	}
-	k := s.peerStateOf(beat.Member.ID)
-	if !k.lastHeard.IsZero() && k.member.Incarnation != beat.Member.Incarnation {
-		s.recordLost(k)
+	p := s.peerStateOf(beat.Member.ID)
+	if !p.lastHeard.IsZero() && p.member.Incarnation != beat.Member.Incarnation {
+		s.recordLost(p)
 	}
-	k.member, k.heartbeat, k.lastHeard = beat.Member, beat, time.Now()
-	s.updateLiveness(k)
+	p.member, p.heartbeat, p.lastHeard = beat.Member, beat, time.Now()
+	s.updateLiveness(p)
 }
 
-// peerStateOf gives the state of a peer and makes it for a new one; the caller holds the lock.
+// peerStateOf returns the state of a peer, and creates it for a new peer; s.mu must be held.
 func (s *Service) peerStateOf(id models.MemberID) *peerState {
-	k, ok := s.peers[id]
+	p, ok := s.peers[id]
 	if !ok {
-		k = &peerState{}
-		s.peers[id] = k
+		p = &peerState{}
+		s.peers[id] = p
 	}
-	return k
+	return p
 }
 
-// forgetPeer drops a peer that isn't live.
+// forgetPeer removes a peer that is not live, and records it as lost.
 func (s *Service) forgetPeer(id models.MemberID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if k, ok := s.peers[id]; ok && !s.isLive(k) {
-		s.recordLost(k)
+	if p, ok := s.peers[id]; ok && !s.isLive(p) {
+		s.recordLost(p)
 		delete(s.peers, id)
 	}
 }
 
-// isLive tells whether the peer was heard lately; the caller holds the lock.
-func (s *Service) isLive(k *peerState) bool {
-	return !k.lastHeard.IsZero() && time.Since(k.lastHeard) < s.config.SilentAfter
+// isLive reports whether a heartbeat of the peer arrived within SilentAfter; s.mu must be held.
+func (s *Service) isLive(p *peerState) bool {
+	return !p.lastHeard.IsZero() && time.Since(p.lastHeard) < s.config.SilentAfter
 }
 
-// updateLiveness logs when a peer comes or goes; the caller holds the lock.
-func (s *Service) updateLiveness(k *peerState) {
-	live := s.isLive(k)
-	if live == k.loggedLive {
+// updateLiveness logs a change of a peer's liveness, and records a peer that became silent as lost; s.mu must be held.
+func (s *Service) updateLiveness(p *peerState) {
+	live := s.isLive(p)
+	if live == p.loggedLive {
 		return
 	}
-	k.loggedLive = live
-	state := "peer is silent"
+	p.loggedLive = live
+	message := "peer is silent: no heartbeat within the limit"
 	if live {
-		state = "peer is live"
+		message = "peer is live"
 	} else {
-		s.recordLost(k)
+		s.recordLost(p)
 	}
-	s.config.Logger.Info(state, zap.String("peer", string(k.member.ID)), zap.String("address", k.member.PeerAddress))
+	s.config.Logger.Info(message, zap.String("peer", string(p.member.ID)), zap.String("address", p.member.PeerAddress))
 }
 
-// recordLost notes that a member may have died with what it knew; the caller holds
-// the lock. One that left as planned has passed it on.
-func (s *Service) recordLost(k *peerState) {
-	if !k.member.Leaving {
-		s.lostAt[k.member.ID] = time.Now()
+// recordLost records that a member may have been lost together with its state; s.mu must be
+// held. A member that left as planned has handed its state over and is not recorded.
+func (s *Service) recordLost(p *peerState) {
+	if !p.member.Leaving {
+		s.lostAt[p.member.ID] = time.Now()
 	}
 }
 
-// LostSince lists the members that lost their memory within the time.
+// LostSince lists the members that lost their state within the given time.
 func (s *Service) LostSince(within time.Duration) []models.MemberID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/services/member/register.go
+++ b/services/member/register.go
@@ -20,10 +20,10 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Prefix stands before the members' keys in the store.
+// Prefix is the prefix of the members' keys in the store.
 const Prefix = "members/"
 
-// registration is this daemon's own key in the store.
+// registration is the state of this daemon's own key in the store.
 type registration struct {
 	regMu   sync.Mutex
 	lease   platform.LeaseID
@@ -33,6 +33,7 @@
 
 func (s *Service) key() string { return Prefix + string(s.config.Self.ID) }
 
+// registerLoop renews the lease of the key every third of its duration, or registers anew, until ctx ends.
 func (s *Service) registerLoop(ctx context.Context) {
 	ticker := time.NewTicker(s.config.Lease / 3)
 	defer ticker.Stop()
@@ -50,6 +51,7 @@
 	}
 }
 
+// ensureRegistered renews the lease, or registers again if there is none or it has lapsed.
 func (s *Service) ensureRegistered(ctx context.Context) error {
 	if s.Self().Leaving {
 		return nil
@@ -60,18 +62,18 @@
 	if lease != 0 {
 		err := s.config.Store.KeepAlive(ctx, lease)
 		if !errors.Is(err, platform.ErrNoLease) {
-			return errstep.Wrap(err, "keep membership lease", "store")
+			return errstep.Wrap(err, "renew membership lease", "store")
 		}
 	}
 	return s.register(ctx)
 }
 
-// register writes the key under a new lease, over what a former run of this
-// daemon may have left.
+// register writes the key under a new lease, and overwrites a key that a previous incarnation
+// of this daemon may have left.
 func (s *Service) register(ctx context.Context) error {
 	lease, err := s.config.Store.Grant(ctx, s.config.Lease)
 	if err != nil {
-		return errstep.Wrap(err, "get membership lease", "store")
+		return errstep.Wrap(err, "grant membership lease", "store")
 	}
 	value, err := json.Marshal(s.Self())
 	if err != nil {
@@ -95,6 +97,7 @@
 	return nil
 }
 
+// deregister deletes the key; the lease is left to lapse.
 func (s *Service) deregister(ctx context.Context) error {
 	s.regMu.Lock()
 	version := s.version
@@ -106,8 +109,8 @@
 	return errstep.Wrap(s.config.Store.Delete(ctx, s.key(), version), "delete membership key", "store")
 }
 
-// watchLoop learns of members from the store. One watch waits at a time; when none
-// can, the list is read now and then.
+// watchLoop follows the members' keys in the store, with one watch at a time. While watches
+// fail, the list is read again periodically.
 func (s *Service) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		revision, err := s.listMembers(ctx)
@@ -137,8 +140,8 @@
 	return revision, nil
 }
 
-// applyRecord takes the address of a member from its key. A key that goes says nothing
-// of a daemon that is heard; one that isn't is forgotten with it.
+// applyRecord updates a member's address from its key. If the key is deleted, the member is
+// forgotten unless it is live by its heartbeats.
 func (s *Service) applyRecord(record platform.Record) {
 	if record.Key == s.key() {
 		return
@@ -153,10 +156,10 @@
 		return
 	}
 	s.mu.Lock()
-	k := s.peerStateOf(m.ID)
-	isNew := k.member.PeerAddress != m.PeerAddress
-	if k.lastHeard.IsZero() || isNew {
-		k.member = m
+	p := s.peerStateOf(m.ID)
+	isNew := p.member.PeerAddress != m.PeerAddress
+	if p.lastHeard.IsZero() || isNew {
+		p.member = m
 	}
 	s.mu.Unlock()
 	if isNew {
--- a/services/peer/peer.go
+++ b/services/peer/peer.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package peer calls the other daemons. It carries domain types in twirp calls and
-// adds step and peer to each error.
+// Package peer calls the other daemons. It transports domain types in twirp calls and adds
+// the step and the peer to each error.
 //
 // # Usage
 //
@@ -24,14 +24,14 @@
 	"rillsail.example/rillsail/modules/wire"
 )
 
-// Config says who calls and how.
+// Config holds the settings of a client.
 type Config struct {
 	Self    models.MemberID
 	Token   string
-	Timeout time.Duration // of a call that does not move
+	Timeout time.Duration // of a call that makes no progress
 }
 
-// Client calls any peer by its address.
+// Client calls peers by their addresses.
 type Client struct {
 	config Config
 	peers  *peerrpc.Clients[peerrpc.Peer]
@@ -41,16 +41,17 @@
 	bytesReceived atomic.Int64
 }
 
-// Counts is what the calls to peers have cost so far.
+// Counts are the totals of all calls to peers since the start; bytes are those of message bodies.
 type Counts struct {
 	Calls         int64 `json:"calls"`
 	BytesSent     int64 `json:"bytes_sent"`
 	BytesReceived int64 `json:"bytes_got"`
 }
 
+// idleConnections bounds the idle connections kept to each peer.
 const idleConnections = 4
 
-// New makes a client.
+// New returns a client.
 func New(config Config) *Client {
 	conns := idleconn.New(idleconn.Config{Dial: (&net.Dialer{Timeout: config.Timeout}).DialContext})
 	transport := &http.Transport{
@@ -66,12 +67,12 @@
 	return &Client{config: config, peers: peerrpc.NewClients(newPeerClient, client)}
 }
 
-// newPeerClient makes a client without options.
+// newPeerClient creates a twirp client without options.
 func newPeerClient(base string, http peerrpc.HTTPClient) peerrpc.Peer {
 	return peerrpc.NewPeerProtobufClient(base, http)
 }
 
-// bearer adds the peers' token to each call.
+// bearer is an http.RoundTripper that adds the peers' bearer token to each call.
 type bearer struct {
 	token string
 	next  http.RoundTripper
@@ -84,17 +85,17 @@
 	return b.next.RoundTrip(r)
 }
 
-// Counts is what the calls have cost so far.
+// Counts returns the totals of all calls so far.
 func (c *Client) Counts() Counts {
 	return Counts{Calls: c.calls.Load(), BytesSent: c.bytesSent.Load(), BytesReceived: c.bytesReceived.Load()}
 }
 
-// Heartbeat exchanges heartbeats.
+// Heartbeat sends a heartbeat and returns the peer's.
 func (c *Client) Heartbeat(ctx context.Context, address string, beat models.Heartbeat) (models.Heartbeat, error) {
 	return call[models.Heartbeat](ctx, c, "send heartbeat", address, peerrpc.Peer.Heartbeat, beat)
 }
 
-// Configuration asks for a newer configuration.
+// Configuration requests a newer configuration.
 func (c *Client) Configuration(ctx context.Context, address string, query models.ConfigQuery) (models.ConfigTransfer, error) {
 	return call[models.ConfigTransfer](ctx, c, "fetch configuration", address, peerrpc.Peer.Configuration, query)
 }
@@ -104,28 +105,30 @@
 	return call[models.OfferAnswer](ctx, c, "offer tasks", address, peerrpc.Peer.Offer, offer)
 }
 
-// Report reports tasks to the owner of their home cell.
+// Report sends a report on tasks to the owner of their home cell.
 func (c *Client) Report(ctx context.Context, address string, report models.ReportCall) (models.ReportAnswer, error) {
 	return call[models.ReportAnswer](ctx, c, "report tasks", address, peerrpc.Peer.Report, report)
 }
 
-// Claim asks a home of an idempotency key.
+// Claim sends a claim call to a home of idempotency keys.
 func (c *Client) Claim(ctx context.Context, address string, claim models.ClaimCall) (models.ClaimAnswer, error) {
 	return call[models.ClaimAnswer](ctx, c, "claim key", address, peerrpc.Peer.Claim, claim)
 }
 
-// Forward carries an operator's call to a cell's owner.
+// Forward passes an operator's call on to a cell's owner.
 func (c *Client) Forward(ctx context.Context, address string, forward models.ForwardCall) (models.ForwardAnswer, error) {
 	return call[models.ForwardAnswer](ctx, c, "forward call", address, peerrpc.Peer.Forward, forward)
 }
 
-// Handover passes a cell on during a store outage.
+// Handover hands a cell over to a peer during a store outage.
 func (c *Client) Handover(ctx context.Context, address string, handover models.HandoverCall) (models.HandoverAnswer, error) {
 	return call[models.HandoverAnswer](ctx, c, "hand over cell", address, peerrpc.Peer.Handover, handover)
 }
 
+// method is a method of peerrpc.Peer.
 type method func(peerrpc.Peer, context.Context, *peerrpc.Envelope) (*peerrpc.Envelope, error)
 
+// call makes one call, adds it to the counts, and wraps an error with step and address.
 func call[A wire.Checker](ctx context.Context, c *Client, step, address string, do method, body any) (A, error) {
 	counted := func(ctx context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
 		out, err := do(c.peers.At(address), ctx, in)
