--- a/services/claim/claim.go
+++ b/services/claim/claim.go
@@ -85,8 +85,8 @@
 	return &Service{config: config, records: map[string]record{}}
 }
 
-// Claim asks the homes of the key for the right to send the request holder. On an error
-// nothing is claimed, and the request must not be sent.
+// Claim asks the homes of the key for the right to send the request whose id is holder. On an
+// error nothing is claimed, and the request must not be sent.
 func (s *Service) Claim(ctx context.Context, key, holder string) (state models.ClaimState, ended bool, err error) {
 	if s.homesLost(key) {
 		return models.ClaimUnknown, false, nil
--- a/services/entry/gate.go
+++ b/services/entry/gate.go
@@ -26,8 +26,8 @@
 }
 
 // gate grants requests slots of upstreams. A request that finds no free slot waits in the
-// queue of its class. Queues are served by priority; a class with a floor gets at least
-// that percentage of the grants while requests of the class wait.
+// queue of its class. Queues are served by priority, but a class with a floor earns that
+// percentage of the grants while its requests wait.
 type gate struct {
 	config gateConfig
 	picker Picker
--- a/services/entry/path.go
+++ b/services/entry/path.go
@@ -30,7 +30,7 @@
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	if s.draining.Load() {
-		w.Header().Set("Connection", "close") // closes the load balancer's idle connections to this daemon
+		w.Header().Set("Connection", "close") // makes the load balancer close its keep-alive connection
 	}
 	req, refusal := s.decode(w, r)
 	if refusal != nil {
--- a/services/entry/routing_test.go
+++ b/services/entry/routing_test.go
@@ -56,7 +56,7 @@
 	assert.Greater(t, r.classes["urgent"].goodput(), 0.99, "%v", r.classes["urgent"].status)
 	deferred := r.classes["deferred"]
 	share := float64(deferred.succeeded) / float64(deferred.succeeded+r.classes["urgent"].succeeded+r.classes["ordinary"].succeeded)
-	assert.Greater(t, share, 0.05, "share of deferred requests")
+	assert.Greater(t, share, 0.05, "share that the floor gives to deferred requests")
 	assert.Zero(t, deferred.failed+r.classes["urgent"].failed+r.classes["ordinary"].failed, "requests that cannot meet their deadlines are refused and do not time out: %v %v %v",
 		deferred.status, r.classes["urgent"].status, r.classes["ordinary"].status)
 }
--- a/services/member/member.go
+++ b/services/member/member.go
@@ -46,7 +46,7 @@
 	Seeds []string
 }
 
-// Source adds its part to each heartbeat before it is sent.
+// Source adds its part to each heartbeat that is sent.
 type Source func(*models.Heartbeat)
 
 // Service maintains the list of members and their liveness.
