--- a/services/claim/claim.go
+++ b/services/claim/claim.go
@@ -1,27 +1,27 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package claim keeps the idempotency keys of unrepeatable requests, so that a
-// request that its caller sends again, through whatever daemon, runs at most once.
+// Package claim keeps the idempotency keys of unrepeatable requests, so that a request runs
+// at most once even if its caller sends it again through another daemon.
 //
-// A key has two homes: the first two daemons in the hash order of the key, in
-// different failure domains where there are two. A request asks the homes one after
-// the other, always in that order, and is sent only when all grant it; so of two
-// requests with one key the first home decides. A daemon younger than the time keys
-// are kept can't know them all, and the next in the order is asked as well until
-// two have answered that are old enough. When the homes a key had have both died
-// within that time, nobody knows whether it was used, and the answer is "unknown".
-// A daemon that leaves as planned carries its keys to their next homes.
+// A key has two homes: the first two daemons in the rendezvous order of the key, in different
+// failure domains if there are two. A daemon asks the homes in that order, and sends the
+// request only if all grant the key. The first home therefore decides between two requests
+// with the same key. A daemon that has run for less than the retention time cannot know all
+// keys, so the next daemons in the order are asked as well, until two that have run for long
+// enough have answered. If both former homes of a key were lost within the retention time, no
+// daemon knows whether the key was used, and the answer is "unknown". A daemon that leaves as
+// planned transfers its keys to their next homes.
 //
 // # Usage
 //
 //	claims := claim.New(claim.Config{Members: members, Client: client, Keep: 10 * time.Minute})
 //	state, ended, err := claims.Claim(ctx, key, requestID)
 //	claims.End(key, requestID, notRun)
-//	answer := claims.Serve(call)      // from a peer
+//	answer := claims.Serve(call)      // a call from a peer
 //	err := claims.Carry(ctx)          // planned stop
 //
-// docs/design/claims.md weighs this against claims in the platform's store.
+// docs/design/claims.md compares this design with claims in the platform's store.
 package claim
 
 import (
@@ -39,72 +39,73 @@
 	"rillsail.example/rillsail/services/peer"
 )
 
-// Config says who the homes are.
+// Config holds the settings of the service and the members among which the homes are chosen.
 type Config struct {
 	Self    models.MemberID
 	Members *member.Service
 	Client  *peer.Client
-	// Keep is how long the key of an ended request is kept.
+	// Keep is the time for which the key of an ended request is kept.
 	Keep time.Duration
-	// Most bounds the keys kept; beyond it claims are refused. 0: the default.
-	Most int
+	// MaxKeys bounds the number of keys kept; further claims are refused. 0 means defaultMaxKeys.
+	MaxKeys int
 }
 
-const defaultMost = 200_000
+const defaultMaxKeys = 200_000
 
-// homesWanted is how many daemons that are old enough have to grant a claim.
-const homesWanted = 2
+// requiredHomes is the number of daemons with an uptime of at least Config.Keep that have to grant a claim.
+const requiredHomes = 2
 
-// ErrFull says that a home keeps as many keys as it may.
+// ErrFull is returned by a home that already keeps the maximum number of keys.
 var ErrFull = errors.New("too many idempotency keys are kept; try again later")
 
-// errNoHome says that no daemon is known to be live.
+// errNoHome is returned if no live daemon is known that could be a home of the key.
 var errNoHome = errors.New("no home of the key is known")
 
+// record is the claim of one key.
 type record struct {
-	holder  string
-	ended   bool
-	touched time.Time
+	holder    string // id of the request that holds the key
+	ended     bool   // the request has ended
+	updatedAt time.Time
 }
 
-// Service holds the keys whose home this daemon is.
+// Service claims keys at their homes, and holds the keys of which this daemon is a home.
 type Service struct {
 	config Config
 
-	mu      sync.Mutex
-	records map[string]record
-	swept   time.Time
+	mu        sync.Mutex
+	records   map[string]record
+	lastSweep time.Time
 }
 
-// New makes a service without keys.
+// New returns a service without keys.
 func New(config Config) *Service {
-	if config.Most == 0 {
-		config.Most = defaultMost
+	if config.MaxKeys == 0 {
+		config.MaxKeys = defaultMaxKeys
 	}
 	return &Service{config: config, records: map[string]record{}}
 }
 
-// Claim asks the homes for the right to send. On an error nothing is claimed and
-// the request must not be sent.
+// Claim asks the homes of the key for the right to send the request whose id is holder. On an
+// error nothing is claimed, and the request must not be sent.
 func (s *Service) Claim(ctx context.Context, key, holder string) (state models.ClaimState, ended bool, err error) {
-	if s.uncertain(key) {
+	if s.homesLost(key) {
 		return models.ClaimUnknown, false, nil
 	}
 	call := models.ClaimCall{Action: models.ClaimTake, Records: []models.ClaimRecord{{Key: key, Holder: holder}}}
-	old := 0
+	established := 0 // granting homes that have run for at least Config.Keep
 	var granted []models.MemberID
-	for _, home := range s.order(key) {
-		if old >= homesWanted {
+	for _, home := range s.homeOrder(key) {
+		if established >= requiredHomes {
 			break
 		}
 		answer, err := s.ask(ctx, home, call)
 		if err != nil || answer.State != models.ClaimGranted {
-			s.tell(granted, models.ClaimFree, key, holder)
+			s.notify(granted, models.ClaimFree, key, holder)
 			return answer.State, answer.Ended, err
 		}
 		granted = append(granted, home)
 		if s.config.Members.Uptime(home) >= s.config.Keep {
-			old++
+			established++
 		}
 	}
 	if len(granted) == 0 {
@@ -113,9 +114,9 @@
 	return models.ClaimGranted, false, nil
 }
 
-// order lists the daemons by the key's hash, the second one from another failure
-// domain than the first where there is one.
-func (s *Service) order(key string) []models.MemberID {
+// homeOrder lists the live daemons in the rendezvous order of the key. The second daemon is
+// from another failure domain than the first if there is one.
+func (s *Service) homeOrder(key string) []models.MemberID {
 	live := s.config.Members.Live()
 	domains := make(map[models.MemberID]models.FailureDomain, len(live))
 	ids := make([]models.MemberID, len(live))
@@ -126,6 +127,7 @@
 	return spreadDomains(rendezvous.Order(key, ids), domains)
 }
 
+// spreadDomains moves the first member of another failure domain than that of order[0] to the second place.
 func spreadDomains(order []models.MemberID, domains map[models.MemberID]models.FailureDomain) []models.MemberID {
 	for i := 1; i < len(order); i++ {
 		if domains[order[i]] != domains[order[0]] {
@@ -137,10 +139,10 @@
 	return order
 }
 
-// uncertain tells whether the homes that the key had were both lost lately.
-func (s *Service) uncertain(key string) bool {
+// homesLost reports whether both former homes of the key were lost within Config.Keep.
+func (s *Service) homesLost(key string) bool {
 	lost := s.config.Members.LostSince(s.config.Keep)
-	if len(lost) < homesWanted {
+	if len(lost) < requiredHomes {
 		return false
 	}
 	all := s.config.Members.LiveIDs()
@@ -149,7 +151,7 @@
 			all = append(all, id)
 		}
 	}
-	for _, home := range rendezvous.Order(key, all)[:homesWanted] {
+	for _, home := range rendezvous.Order(key, all)[:requiredHomes] {
 		if !slices.Contains(lost, home) {
 			return false
 		}
@@ -157,6 +159,7 @@
 	return true
 }
 
+// ask sends a call to a home, or serves the call here if this daemon is the home.
 func (s *Service) ask(ctx context.Context, home models.MemberID, call models.ClaimCall) (models.ClaimAnswer, error) {
 	if home == s.config.Self {
 		return s.Serve(call)
@@ -168,45 +171,45 @@
 	return s.config.Client.Claim(ctx, m.PeerAddress, call)
 }
 
-// End tells the homes that the request is over; with notRun the key is free again.
+// End tells the homes that the request has ended; if notRun is set, the key is freed.
 func (s *Service) End(key, holder string, notRun bool) {
 	action := models.ClaimEnd
 	if notRun {
 		action = models.ClaimFree
 	}
-	order := s.order(key)
-	s.tell(order[:min(len(order), s.asked(order))], action, key, holder)
+	order := s.homeOrder(key)
+	s.notify(order[:min(len(order), s.homesAsked(order))], action, key, holder)
 }
 
-// asked is how many of the order a claim asks.
-func (s *Service) asked(order []models.MemberID) int {
-	old := 0
+// homesAsked returns the number of daemons in the order that a claim asks.
+func (s *Service) homesAsked(order []models.MemberID) int {
+	established := 0
 	for i, home := range order {
-		if old >= homesWanted {
+		if established >= requiredHomes {
 			return i
 		}
 		if s.config.Members.Uptime(home) >= s.config.Keep {
-			old++
+			established++
 		}
 	}
 	return len(order)
 }
 
-// tellTimeout bounds how long a caller waits for the homes to hear of the end.
-const tellTimeout = time.Second
+// notifyTimeout bounds the time for which a caller waits until the homes are notified of the end.
+const notifyTimeout = time.Second
 
-// tell tells homes what became of a claim. One that doesn't hear it keeps the key as
-// taken, which is safe.
-func (s *Service) tell(homes []models.MemberID, action models.ClaimAction, key, holder string) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+// notify tells homes that a claim has ended or is freed. A home that is not reached keeps the
+// key as taken, which is safe.
+func (s *Service) notify(homes []models.MemberID, action models.ClaimAction, key, holder string) {
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	call := models.ClaimCall{Action: action, Records: []models.ClaimRecord{{Key: key, Holder: holder}}}
 	for _, home := range homes {
-		_, _ = s.ask(ctx, home, call) // see above
+		_, _ = s.ask(ctx, home, call) // errors are ignored, as the doc comment explains
 	}
 }
 
-// Serve answers a claim at this daemon as a home.
+// Serve answers a call at this daemon as a home of the keys.
 func (s *Service) Serve(call models.ClaimCall) (models.ClaimAnswer, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -220,7 +223,7 @@
 	case models.ClaimFree:
 		s.free(call.Records[0])
 	case models.ClaimCarry:
-		s.carryIn(call.Records, now)
+		s.importRecords(call.Records, now)
 	}
 	return models.ClaimAnswer{State: models.ClaimGranted}, nil
 }
@@ -230,16 +233,16 @@
 	if ok && held.holder != r.Holder {
 		return models.ClaimAnswer{State: models.ClaimTaken, Ended: held.ended}, nil
 	}
-	if !ok && len(s.records) >= s.config.Most {
+	if !ok && len(s.records) >= s.config.MaxKeys {
 		return models.ClaimAnswer{}, ErrFull
 	}
-	s.records[r.Key] = record{holder: r.Holder, touched: now}
+	s.records[r.Key] = record{holder: r.Holder, updatedAt: now}
 	return models.ClaimAnswer{State: models.ClaimGranted}, nil
 }
 
 func (s *Service) end(r models.ClaimRecord, now time.Time) {
 	if held, ok := s.records[r.Key]; ok && held.holder == r.Holder {
-		s.records[r.Key] = record{holder: r.Holder, ended: true, touched: now}
+		s.records[r.Key] = record{holder: r.Holder, ended: true, updatedAt: now}
 	}
 }
 
@@ -249,57 +252,57 @@
 	}
 }
 
-func (s *Service) carryIn(records []models.ClaimRecord, now time.Time) {
+func (s *Service) importRecords(records []models.ClaimRecord, now time.Time) {
 	for _, r := range records {
 		if _, ok := s.records[r.Key]; !ok {
-			s.records[r.Key] = record{holder: r.Holder, ended: r.Ended, touched: now}
+			s.records[r.Key] = record{holder: r.Holder, ended: r.Ended, updatedAt: now}
 		}
 	}
 }
 
-// openFactor is by how much longer a key is kept whose request never ended, for its
-// daemon may have died.
-const openFactor = 2
+// openRetentionFactor extends the retention of a key whose request has not ended, because the
+// daemon that sent the request may have been lost.
+const openRetentionFactor = 2
 
-// sweep forgets keys that were kept long enough; the caller holds the lock.
+// sweep removes keys whose retention time has passed; s.mu must be held.
 func (s *Service) sweep(now time.Time) {
-	if now.Sub(s.swept) < s.config.Keep/10 {
+	if now.Sub(s.lastSweep) < s.config.Keep/10 {
 		return
 	}
-	s.swept = now
+	s.lastSweep = now
 	for key, r := range s.records {
-		keep := s.config.Keep
+		retention := s.config.Keep
 		if !r.ended {
-			keep *= openFactor
+			retention *= openRetentionFactor
 		}
-		if now.Sub(r.touched) > keep {
+		if now.Sub(r.updatedAt) > retention {
 			delete(s.records, key)
 		}
 	}
 }
 
-// Carry passes every key to the homes it has once this daemon has left.
+// Carry passes every key to the homes that the key has after this daemon has left.
 func (s *Service) Carry(ctx context.Context) error {
 	byHome := map[models.MemberID][]models.ClaimRecord{}
 	s.mu.Lock()
 	for key, r := range s.records {
-		order := s.order(key)
-		for _, home := range order[:min(homesWanted, len(order))] {
+		order := s.homeOrder(key)
+		for _, home := range order[:min(requiredHomes, len(order))] {
 			byHome[home] = append(byHome[home], models.ClaimRecord{Key: key, Holder: r.holder, Ended: r.ended})
 		}
 	}
 	s.mu.Unlock()
-	var failed error
+	var failures error
 	for home, records := range byHome {
 		for batch := range slices.Chunk(records, models.MaxCarried) {
 			_, err := s.ask(ctx, home, models.ClaimCall{Action: models.ClaimCarry, Records: batch})
-			failed = errors.CombineErrors(failed, errstep.Wrap(err, "carry claims", string(home)))
+			failures = errors.CombineErrors(failures, errstep.Wrap(err, "carry claims", string(home)))
 		}
 	}
-	return failed
+	return failures
 }
 
-// Count is how many keys this daemon keeps.
+// Count returns the number of keys that this daemon keeps.
 func (s *Service) Count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/services/claim/claim_test.go
+++ b/services/claim/claim_test.go
@@ -23,7 +23,7 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// home is one daemon's claims, served to the others over HTTP.
+// home is a daemon with a claim service, which the other daemons call over HTTP.
 type home struct {
 	members *member.Service
 	claims  *claim.Service
@@ -31,10 +31,10 @@
 	server  *httptest.Server
 }
 
-const keep = time.Hour
+const retention = time.Hour
 
-// newHomes makes daemons that know each other as live and as having run for longer
-// than keys are kept; of itself each knows that it is young.
+// newHomes starts daemons that consider each other live, with an uptime above the retention
+// time of keys. Their own uptime is below that time.
 func newHomes(t *testing.T, n int) []*home {
 	t.Helper()
 	homes := make([]*home, n)
@@ -49,7 +49,7 @@
 			Self: h.self, Store: platform.NewHTTPStore(platform.HTTPConfig{Address: "127.0.0.1:1", CallTimeout: time.Second}),
 			Client: client, Logger: zap.NewNop(), Scope: tally.NoopScope, SilentAfter: time.Hour, Heartbeat: time.Hour, Lease: time.Hour,
 		})
-		h.claims = claim.New(claim.Config{Self: h.self.ID, Members: h.members, Client: client, Keep: keep})
+		h.claims = claim.New(claim.Config{Self: h.self.ID, Members: h.members, Client: client, Keep: retention})
 		h.server.Config.Handler = routers.New(routers.Config{
 			Self: h.self.ID, Members: h.members, Claims: h.claims, Heard: func(models.Heartbeat) {},
 		})
@@ -59,17 +59,18 @@
 	}
 	for _, h := range homes {
 		for _, other := range homes {
-			h.hear(other.self)
+			h.receive(other.self)
 		}
 	}
 	return homes
 }
 
-func (h *home) hear(m models.Member) {
-	h.members.Receive(models.Heartbeat{Member: m, Uptime: models.MilliOf(2 * keep)})
+func (h *home) receive(m models.Member) {
+	h.members.Receive(models.Heartbeat{Member: m, Uptime: models.MilliOf(2 * retention)})
 }
 
-// TestOneOfTwoIsGranted claims keys through two daemons.
+// TestOneOfTwoIsGranted claims the same keys through several daemons: only the first claim is granted,
+// until it is freed.
 func TestOneOfTwoIsGranted(t *testing.T) {
 	homes := newHomes(t, 4)
 	for i := range 50 {
@@ -85,7 +86,7 @@
 		third, ended, err := homes[(i+2)%4].claims.Claim(t.Context(), key, "third")
 		require.NoError(t, err)
 		if i%2 == 0 {
-			assert.Equal(t, models.ClaimGranted, third, "what was not run may be claimed again")
+			assert.Equal(t, models.ClaimGranted, third, "the key of a request that did not run may be claimed again")
 		} else {
 			assert.Equal(t, models.ClaimTaken, third)
 			assert.True(t, ended)
@@ -93,8 +94,8 @@
 	}
 }
 
-// TestHomeOutOfReachRefuses closes a home that counts as live: what it is a home of
-// is refused, and nothing stays claimed at the other.
+// TestHomeOutOfReachRefuses stops a home that counts as live: claims of its keys are refused,
+// and nothing stays claimed at the other home.
 func TestHomeOutOfReachRefuses(t *testing.T) {
 	homes := newHomes(t, 6)
 	homes[2].server.Close()
@@ -110,8 +111,8 @@
 	assert.Less(t, refused, 50)
 }
 
-// TestBothHomesLost lets daemons start anew without what they knew: keys that had
-// both homes among them are unknown, all others are still decided.
+// TestBothHomesLost restarts two daemons without their keys: keys that had both homes at these
+// daemons are unknown, all others are still known as taken.
 func TestBothHomesLost(t *testing.T) {
 	homes := newHomes(t, 4)
 	asked := homes[0]
@@ -121,7 +122,7 @@
 	}
 	for _, lost := range homes[1:3] {
 		lost.self.Incarnation = "2"
-		asked.hear(lost.self)
+		asked.receive(lost.self)
 	}
 	states := map[models.ClaimState]int{}
 	for i := range 60 {
@@ -134,7 +135,7 @@
 	assert.Positive(t, states[models.ClaimTaken])
 }
 
-// TestLeavingHomeCarriesItsKeys lets daemons leave one after the other.
+// TestLeavingHomeCarriesItsKeys makes two daemons leave one after the other: their keys stay taken.
 func TestLeavingHomeCarriesItsKeys(t *testing.T) {
 	homes := newHomes(t, 4)
 	for i := range 60 {
@@ -143,11 +144,11 @@
 	}
 	for _, leaving := range homes[:2] {
 		leaving.self.Leaving = true
-		_ = leaving.members.Leave(t.Context()) // there is no store to take the key out of
+		_ = leaving.members.Leave(t.Context()) // fails, as there is no store from which to delete the member key
 		require.NoError(t, leaving.claims.Carry(t.Context()))
 		for _, other := range homes {
 			if other != leaving {
-				other.hear(leaving.self)
+				other.receive(leaving.self)
 			}
 		}
 	}
@@ -158,9 +159,9 @@
 	}
 }
 
-// TestFullHomeRefuses fills a home; further keys are refused, not forgotten.
+// TestFullHomeRefuses fills a home: further keys are refused, and no key is dropped in their favour.
 func TestFullHomeRefuses(t *testing.T) {
-	h := claim.New(claim.Config{Self: "e", Keep: keep, Most: 2})
+	h := claim.New(claim.Config{Self: "e", Keep: retention, MaxKeys: 2})
 	for i := range 3 {
 		_, err := h.Serve(models.ClaimCall{Action: models.ClaimTake, Records: []models.ClaimRecord{{Key: strings.Repeat("k", i+1), Holder: "h"}}})
 		assert.Equal(t, i == 2, err != nil)
--- a/services/entry/pick.go
+++ b/services/entry/pick.go
@@ -5,27 +5,27 @@
 
 import "math/rand/v2"
 
-// Picker chooses among upstreams. The set is closed: Random, LeastLoaded,
-// TwoChoices and Divided; docs/design/routing.md weighs them.
+// Picker selects an upstream. The set is closed: Random, LeastLoaded, TwoChoices and
+// Divided; docs/design/routing.md compares them.
 type Picker interface {
-	// pick gives an upstream with a free slot, or nil. The candidates serve the class
+	// pick returns an upstream with a free slot, or nil. The candidates serve the class
 	// and are healthy.
 	pick(candidates []*upstream) *upstream
 }
 
 type (
-	// Random takes any upstream on which this daemon uses fewer than all slots.
+	// Random picks any upstream at which this daemon's own requests occupy fewer than all slots.
 	Random struct{}
-	// LeastLoaded takes the one on which this daemon has the least in flight.
+	// LeastLoaded picks the upstream at which this daemon has the fewest requests in flight.
 	LeastLoaded struct{}
-	// TwoChoices takes the less loaded of two, counting what peers have told.
+	// TwoChoices picks the less loaded of two random upstreams, including the load in the peers' heartbeats.
 	TwoChoices struct{}
-	// Divided keeps to this daemon's share of each upstream's slots, and borrows what
-	// peers have not used for a while only when its own share is used up.
+	// Divided uses this daemon's share of each upstream's slots. Only when its own shares are
+	// used up does it borrow slots that peers have left unused for some time.
 	Divided struct{}
 )
 
-func pickerOf(name string) Picker {
+func newPicker(name string) Picker {
 	switch name {
 	case "random":
 		return Random{}
@@ -42,7 +42,7 @@
 	start := rand.IntN(len(candidates) + 1)
 	for i := range candidates {
 		u := candidates[(start+i)%len(candidates)]
-		if u.own < u.vm.Slots {
+		if u.ownInFlight < u.vm.Slots {
 			return u
 		}
 	}
@@ -50,12 +50,12 @@
 }
 
 func (LeastLoaded) pick(candidates []*upstream) *upstream {
-	return least(candidates, func(u *upstream) (float64, bool) {
-		return float64(u.own), u.own < u.vm.Slots
+	return lowestCost(candidates, func(u *upstream) (float64, bool) {
+		return float64(u.ownInFlight), u.ownInFlight < u.vm.Slots
 	})
 }
 
-// twoChoiceTries is how many pairs are drawn before the request waits.
+// twoChoiceTries is the number of pairs drawn before the request has to wait.
 const twoChoiceTries = 4
 
 func (TwoChoices) pick(candidates []*upstream) *upstream {
@@ -65,41 +65,42 @@
 	for range twoChoiceTries {
 		a := candidates[rand.IntN(len(candidates))]
 		b := candidates[rand.IntN(len(candidates))]
-		if b.inFlight() < a.inFlight() {
+		if b.estimatedInFlight() < a.estimatedInFlight() {
 			a = b
 		}
-		if a.inFlight() < float64(a.vm.Slots) {
+		if a.estimatedInFlight() < float64(a.vm.Slots) {
 			return a
 		}
 	}
 	return nil
 }
 
-// inFlight is what is known to be in flight at the upstream, of all daemons.
-func (u *upstream) inFlight() float64 { return float64(u.own) + u.peers }
+// estimatedInFlight is this daemon's requests in flight plus the load that peers have reported.
+func (u *upstream) estimatedInFlight() float64 { return float64(u.ownInFlight) + u.peerLoad }
 
 func (Divided) pick(candidates []*upstream) *upstream {
-	own := least(candidates, func(u *upstream) (float64, bool) {
-		return expectedWait(u), u.own < u.share
+	own := lowestCost(candidates, func(u *upstream) (float64, bool) {
+		return expectedWait(u), u.ownInFlight < u.share
 	})
 	if own != nil {
 		return own
 	}
-	return least(candidates, func(u *upstream) (float64, bool) {
-		return expectedWait(u), u.own < u.share+u.borrowed
+	return lowestCost(candidates, func(u *upstream) (float64, bool) {
+		return expectedWait(u), u.ownInFlight < u.share+u.borrowable
 	})
 }
 
-// expectedWait grows with what is in flight there and with how slow it has been.
+// expectedWait is a cost that grows with this daemon's requests in flight at the upstream and
+// with the upstream's latency.
 func expectedWait(u *upstream) float64 {
-	return float64(u.own+1) * max(u.latency.value, minLatency)
+	return float64(u.ownInFlight+1) * max(u.latency.value, minLatency)
 }
 
-// minLatency keeps upstreams that were never measured comparable, in seconds.
+// minLatency, in seconds, keeps upstreams without a measured latency comparable.
 const minLatency = 0.0005
 
-// least gives the allowed candidate with the lowest cost; equal ones are drawn.
-func least(candidates []*upstream, cost func(*upstream) (float64, bool)) *upstream {
+// lowestCost returns the allowed candidate with the lowest cost, or nil; ties are broken at random.
+func lowestCost(candidates []*upstream, cost func(*upstream) (float64, bool)) *upstream {
 	var best *upstream
 	lowest, ties := 0.0, 0
 	for _, u := range candidates {
