--- a/services/config/apply.go
+++ b/services/config/apply.go
@@ -37,9 +37,9 @@
 // ErrNotApplied says that nothing is in force of the change, and nothing of it will be.
 var ErrNotApplied = errors.New("nothing of the change is in force")
 
-// notApplied makes of any error one that says only that. The classes that err had, of the
+// asNotApplied makes of any error one that says only that. The classes that err had, of the
 // store's single calls, are hidden.
-func notApplied(err error) error {
+func asNotApplied(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -48,10 +48,10 @@
 
 // Bounds on what heads and buckets keep of the past.
 const (
-	keptWrites    = 64
-	keptRetired   = 40
-	keptDeletions = 64
-	applyTries    = 8
+	maxRecentWrites   = 64
+	maxRetiredBuckets = 40
+	maxDeletions      = 64
+	maxApplyTries     = 8
 )
 
 // Apply accepts a change, all of it or nothing. It retries when another operator
@@ -63,19 +63,19 @@
 	if change.Base == 0 {
 		change.Base = s.View().Revision()
 	}
-	for range applyTries {
+	for range maxApplyTries {
 		result, err := s.tryApply(ctx, change, writeID)
 		if !errors.Is(err, platform.ErrConflict) {
 			return result, err
 		}
 	}
-	return models.ConfigResult{}, notApplied(errors.New("apply configuration: other changes were faster every time; nothing was changed, try again"))
+	return models.ConfigResult{}, asNotApplied(errors.New("apply configuration: other changes were faster every time; nothing was changed, try again"))
 }
 
 func (s *Service) tryApply(ctx context.Context, change models.ConfigChange, writeID string) (models.ConfigResult, error) {
 	version, err := s.refresh(ctx)
 	if err != nil {
-		return models.ConfigResult{}, notApplied(err)
+		return models.ConfigResult{}, asNotApplied(err)
 	}
 	view := s.View()
 	if err := conflicts(view, change); err != nil {
@@ -93,10 +93,10 @@
 		result.Revision = view.Revision()
 		return result, nil
 	}
-	if err := s.write(ctx, plan, version, writeID); err != nil {
+	if err := s.writePlan(ctx, plan, version, writeID); err != nil {
 		return models.ConfigResult{}, err
 	}
-	s.put(plan.view())
+	s.activate(plan.view())
 	return result, nil
 }
 
@@ -109,7 +109,7 @@
 	if err != nil {
 		return 0, errstep.Wrap(err, "read configuration head", "store")
 	}
-	return record.Version, s.takeHead(ctx, record)
+	return record.Version, s.applyHead(ctx, record)
 }
 
 func conflicts(view *View, change models.ConfigChange) error {
@@ -155,14 +155,14 @@
 		bucket.Name, bucket.WriteID = name, writeID
 		data, hash, err := bucket.Encode()
 		if err != nil {
-			return plan{}, notApplied(err)
+			return plan{}, asNotApplied(err)
 		}
 		if len(data) > platform.MaxValue {
 			return plan{}, &RefusedError{Problems: []string{"bucket " + string(name) + " would outgrow the store's largest value"}}
 		}
 		p.replace(name, bucket, hash, data)
 	}
-	p.expire()
+	p.trimRetired()
 	return p, nil
 }
 
@@ -177,9 +177,9 @@
 	p.written[name] = hash
 }
 
-// expire takes out of the head the buckets that are to be deleted after the swap.
-func (p *plan) expire() {
-	if extra := len(p.head.Retired) - keptRetired; extra > 0 {
+// trimRetired takes out of the head the buckets that are to be deleted after the swap.
+func (p *plan) trimRetired() {
+	if extra := len(p.head.Retired) - maxRetiredBuckets; extra > 0 {
 		p.expired = p.head.Retired[:extra]
 		p.head.Retired = p.head.Retired[extra:]
 	}
@@ -188,7 +188,7 @@
 func recentWrites(head models.ConfigHead, writeID string) map[string]models.Revision {
 	writes := map[string]models.Revision{writeID: head.Revision + 1}
 	for id, revision := range head.Writes {
-		if revision+keptWrites > head.Revision {
+		if revision+maxRecentWrites > head.Revision {
 			writes[id] = revision
 		}
 	}
@@ -226,7 +226,7 @@
 }
 
 func pruneDeleted(deleted map[string]models.Revision) {
-	for len(deleted) > keptDeletions {
+	for len(deleted) > maxDeletions {
 		oldest := ""
 		for key, revision := range deleted {
 			if oldest == "" || revision < deleted[oldest] {
@@ -237,46 +237,46 @@
 	}
 }
 
-// write writes the buckets and swaps the head. On platform.ErrConflict nothing is
+// writePlan writes the buckets and swaps the head. On platform.ErrConflict nothing is
 // in force.
-func (s *Service) write(ctx context.Context, p plan, version platform.Version, writeID string) error {
+func (s *Service) writePlan(ctx context.Context, p plan, version platform.Version, writeID string) error {
 	for name, hash := range p.written {
 		_, err := s.config.Store.Swap(ctx, bucketKey(name, hash), p.stored[hash], 0, 0)
 		// A conflict means that a lost try wrote it: the key holds the write's id.
 		if err != nil && !errors.Is(err, platform.ErrConflict) {
-			return notApplied(errstep.Wrap(err, "write bucket "+string(name)+"; nothing is in force of the change", "store"))
+			return asNotApplied(errstep.Wrap(err, "write bucket "+string(name)+"; nothing is in force of the change", "store"))
 		}
 	}
 	value, err := json.Marshal(p.head)
 	if err != nil {
-		return notApplied(errors.Wrap(err, "encode configuration head"))
+		return asNotApplied(errors.Wrap(err, "encode configuration head"))
 	}
 	_, err = s.config.Store.Swap(ctx, HeadKey, value, version, 0)
 	switch {
 	case err == nil:
 	case errors.Is(err, platform.ErrUnknown):
-		if err := s.settle(ctx, writeID); err != nil {
+		if err := s.resolveUnknownWrite(ctx, writeID); err != nil {
 			return err
 		}
 	case errors.Is(err, platform.ErrConflict):
-		s.discard(ctx, p)
+		s.removeWritten(ctx, p)
 		return errstep.Wrap(err, "swap configuration head", "store")
 	default:
-		return notApplied(errstep.Wrap(err, "swap configuration head; nothing is in force of the change", "store"))
+		return asNotApplied(errstep.Wrap(err, "swap configuration head; nothing is in force of the change", "store"))
 	}
 	s.removeExpired(ctx, p.expired)
 	return nil
 }
 
-// settleTries bounds how often the head is read back after a lost answer.
-const settleTries = 3
+// maxResolveTries bounds how often the head is read back after a lost answer.
+const maxResolveTries = 3
 
-// settle finds out whether a change whose answer was lost took effect. It gives no error
+// resolveUnknownWrite finds out whether a change whose answer was lost took effect. It gives no error
 // when it did and ErrMaybeApplied otherwise: a read that fails, or a head that can't be
 // read, says nothing of the write, and one that doesn't name it may be overtaken by it.
-func (s *Service) settle(ctx context.Context, writeID string) error {
-	for range settleTries {
-		applied, err := s.names(ctx, writeID)
+func (s *Service) resolveUnknownWrite(ctx context.Context, writeID string) error {
+	for range maxResolveTries {
+		applied, err := s.headNamesWrite(ctx, writeID)
 		if applied {
 			return nil
 		}
@@ -288,8 +288,8 @@
 	return errstep.Wrap(ErrMaybeApplied, "swap configuration head", "store")
 }
 
-// names tells whether the head names a write.
-func (s *Service) names(ctx context.Context, writeID string) (bool, error) {
+// headNamesWrite tells whether the head names a write.
+func (s *Service) headNamesWrite(ctx context.Context, writeID string) (bool, error) {
 	record, err := s.config.Store.Get(ctx, HeadKey)
 	if err != nil {
 		return false, errstep.Wrap(err, "read configuration head", "store")
@@ -302,9 +302,9 @@
 	return ok, nil
 }
 
-// discard deletes the buckets of a change that lost the race; a key that stays
+// removeWritten deletes the buckets of a change that lost the race; a key that stays
 // behind does no harm.
-func (s *Service) discard(ctx context.Context, p plan) {
+func (s *Service) removeWritten(ctx context.Context, p plan) {
 	for name, hash := range p.written {
 		s.removeBucket(ctx, name, hash)
 	}
--- a/services/config/apply_test.go
+++ b/services/config/apply_test.go
@@ -19,27 +19,27 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// lostHead is a store that does one write of the head and loses its answer; lost is called
+// lostAnswerStore is a store that does one write of the head and loses its answer; lost is called
 // before anything else reaches the store.
-type lostHead struct {
+type lostAnswerStore struct {
 	*kv.Local
-	lost func()
-	done bool
+	onLost     func()
+	answerLost bool
 }
 
-func newLostHead(lost func(store platform.Store)) *lostHead {
+func newLostAnswerStore(lost func(store platform.Store)) *lostAnswerStore {
 	quiet := &kv.Local{Service: kv.New(kv.Config{}), Fault: kv.NoFault}
-	return &lostHead{Local: quiet, lost: func() { lost(quiet) }}
+	return &lostAnswerStore{Local: quiet, onLost: func() { lost(quiet) }}
 }
 
 // Swap implements platform.Store.
-func (s *lostHead) Swap(ctx context.Context, key string, value []byte, expect platform.Version, lease platform.LeaseID) (platform.Version, error) {
+func (s *lostAnswerStore) Swap(ctx context.Context, key string, value []byte, expect platform.Version, lease platform.LeaseID) (platform.Version, error) {
 	version, err := s.Local.Swap(ctx, key, value, expect, lease)
-	if err != nil || key != HeadKey || s.done {
+	if err != nil || key != HeadKey || s.answerLost {
 		return version, err
 	}
-	s.done = true
-	s.lost()
+	s.answerLost = true
+	s.onLost()
 	return 0, platform.ErrUnknown
 }
 
@@ -63,7 +63,7 @@
 // and lets a daemon that says more in its heads write the next one before the first reads
 // back what became of it.
 func TestLostAnswerAndUnreadableHead(t *testing.T) {
-	store := newLostHead(func(store platform.Store) {
+	store := newLostAnswerStore(func(store platform.Store) {
 		record, err := store.Get(t.Context(), HeadKey)
 		require.NoError(t, err)
 		var head map[string]any
@@ -81,7 +81,7 @@
 
 // TestLostAnswerIsSettled loses the answer of the write that puts a change in force.
 func TestLostAnswerIsSettled(t *testing.T) {
-	service := serviceOn(newLostHead(func(platform.Store) {}))
+	service := serviceOn(newLostAnswerStore(func(platform.Store) {}))
 	result, err := service.Apply(t.Context(), teamPut("office"))
 	require.NoError(t, err)
 	require.Equal(t, models.Revision(1), result.Revision)
--- a/services/config/check.go
+++ b/services/config/check.go
@@ -15,7 +15,7 @@
 	var problems []string
 	for i, a := range view.Rules {
 		for _, b := range view.Rules[i+1:] {
-			if contradict(a, b) {
+			if rulesContradict(a, b) {
 				problems = append(problems, fmt.Sprintf("rules %s and %s contradict: %q shall both share with and stay apart from %q",
 					a.Name, b.Name, a.Selector, a.With))
 			}
@@ -29,7 +29,7 @@
 	return problems
 }
 
-func contradict(a, b models.Rule) bool {
+func rulesContradict(a, b models.Rule) bool {
 	if a.Kind == b.Kind || a.Kind == models.RuleYield || b.Kind == models.RuleYield {
 		return false
 	}
--- a/services/config/config.go
+++ b/services/config/config.go
@@ -59,9 +59,9 @@
 
 // Service holds the configuration in force.
 type Service struct {
-	config Config
-	view   atomic.Pointer[View]
-	hint   chan struct{} // a peer has a newer revision
+	config      Config
+	view        atomic.Pointer[View]
+	newerAtPeer chan struct{} // a peer has a newer revision
 
 	mu sync.Mutex // held while a newer view is put in force
 	// applied is closed and renewed with each new view.
@@ -70,7 +70,7 @@
 
 // New makes a service with the empty configuration.
 func New(config Config) *Service {
-	s := &Service{config: config, hint: make(chan struct{}, 1), applied: make(chan struct{})}
+	s := &Service{config: config, newerAtPeer: make(chan struct{}, 1), applied: make(chan struct{})}
 	s.view.Store(Empty())
 	return s
 }
@@ -93,7 +93,7 @@
 			var records []platform.Record
 			records, revision, err = s.config.Store.Watch(ctx, HeadKey, revision)
 			if err == nil && len(records) > 0 {
-				err = s.takeHead(ctx, records[len(records)-1])
+				err = s.applyHead(ctx, records[len(records)-1])
 			}
 		}
 		s.config.Scope.Counter("watch_failed").Inc(1)
@@ -110,10 +110,10 @@
 	if len(records) == 0 {
 		return revision, nil
 	}
-	return revision, s.takeHead(ctx, records[0])
+	return revision, s.applyHead(ctx, records[0])
 }
 
-func (s *Service) takeHead(ctx context.Context, record platform.Record) error {
+func (s *Service) applyHead(ctx context.Context, record platform.Record) error {
 	head, err := wire.DecodeBytes[models.ConfigHead](record.Value)
 	if err != nil {
 		return errstep.Wrap(err, "decode configuration head", "store")
@@ -165,11 +165,11 @@
 		}
 		buckets[name] = bucket
 	}
-	s.put(newView(head, buckets, stored))
+	s.activate(newView(head, buckets, stored))
 	return nil
 }
 
-func (s *Service) put(view *View) {
+func (s *Service) activate(view *View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if view.Revision() <= s.View().Revision() {
@@ -189,7 +189,7 @@
 		return
 	}
 	select {
-	case s.hint <- struct{}{}:
+	case s.newerAtPeer <- struct{}{}:
 	default:
 	}
 }
@@ -200,13 +200,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.hint:
-			s.fromPeers(ctx)
+		case <-s.newerAtPeer:
+			s.fetchFromPeers(ctx)
 		}
 	}
 }
 
-func (s *Service) fromPeers(ctx context.Context) {
+func (s *Service) fetchFromPeers(ctx context.Context) {
 	view := s.View()
 	query := models.ConfigQuery{Revision: view.Revision()}
 	for _, hash := range view.Head.Buckets {
--- a/services/config/view.go
+++ b/services/config/view.go
@@ -114,7 +114,7 @@
 // changedAt is the revision that last changed or deleted the object; 0 if none did.
 func (v *View) changedAt(key models.ObjectKey) models.Revision {
 	bucket := v.buckets[key.Bucket()]
-	if box, ok := find(bucket, key); ok {
+	if box, ok := findObject(bucket, key); ok {
 		return box.Changed
 	}
 	return bucket.Deleted[key.String()]
@@ -122,11 +122,11 @@
 
 // object gives an object as it is in force.
 func (v *View) object(key models.ObjectKey) (models.Object, bool) {
-	box, ok := find(v.buckets[key.Bucket()], key)
+	box, ok := findObject(v.buckets[key.Bucket()], key)
 	return box.Object, ok
 }
 
-func find(bucket models.Bucket, key models.ObjectKey) (models.ObjectBox, bool) {
+func findObject(bucket models.Bucket, key models.ObjectKey) (models.ObjectBox, bool) {
 	for _, box := range bucket.Objects {
 		if box.Object.Key() == key {
 			return box, true
--- a/services/interference/learner.go
+++ b/services/interference/learner.go
@@ -27,23 +27,23 @@
 
 // Config holds the constants of learning; zero values stand for the defaults.
 type Config struct {
-	// Noise is the variance of one observation's slowdown.
-	Noise float64
-	// Drift is by how much a pair's variance grows in a minute.
-	Drift float64
-	// Rise is the part by which the latency alone follows a higher one upwards, per
+	// ObservationVariance is the variance of one observation's slowdown.
+	ObservationVariance float64
+	// VarianceGrowth is by how much a pair's variance grows in a minute.
+	VarianceGrowth float64
+	// BaselineSmoothing is the part by which the latency alone follows a higher one upwards, per
 	// observation.
-	Rise float64
+	BaselineSmoothing float64
 }
 
 const (
-	defaultNoise = 0.02
-	defaultDrift = 0.01
-	defaultRise  = 0.01
-	// startVariance is that of a pair never observed.
-	startVariance = 1.0
-	// knownVariance is below which a pair counts as known.
-	knownVariance = 0.1
+	defaultObservationVariance = 0.02
+	defaultVarianceGrowth      = 0.01
+	defaultBaselineSmoothing   = 0.01
+	// initialVariance is that of a pair never observed.
+	initialVariance = 1.0
+	// maxKnownVariance is below which a pair counts as known.
+	maxKnownVariance = 0.1
 	// maxPairs bounds memory; the pair longest unseen is forgotten first.
 	maxPairs = 4096
 )
@@ -66,10 +66,10 @@
 
 // estimate is the slowdown of a pair with its uncertainty.
 type estimate struct {
-	Mean     float64   `json:"mean"`
-	Variance float64   `json:"variance"`
-	Seen     time.Time `json:"seen"`
-	Samples  int       `json:"samples"`
+	Mean      float64   `json:"mean"`
+	Variance  float64   `json:"variance"`
+	UpdatedAt time.Time `json:"seen"`
+	Samples   int       `json:"samples"`
 }
 
 // baseline is what is known of a service without batch tasks beside it.
@@ -92,14 +92,14 @@
 
 // New makes a learner that knows nothing.
 func New(config Config) *Learner {
-	if config.Noise == 0 {
-		config.Noise = defaultNoise
+	if config.ObservationVariance == 0 {
+		config.ObservationVariance = defaultObservationVariance
 	}
-	if config.Drift == 0 {
-		config.Drift = defaultDrift
+	if config.VarianceGrowth == 0 {
+		config.VarianceGrowth = defaultVarianceGrowth
 	}
-	if config.Rise == 0 {
-		config.Rise = defaultRise
+	if config.BaselineSmoothing == 0 {
+		config.BaselineSmoothing = defaultBaselineSmoothing
 	}
 	return &Learner{config: config, baselines: map[string]*baseline{}, pairs: map[pair]*estimate{}}
 }
@@ -112,17 +112,17 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	service := labelKey(s.Service)
-	base := l.learnBaseline(service, s)
+	base := l.updateBaseline(service, s)
 	if len(s.Batch) == 0 {
 		return
 	}
 	observed := milliseconds(s.P99)/base.Alone - 1
-	l.learnPairs(service, s, observed)
+	l.updatePairs(service, s, observed)
 }
 
-// learnBaseline follows the latency alone: at once when the service was alone or
+// updateBaseline follows the latency alone: at once when the service was alone or
 // faster than thought, slowly upwards otherwise only when alone.
-func (l *Learner) learnBaseline(service string, s Sample) *baseline {
+func (l *Learner) updateBaseline(service string, s Sample) *baseline {
 	ms := milliseconds(s.P99)
 	base, ok := l.baselines[service]
 	if !ok {
@@ -135,21 +135,21 @@
 	case ms < base.Alone:
 		base.Alone = ms
 	case len(s.Batch) == 0:
-		base.Alone += l.config.Rise * (ms - base.Alone)
+		base.Alone += l.config.BaselineSmoothing * (ms - base.Alone)
 	}
 	return base
 }
 
-// learnPairs shares the error of the prediction among the pairs by how uncertain
+// updatePairs shares the error of the prediction among the pairs by how uncertain
 // each is: the update of a Kalman filter with a diagonal covariance.
-func (l *Learner) learnPairs(service string, s Sample, observed float64) {
+func (l *Learner) updatePairs(service string, s Sample, observed float64) {
 	weights := map[pair]float64{}
 	for _, n := range s.Batch {
 		weights[pair{service, labelKey(n.Labels)}] += n.Share
 	}
-	predicted, variance := 0.0, l.config.Noise
+	predicted, variance := 0.0, l.config.ObservationVariance
 	for p, weight := range weights {
-		e := l.estimateOf(p, s.At)
+		e := l.agedEstimate(p, s.At)
 		predicted += weight * e.Mean
 		variance += weight * weight * e.Variance
 	}
@@ -158,37 +158,37 @@
 		e := l.pairs[p]
 		gain := e.Variance * weight / variance
 		e.Mean = max(0, e.Mean+gain*wrong)
-		e.Variance = max(e.Variance*(1-gain*weight), l.config.Noise/10)
+		e.Variance = max(e.Variance*(1-gain*weight), l.config.ObservationVariance/10)
 		e.Samples++
 	}
 }
 
-// estimateOf finds a pair's estimate and lets its variance grow for the time that
+// agedEstimate finds a pair's estimate and lets its variance grow for the time that
 // has passed.
-func (l *Learner) estimateOf(p pair, at time.Time) *estimate {
+func (l *Learner) agedEstimate(p pair, at time.Time) *estimate {
 	e, ok := l.pairs[p]
 	if !ok {
-		l.makeRoom()
-		e = &estimate{Variance: startVariance, Seen: at}
+		l.evictOldest()
+		e = &estimate{Variance: initialVariance, UpdatedAt: at}
 		l.pairs[p] = e
 	}
-	if passed := at.Sub(e.Seen); passed > 0 {
-		e.Variance = min(startVariance, e.Variance+l.config.Drift*passed.Minutes())
-		e.Seen = at
+	if passed := at.Sub(e.UpdatedAt); passed > 0 {
+		e.Variance = min(initialVariance, e.Variance+l.config.VarianceGrowth*passed.Minutes())
+		e.UpdatedAt = at
 	}
 	return e
 }
 
-// makeRoom forgets the pair longest unseen when there are too many.
-func (l *Learner) makeRoom() {
+// evictOldest forgets the pair longest unseen when there are too many.
+func (l *Learner) evictOldest() {
 	if len(l.pairs) < maxPairs {
 		return
 	}
 	var oldest pair
 	var seen time.Time
 	for p, e := range l.pairs {
-		if seen.IsZero() || e.Seen.Before(seen) {
-			oldest, seen = p, e.Seen
+		if seen.IsZero() || e.UpdatedAt.Before(seen) {
+			oldest, seen = p, e.UpdatedAt
 		}
 	}
 	delete(l.pairs, oldest)
@@ -199,7 +199,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e, ok := l.pairs[pair{labelKey(service), labelKey(batch)}]
-	if !ok || e.Variance > knownVariance {
+	if !ok || e.Variance > maxKnownVariance {
 		return 0, false
 	}
 	return e.Mean, true
@@ -225,7 +225,7 @@
 	order := make([]int, len(batch))
 	for i, n := range batch {
 		order[i] = i
-		parts[i] = startVariance * n.Share
+		parts[i] = initialVariance * n.Share
 		if e, ok := l.pairs[pair{labelKey(service), labelKey(n.Labels)}]; ok {
 			parts[i] = (e.Mean + e.Variance) * n.Share
 		}
--- a/services/inventory/cells.go
+++ b/services/inventory/cells.go
@@ -19,8 +19,8 @@
 // CellMapKey is the store's key of the map of cells.
 const CellMapKey = "cellmap"
 
-// refreshCells makes sure that the map holds every rack of the list.
-func (s *Service) refreshCells(ctx context.Context, list models.VMList) error {
+// addMissingRacks makes sure that the map holds every rack of the list.
+func (s *Service) addMissingRacks(ctx context.Context, list models.VMList) error {
 	for {
 		cells, version := s.cellMap()
 		next, missing := cells.With(list)
--- a/services/inventory/inventory.go
+++ b/services/inventory/inventory.go
@@ -41,19 +41,19 @@
 	config  Config
 	trouble *log.Trouble
 
-	mu      sync.RWMutex
-	list    models.VMList
-	vms     map[models.VMID]models.VM
-	gone    map[models.VMID]time.Time
-	read    time.Time // of the list, zero before the first
-	cells   models.CellMap
-	version platform.Version // of the map's key
+	mu        sync.RWMutex
+	list      models.VMList
+	vms       map[models.VMID]models.VM
+	removedAt map[models.VMID]time.Time
+	readAt    time.Time // of the list, zero before the first
+	cells     models.CellMap
+	version   platform.Version // of the map's key
 }
 
 // New makes a service that knows nothing yet.
 func New(config Config) *Service {
 	return &Service{
-		config: config, vms: map[models.VMID]models.VM{}, gone: map[models.VMID]time.Time{},
+		config: config, vms: map[models.VMID]models.VM{}, removedAt: map[models.VMID]time.Time{},
 		trouble: log.NewTrouble(log.TroubleConfig{
 			Logger: config.Logger,
 			Began:  "VM list or cell map can't be read; the last one stays in use",
@@ -69,7 +69,7 @@
 	ticker := time.NewTicker(s.config.Every)
 	defer ticker.Stop()
 	for {
-		s.note(s.Refresh(ctx))
+		s.recordResult(s.Refresh(ctx))
 		select {
 		case <-ctx.Done():
 			return
@@ -78,7 +78,7 @@
 	}
 }
 
-func (s *Service) note(err error) {
+func (s *Service) recordResult(err error) {
 	if err != nil {
 		s.config.Scope.Counter("reads_failed").Inc(1)
 	}
@@ -91,15 +91,15 @@
 	if err != nil {
 		return err
 	}
-	changed := s.take(list)
-	err = s.refreshCells(ctx, list)
+	changed := s.replaceList(list)
+	err = s.addMissingRacks(ctx, list)
 	if changed {
 		s.config.Changed()
 	}
 	return err
 }
 
-func (s *Service) take(list models.VMList) (changed bool) {
+func (s *Service) replaceList(list models.VMList) (changed bool) {
 	now := time.Now()
 	vms := make(map[models.VMID]models.VM, len(list.VMs))
 	for _, vm := range list.VMs {
@@ -110,15 +110,15 @@
 	for id, vm := range vms {
 		old, known := s.vms[id]
 		changed = changed || !known || old.State != vm.State || old.Address != vm.Address
-		delete(s.gone, id)
+		delete(s.removedAt, id)
 	}
 	for id := range s.vms {
 		if _, ok := vms[id]; !ok {
-			s.gone[id] = now
+			s.removedAt[id] = now
 			changed = true
 		}
 	}
-	s.list, s.vms, s.read = list, vms, now
+	s.list, s.vms, s.readAt = list, vms, now
 	return changed
 }
 
@@ -142,13 +142,13 @@
 func (s *Service) Listed(id models.VMID) (listed bool, goneSince time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.vms[id]; ok || s.read.IsZero() {
+	if _, ok := s.vms[id]; ok || s.readAt.IsZero() {
 		return true, time.Time{}
 	}
-	since, ok := s.gone[id]
+	since, ok := s.removedAt[id]
 	if !ok {
 		since = time.Now()
-		s.gone[id] = since
+		s.removedAt[id] = since
 	}
 	return false, since
 }
--- a/services/journal/codec.go
+++ b/services/journal/codec.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	deflateFrom = 400      // bytes
-	maxInflated = 64 << 20 // bytes that a stored value may inflate to
+	minDeflateSize = 400      // bytes
+	maxInflated    = 64 << 20 // bytes that a stored value may inflate to
 )
 
-var packer = pack.New(pack.Config{From: deflateFrom, Limit: maxInflated})
+var packer = pack.New(pack.Config{From: minDeflateSize, Limit: maxInflated})
 
 func encode(value any) ([]byte, error) { return packer.Pack(value) }
 
--- a/services/journal/handover.go
+++ b/services/journal/handover.go
@@ -36,7 +36,7 @@
 	}
 	j.snapshot = snapshotPosition{version: platform.Version(call.Snapshot), sequence: call.SnapSeq}
 	j.epoch, j.sequence, j.writer = call.Epoch, call.Sequence, j.config.Writer
-	if err := j.adoptPending(call.Pending); err != nil {
+	if err := j.importPending(call.Pending); err != nil {
 		return err
 	}
 	if call.State.Tasks != nil {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-func (j *Journal) adoptPending(data []byte) error {
+func (j *Journal) importPending(data []byte) error {
 	if len(data) == 0 {
 		return nil
 	}
--- a/services/journal/journal.go
+++ b/services/journal/journal.go
@@ -123,7 +123,7 @@
 	if j.pending != nil {
 		return ErrPending
 	}
-	if err := j.makeRoom(ctx); err != nil {
+	if err := j.snapshotIfNeeded(ctx); err != nil {
 		return err
 	}
 	return j.write(ctx, j.epoch, change)
@@ -136,16 +136,16 @@
 	if j.pending == nil {
 		return nil
 	}
-	err := j.swap(ctx)
+	err := j.swapPending(ctx)
 	if err != nil && !errors.Is(err, ErrSuperseded) {
-		return pending(err)
+		return asPending(err)
 	}
 	return err
 }
 
-// pending makes of any error one that says only that the entry may be written. The classes
+// asPending makes of any error one that says only that the entry may be written. The classes
 // that err had are hidden: a try that was refused for sure says nothing of the first one.
-func pending(err error) error { return errclass.Only(err, ErrPending) }
+func asPending(err error) error { return errclass.Only(err, ErrPending) }
 
 func (j *Journal) write(ctx context.Context, epoch models.Epoch, change models.CellChange) error {
 	entry := Entry{
@@ -156,24 +156,24 @@
 		return err
 	}
 	j.pending = &pendingEntry{entry: entry, data: data}
-	err = j.swap(ctx)
+	err = j.swapPending(ctx)
 	if err != nil && !errors.Is(err, platform.ErrUnknown) {
 		j.pending = nil
 		return err
 	}
 	if err != nil {
-		return pending(err)
+		return asPending(err)
 	}
 	return nil
 }
 
-// swap tries to write the pending entry and takes it into the state when it is there.
-func (j *Journal) swap(ctx context.Context) error {
+// swapPending tries to write the pending entry and takes it into the state when it is there.
+func (j *Journal) swapPending(ctx context.Context) error {
 	p := j.pending
 	slot := j.slot(p.entry.Sequence)
 	version, err := j.config.Store.Swap(ctx, j.slotKey(slot), p.data, j.versions[slot], 0)
 	if errors.Is(err, platform.ErrConflict) {
-		version, err = j.readBack(ctx, slot)
+		version, err = j.resolveConflict(ctx, slot)
 	}
 	if errors.Is(err, ErrSuperseded) {
 		j.pending = nil
@@ -189,9 +189,9 @@
 	return nil
 }
 
-// readBack looks whose entry is in the slot after a conflict: a write whose answer
+// resolveConflict looks whose entry is in the slot after a conflict: a write whose answer
 // was lost shows its own id there.
-func (j *Journal) readBack(ctx context.Context, slot int) (platform.Version, error) {
+func (j *Journal) resolveConflict(ctx context.Context, slot int) (platform.Version, error) {
 	record, err := j.config.Store.Get(ctx, j.slotKey(slot))
 	if errors.Is(err, platform.ErrNotFound) {
 		return 0, errors.Wrapf(ErrDamaged, "slot %d of %s is gone", slot, j.config.Cell)
@@ -211,9 +211,9 @@
 	return record.Version, nil
 }
 
-// makeRoom writes a snapshot in good time before the ring would overwrite an entry
+// snapshotIfNeeded writes a snapshot in good time before the ring would overwrite an entry
 // that no snapshot holds.
-func (j *Journal) makeRoom(ctx context.Context) error {
+func (j *Journal) snapshotIfNeeded(ctx context.Context) error {
 	since := int(j.sequence - j.snapshot.sequence)
 	if since < j.config.Slots/2 {
 		return nil
@@ -235,7 +235,7 @@
 	}
 	version, err := j.config.Store.Swap(ctx, j.snapshotKey(), data, j.snapshot.version, 0)
 	if errors.Is(err, platform.ErrConflict) {
-		return j.adoptSnapshot(ctx)
+		return j.reconcileSnapshot(ctx)
 	}
 	if err != nil {
 		return errstep.Wrap(err, "write snapshot of "+string(j.config.Cell), "store")
@@ -244,9 +244,9 @@
 	return nil
 }
 
-// adoptSnapshot looks at the snapshot another write left, our own lost one or a
+// reconcileSnapshot looks at the snapshot another write left, our own lost one or a
 // former owner's; either is true as far as it goes.
-func (j *Journal) adoptSnapshot(ctx context.Context) error {
+func (j *Journal) reconcileSnapshot(ctx context.Context) error {
 	record, err := j.config.Store.Get(ctx, j.snapshotKey())
 	if err != nil {
 		return errstep.Wrap(err, "read snapshot of "+string(j.config.Cell), "store")
--- a/services/journal/journal_test.go
+++ b/services/journal/journal_test.go
@@ -19,22 +19,24 @@
 
 const testSlots = 4
 
-// writers makes journals of one cell that share a store.
-type writers struct {
-	store *kv.Service
-	made  int
-	fault func(ctx context.Context, write, after bool, key string) error
+// journalFactory makes journals of one cell that share a store.
+type journalFactory struct {
+	store     *kv.Service
+	idsIssued int
+	fault     func(ctx context.Context, write, after bool, key string) error
 }
 
-func newWriters() *writers { return &writers{store: kv.New(kv.Config{}), fault: kv.NoFault} }
+func newJournalFactory() *journalFactory {
+	return &journalFactory{store: kv.New(kv.Config{}), fault: kv.NoFault}
+}
 
-func (w *writers) journal(name models.MemberID) *Journal {
+func (w *journalFactory) newJournal(name models.MemberID) *Journal {
 	store := &kv.Local{Service: w.store, Fault: func(ctx context.Context, write, after bool, key string) error {
 		return w.fault(ctx, write, after, key)
 	}}
 	return New(Config{Store: store, Cell: "c", Writer: name, Slots: testSlots, NewID: func() string {
-		w.made++
-		return fmt.Sprint(w.made)
+		w.idsIssued++
+		return fmt.Sprint(w.idsIssued)
 	}})
 }
 
@@ -44,12 +46,12 @@
 
 // TestRingWrapsAndIsReadBack appends many times the ring's size and reads all back.
 func TestRingWrapsAndIsReadBack(t *testing.T) {
-	w := newWriters()
-	first := w.journal("first")
+	w := newJournalFactory()
+	first := w.newJournal("first")
 	require.NoError(t, first.Take(t.Context()))
 	for i := range 10 * testSlots {
 		require.NoError(t, first.Append(t.Context(), changeOf(fmt.Sprint(i))))
-		second := w.journal("second")
+		second := w.newJournal("second")
 		require.NoError(t, second.Load(t.Context()))
 		assert.Equal(t, first.State(), second.State())
 		assert.Equal(t, first.Sequence(), second.Sequence())
@@ -59,8 +61,8 @@
 
 // TestTakeoverFencesTheFormerOwner lets two owners append in turn.
 func TestTakeoverFencesTheFormerOwner(t *testing.T) {
-	w := newWriters()
-	former, next := w.journal("former"), w.journal("next")
+	w := newJournalFactory()
+	former, next := w.newJournal("former"), w.newJournal("next")
 	require.NoError(t, former.Take(t.Context()))
 	require.NoError(t, former.Append(t.Context(), changeOf("a")))
 	require.NoError(t, next.Take(t.Context()))
@@ -77,8 +79,8 @@
 // that did not.
 func TestLostAnswerIsSettled(t *testing.T) {
 	for _, tookEffect := range []bool{true, false} {
-		w := newWriters()
-		j := w.journal("one")
+		w := newJournalFactory()
+		j := w.newJournal("one")
 		require.NoError(t, j.Take(t.Context()))
 		lost := true
 		w.fault = func(_ context.Context, write, after bool, _ string) error {
@@ -93,7 +95,7 @@
 		require.True(t, errors.Is(j.Append(t.Context(), changeOf("b")), ErrPending), "nothing else before that")
 		require.NoError(t, j.Settle(t.Context()))
 		assert.Contains(t, j.State().Tasks, models.TaskID("a"))
-		other := w.journal("other")
+		other := w.newJournal("other")
 		require.NoError(t, other.Load(t.Context()))
 		assert.Equal(t, j.State(), other.State())
 	}
@@ -101,8 +103,8 @@
 
 // TestUnavailableWritesNothing refuses an append before it takes effect.
 func TestUnavailableWritesNothing(t *testing.T) {
-	w := newWriters()
-	j := w.journal("one")
+	w := newJournalFactory()
+	j := w.newJournal("one")
 	require.NoError(t, j.Take(t.Context()))
 	w.fault = func(context.Context, bool, bool, string) error { return platform.ErrUnavailable }
 	err := j.Append(t.Context(), changeOf("a"))
@@ -116,8 +118,8 @@
 // TestHandedOverAppendIsSettledOnce hands over a journal whose last append may have
 // been written; former and next owner both settle it.
 func TestHandedOverAppendIsSettledOnce(t *testing.T) {
-	w := newWriters()
-	former, next := w.journal("former"), w.journal("next")
+	w := newJournalFactory()
+	former, next := w.newJournal("former"), w.newJournal("next")
 	require.NoError(t, former.Take(t.Context()))
 	w.fault = func(_ context.Context, write, after bool, _ string) error {
 		if write && after {
@@ -137,14 +139,14 @@
 
 // TestDamageIsSaid overwrites a slot with nonsense.
 func TestDamageIsSaid(t *testing.T) {
-	w := newWriters()
-	j := w.journal("one")
+	w := newJournalFactory()
+	j := w.newJournal("one")
 	require.NoError(t, j.Take(t.Context()))
 	record, err := j.config.Store.Get(t.Context(), j.slotKey(1))
 	require.NoError(t, err)
 	_, err = j.config.Store.Swap(t.Context(), j.slotKey(1), []byte("nonsense"), record.Version, 0)
 	require.NoError(t, err)
-	assert.True(t, errors.Is(w.journal("two").Take(t.Context()), ErrDamaged))
+	assert.True(t, errors.Is(w.newJournal("two").Take(t.Context()), ErrDamaged))
 }
 
 // FuzzDecode feeds stored values to the decoder: it may refuse, but not panic, and
--- a/services/journal/size_test.go
+++ b/services/journal/size_test.go
@@ -14,8 +14,8 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// stateOf is a cell of the planned fleet: its part of tasks that run and jobs kept.
-func stateOf(tasks, jobs int) models.CellState {
+// plannedCellState is a cell of the planned fleet: its part of tasks that run and jobs kept.
+func plannedCellState(tasks, jobs int) models.CellState {
 	state := models.NewCellState()
 	for i := range tasks {
 		id := models.TaskID(fmt.Sprintf("job/nightly-contracts-%d/%d", i%97, i))
@@ -43,7 +43,7 @@
 // and at ten times that: 18,400 tasks in 40 cells, 500 ended jobs kept.
 func TestSnapshotOfAPlannedCellFits(t *testing.T) {
 	for _, size := range []struct{ tasks, jobs int }{{460, 500}, {4600, 500}} {
-		data, err := encode(snapshotValue{Epoch: 1, Sequence: 1, State: stateOf(size.tasks, size.jobs)})
+		data, err := encode(snapshotValue{Epoch: 1, Sequence: 1, State: plannedCellState(size.tasks, size.jobs)})
 		require.NoError(t, err)
 		t.Logf("%d tasks and %d jobs: %d bytes", size.tasks, size.jobs, len(data))
 		assert.Less(t, len(data), platform.MaxValue/2)
--- a/services/operate/operate.go
+++ b/services/operate/operate.go
@@ -50,17 +50,17 @@
 // Service answers operators.
 type Service struct {
 	config        Config
-	submissions   *memory
-	cancellations *memory
+	submissions   *callHistory
+	cancellations *callHistory
 }
 
 // New makes the service.
 func New(config Config) *Service {
-	return &Service{config: config, submissions: newMemory(), cancellations: newMemory()}
+	return &Service{config: config, submissions: newCallHistory(), cancellations: newCallHistory()}
 }
 
-// maxCellCalls bounds the owners asked at a time.
-const maxCellCalls = 8
+// maxConcurrentCellCalls bounds the owners asked at a time.
+const maxConcurrentCellCalls = 8
 
 // errNoCells says that the daemon doesn't know the fleet yet.
 var errNoCells = errors.Mark(errors.New("not run: no cell is known yet; the VM list or the store has not been read; ask again in a few seconds"), cell.ErrNotOwner)
@@ -80,7 +80,7 @@
 		}
 	}
 	s.submissions.begin(slices.Collect(maps.Keys(specs)))
-	fates := s.eachHome(ids, wrong, func(home models.CellID, ids []models.JobID) (models.ForwardAnswer, error) {
+	fates := s.callHomes(ids, wrong, func(home models.CellID, ids []models.JobID) (models.ForwardAnswer, error) {
 		call := models.ForwardCall{Cell: home}
 		for _, id := range ids {
 			call.Submit = append(call.Submit, specs[id])
@@ -101,22 +101,22 @@
 	call := func(cell models.CellID, ids []models.JobID) (models.ForwardAnswer, error) {
 		return s.config.Cells.Forward(ctx, models.ForwardCall{Cell: cell, Cancel: ids})
 	}
-	fates := s.eachHome(ids, nil, call)
-	s.askOthers(fates, call)
+	fates := s.callHomes(ids, nil, call)
+	s.callOtherCells(fates, call)
 	for id, f := range fates {
-		fates[id] = s.unlessSubmitted(id, s.cancellations.end(id, f))
+		fates[id] = s.checkSubmissions(id, s.cancellations.end(id, f))
 	}
 	return inOrder(cancellation.Jobs, fates)
 }
 
-// askOthers asks the other cells for the jobs that their homes don't have. No cell speaks
+// callOtherCells asks the other cells for the jobs that their homes don't have. No cell speaks
 // for the others: a job is nowhere when each has said so.
-func (s *Service) askOthers(fates map[models.JobID]fate, do cellCall) {
+func (s *Service) callOtherCells(fates map[models.JobID]outcome, do cellCall) {
 	cells := s.config.Inventory.Cells()
 	groups := map[models.CellID][]models.JobID{}
 	for id, f := range fates {
 		home, _ := cell.JobHome(id, cells)
-		if !isNoJob(f) {
+		if !isJobNotFound(f) {
 			continue
 		}
 		for other := range cells.Cells {
@@ -125,18 +125,18 @@
 			}
 		}
 	}
-	for id, others := range callEach(groups, do) {
+	for id, others := range callCells(groups, do) {
 		for _, f := range others {
-			fates[id] = joined(fates[id], f)
+			fates[id] = combine(fates[id], f)
 		}
 	}
 }
 
-// unlessSubmitted lets a job that isn't there be unknown while a submission of it may still
+// checkSubmissions lets a job that isn't there be unknown while a submission of it may still
 // be done.
-func (s *Service) unlessSubmitted(id models.JobID, f fate) fate {
-	if isNoJob(f) && s.submissions.open(id) {
-		return doubtful{"unknown: a submission of this job may still be done; it isn't there yet"}
+func (s *Service) checkSubmissions(id models.JobID, f outcome) outcome {
+	if isJobNotFound(f) && s.submissions.mayBeAccepted(id) {
+		return unknown{"unknown: a submission of this job may still be done; it isn't there yet"}
 	}
 	return f
 }
@@ -144,41 +144,41 @@
 // cellCall calls the owner of a cell for some jobs.
 type cellCall func(models.CellID, []models.JobID) (models.ForwardAnswer, error)
 
-// eachHome groups jobs by home cell and calls once for each group; those that are
+// callHomes groups jobs by home cell and calls once for each group; those that are
 // wrong are refused.
-func (s *Service) eachHome(ids []models.JobID, wrong map[models.JobID]error, do cellCall) map[models.JobID]fate {
+func (s *Service) callHomes(ids []models.JobID, wrong map[models.JobID]error, do cellCall) map[models.JobID]outcome {
 	cells := s.config.Inventory.Cells()
 	groups := map[models.CellID][]models.JobID{}
-	fates := map[models.JobID]fate{}
+	fates := map[models.JobID]outcome{}
 	for _, id := range ids {
 		home, ok := cell.JobHome(id, cells)
 		switch err := wrong[id]; {
 		case err != nil:
-			fates[id] = failed(err)
+			fates[id] = outcomeOfError(err)
 		case !ok:
-			fates[id] = failed(errNoCells)
+			fates[id] = outcomeOfError(errNoCells)
 		default:
 			groups[home] = append(groups[home], id)
 		}
 	}
-	for id, f := range callEach(groups, do) {
+	for id, f := range callCells(groups, do) {
 		fates[id] = f[0]
 	}
 	return fates
 }
 
-// callEach calls once for each group, and gives for each job what all calls have done.
-func callEach(groups map[models.CellID][]models.JobID, do cellCall) map[models.JobID][]fate {
-	fates := map[models.JobID][]fate{}
+// callCells calls once for each group, and gives for each job what all calls have done.
+func callCells(groups map[models.CellID][]models.JobID, do cellCall) map[models.JobID][]outcome {
+	fates := map[models.JobID][]outcome{}
 	var mu sync.Mutex
-	calls := pool.New().WithMaxGoroutines(maxCellCalls)
+	calls := pool.New().WithMaxGoroutines(maxConcurrentCellCalls)
 	for cell, group := range groups {
 		calls.Go(func() {
 			answer, err := do(cell, group)
 			mu.Lock()
 			defer mu.Unlock()
 			for _, id := range group {
-				fates[id] = append(fates[id], fateOf(id, answer, err))
+				fates[id] = append(fates[id], outcomeOf(id, answer, err))
 			}
 		})
 	}
@@ -186,7 +186,7 @@
 	return fates
 }
 
-func inOrder(ids []models.JobID, fates map[models.JobID]fate) models.JobResults {
+func inOrder(ids []models.JobID, fates map[models.JobID]outcome) models.JobResults {
 	var ordered models.JobResults
 	for _, id := range ids {
 		ordered.Results = append(ordered.Results, resultOf(id, fates[id]))
@@ -202,7 +202,7 @@
 	if len(cells) == 0 { // that there is nothing is not known
 		listing.Missing[models.AnyCell] = errNoCells.Error()
 	}
-	calls := pool.New().WithMaxGoroutines(maxCellCalls)
+	calls := pool.New().WithMaxGoroutines(maxConcurrentCellCalls)
 	for _, id := range cells {
 		calls.Go(func() {
 			call := call
--- a/services/place/place.go
+++ b/services/place/place.go
@@ -92,10 +92,10 @@
 func Choose(r Request) Choice {
 	var best *Worker
 	bestScore := 0.0
-	misses := misses{}
+	misses := rejections{}
 	for i := range r.Workers {
 		w := &r.Workers[i]
-		if why := r.infeasible(w); why != "" {
+		if why := r.rejectionReason(w); why != "" {
 			misses.add(why)
 			continue
 		}
@@ -112,17 +112,17 @@
 		}
 	}
 	if best == nil {
-		return Choice{Reason: misses.String(), Never: !r.couldHold()}
+		return Choice{Reason: misses.String(), Never: !r.fitsEmptyWorker()}
 	}
 	return Choice{Found: true, Worker: best.VM.ID, Reason: fmt.Sprintf("best of %d workers, score %.2f", len(r.Workers), bestScore)}
 }
 
-// couldHold tells whether any worker is large enough when empty.
-func (r Request) couldHold() bool {
+// fitsEmptyWorker tells whether any worker is large enough when empty.
+func (r Request) fitsEmptyWorker() bool {
 	return slices.ContainsFunc(r.Workers, func(w Worker) bool { return r.Task.Size.Fits(w.VM.Capacity) })
 }
 
-func (r Request) infeasible(w *Worker) string {
+func (r Request) rejectionReason(w *Worker) string {
 	switch {
 	case !w.Usable:
 		return w.Why
@@ -133,27 +133,27 @@
 	case slices.Contains(r.Task.FailedOn, w.VM.ID):
 		return "the task has failed there"
 	default:
-		return r.forbidden(w)
+		return r.violatedRule(w)
 	}
 }
 
-// forbidden checks the operators' rules against what runs on the worker.
-func (r Request) forbidden(w *Worker) string {
+// violatedRule checks the operators' rules against what runs on the worker.
+func (r Request) violatedRule(w *Worker) string {
 	for _, other := range w.Tasks {
-		if why := Forbids(r.Rules, r.Selectors, r.Task.Labels, other.Labels); why != "" {
+		if why := ViolatedRule(r.Rules, r.Selectors, r.Task.Labels, other.Labels); why != "" {
 			return why
 		}
 	}
 	return ""
 }
 
-// Forbids names the rule by which two tasks must not share a VM; empty when they may.
-func Forbids(rules []models.Rule, selectors *selector.Set, a, b map[string]string) string {
+// ViolatedRule names the rule by which two tasks must not share a VM; empty when they may.
+func ViolatedRule(rules []models.Rule, selectors *selector.Set, a, b map[string]string) string {
 	shareA, shareB := shareUnset, shareUnset
 	for _, rule := range rules {
 		switch rule.Kind {
 		case models.RuleApart:
-			if pairs(rule, selectors, a, b) || pairs(rule, selectors, b, a) {
+			if matchesPair(rule, selectors, a, b) || matchesPair(rule, selectors, b, a) {
 				return "rule " + rule.Name + " keeps them apart"
 			}
 		case models.RuleShare:
@@ -168,17 +168,17 @@
 	return ""
 }
 
-// share sums up the share rules for one side: a task that share rules select
+// sharing sums up the share rules for one side: a task that share rules select
 // shares only with the tasks that one of them names.
-type share int
+type sharing int
 
 const (
-	shareUnset share = iota
+	shareUnset sharing = iota
 	shareDenied
 	shareAllowed
 )
 
-func (s share) with(rule models.Rule, selectors *selector.Set, own, other map[string]string) share {
+func (s sharing) with(rule models.Rule, selectors *selector.Set, own, other map[string]string) sharing {
 	if s == shareAllowed || !selectors.Matches(rule.Selector, own) {
 		return s
 	}
@@ -188,17 +188,17 @@
 	return shareDenied
 }
 
-func pairs(rule models.Rule, selectors *selector.Set, a, b map[string]string) bool {
+func matchesPair(rule models.Rule, selectors *selector.Set, a, b map[string]string) bool {
 	return selectors.Matches(rule.Selector, a) && selectors.Matches(rule.With, b)
 }
 
-// misses counts why workers could not take the task.
-type misses map[string]int
+// rejections counts why workers could not take the task.
+type rejections map[string]int
 
-func (m misses) add(why string) { m[why]++ }
+func (m rejections) add(why string) { m[why]++ }
 
 // String lists the reasons, the most frequent first.
-func (m misses) String() string {
+func (m rejections) String() string {
 	reasons := make([]string, 0, len(m))
 	for why := range m {
 		reasons = append(reasons, why)
--- a/services/place/place_test.go
+++ b/services/place/place_test.go
@@ -29,8 +29,8 @@
 			require.NoError(t, rule.Check(), c.Name)
 		}
 		selectors := selector.New()
-		assert.Equal(t, c.Apart, Forbids(c.Rules, selectors, c.A, c.B) != "", c.Name)
-		assert.Equal(t, c.Apart, Forbids(c.Rules, selectors, c.B, c.A) != "", "%s, the other way round", c.Name)
+		assert.Equal(t, c.Apart, ViolatedRule(c.Rules, selectors, c.A, c.B) != "", c.Name)
+		assert.Equal(t, c.Apart, ViolatedRule(c.Rules, selectors, c.B, c.A) != "", "%s, the other way round", c.Name)
 	}
 }
 
--- a/services/place/score.go
+++ b/services/place/score.go
@@ -7,19 +7,19 @@
 
 // Weights of the score's parts; each part is in 0..1.
 const (
-	weightSpread   = 4.0 // replicas of one service on different VMs
-	weightQuiet    = 2.0 // services where little batch work disturbs
-	weightPacking  = 1.0 // batch tasks where the VM is fullest
-	weightHeadroom = 3.0 // batch tasks where services keep the most headroom
+	weightSpread          = 4.0 // replicas of one service on different VMs
+	weightQuietNeighbours = 2.0 // services where little batch work disturbs
+	weightPacking         = 1.0 // batch tasks where the VM is fullest
+	weightHeadroom        = 3.0 // batch tasks where services keep the most headroom
 )
 
-// unknownSlowdown is what a pair that was never observed is taken for; such pairs
+// assumedSlowdown is what a pair that was never observed is taken for; such pairs
 // are tried one at a time on a worker.
-const unknownSlowdown = 0.15
+const assumedSlowdown = 0.15
 
-// headroomUsed is the part of a service's headroom that placement may use up; the
+// usableHeadroom is the part of a service's headroom that placement may use up; the
 // rest is for the error of the predictions.
-const headroomUsed = 0.8
+const usableHeadroom = 0.8
 
 // score values a feasible worker; why is set when the policy rules it out.
 func (r Request) score(w *Worker) (score float64, why string) {
@@ -38,14 +38,14 @@
 		return 0, "a service there is over its target"
 	}
 	if r.Task.Kind == models.TaskService {
-		return weightSpread*r.spread(w) + weightQuiet*emptiness(w), ""
+		return weightSpread*r.spread(w) + weightQuietNeighbours*freeCPUFraction(w), ""
 	}
-	return weightPacking * emptiness(w), "" // without knowledge of pairs, spreading is the best guess
+	return weightPacking * freeCPUFraction(w), "" // without knowledge of pairs, spreading is the best guess
 }
 
 func (r Request) scorePairs(w *Worker) (float64, string) {
 	if r.Task.Kind == models.TaskService {
-		return weightSpread*r.spread(w) + weightQuiet*r.quietFor(w), ""
+		return weightSpread*r.spread(w) + weightQuietNeighbours*r.neighbourQuiet(w), ""
 	}
 	if w.OverNow {
 		return 0, "a service there is over its target"
@@ -54,7 +54,7 @@
 	if why != "" {
 		return 0, why
 	}
-	return weightHeadroom*left + weightPacking*fullness(w), ""
+	return weightHeadroom*left + weightPacking*usedCPUFraction(w), ""
 }
 
 // spread is 1 when no replica of the task's service is on the worker.
@@ -68,8 +68,8 @@
 	return 1 / float64(1+same)
 }
 
-// quietFor is 1 when nothing on the worker is expected to slow the service down.
-func (r Request) quietFor(w *Worker) float64 {
+// neighbourQuiet is 1 when nothing on the worker is expected to slow the service down.
+func (r Request) neighbourQuiet(w *Worker) float64 {
 	total := 0.0
 	for _, other := range w.Tasks {
 		if other.Kind == models.TaskBatch {
@@ -82,7 +82,7 @@
 func (r Request) slowdown(service, batch map[string]string) float64 {
 	fraction, known := r.Predict.Slowdown(service, batch)
 	if !known {
-		return unknownSlowdown
+		return assumedSlowdown
 	}
 	return fraction
 }
@@ -111,7 +111,7 @@
 				used += r.slowdown(service.Labels, other.Labels)
 			}
 		}
-		if used > headroom*headroomUsed {
+		if used > headroom*usableHeadroom {
 			return 0, "it would slow down " + string(service.Service) + " beyond its target"
 		}
 		left = min(left, 1-used/max(headroom, 0.01))
@@ -119,10 +119,10 @@
 	return left, ""
 }
 
-// fullness is the part of the worker's processors in use.
-func fullness(w *Worker) float64 { return 1 - emptiness(w) }
+// usedCPUFraction is the part of the worker's processors in use.
+func usedCPUFraction(w *Worker) float64 { return 1 - freeCPUFraction(w) }
 
-func emptiness(w *Worker) float64 {
+func freeCPUFraction(w *Worker) float64 {
 	if w.VM.Capacity.CPU == 0 {
 		return 0
 	}
--- a/services/platform/fate.go
+++ b/services/platform/fate.go
@@ -45,7 +45,7 @@
 
 // The refusals.
 const (
-	RefusedNow   Refusal = iota // it can't be done now, but perhaps later
-	RefusedUnfit                // it can never be done
-	RefusedNoJob                // there is no such job, and none will be stored under its id by an earlier call
+	RefusedTemporarily Refusal = iota // it can't be done now, but perhaps later
+	RefusedUnfit                      // it can never be done
+	RefusedNoJob                      // there is no such job, and none will be stored under its id by an earlier call
 )
--- a/services/platform/http_store.go
+++ b/services/platform/http_store.go
@@ -80,29 +80,29 @@
 
 // HTTPStore is Store over HTTP and JSON.
 type HTTPStore struct {
-	base    string
-	client  *http.Client
-	timeout time.Duration
-	wait    time.Duration
+	base      string
+	client    *http.Client
+	timeout   time.Duration
+	watchWait time.Duration
 }
 
 // NewHTTPStore makes the adapter; it connects with the first call.
 func NewHTTPStore(config HTTPConfig) *HTTPStore {
 	return &HTTPStore{
-		base: "http://" + config.Address, client: clientOf(config), timeout: config.CallTimeout, wait: config.WatchWait,
+		base: "http://" + config.Address, client: httpClientFor(config), timeout: config.CallTimeout, watchWait: config.WatchWait,
 	}
 }
 
 // Connections kept to one service between calls.
-const idleConnections = 8
+const maxIdleConnsPerHost = 8
 
-func clientOf(config HTTPConfig) *http.Client {
+func httpClientFor(config HTTPConfig) *http.Client {
 	if config.Client != nil {
 		return config.Client
 	}
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: config.CallTimeout}).DialContext,
-		MaxIdleConnsPerHost: idleConnections,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     time.Minute,
 	}}
 }
@@ -111,7 +111,7 @@
 func (s *HTTPStore) Get(ctx context.Context, key string) (Record, error) {
 	answer, err := s.do(ctx, PathGet, StoreCall{Key: key}, 0)
 	if err != nil {
-		return Record{}, readError(err)
+		return Record{}, classifyReadError(err)
 	}
 	if len(answer.Records) != 1 {
 		return Record{}, errors.Newf("store answered %d records for key %s", len(answer.Records), key)
@@ -122,38 +122,38 @@
 // List implements Store.
 func (s *HTTPStore) List(ctx context.Context, prefix string) ([]Record, Version, error) {
 	answer, err := s.do(ctx, PathList, StoreCall{Prefix: prefix}, 0)
-	return answer.Records, answer.Version, readError(err)
+	return answer.Records, answer.Version, classifyReadError(err)
 }
 
 // Swap implements Store.
 func (s *HTTPStore) Swap(ctx context.Context, key string, value []byte, expect Version, lease LeaseID) (Version, error) {
 	answer, err := s.do(ctx, PathSwap, StoreCall{Key: key, Value: value, Expect: expect, Lease: lease}, 0)
-	return answer.Version, writeError(err)
+	return answer.Version, classifyWriteError(err)
 }
 
 // Delete implements Store.
 func (s *HTTPStore) Delete(ctx context.Context, key string, expect Version) error {
 	_, err := s.do(ctx, PathDelete, StoreCall{Key: key, Expect: expect}, 0)
-	return writeError(err)
+	return classifyWriteError(err)
 }
 
 // Watch implements Store.
 func (s *HTTPStore) Watch(ctx context.Context, prefix string, after Version) ([]Record, Version, error) {
-	call := StoreCall{Prefix: prefix, After: after, Wait: models.MilliOf(s.wait)}
-	answer, err := s.do(ctx, PathWatch, call, s.wait)
-	return answer.Records, answer.Version, readError(err)
+	call := StoreCall{Prefix: prefix, After: after, Wait: models.MilliOf(s.watchWait)}
+	answer, err := s.do(ctx, PathWatch, call, s.watchWait)
+	return answer.Records, answer.Version, classifyReadError(err)
 }
 
 // Grant implements Store.
 func (s *HTTPStore) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	answer, err := s.do(ctx, PathGrant, StoreCall{TTL: models.MilliOf(ttl)}, 0)
-	return answer.Lease, writeError(err)
+	return answer.Lease, classifyWriteError(err)
 }
 
 // KeepAlive implements Store.
 func (s *HTTPStore) KeepAlive(ctx context.Context, lease LeaseID) error {
 	_, err := s.do(ctx, PathKeep, StoreCall{Lease: lease}, 0)
-	return writeError(err)
+	return classifyWriteError(err)
 }
 
 // do makes a call whose answer may wait for so long at the store.
@@ -164,24 +164,24 @@
 	}, call)
 }
 
-// readError maps an error of a call that changes nothing.
-func readError(err error) error {
+// classifyReadError maps an error of a call that changes nothing.
+func classifyReadError(err error) error {
 	if err == nil {
 		return nil
 	}
-	if known := statusOf(err); known != nil {
+	if known := errorOfStatus(err); known != nil {
 		return known
 	}
 	return errors.Mark(err, ErrUnavailable)
 }
 
-// writeError maps an error of a call that may have taken effect. Only a refusal by
+// classifyWriteError maps an error of a call that may have taken effect. Only a refusal by
 // the store itself, or a connection that was never made, proves that it did not.
-func writeError(err error) error {
+func classifyWriteError(err error) error {
 	if err == nil {
 		return nil
 	}
-	if known := statusOf(err); known != nil {
+	if known := errorOfStatus(err); known != nil {
 		return known
 	}
 	var dial *net.OpError
@@ -191,7 +191,7 @@
 	return errors.Mark(err, ErrUnknown)
 }
 
-func statusOf(err error) error {
+func errorOfStatus(err error) error {
 	var status *wire.StatusError
 	if !errors.As(err, &status) {
 		return nil
--- a/services/platform/http_vms.go
+++ b/services/platform/http_vms.go
@@ -22,20 +22,20 @@
 	PathStop  = "/v1/stop"
 )
 
-// HTTPList is List over HTTP and JSON.
-type HTTPList struct {
+// HTTPVMList is List over HTTP and JSON.
+type HTTPVMList struct {
 	url     string
 	client  *http.Client
 	timeout time.Duration
 }
 
 // NewHTTPList makes the adapter.
-func NewHTTPList(config HTTPConfig) *HTTPList {
-	return &HTTPList{url: "http://" + config.Address + PathVMs, client: clientOf(config), timeout: config.CallTimeout}
+func NewHTTPList(config HTTPConfig) *HTTPVMList {
+	return &HTTPVMList{url: "http://" + config.Address + PathVMs, client: httpClientFor(config), timeout: config.CallTimeout}
 }
 
 // VMs implements List.
-func (l *HTTPList) VMs(ctx context.Context) (models.VMList, error) {
+func (l *HTTPVMList) VMs(ctx context.Context) (models.VMList, error) {
 	call := wire.Call{
 		Client: l.client, Method: http.MethodGet, URL: l.url, Limit: maxListAnswer, Timeouts: stall.Evenly(l.timeout),
 	}
@@ -51,25 +51,25 @@
 
 // NewHTTPWorkers makes the adapter; Address is not used.
 func NewHTTPWorkers(config HTTPConfig) *HTTPWorkers {
-	return &HTTPWorkers{client: clientOf(config), timeout: config.CallTimeout}
+	return &HTTPWorkers{client: httpClientFor(config), timeout: config.CallTimeout}
 }
 
 // Start implements Workers.
 func (w *HTTPWorkers) Start(ctx context.Context, address string, call models.StartCall) (models.StartAnswer, error) {
-	return workerCall[models.StartAnswer](ctx, w, "start task", address, PathStart, call)
+	return callWorker[models.StartAnswer](ctx, w, "start task", address, PathStart, call)
 }
 
 // Renew implements Workers.
 func (w *HTTPWorkers) Renew(ctx context.Context, address string, call models.RenewCall) (models.RenewAnswer, error) {
-	return workerCall[models.RenewAnswer](ctx, w, "renew leases", address, PathRenew, call)
+	return callWorker[models.RenewAnswer](ctx, w, "renew leases", address, PathRenew, call)
 }
 
 // Stop implements Workers.
 func (w *HTTPWorkers) Stop(ctx context.Context, address string, call models.StopCall) (models.StopAnswer, error) {
-	return workerCall[models.StopAnswer](ctx, w, "stop task", address, PathStop, call)
+	return callWorker[models.StopAnswer](ctx, w, "stop task", address, PathStop, call)
 }
 
-func workerCall[T wire.Checker](ctx context.Context, w *HTTPWorkers, step, address, path string, body any) (T, error) {
+func callWorker[T wire.Checker](ctx context.Context, w *HTTPWorkers, step, address, path string, body any) (T, error) {
 	answer, err := wire.Do[T](ctx, wire.Call{
 		Client: w.client, URL: "http://" + address + path, Limit: maxWorkerAnswer, Timeouts: stall.Evenly(w.timeout),
 	}, body)
