--- a/services/journal/codec.go
+++ b/services/journal/codec.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	minDeflateSize = 400      // bytes
-	maxInflated    = 64 << 20 // bytes that a stored value may inflate to
+	minDeflateSize = 400      // in bytes; smaller values are stored without compression
+	maxInflated    = 64 << 20 // in bytes, of a stored value after decompression
 )
 
 var packer = pack.New(pack.Config{From: minDeflateSize, Limit: maxInflated})
--- a/services/journal/handover.go
+++ b/services/journal/handover.go
@@ -10,8 +10,8 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Export gives all that another daemon needs to go on with the journal in this
-// epoch, an append that is not settled included. The caller must never append again.
+// Export returns everything that another daemon needs to continue the journal in the same epoch, including a pending
+// entry. The caller must not append afterwards.
 func (j *Journal) Export() models.HandoverCall {
 	call := models.HandoverCall{
 		Cell: j.config.Cell, Epoch: j.epoch, Sequence: j.sequence,
@@ -26,7 +26,7 @@
 	return call
 }
 
-// Adopt goes on where Export ended.
+// Adopt initializes the journal from the result of Export, as another daemon returned it.
 func (j *Journal) Adopt(call models.HandoverCall) error {
 	if len(call.Versions) != j.config.Slots {
 		return errors.Newf("handover of %s has %d slots, this daemon's settings say %d", call.Cell, len(call.Versions), j.config.Slots)
@@ -60,14 +60,14 @@
 		return err
 	}
 	if entry.Sequence != j.sequence+1 {
-		return errors.Wrapf(ErrDamaged, "pending entry %d follows entry %d", entry.Sequence, j.sequence)
+		return errors.Wrapf(ErrDamaged, "pending entry %d follows entry %d, expected entry %d", entry.Sequence, j.sequence, j.sequence+1)
 	}
 	j.pending = &pendingEntry{entry: entry, data: data}
 	return nil
 }
 
-// PendingChange is the change of the entry that waits for Settle; ok is false when
-// there is none.
+// PendingChange returns the change of the entry that may have been written and awaits resolution; ok is false when
+// no entry is pending.
 func (j *Journal) PendingChange() (change models.CellChange, ok bool) {
 	if j.pending == nil {
 		return models.CellChange{}, false
--- a/services/journal/image.go
+++ b/services/journal/image.go
@@ -14,7 +14,7 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Entry is one entry of the log, written by the cell's owner of its epoch.
+// Entry is one entry of the log, written by the owner of the cell in the entry's epoch.
 type Entry struct {
 	Epoch    models.Epoch      `json:"epoch"`
 	Sequence models.Sequence   `json:"sequence"`
@@ -23,7 +23,7 @@
 	Change   models.CellChange `json:"change"`
 }
 
-// Check rejects an entry without number, epoch or write id.
+// Check rejects an entry without sequence number, epoch or write id, or with an invalid change.
 func (e Entry) Check() error {
 	if e.Epoch == 0 || e.Sequence == 0 || e.WriteID == "" {
 		return errors.Newf("entry has epoch %d, sequence %d, write id %q", e.Epoch, e.Sequence, e.WriteID)
@@ -31,7 +31,7 @@
 	return e.Change.Check()
 }
 
-// snapshotValue is the whole state after the entry it names.
+// snapshotValue is the whole state of the cell after the entry with the sequence number.
 type snapshotValue struct {
 	Epoch    models.Epoch     `json:"epoch"`
 	Sequence models.Sequence  `json:"sequence"`
@@ -39,10 +39,10 @@
 	State    models.CellState `json:"state"`
 }
 
-// Check checks the state.
+// Check implements wire.Checker.
 func (s snapshotValue) Check() error { return s.State.Check() }
 
-// image is a journal as read from the store in one go.
+// image is the content of a journal as read from the store in one listing.
 type image struct {
 	state    models.CellState
 	versions []platform.Version
@@ -52,9 +52,9 @@
 	writer   models.MemberID
 }
 
-// readImage puts snapshot and entries together. The keys may have been read while
-// an owner wrote; an entry that was missed makes the next append fail on its slot,
-// so no more than a contiguous run is asked for here.
+// readImage replays the log entries on the snapshot. An owner may have written while the keys were listed. A missed
+// entry makes the next append fail on its slot, so the only requirement here is that the entries after the snapshot
+// are contiguous.
 func readImage(records []platform.Record, config Config) (image, error) {
 	im := image{state: models.NewCellState(), versions: make([]platform.Version, config.Slots)}
 	entries := make([]Entry, 0, len(records))
@@ -98,7 +98,7 @@
 func (im *image) readSlot(name string, record platform.Record) (Entry, error) {
 	slot, err := strconv.Atoi(strings.TrimPrefix(name, slotPrefix))
 	if err != nil || slot < 0 || slot >= len(im.versions) {
-		return Entry{}, errors.Wrapf(ErrDamaged, "no slot of a ring of %d", len(im.versions))
+		return Entry{}, errors.Wrapf(ErrDamaged, "key is not a slot of the ring of %d slots", len(im.versions))
 	}
 	entry, err := decode[Entry](record.Value)
 	if err != nil {
@@ -113,7 +113,7 @@
 		return nil
 	}
 	if entry.Sequence != im.sequence+1 {
-		return errors.Wrapf(ErrDamaged, "entry %d follows entry %d", entry.Sequence, im.sequence)
+		return errors.Wrapf(ErrDamaged, "entry %d follows entry %d, expected entry %d", entry.Sequence, im.sequence, im.sequence+1)
 	}
 	im.state.Apply(entry.Change)
 	im.epoch, im.sequence, im.writer = entry.Epoch, entry.Sequence, entry.Writer
--- a/services/journal/journal.go
+++ b/services/journal/journal.go
@@ -1,26 +1,25 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package journal keeps the state of one cell in the platform's store and fences
-// its owners. A cell has a snapshot key and a ring of log keys. Entry n is written
-// to slot n modulo the ring's size by compare-and-swap on the version that the
-// writer last saw there, so of two writers of entry n exactly one succeeds. Whoever
-// writes an entry with the next epoch is the owner; the former owner's next append
-// meets a changed slot and fails with ErrSuperseded.
+// Package journal keeps the state of one cell in the platform's store and fences previous owners of the cell. A cell
+// has a snapshot key and a ring of log keys. Entry n is written to slot n modulo the ring's size by compare-and-swap
+// on the version that the writer last saw there, so of two writers of entry n exactly one succeeds. The daemon that
+// writes an entry with the next epoch becomes the owner. The next append of the previous owner finds a changed slot
+// and fails with ErrSuperseded.
 //
 // # Usage
 //
 //	j := journal.New(journal.Config{Store: store, Cell: cell, Writer: self, Slots: 32})
-//	if err := j.Take(ctx); err != nil { … }        // reads all, writes epoch+1
-//	state := j.State()                             // what is journalled
-//	err := j.Append(ctx, change)                   // nil: journalled, act on it
+//	if err := j.Take(ctx); err != nil { … }        // reads the journal, writes an entry with epoch+1
+//	state := j.State()                             // the state as journalled
+//	err := j.Append(ctx, change)                   // nil: journalled, the change may be acted on
 //	switch {
-//	case errors.Is(err, journal.ErrSuperseded):    // another owner; stop
-//	case errors.Is(err, journal.ErrPending):       // may be written: call Settle until it says
+//	case errors.Is(err, journal.ErrSuperseded):    // another daemon owns the cell; stop
+//	case errors.Is(err, journal.ErrPending):       // outcome unknown: retry j.Settle until it is not ErrPending
 //	case err != nil:                               // nothing was written
 //	}
 //
-// A Journal is used by one goroutine, the owner's loop.
+// A Journal is not safe for concurrent use; the owner's loop uses it.
 package journal
 
 import (
@@ -37,35 +36,36 @@
 
 // Errors of a journal.
 var (
-	// ErrSuperseded says that another daemon owns the cell now.
+	// ErrSuperseded says that another daemon has become the owner of the cell.
 	ErrSuperseded = errors.New("cell has another owner")
-	// ErrPending says that the last entry may have been written; only Settle goes on.
+	// ErrPending says that the last entry may have been written. The journal accepts no further entry until Settle
+	// has resolved this one.
 	ErrPending = errors.New("last append is not settled")
-	// ErrDamaged says that the keys in the store contradict each other.
+	// ErrDamaged says that keys in the store cannot be decoded or contradict each other.
 	ErrDamaged = errors.New("journal is damaged")
 )
 
-// Config says whose journal it is.
+// Config configures a journal.
 type Config struct {
 	Store  platform.Store
 	Cell   models.CellID
 	Writer models.MemberID
-	// Slots is the size of the ring; the same at all daemons.
+	// Slots is the size of the ring. All daemons must use the same size.
 	Slots int
-	// NewID makes ids that no other write has.
+	// NewID returns an id that is unique among all writes.
 	NewID func() string
 }
 
-// Journal is one daemon's view of a cell's journal.
+// Journal is one daemon's copy of a cell's journal.
 type Journal struct {
 	config   Config
 	state    models.CellState
 	epoch    models.Epoch
 	sequence models.Sequence
 	writer   models.MemberID
-	versions []platform.Version // of the slots
+	versions []platform.Version // by slot, as last read or written
 	snapshot snapshotPosition
-	pending  *pendingEntry
+	pending  *pendingEntry // nil when no write has an unknown outcome
 }
 
 type snapshotPosition struct {
@@ -78,39 +78,39 @@
 	data  []byte
 }
 
-// New makes a journal that knows nothing yet; call Load or Take next.
+// New returns an empty journal; call Load, Take or Adopt before anything else.
 func New(config Config) *Journal {
 	return &Journal{config: config, state: models.NewCellState(), versions: make([]platform.Version, config.Slots)}
 }
 
-// State is what is journalled. The caller must not change it.
+// State returns the journalled state. The caller must not modify it.
 func (j *Journal) State() models.CellState { return j.state }
 
-// Epoch is the epoch of the last entry known.
+// Epoch returns the epoch of the last known entry.
 func (j *Journal) Epoch() models.Epoch { return j.epoch }
 
-// Sequence is the number of the last entry known.
+// Sequence returns the sequence number of the last known entry.
 func (j *Journal) Sequence() models.Sequence { return j.sequence }
 
-// Load reads the snapshot and the ring.
+// Load reads the snapshot and the log from the store.
 func (j *Journal) Load(ctx context.Context) error {
 	records, _, err := j.config.Store.List(ctx, j.prefix())
 	if err != nil {
 		return errstep.Wrap(err, "read journal of "+string(j.config.Cell), "store")
 	}
-	image, err := readImage(records, j.config)
+	loaded, err := readImage(records, j.config)
 	if err != nil {
 		return err
 	}
-	j.state, j.versions, j.snapshot = image.state, image.versions, image.snapshot
-	j.epoch, j.sequence, j.writer = image.epoch, image.sequence, image.writer
+	j.state, j.versions, j.snapshot = loaded.state, loaded.versions, loaded.snapshot
+	j.epoch, j.sequence, j.writer = loaded.epoch, loaded.sequence, loaded.writer
 	j.pending = nil
 	return nil
 }
 
-// Take makes this daemon the owner: it reads everything and writes the next entry
-// with the next epoch. ErrSuperseded means that somebody else was faster;
-// ErrPending that the entry may be written, and Settle has to say.
+// Take makes this daemon the owner: it loads the journal and writes the next entry with the next epoch. ErrSuperseded
+// means that another daemon wrote that entry first, ErrPending that the entry may have been written and Settle has to
+// find out.
 func (j *Journal) Take(ctx context.Context) error {
 	if err := j.Load(ctx); err != nil {
 		return err
@@ -118,7 +118,7 @@
 	return j.write(ctx, j.epoch+1, models.CellChange{})
 }
 
-// Append writes one entry. On nil the change is part of State.
+// Append writes one entry. If the error is nil, the change is part of the journalled state.
 func (j *Journal) Append(ctx context.Context, change models.CellChange) error {
 	if j.pending != nil {
 		return ErrPending
@@ -129,9 +129,8 @@
 	return j.write(ctx, j.epoch, change)
 }
 
-// Settle finds out whether a pending entry was written, by writing it once more:
-// the compare-and-swap lets it be written at most once. It does nothing when no
-// entry is pending.
+// Settle finds out whether the pending entry was written by writing it again; the compare-and-swap ensures that it is
+// written at most once. It does nothing when no entry is pending.
 func (j *Journal) Settle(ctx context.Context) error {
 	if j.pending == nil {
 		return nil
@@ -143,8 +142,8 @@
 	return err
 }
 
-// asPending makes of any error one that says only that the entry may be written. The classes
-// that err had are hidden: a try that was refused for sure says nothing of the first one.
+// asPending returns an error with the text of err whose only class is ErrPending. The other classes of err are
+// hidden, because the certain rejection of a later attempt says nothing about the first attempt.
 func asPending(err error) error { return errclass.Only(err, ErrPending) }
 
 func (j *Journal) write(ctx context.Context, epoch models.Epoch, change models.CellChange) error {
@@ -167,7 +166,7 @@
 	return nil
 }
 
-// swapPending tries to write the pending entry and takes it into the state when it is there.
+// swapPending writes the pending entry and applies it to the state once the entry is known to be stored.
 func (j *Journal) swapPending(ctx context.Context) error {
 	p := j.pending
 	slot := j.slot(p.entry.Sequence)
@@ -189,15 +188,15 @@
 	return nil
 }
 
-// resolveConflict looks whose entry is in the slot after a conflict: a write whose answer
-// was lost shows its own id there.
+// resolveConflict reads the slot after a version conflict. If the slot holds the pending entry's write id, an earlier
+// write whose answer was lost has succeeded; otherwise another owner has written the slot.
 func (j *Journal) resolveConflict(ctx context.Context, slot int) (platform.Version, error) {
 	record, err := j.config.Store.Get(ctx, j.slotKey(slot))
 	if errors.Is(err, platform.ErrNotFound) {
-		return 0, errors.Wrapf(ErrDamaged, "slot %d of %s is gone", slot, j.config.Cell)
+		return 0, errors.Wrapf(ErrDamaged, "cell %s: slot %d of the ring has been deleted", j.config.Cell, slot)
 	}
 	if err != nil {
-		// The conflict is certain but its cause isn't: stay pending.
+		// The conflict is certain but its cause is unknown, so the entry stays pending.
 		return 0, platform.Unknown(err)
 	}
 	found, err := decode[Entry](record.Value)
@@ -205,14 +204,14 @@
 		return 0, err
 	}
 	if found.WriteID != j.pending.entry.WriteID {
-		return 0, errors.Wrapf(ErrSuperseded, "cell %s: entry %d is by %s in epoch %d",
+		return 0, errors.Wrapf(ErrSuperseded, "cell %s: entry %d was written by %s in epoch %d",
 			j.config.Cell, found.Sequence, found.Writer, found.Epoch)
 	}
 	return record.Version, nil
 }
 
-// snapshotIfNeeded writes a snapshot in good time before the ring would overwrite an entry
-// that no snapshot holds.
+// snapshotIfNeeded writes a snapshot once half of the ring holds entries that no snapshot covers, so that the ring
+// does not overwrite such an entry.
 func (j *Journal) snapshotIfNeeded(ctx context.Context) error {
 	since := int(j.sequence - j.snapshot.sequence)
 	if since < j.config.Slots/2 {
@@ -220,7 +219,7 @@
 	}
 	err := j.writeSnapshot(ctx)
 	if err != nil && since < j.config.Slots-1 {
-		return nil // there is room yet; the next append tries again
+		return nil // the ring still has a free slot; the next append retries the snapshot
 	}
 	return err
 }
@@ -231,7 +230,7 @@
 		return err
 	}
 	if len(data) > platform.MaxValue {
-		return errors.Newf("snapshot of %s has %d bytes, the store takes %d", j.config.Cell, len(data), platform.MaxValue)
+		return errors.Newf("snapshot of cell %s has %d bytes, the store accepts at most %d", j.config.Cell, len(data), platform.MaxValue)
 	}
 	version, err := j.config.Store.Swap(ctx, j.snapshotKey(), data, j.snapshot.version, 0)
 	if errors.Is(err, platform.ErrConflict) {
@@ -244,8 +243,8 @@
 	return nil
 }
 
-// reconcileSnapshot looks at the snapshot another write left, our own lost one or a
-// former owner's; either is true as far as it goes.
+// reconcileSnapshot reads the snapshot that another write stored: an earlier write of this journal whose answer was
+// lost, or a previous owner's. Either snapshot is valid up to its sequence number.
 func (j *Journal) reconcileSnapshot(ctx context.Context) error {
 	record, err := j.config.Store.Get(ctx, j.snapshotKey())
 	if err != nil {
@@ -256,7 +255,7 @@
 		return err
 	}
 	if found.Sequence > j.sequence {
-		return errors.Wrapf(ErrSuperseded, "cell %s: snapshot is at entry %d", j.config.Cell, found.Sequence)
+		return errors.Wrapf(ErrSuperseded, "cell %s: snapshot covers entry %d, the last entry known here is %d", j.config.Cell, found.Sequence, j.sequence)
 	}
 	j.snapshot = snapshotPosition{version: record.Version, sequence: found.Sequence}
 	return nil
@@ -270,7 +269,7 @@
 	return fmt.Sprintf("%s%s%04d", j.prefix(), slotPrefix, slot)
 }
 
-// Prefix stands before the keys of all journals.
+// Prefix is the common prefix of the keys of all journals.
 const Prefix = "cells/"
 
 const (
--- a/services/journal/journal_test.go
+++ b/services/journal/journal_test.go
@@ -19,7 +19,7 @@
 
 const testSlots = 4
 
-// journalFactory makes journals of one cell that share a store.
+// journalFactory creates journals of one cell that share a store; fault injects faults into all of them.
 type journalFactory struct {
 	store     *kv.Service
 	idsIssued int
@@ -44,7 +44,8 @@
 	return models.CellChange{Tasks: []models.Task{{ID: models.TaskID(id), Kind: models.TaskBatch, State: models.TaskQueued}}}
 }
 
-// TestRingWrapsAndIsReadBack appends many times the ring's size and reads all back.
+// TestRingWrapsAndIsReadBack appends ten times as many entries as the ring has slots, and loads the journal at another
+// daemon after each append.
 func TestRingWrapsAndIsReadBack(t *testing.T) {
 	w := newJournalFactory()
 	first := w.newJournal("first")
@@ -59,7 +60,7 @@
 	assert.Len(t, w.store.KeysWith(Prefix), testSlots+1, "the ring and one snapshot")
 }
 
-// TestTakeoverFencesTheFormerOwner lets two owners append in turn.
+// TestTakeoverFencesTheFormerOwner lets the previous and the new owner append in turn after a takeover.
 func TestTakeoverFencesTheFormerOwner(t *testing.T) {
 	w := newJournalFactory()
 	former, next := w.newJournal("former"), w.newJournal("next")
@@ -75,8 +76,7 @@
 	assert.NotContains(t, next.State().Tasks, models.TaskID("late"))
 }
 
-// TestLostAnswerIsSettled loses the answer of an append that took effect, and of one
-// that did not.
+// TestLostAnswerIsSettled loses the answer to an append that took effect, and to one that did not.
 func TestLostAnswerIsSettled(t *testing.T) {
 	for _, tookEffect := range []bool{true, false} {
 		w := newJournalFactory()
@@ -91,8 +91,8 @@
 			return nil
 		}
 		require.True(t, errors.Is(j.Append(t.Context(), changeOf("a")), ErrPending))
-		assert.NotContains(t, j.State().Tasks, models.TaskID("a"), "not acted on before it is read back")
-		require.True(t, errors.Is(j.Append(t.Context(), changeOf("b")), ErrPending), "nothing else before that")
+		assert.NotContains(t, j.State().Tasks, models.TaskID("a"), "the change is not applied before its write is confirmed")
+		require.True(t, errors.Is(j.Append(t.Context(), changeOf("b")), ErrPending), "no other entry is accepted before that")
 		require.NoError(t, j.Settle(t.Context()))
 		assert.Contains(t, j.State().Tasks, models.TaskID("a"))
 		other := w.newJournal("other")
@@ -101,7 +101,7 @@
 	}
 }
 
-// TestUnavailableWritesNothing refuses an append before it takes effect.
+// TestUnavailableWritesNothing rejects an append before it takes effect; the next append must not be pending.
 func TestUnavailableWritesNothing(t *testing.T) {
 	w := newJournalFactory()
 	j := w.newJournal("one")
@@ -115,8 +115,8 @@
 	assert.NotContains(t, j.State().Tasks, models.TaskID("a"))
 }
 
-// TestHandedOverAppendIsSettledOnce hands over a journal whose last append may have
-// been written; former and next owner both settle it.
+// TestHandedOverAppendIsSettledOnce hands over a journal whose last append has an unknown outcome; the previous and
+// the new owner both resolve it.
 func TestHandedOverAppendIsSettledOnce(t *testing.T) {
 	w := newJournalFactory()
 	former, next := w.newJournal("former"), w.newJournal("next")
@@ -133,11 +133,11 @@
 	require.NoError(t, next.Settle(t.Context()))
 	require.NoError(t, next.Append(t.Context(), changeOf("b")))
 	assert.Contains(t, next.State().Tasks, models.TaskID("a"))
-	require.NoError(t, former.Settle(t.Context()), "the entry is there, under its own id")
+	require.NoError(t, former.Settle(t.Context()), "the slot holds the entry with this owner's write id")
 	assert.True(t, errors.Is(former.Append(t.Context(), changeOf("c")), ErrSuperseded))
 }
 
-// TestDamageIsSaid overwrites a slot with nonsense.
+// TestDamageIsSaid overwrites a slot with data that cannot be decoded.
 func TestDamageIsSaid(t *testing.T) {
 	w := newJournalFactory()
 	j := w.newJournal("one")
@@ -149,8 +149,8 @@
 	assert.True(t, errors.Is(w.newJournal("two").Take(t.Context()), ErrDamaged))
 }
 
-// FuzzDecode feeds stored values to the decoder: it may refuse, but not panic, and
-// what it takes has passed its check.
+// FuzzDecode feeds arbitrary stored values to the decoder: it may reject a value but not panic, and each value that it
+// accepts passes Check.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{"", "j", "j{}", "x{}", `j{"epoch":1,"sequence":1,"writer":"a","write_id":"b","change":{}}`, `j{"epoch":-1}`, "d\x00\x01"} {
 		f.Add([]byte(seed))
--- a/services/journal/size_test.go
+++ b/services/journal/size_test.go
@@ -14,7 +14,7 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// plannedCellState is a cell of the planned fleet: its part of tasks that run and jobs kept.
+// plannedCellState is the state of one cell with running tasks and retained jobs.
 func plannedCellState(tasks, jobs int) models.CellState {
 	state := models.NewCellState()
 	for i := range tasks {
@@ -39,8 +39,8 @@
 	return state
 }
 
-// TestSnapshotOfAPlannedCellFits weighs the snapshot of a cell at the planned size,
-// and at ten times that: 18,400 tasks in 40 cells, 500 ended jobs kept.
+// TestSnapshotOfAPlannedCellFits checks that the snapshot of a cell takes less than half of the store's largest value,
+// at the planned size of 18,400 tasks in 40 cells with 500 ended jobs retained per cell, and with ten times the tasks.
 func TestSnapshotOfAPlannedCellFits(t *testing.T) {
 	for _, size := range []struct{ tasks, jobs int }{{460, 500}, {4600, 500}} {
 		data, err := encode(snapshotValue{Epoch: 1, Sequence: 1, State: plannedCellState(size.tasks, size.jobs)})
--- a/services/platform/fate.go
+++ b/services/platform/fate.go
@@ -9,43 +9,42 @@
 	"rillsail.example/rillsail/modules/errclass"
 )
 
-// Unknown makes of any error one that says only that a write may have taken effect, or may
-// still do so. The classes that err had are hidden: a later try that was turned away says
-// nothing of an earlier one without answer, and an error that is both ErrUnknown and
-// ErrUnavailable is taken for either by whoever asks first.
+// Unknown returns an error with the text of err whose only class is ErrUnknown: a write may have taken
+// effect or may still do so. The other classes of err are hidden, because the rejection of a later attempt says
+// nothing about an earlier attempt without an answer, and an error that is both ErrUnknown and ErrUnavailable
+// would be handled as whichever class is checked first. It returns nil for nil.
 func Unknown(err error) error { return errclass.Only(err, ErrUnknown) }
 
-// Outcome is what became of a change that a caller asked for: Done, NotDone or MaybeDone.
-// The set is closed, and a value is one of them only, so that no answer can take a change
-// whose fate is unknown for one that was refused.
+// Outcome is the result of a change that a caller requested: Done, NotDone or MaybeDone. The set is closed and
+// a value has exactly one of these types, so a change with an unknown outcome cannot be reported as refused.
 type Outcome interface{ outcome() }
 
 // Done says that the change is stored.
 type Done struct{}
 
-// NotDone refuses a change for good: nothing of it was stored by this daemon, and no write
-// of this daemon that is still on its way can store it.
+// NotDone says that this attempt at the change is over: this daemon stored no part of the change, and none of
+// its writes in flight can still store it.
 type NotDone struct {
 	Reason string
-	// Why tells what the caller may do.
+	// Why tells the caller whether a retry can succeed.
 	Why Refusal
-	// RetryAfter is when the change may be asked for again; 0: it is no use.
+	// RetryAfter is the time to wait before a retry; 0 means that a retry is pointless.
 	RetryAfter time.Duration
 }
 
-// MaybeDone says that the change may be stored, or may still be.
+// MaybeDone says that the outcome is unknown: the change may be stored already or may still be stored.
 type MaybeDone struct{ Cause error }
 
 func (Done) outcome()      {}
 func (NotDone) outcome()   {}
 func (MaybeDone) outcome() {}
 
-// Refusal is why a change is not done.
+// Refusal is the kind of reason for which a change was not done.
 type Refusal uint8
 
 // The refusals.
 const (
-	RefusedTemporarily Refusal = iota // it can't be done now, but perhaps later
-	RefusedUnfit                      // it can never be done
-	RefusedNoJob                      // there is no such job, and none will be stored under its id by an earlier call
+	RefusedTemporarily Refusal = iota // the change cannot be done now; a retry may succeed
+	RefusedUnfit                      // the change can never be done
+	RefusedNoJob                      // the job does not exist, and no earlier call will still store a job under this id
 )
--- a/services/platform/http_store.go
+++ b/services/platform/http_store.go
@@ -16,7 +16,7 @@
 	"rillsail.example/rillsail/modules/wire"
 )
 
-// Limits on answers of the platform, in bytes.
+// Size limits on the platform's answers, in bytes.
 const (
 	maxStoreAnswer  = 256 << 20
 	maxListAnswer   = 16 << 20
@@ -34,7 +34,7 @@
 	PathKeep   = "/v1/lease/keep"
 )
 
-// StoreCall is the body of every call to the store; each path uses its part.
+// StoreCall is the body of every call to the store; each path uses some of the fields.
 type StoreCall struct {
 	Key    string       `json:"key,omitempty"`
 	Prefix string       `json:"prefix,omitempty"`
@@ -46,10 +46,10 @@
 	Wait   models.Milli `json:"wait_ms,omitempty"`
 }
 
-// MaxValue is the largest value the store takes, in bytes.
+// MaxValue is the size of the largest value that the store accepts, in bytes.
 const MaxValue = 1 << 20
 
-// Check rejects values over the store's limit and negative times.
+// Check rejects a value larger than MaxValue and negative durations.
 func (c StoreCall) Check() error {
 	if len(c.Value) > MaxValue {
 		return errors.Newf("value of %s has %d bytes, at most %d are taken", c.Key, len(c.Value), MaxValue)
@@ -60,25 +60,25 @@
 	return nil
 }
 
-// StoreAnswer is the body of every answer of the store.
+// StoreAnswer is the body of every answer from the store.
 type StoreAnswer struct {
 	Records []Record `json:"records,omitempty"`
 	Version Version  `json:"version,omitempty"`
 	Lease   LeaseID  `json:"lease,omitempty"`
 }
 
-// Check is there for the decoder; every value is allowed.
+// Check implements wire.Checker; every value is valid.
 func (a StoreAnswer) Check() error { return nil }
 
-// HTTPConfig says how to reach a service of the platform.
+// HTTPConfig configures the HTTP adapter of one platform service.
 type HTTPConfig struct {
 	Address     string        // IP and port
-	CallTimeout time.Duration // of a call that does not move
-	WatchWait   time.Duration // of one watch at the store
-	Client      *http.Client  // shared; a new one when nil
+	CallTimeout time.Duration // longest time that a call may make no progress
+	WatchWait   time.Duration // longest time that the store holds a watch call without changes
+	Client      *http.Client  // may be shared; nil creates a new client
 }
 
-// HTTPStore is Store over HTTP and JSON.
+// HTTPStore implements Store over HTTP and JSON.
 type HTTPStore struct {
 	base      string
 	client    *http.Client
@@ -86,14 +86,14 @@
 	watchWait time.Duration
 }
 
-// NewHTTPStore makes the adapter; it connects with the first call.
+// NewHTTPStore creates the adapter, which connects on its first call.
 func NewHTTPStore(config HTTPConfig) *HTTPStore {
 	return &HTTPStore{
 		base: "http://" + config.Address, client: httpClientFor(config), timeout: config.CallTimeout, watchWait: config.WatchWait,
 	}
 }
 
-// Connections kept to one service between calls.
+// maxIdleConnsPerHost bounds the idle connections kept open to one service between calls.
 const maxIdleConnsPerHost = 8
 
 func httpClientFor(config HTTPConfig) *http.Client {
@@ -156,7 +156,7 @@
 	return classifyWriteError(err)
 }
 
-// do makes a call whose answer may wait for so long at the store.
+// do makes a call whose answer the store may hold back for up to wait.
 func (s *HTTPStore) do(ctx context.Context, path string, call StoreCall, wait time.Duration) (StoreAnswer, error) {
 	return wire.Do[StoreAnswer](ctx, wire.Call{
 		Client: s.client, URL: s.base + path, Limit: maxStoreAnswer,
@@ -164,33 +164,34 @@
 	}, call)
 }
 
-// classifyReadError maps an error of a call that changes nothing.
+// classifyReadError marks the error of a call that changes nothing with its class.
 func classifyReadError(err error) error {
 	if err == nil {
 		return nil
 	}
-	if known := errorOfStatus(err); known != nil {
-		return known
+	if marked := errorOfStatus(err); marked != nil {
+		return marked
 	}
 	return errors.Mark(err, ErrUnavailable)
 }
 
-// classifyWriteError maps an error of a call that may have taken effect. Only a refusal by
-// the store itself, or a connection that was never made, proves that it did not.
+// classifyWriteError marks the error of a call that may have taken effect with its class. Only a rejection by the
+// store itself or a failed dial proves that the call took no effect.
 func classifyWriteError(err error) error {
 	if err == nil {
 		return nil
 	}
-	if known := errorOfStatus(err); known != nil {
-		return known
+	if marked := errorOfStatus(err); marked != nil {
+		return marked
 	}
-	var dial *net.OpError
-	if errors.As(err, &dial) && dial.Op == "dial" {
+	var netErr *net.OpError
+	if errors.As(err, &netErr) && netErr.Op == "dial" {
 		return errors.Mark(err, ErrUnavailable)
 	}
 	return errors.Mark(err, ErrUnknown)
 }
 
+// errorOfStatus marks an HTTP status error with the error that the status stands for; nil if there is none.
 func errorOfStatus(err error) error {
 	var status *wire.StatusError
 	if !errors.As(err, &status) {
--- a/services/platform/http_vms.go
+++ b/services/platform/http_vms.go
@@ -14,7 +14,7 @@
 	"rillsail.example/rillsail/modules/wire"
 )
 
-// Paths of the VM list and of workers.
+// Paths of the VM list's and the workers' HTTP interfaces.
 const (
 	PathVMs   = "/v1/vms"
 	PathStart = "/v1/start"
@@ -22,14 +22,14 @@
 	PathStop  = "/v1/stop"
 )
 
-// HTTPVMList is List over HTTP and JSON.
+// HTTPVMList implements List over HTTP and JSON.
 type HTTPVMList struct {
 	url     string
 	client  *http.Client
 	timeout time.Duration
 }
 
-// NewHTTPList makes the adapter.
+// NewHTTPList creates the adapter.
 func NewHTTPList(config HTTPConfig) *HTTPVMList {
 	return &HTTPVMList{url: "http://" + config.Address + PathVMs, client: httpClientFor(config), timeout: config.CallTimeout}
 }
@@ -43,13 +43,13 @@
 	return list, errstep.Wrap(err, "read VM list", "list")
 }
 
-// HTTPWorkers is Workers over HTTP and JSON.
+// HTTPWorkers implements Workers over HTTP and JSON.
 type HTTPWorkers struct {
 	client  *http.Client
 	timeout time.Duration
 }
 
-// NewHTTPWorkers makes the adapter; Address is not used.
+// NewHTTPWorkers creates the adapter; it ignores config.Address, as each call names its worker's address.
 func NewHTTPWorkers(config HTTPConfig) *HTTPWorkers {
 	return &HTTPWorkers{client: httpClientFor(config), timeout: config.CallTimeout}
 }
--- a/services/platform/jobs.go
+++ b/services/platform/jobs.go
@@ -12,127 +12,125 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Precondition is a key with the version that it must have; version 0 means absent.
+// Precondition requires that a key has a version; version 0 means that the key must be absent.
 type Precondition struct {
 	Key     string
 	Version Version
 }
 
-// Write sets a key. With a lease, the key goes when the lease does.
+// Write sets a key. With a lease, the store deletes the key when the lease ends.
 type Write struct {
 	Key   string
 	Value []byte
 	Lease LeaseID
 }
 
-// Txn changes several keys, all or none.
+// Txn changes several keys atomically, provided that all preconditions hold.
 type Txn struct {
 	Require []Precondition
 	Put     []Write
 	Delete  []string
 }
 
-// Entries is how many entries the transaction has.
+// Entries returns the number of entries, preconditions included.
 func (t Txn) Entries() int { return len(t.Require) + len(t.Put) + len(t.Delete) }
 
-// MaxTxnEntries bounds the entries of one Txn, preconditions included.
+// MaxTxnEntries is the largest number of entries in a Txn, preconditions included.
 const MaxTxnEntries = 32
 
-// TxnStore is a key-value service that changes several keys at once.
+// TxnStore is a key-value service with transactions over several keys.
 type TxnStore interface {
 	Store
-	// Commit carries out the transaction; ErrConflict when a precondition fails.
+	// Commit executes the transaction, or returns ErrConflict when a precondition fails.
 	Commit(ctx context.Context, txn Txn) (Version, error)
-	// Revoke ends a lease with its keys.
+	// Revoke ends a lease and deletes the keys attached to it.
 	Revoke(ctx context.Context, lease LeaseID) error
 }
 
-// Errors of calls to job workers. Only ErrUnknown leaves open whether the call was or
-// will be carried out.
+// Errors of calls to job workers. Only after ErrUnknown may the worker have executed the call, or still execute it.
 var (
-	// ErrIncarnation says that the worker at the address is another incarnation.
-	ErrIncarnation = errors.New("worker is another incarnation")
-	// ErrOverloaded says that the worker is not well and did nothing.
-	ErrOverloaded = errors.New("worker did nothing, it is overloaded or not well")
-	// ErrUnreached says that no connection came about; nothing was done.
-	ErrUnreached = errors.New("no connection, nothing was done")
-	// ErrNobodyListens says that the address refuses connections. It is an ErrUnreached too.
-	ErrNobodyListens = errors.New("nobody listens")
+	// ErrIncarnation says that the worker at the address is another incarnation than the call names.
+	ErrIncarnation = errors.New("another incarnation of the worker runs at the address")
+	// ErrOverloaded says that the worker is overloaded or unhealthy and did not execute the call.
+	ErrOverloaded = errors.New("worker did not execute the call: it is overloaded or unhealthy")
+	// ErrUnreached says that no connection to the worker was established, so nothing was executed.
+	ErrUnreached = errors.New("no connection to the worker: the call was not sent")
+	// ErrNobodyListens says that the address refuses connections. Such an error is marked ErrUnreached as well.
+	ErrNobodyListens = errors.New("connection refused: no process listens at the worker's address")
 )
 
-// IncarnationError says that the worker at the address is another incarnation, and which one; it is
-// an ErrIncarnation. Nothing was done.
+// IncarnationError is an ErrIncarnation that identifies the incarnation found at the address. That incarnation
+// did not execute the call.
 type IncarnationError struct {
-	Born models.UnixMilli // of the one that is there; 0: not known
+	Born models.UnixMilli // start time of the incarnation found; 0 if unknown
 }
 
-// Error says so.
+// Error implements error.
 func (e *IncarnationError) Error() string { return ErrIncarnation.Error() }
 
 // Is implements errors.Is for ErrIncarnation.
 func (e *IncarnationError) Is(target error) bool { return target == ErrIncarnation }
 
-// RefusedError is a worker's refusal; it did nothing.
+// RefusedError says that the worker refused the call and did not execute it.
 type RefusedError struct {
 	Reason jobs.Refusal
-	Clock  models.Milli // the worker's own
+	Clock  models.Milli // reading of the worker's clock
 }
 
-// Error says the reason.
+// Error implements error.
 func (e *RefusedError) Error() string { return "worker refused: " + string(e.Reason) }
 
-// JobWorkers reaches the workers that run the tasks of jobs. Answers carry the worker's
-// clock. A call reaches the incarnation that it names, or none, and ends with an IncarnationError
-// when another one is there; where it names no start, the id alone counts.
+// JobWorkers calls the workers that run the tasks of jobs. Each answer carries a reading of the worker's clock.
+// A call is executed only by the incarnation that it names; if another incarnation is at the address, the call
+// fails with an IncarnationError. A worker given without a start time is identified by its id alone.
 type JobWorkers interface {
-	// StartRun starts a run; repeating it is harmless.
+	// StartRun starts a run. The call is idempotent.
 	StartRun(ctx context.Context, worker jobs.Worker, call jobs.StartCall) (models.Milli, error)
-	// StopRun stops a run, which then shows among the ended, or bars it.
+	// StopRun stops a run, which reports then list as ended. A run that has not started is barred from starting.
 	StopRun(ctx context.Context, worker jobs.Worker, call jobs.StopCall) (models.Milli, error)
-	// SetPace throttles a run.
+	// SetPace sets the pace to which a run is throttled.
 	SetPace(ctx context.Context, worker jobs.Worker, call jobs.PaceCall) (models.Milli, error)
-	// ProlongLease prolongs the lease of all runs and reports on them.
+	// ProlongLease renews the lease of all runs on the worker and returns a report on them.
 	ProlongLease(ctx context.Context, worker jobs.Worker, call jobs.LeaseCall) (jobs.Report, error)
 }
 
-// WorkerChange is a worker that has joined or says something new of itself, or one that the
-// list doesn't name any more.
+// WorkerChange is an entry of the worker list that was added, updated or removed.
 type WorkerChange struct {
-	Worker jobs.Worker // of one that is gone, the id alone
+	Worker jobs.Worker // only the id is set for a removed entry
 	Gone   bool
 }
 
-// WorkerList is the platform's list of job workers. An entry that is not a worker's own, or
-// can't be understood, names no worker; the others hold.
+// WorkerList is the platform's list of job workers. An entry that does not belong to a worker or cannot be parsed
+// is left out; the other entries remain valid.
 type WorkerList interface {
-	// JobWorkers reads the whole list, and gives the version to follow it from.
+	// JobWorkers reads the whole list and returns the version from which to follow changes.
 	JobWorkers(ctx context.Context) ([]jobs.Worker, Version, error)
-	// WorkerChanges waits until the list changes after the version, and gives the changes in
-	// their order, or none when the wait is over, and the version to go on from.
-	// ErrCompacted and ErrTooLarge say that the list has to be read.
+	// WorkerChanges waits until the list changes after the version. It returns the changes in order, or none when
+	// the wait is over, and the version for the next call. After ErrCompacted or ErrTooLarge the whole list has to
+	// be read again.
 	WorkerChanges(ctx context.Context, after Version) ([]WorkerChange, Version, error)
 }
 
-// ConfigurationFeed is where operators' configuration comes from.
+// ConfigurationFeed is the source of the operators' configuration.
 type ConfigurationFeed interface {
-	// Configuration reads the newest one; ErrNotFound when there is none yet.
+	// Configuration reads the newest configuration; ErrNotFound when none exists yet.
 	Configuration(ctx context.Context) (jobs.Configuration, Version, error)
-	// NextConfiguration waits for one newer than the store's version; ErrNotFound when
-	// none came in time. The version given is the one to wait from next, also then.
-	// ErrTooLarge says that there are several, which take longer to fetch than the newest.
+	// NextConfiguration waits for a configuration stored after the version; ErrNotFound when none arrives in time.
+	// The returned version is the one for the next call, also with ErrNotFound. ErrTooLarge says that several
+	// configurations were stored since, and that reading the newest alone is faster than fetching all of them.
 	NextConfiguration(ctx context.Context, after Version) (jobs.Configuration, Version, error)
 }
 
-// Callers is what serves the callers of jobs.
+// Callers is the service behind the callers' interface: it accepts jobs and answers questions about them.
 type Callers interface {
-	// Configured gives the configuration in force; nil when there is none yet.
+	// Configured returns the configuration in force; nil when there is none yet.
 	Configured() *jobs.Configuration
-	// Submit accepts a job for good, or refuses it.
+	// Submit accepts a job durably or refuses it.
 	Submit(ctx context.Context, spec jobs.Spec, queue jobs.Queue) Outcome
-	// State tells the state of a job; ErrNotFound when there is no such job.
+	// State returns the state of a job; ErrNotFound when the job does not exist.
 	State(ctx context.Context, id jobs.ID) (jobs.State, error)
-	// Cancel ends a job.
+	// Cancel cancels a job.
 	Cancel(ctx context.Context, id jobs.ID) Outcome
-	// Pending counts the queue's accepted jobs that have no task begun.
+	// Pending returns the number of the queue's accepted jobs none of whose tasks has begun.
 	Pending(ctx context.Context, queue jobs.QueueName) (int, error)
 }
--- a/services/platform/platform.go
+++ b/services/platform/platform.go
@@ -1,10 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package platform is how rillsail reaches what the platform gives: the key-value
-// service, the VM list and the workers. The interfaces say what rillsail needs;
-// the HTTP adapters beside them are the only code that knows a wire form, so that
-// another platform takes another adapter and nothing else.
+// Package platform declares the platform services that rillsail depends on: the key-value store, the VM list and
+// the workers. Only the HTTP adapters in this package know the wire format, so supporting another platform takes
+// another adapter and no other change.
 //
 // # Usage
 //
@@ -14,12 +13,10 @@
 //
 // # Guards
 //
-// The worker adapter offers all guards that models.Guard names: epochs,
-// incarnations, barred attempts and leases by the worker's own clock. An adapter
-// for a platform without one of them has to replace it by a wait: without epochs
-// an owner must let one lease pass after each takeover before it starts anything;
-// without barring it must let the longest time a call can be on its way pass
-// after each stop that found nothing.
+// The worker adapter supports all guards that models.Guard names: epochs, incarnations, barred attempts and leases
+// measured by the worker's clock. An adapter for a platform that lacks a guard has to replace it by a wait. Without
+// epochs, an owner must wait for one lease after each takeover before it starts anything. Without barring, an owner
+// must wait for the longest time that a call can be in flight after each stop that found nothing.
 package platform
 
 import (
@@ -31,56 +28,56 @@
 	"rillsail.example/rillsail/models"
 )
 
-// Errors of the store. Of a write, only ErrUnknown leaves open whether it took effect.
+// Errors of the store. A write that fails may have taken effect only if the error is ErrUnknown.
 var (
-	// ErrNotFound says that the key is not there.
+	// ErrNotFound says that the key does not exist.
 	ErrNotFound = errors.New("key not found")
 	// ErrConflict says that the key's version is not the expected one; nothing changed.
 	ErrConflict = errors.New("version conflict")
-	// ErrUnavailable says that the store can't be reached; nothing changed.
+	// ErrUnavailable says that the store cannot be reached; nothing changed.
 	ErrUnavailable = errors.New("store unavailable")
-	// ErrLimited says that the store's rate limit is reached; nothing changed.
+	// ErrLimited says that the store rejected the call by its rate limit; nothing changed.
 	ErrLimited = errors.New("store rate limit reached")
-	// ErrUnknown says that no answer came; a write may have taken effect.
+	// ErrUnknown says that no answer arrived; a write may have taken effect.
 	ErrUnknown = errors.New("store did not answer, the write may have taken effect")
-	// ErrCompacted says that a watch asks for changes that are no longer kept.
+	// ErrCompacted says that the store no longer keeps the changes that a watch asks for.
 	ErrCompacted = errors.New("changes are no longer kept")
-	// ErrTooLarge says that the answer is larger than the caller reads; nothing changed.
+	// ErrTooLarge says that the answer exceeds the size that the client reads; nothing changed.
 	ErrTooLarge = errors.New("answer is too large")
 	// ErrNoLease says that the lease has lapsed.
 	ErrNoLease = errors.New("lease has lapsed")
 )
 
-// Version is the store's revision at which a key was last written; 0 means absent.
+// Version is the store's revision at which a key was last written; 0 means that the key is absent.
 type Version uint64
 
-// LeaseID names a lease of the store; 0 means none.
+// LeaseID identifies a lease of the store; 0 means no lease.
 type LeaseID uint64
 
-// Record is a key with its value.
+// Record is a key with its value and version.
 type Record struct {
 	Key     string  `json:"key"`
 	Value   []byte  `json:"value,omitempty"`
 	Version Version `json:"version"`
-	Deleted bool    `json:"deleted,omitempty"` // in changes only
+	Deleted bool    `json:"deleted,omitempty"` // set only in the changes that Watch returns
 }
 
 // Store is the platform's key-value service.
 type Store interface {
 	// Get reads one key.
 	Get(ctx context.Context, key string) (Record, error)
-	// List reads all keys with the prefix and the store's revision.
+	// List reads all keys with the prefix, and the store's revision.
 	List(ctx context.Context, prefix string) ([]Record, Version, error)
-	// Swap writes the key if its version is expect, and gives the new version.
+	// Swap writes the key if its version is expect, and returns the new version.
 	Swap(ctx context.Context, key string, value []byte, expect Version, lease LeaseID) (Version, error)
 	// Delete removes the key if its version is expect.
 	Delete(ctx context.Context, key string, expect Version) error
-	// Watch waits until a key with the prefix changes after the revision, and gives
-	// the changes, or none when the wait is over.
+	// Watch waits until a key with the prefix changes after the revision. It returns the changes, or none when the
+	// wait is over, and the revision for the next call.
 	Watch(ctx context.Context, prefix string, after Version) ([]Record, Version, error)
-	// Grant makes a lease.
+	// Grant creates a lease that ends after ttl unless renewed.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// KeepAlive prolongs a lease; ErrNoLease when it has lapsed.
+	// KeepAlive renews a lease; ErrNoLease when it has lapsed.
 	KeepAlive(ctx context.Context, lease LeaseID) error
 }
 
@@ -89,8 +86,7 @@
 	VMs(ctx context.Context) (models.VMList, error)
 }
 
-// Workers reaches the agents on the workers, by the address in the VM list. All
-// calls may be repeated.
+// Workers calls the agents on the workers by their addresses in the VM list. All calls are idempotent.
 type Workers interface {
 	Start(ctx context.Context, address string, call models.StartCall) (models.StartAnswer, error)
 	Renew(ctx context.Context, address string, call models.RenewCall) (models.RenewAnswer, error)
