--- a/services/config/apply.go
+++ b/services/config/apply.go
@@ -19,10 +19,10 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// RefusedError refuses a change that contradicts itself or the configuration.
+// RefusedError says that a change was refused because the resulting configuration would be invalid.
 type RefusedError struct{ Problems []string }
 
-// Error lists the problems.
+// Error implements error; the text lists the problems.
 func (e *RefusedError) Error() string {
 	text := "change refused, nothing was changed:"
 	for _, p := range e.Problems {
@@ -31,14 +31,14 @@
 	return text
 }
 
-// ErrMaybeApplied says that the store didn't say whether the change took effect.
+// ErrMaybeApplied says that the outcome of the change is unknown, because the store did not confirm the write.
 var ErrMaybeApplied = errors.New("the change may have been accepted; look at the configuration in force and apply again if it was not")
 
-// ErrNotApplied says that nothing is in force of the change, and nothing of it will be.
+// ErrNotApplied says that no part of the change is in force or will come into force.
 var ErrNotApplied = errors.New("nothing of the change is in force")
 
-// asNotApplied makes of any error one that says only that. The classes that err had, of the
-// store's single calls, are hidden.
+// asNotApplied returns an error with the text of err whose only class is ErrNotApplied; nil for nil. The classes of err
+// are hidden, because they describe single calls to the store and not the change as a whole.
 func asNotApplied(err error) error {
 	if err == nil {
 		return nil
@@ -46,18 +46,17 @@
 	return errclass.Only(err, ErrNotApplied)
 }
 
-// Bounds on what heads and buckets keep of the past.
+// Bounds on the history that heads and buckets keep, and on the attempts to write a change.
 const (
-	maxRecentWrites   = 64
-	maxRetiredBuckets = 40
-	maxDeletions      = 64
+	maxRecentWrites   = 64 // revisions for which a head keeps the write ids
+	maxRetiredBuckets = 40 // replaced buckets kept in the store
+	maxDeletions      = 64 // deleted objects that a bucket records
 	maxApplyTries     = 8
 )
 
-// Apply accepts a change, all of it or nothing. It retries when another operator
-// changed other objects meanwhile; when the same ones changed since the change's
-// base, it gives *models.ConflictError. Other errors are *RefusedError, ErrNotApplied or
-// ErrMaybeApplied, and one of them only.
+// Apply puts a change in force as a whole or not at all. It retries when another change of other objects was written
+// meanwhile. If the same objects have changed since the base of the change, it returns *models.ConflictError. All other
+// errors are exactly one of *RefusedError, ErrNotApplied and ErrMaybeApplied.
 func (s *Service) Apply(ctx context.Context, change models.ConfigChange) (models.ConfigResult, error) {
 	writeID := s.config.NewID()
 	if change.Base == 0 {
@@ -100,7 +99,7 @@
 	return result, nil
 }
 
-// refresh brings the view up to the store's head and gives the head's version.
+// refresh updates the view to the head in the store and returns the version of the head key.
 func (s *Service) refresh(ctx context.Context) (platform.Version, error) {
 	record, err := s.config.Store.Get(ctx, HeadKey)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -125,7 +124,7 @@
 	return nil
 }
 
-// plan is the next configuration, ready to be written.
+// plan is the next configuration, encoded and ready to be written.
 type plan struct {
 	head    models.ConfigHead
 	buckets map[models.BucketName]models.Bucket
@@ -177,7 +176,8 @@
 	p.written[name] = hash
 }
 
-// trimRetired takes out of the head the buckets that are to be deleted after the swap.
+// trimRetired moves the oldest retired buckets beyond maxRetiredBuckets from the head to expired; they are deleted after
+// the head is swapped.
 func (p *plan) trimRetired() {
 	if extra := len(p.head.Retired) - maxRetiredBuckets; extra > 0 {
 		p.expired = p.head.Retired[:extra]
@@ -195,10 +195,10 @@
 	return writes
 }
 
-// changedBuckets gives the buckets that a change touches as they will be.
+// changedBuckets returns the buckets that a change touches, with the change applied.
 func changedBuckets(view *View, change models.ConfigChange, revision models.Revision) map[models.BucketName]models.Bucket {
 	changed := map[models.BucketName]models.Bucket{}
-	take := func(key models.ObjectKey) models.Bucket {
+	withoutObject := func(key models.ObjectKey) models.Bucket {
 		bucket, ok := changed[key.Bucket()]
 		if !ok {
 			bucket = view.buckets[key.Bucket()]
@@ -212,12 +212,12 @@
 		return bucket
 	}
 	for _, box := range change.Put {
-		bucket := take(box.Object.Key())
+		bucket := withoutObject(box.Object.Key())
 		bucket.Objects = append(bucket.Objects, models.ObjectBox{Object: box.Object, Changed: revision})
 		changed[box.Object.Key().Bucket()] = bucket
 	}
 	for _, key := range change.Delete {
-		bucket := take(key)
+		bucket := withoutObject(key)
 		bucket.Deleted[key.String()] = revision
 		pruneDeleted(bucket.Deleted)
 		changed[key.Bucket()] = bucket
@@ -237,12 +237,12 @@
 	}
 }
 
-// writePlan writes the buckets and swaps the head. On platform.ErrConflict nothing is
-// in force.
+// writePlan writes the buckets and then swaps the head. After platform.ErrConflict no part of the change is in force.
 func (s *Service) writePlan(ctx context.Context, p plan, version platform.Version, writeID string) error {
 	for name, hash := range p.written {
 		_, err := s.config.Store.Swap(ctx, bucketKey(name, hash), p.stored[hash], 0, 0)
-		// A conflict means that a lost try wrote it: the key holds the write's id.
+		// A conflict means that an earlier attempt has written this bucket: its content includes the write id, and
+		// the key includes the content's hash.
 		if err != nil && !errors.Is(err, platform.ErrConflict) {
 			return asNotApplied(errstep.Wrap(err, "write bucket "+string(name)+"; nothing is in force of the change", "store"))
 		}
@@ -268,12 +268,12 @@
 	return nil
 }
 
-// maxResolveTries bounds how often the head is read back after a lost answer.
+// maxResolveTries bounds the attempts to read the head back after a write with an unknown outcome.
 const maxResolveTries = 3
 
-// resolveUnknownWrite finds out whether a change whose answer was lost took effect. It gives no error
-// when it did and ErrMaybeApplied otherwise: a read that fails, or a head that can't be
-// read, says nothing of the write, and one that doesn't name it may be overtaken by it.
+// resolveUnknownWrite finds out whether a write of the head whose answer was lost took effect. It returns nil if the
+// head in the store names the write and ErrMaybeApplied otherwise: a failed read or a head that cannot be decoded says
+// nothing about the write, and the write may still arrive after a head that does not name it was read.
 func (s *Service) resolveUnknownWrite(ctx context.Context, writeID string) error {
 	for range maxResolveTries {
 		applied, err := s.headNamesWrite(ctx, writeID)
@@ -283,12 +283,12 @@
 		if err == nil {
 			break
 		}
-		s.config.Logger.Warn("can't read back whether a change is in force", log.Err(err)...)
+		s.config.Logger.Warn("cannot read back whether a configuration change took effect", log.Err(err)...)
 	}
 	return errstep.Wrap(ErrMaybeApplied, "swap configuration head", "store")
 }
 
-// headNamesWrite tells whether the head names a write.
+// headNamesWrite reads the head and reports whether it names the write.
 func (s *Service) headNamesWrite(ctx context.Context, writeID string) (bool, error) {
 	record, err := s.config.Store.Get(ctx, HeadKey)
 	if err != nil {
@@ -302,8 +302,8 @@
 	return ok, nil
 }
 
-// removeWritten deletes the buckets of a change that lost the race; a key that stays
-// behind does no harm.
+// removeWritten deletes the buckets written for a change that lost against a concurrent one. A bucket that cannot be
+// deleted is harmless, because no head names it.
 func (s *Service) removeWritten(ctx context.Context, p plan) {
 	for name, hash := range p.written {
 		s.removeBucket(ctx, name, hash)
--- a/services/config/apply_test.go
+++ b/services/config/apply_test.go
@@ -19,17 +19,17 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// lostAnswerStore is a store that does one write of the head and loses its answer; lost is called
-// before anything else reaches the store.
+// lostAnswerStore executes the first write of the head and loses the answer to it. It calls onLost before any other call
+// reaches the store.
 type lostAnswerStore struct {
 	*kv.Local
 	onLost     func()
 	answerLost bool
 }
 
-func newLostAnswerStore(lost func(store platform.Store)) *lostAnswerStore {
-	quiet := &kv.Local{Service: kv.New(kv.Config{}), Fault: kv.NoFault}
-	return &lostAnswerStore{Local: quiet, onLost: func() { lost(quiet) }}
+func newLostAnswerStore(onLost func(store platform.Store)) *lostAnswerStore {
+	local := &kv.Local{Service: kv.New(kv.Config{}), Fault: kv.NoFault}
+	return &lostAnswerStore{Local: local, onLost: func() { onLost(local) }}
 }
 
 // Swap implements platform.Store.
@@ -59,9 +59,8 @@
 	return models.ConfigChange{Put: []models.ObjectBox{{Object: models.Team{Name: name}}}}
 }
 
-// TestLostAnswerAndUnreadableHead loses the answer of the write that puts a change in force,
-// and lets a daemon that says more in its heads write the next one before the first reads
-// back what became of it.
+// TestLostAnswerAndUnreadableHead loses the answer to the write that puts a change in force. Before the daemon reads the
+// head back, another daemon writes a head with a field that the first daemon does not know and cannot decode.
 func TestLostAnswerAndUnreadableHead(t *testing.T) {
 	store := newLostAnswerStore(func(store platform.Store) {
 		record, err := store.Get(t.Context(), HeadKey)
@@ -76,10 +75,11 @@
 	})
 	_, err := serviceOn(store).Apply(t.Context(), teamPut("office"))
 	require.Error(t, err)
-	require.True(t, errors.Is(err, ErrMaybeApplied), "the change is in force, and is answered as if nothing was done: %v", err)
+	require.True(t, errors.Is(err, ErrMaybeApplied), "the change is in force but the error says that it was not applied: %v", err)
 }
 
-// TestLostAnswerIsSettled loses the answer of the write that puts a change in force.
+// TestLostAnswerIsSettled loses the answer to the write that puts a change in force; reading the head back shows that
+// the change took effect.
 func TestLostAnswerIsSettled(t *testing.T) {
 	service := serviceOn(newLostAnswerStore(func(platform.Store) {}))
 	result, err := service.Apply(t.Context(), teamPut("office"))
--- a/services/config/check.go
+++ b/services/config/check.go
@@ -10,7 +10,7 @@
 	"rillsail.example/rillsail/modules/selector"
 )
 
-// contradictions lists what makes a configuration unusable.
+// contradictions returns the problems that make a configuration unusable.
 func contradictions(view *View) []string {
 	var problems []string
 	for i, a := range view.Rules {
@@ -38,7 +38,8 @@
 	return same || mirrored
 }
 
-// warnings lists what an operator should know but what may become right by itself.
+// warnings returns the problems that operators should know of but that do not reject a change, because a later change
+// of jobs or VMs may resolve them.
 func (s *Service) warnings(view *View) []string {
 	var warnings []string
 	vms := s.config.VMs().VMs
--- a/services/config/config.go
+++ b/services/config/config.go
@@ -1,17 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package config keeps the operators' configuration in force. It lives in the
-// platform's store as immutable buckets and one head key that names them; a change
-// writes its buckets and swaps the head. Each daemon holds one watch on the head,
-// and hears of newer revisions from its peers' heartbeats, from whom it can also
-// fetch them. A daemon never goes back to a lower revision.
+// Package config follows the operators' configuration and applies changes to it. The platform's store holds the
+// configuration as immutable buckets and one head key that names them; a change writes its buckets and then swaps the
+// head. Each daemon watches the head. It also learns of newer revisions from its peers' heartbeats and can fetch them
+// from the peers. A daemon never returns to a lower revision.
 //
 // # Usage
 //
 //	service := config.New(config.Config{Store: store, Fetch: fetch, …})
 //	manager.Loop("configuration", service.Run)
-//	view := service.View()                     // what is in force here
+//	view := service.View()                     // the configuration in force here
 //	result, err := service.Apply(ctx, change)  // *models.ConflictError, *RefusedError
 package config
 
@@ -34,26 +33,26 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Keys in the store.
+// Keys in the store; bucketPrefix is followed by the bucket's name and hash.
 const (
 	HeadKey      = "config/head"
 	bucketPrefix = "config/bucket/"
 )
 
-// Config says how the service reaches store and peers.
+// Config configures the service.
 type Config struct {
 	Store  platform.Store
 	Logger *zap.Logger
 	Scope  tally.Scope
-	Sync   time.Duration // between tries when the store doesn't answer
-	// FromPeers asks peers for a configuration newer than the query's; it returns a
-	// transfer of revision 0 when nobody has one.
+	Sync   time.Duration // between retries when the store does not answer
+	// FromPeers requests a configuration newer than the query's revision from the peers. It returns a transfer of
+	// revision 0 when no peer has a newer one.
 	FromPeers func(ctx context.Context, query models.ConfigQuery) models.ConfigTransfer
-	// Accepted is called when a newer revision is in force here.
+	// Accepted is called with each newer revision once it is in force here.
 	Accepted func(*View)
-	// VMs is the platform's list as last read, for warnings; it may be empty.
+	// VMs returns the platform's VM list as last read, for warnings; the list may be empty.
 	VMs func() models.VMList
-	// NewID makes ids that no other write has.
+	// NewID returns an id that is unique among all writes.
 	NewID func() string
 }
 
@@ -61,24 +60,24 @@
 type Service struct {
 	config      Config
 	view        atomic.Pointer[View]
-	newerAtPeer chan struct{} // a peer has a newer revision
+	newerAtPeer chan struct{} // holds a value while a peer is known to have a newer revision
 
-	mu sync.Mutex // held while a newer view is put in force
-	// applied is closed and renewed with each new view.
+	mu sync.Mutex // held while a newer view is activated
+	// applied is closed and replaced when a newer view is activated.
 	applied chan struct{}
 }
 
-// New makes a service with the empty configuration.
+// New returns a service with the empty configuration.
 func New(config Config) *Service {
 	s := &Service{config: config, newerAtPeer: make(chan struct{}, 1), applied: make(chan struct{})}
 	s.view.Store(Empty())
 	return s
 }
 
-// View is the configuration in force here.
+// View returns the configuration in force here.
 func (s *Service) View() *View { return s.view.Load() }
 
-// Run follows the head key until ctx ends.
+// Run follows the head key and the peers' revisions until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	var group conc.WaitGroup
 	group.Go(func() { s.peerLoop(ctx) })
@@ -101,7 +100,7 @@
 	}
 }
 
-// readHead reads the head and gives the store's revision to watch from.
+// readHead reads and applies the head, and returns the store's revision to watch from.
 func (s *Service) readHead(ctx context.Context) (platform.Version, error) {
 	records, revision, err := s.config.Store.List(ctx, HeadKey)
 	if err != nil {
@@ -128,7 +127,8 @@
 	return s.accept(head, buckets)
 }
 
-// fetchBuckets reads from the store what the view in force lacks of the head.
+// fetchBuckets returns the buckets that the head names. It reads from the store only the buckets that the view in force
+// lacks.
 func (s *Service) fetchBuckets(ctx context.Context, head models.ConfigHead) (map[models.BucketHash][]byte, error) {
 	view := s.View()
 	got := map[models.BucketHash][]byte{}
@@ -151,7 +151,7 @@
 	return bucketPrefix + string(name) + "/" + string(hash)
 }
 
-// accept puts a head with its buckets in force, unless a higher one is already.
+// accept decodes the buckets of a head and puts them in force, unless an equal or higher revision is in force.
 func (s *Service) accept(head models.ConfigHead, stored map[models.BucketHash][]byte) error {
 	buckets := make(map[models.BucketName]models.Bucket, len(head.Buckets))
 	for name, hash := range head.Buckets {
@@ -183,7 +183,7 @@
 	s.config.Accepted(view)
 }
 
-// Hint tells the service of a revision that a peer has in force.
+// Hint tells the service which revision a peer has in force, so that a newer one is fetched.
 func (s *Service) Hint(revision models.Revision) {
 	if revision <= s.View().Revision() {
 		return
@@ -194,7 +194,7 @@
 	}
 }
 
-// peerLoop fetches newer revisions from peers, whether the store answers or not.
+// peerLoop fetches newer revisions from peers, independently of the store.
 func (s *Service) peerLoop(ctx context.Context) {
 	for {
 		select {
@@ -226,13 +226,13 @@
 		}
 	}
 	if err := s.accept(transfer.Head, stored); err != nil {
-		s.config.Logger.Warn("configuration from peer is not usable", log.Err(err)...)
+		s.config.Logger.Warn("configuration from a peer is incomplete or invalid and is ignored", log.Err(err)...)
 		return
 	}
 	s.config.Scope.Counter("from_peers").Inc(1)
 }
 
-// Transfer answers a peer's query from the view in force.
+// Transfer answers a peer's query from the view in force. The answer contains only the buckets that the peer lacks.
 func (s *Service) Transfer(query models.ConfigQuery) models.ConfigTransfer {
 	view := s.View()
 	if view.Revision() <= query.Revision {
--- a/services/config/view.go
+++ b/services/config/view.go
@@ -13,7 +13,7 @@
 	"rillsail.example/rillsail/models"
 )
 
-// View is one accepted configuration. It is never changed once made.
+// View is one accepted configuration. It is immutable.
 type View struct {
 	Head    models.ConfigHead
 	buckets map[models.BucketName]models.Bucket
@@ -22,16 +22,16 @@
 	Teams    map[models.TeamName]models.Team
 	Services map[models.ServiceName]models.Service
 	VMs      map[models.VMID]models.VMLabels
-	Rules    []models.Rule  // by name
-	Classes  []models.Class // by order, then name
+	Rules    []models.Rule  // sorted by name
+	Classes  []models.Class // sorted by order, then by name
 }
 
-// Empty is the configuration before the first change.
+// Empty returns the configuration before the first change.
 func Empty() *View {
 	return newView(models.ConfigHead{Buckets: map[models.BucketName]models.BucketHash{}}, nil, nil)
 }
 
-// ViewOf makes a view of objects alone, for tests and trials without a store.
+// ViewOf returns a view of the given objects, for tests and trials without a store.
 func ViewOf(revision models.Revision, objects ...models.Object) *View {
 	buckets := map[models.BucketName]models.Bucket{}
 	for _, object := range objects {
@@ -76,10 +76,10 @@
 	}
 }
 
-// Revision is the revision of the view; 0 before the first change.
+// Revision returns the revision of the view; 0 before the first change.
 func (v *View) Revision() models.Revision { return v.Head.Revision }
 
-// Objects lists all objects by key.
+// Objects returns all objects, sorted by key.
 func (v *View) Objects() []models.ObjectBox {
 	var boxes []models.ObjectBox
 	for _, bucket := range v.buckets {
@@ -91,13 +91,13 @@
 	return boxes
 }
 
-// Drained tells whether operators have drained the VM.
+// Drained reports whether the operators have drained the VM.
 func (v *View) Drained(vm models.VMID) bool {
 	_, ok := v.VMs[vm].Labels[models.LabelDrain]
 	return ok
 }
 
-// LabelsOf are the labels of a VM: the list's, and over them the operators'.
+// LabelsOf returns the labels of a VM. The operators' labels override those of the VM list.
 func (v *View) LabelsOf(vm models.VM) map[string]string {
 	extra := v.VMs[vm.ID].Labels
 	if len(extra) == 0 {
@@ -111,7 +111,7 @@
 	return merged
 }
 
-// changedAt is the revision that last changed or deleted the object; 0 if none did.
+// changedAt returns the revision that last changed or deleted the object; 0 if the view records none.
 func (v *View) changedAt(key models.ObjectKey) models.Revision {
 	bucket := v.buckets[key.Bucket()]
 	if box, ok := findObject(bucket, key); ok {
@@ -120,7 +120,7 @@
 	return bucket.Deleted[key.String()]
 }
 
-// object gives an object as it is in force.
+// object returns the object as it is in force.
 func (v *View) object(key models.ObjectKey) (models.Object, bool) {
 	box, ok := findObject(v.buckets[key.Bucket()], key)
 	return box.Object, ok
@@ -135,7 +135,7 @@
 	return models.ObjectBox{}, false
 }
 
-// diff says in lines what a change does to the view.
+// diff describes what a change does to the view, one line per object removed or added.
 func (v *View) diff(change models.ConfigChange) []string {
 	var lines []string
 	for _, box := range change.Put {
--- a/services/interference/learner.go
+++ b/services/interference/learner.go
@@ -1,19 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package interference learns by how much batch tasks slow down the services beside
-// them, from latencies that are reported late and only for whole VMs. For each
-// service it keeps the latency alone, and for each pair of service and batch task
-// the slowdown with its uncertainty, which grows with time so that a pair that has
-// changed is learned anew.
+// Package interference learns by how much batch tasks slow down the services on the same VM, from latencies that are
+// reported late and only for whole VMs. For each service it keeps the baseline latency without batch tasks. For each
+// pair of service and batch task it keeps the estimated slowdown with its variance, which grows with time so that a pair
+// whose interference has changed is learned anew.
 //
 // # Usage
 //
 //	learner := interference.New(interference.Config{})
-//	learner.Observe(interference.Sample{Service: labels, Batch: beside, P99: p99, Target: target, At: now})
+//	learner.Observe(interference.Sample{Service: labels, Batch: neighbours, P99: p99, Target: target, At: now})
 //	fraction, known := learner.Slowdown(serviceLabels, batchLabels)
 //
-// A Learner may be used by several goroutines at a time.
+// A Learner is safe for concurrent use.
 package interference
 
 import (
@@ -25,14 +24,14 @@
 	"time"
 )
 
-// Config holds the constants of learning; zero values stand for the defaults.
+// Config holds the parameters of learning; zero values stand for the defaults.
 type Config struct {
-	// ObservationVariance is the variance of one observation's slowdown.
+	// ObservationVariance is the variance of the slowdown measured by one observation.
 	ObservationVariance float64
-	// VarianceGrowth is by how much a pair's variance grows in a minute.
+	// VarianceGrowth is the amount by which the variance of a pair grows per minute.
 	VarianceGrowth float64
-	// BaselineSmoothing is the part by which the latency alone follows a higher one upwards, per
-	// observation.
+	// BaselineSmoothing is the fraction of the difference by which the baseline latency rises towards a higher
+	// latency measured without batch tasks, per observation.
 	BaselineSmoothing float64
 }
 
@@ -40,16 +39,15 @@
 	defaultObservationVariance = 0.02
 	defaultVarianceGrowth      = 0.01
 	defaultBaselineSmoothing   = 0.01
-	// initialVariance is that of a pair never observed.
+	// initialVariance is the variance of a pair that was never observed.
 	initialVariance = 1.0
-	// maxKnownVariance is below which a pair counts as known.
+	// maxKnownVariance is the largest variance with which a pair counts as known.
 	maxKnownVariance = 0.1
-	// maxPairs bounds memory; the pair longest unseen is forgotten first.
+	// maxPairs bounds memory; the least recently observed pair is evicted first.
 	maxPairs = 4096
 )
 
-// Sample is one report on a service and the batch tasks that were beside it when
-// the latency was measured.
+// Sample is one latency measurement of a service, with the batch tasks that ran on the same VM at the time.
 type Sample struct {
 	Service map[string]string
 	Batch   []Neighbour
@@ -58,13 +56,13 @@
 	At      time.Time
 }
 
-// Neighbour is a batch task beside a service.
+// Neighbour is a batch task on the same VM as a service.
 type Neighbour struct {
 	Labels map[string]string
-	Share  float64 // of processor time it was allowed, 1 when not throttled
+	Share  float64 // fraction of processor time that the task was allowed; 1 when not throttled
 }
 
-// estimate is the slowdown of a pair with its uncertainty.
+// estimate is the estimated slowdown of a pair with its variance.
 type estimate struct {
 	Mean      float64   `json:"mean"`
 	Variance  float64   `json:"variance"`
@@ -72,16 +70,17 @@
 	Samples   int       `json:"samples"`
 }
 
-// baseline is what is known of a service without batch tasks beside it.
+// baseline describes a service without batch tasks on its VM.
 type baseline struct {
 	Alone   float64 `json:"alone_ms"`
 	Target  float64 `json:"target_ms"`
 	Samples int     `json:"samples"`
 }
 
+// pair identifies a service and a batch task by their label keys.
 type pair struct{ service, batch string }
 
-// Learner is what was learned so far.
+// Learner holds the learned baselines and slowdowns.
 type Learner struct {
 	config Config
 
@@ -90,7 +89,7 @@
 	pairs     map[pair]*estimate
 }
 
-// New makes a learner that knows nothing.
+// New returns a learner without observations.
 func New(config Config) *Learner {
 	if config.ObservationVariance == 0 {
 		config.ObservationVariance = defaultObservationVariance
@@ -104,7 +103,7 @@
 	return &Learner{config: config, baselines: map[string]*baseline{}, pairs: map[pair]*estimate{}}
 }
 
-// Observe learns from one sample.
+// Observe updates the estimates from one sample.
 func (l *Learner) Observe(s Sample) {
 	if s.P99 <= 0 || s.Target <= 0 {
 		return
@@ -120,8 +119,8 @@
 	l.updatePairs(service, s, observed)
 }
 
-// updateBaseline follows the latency alone: at once when the service was alone or
-// faster than thought, slowly upwards otherwise only when alone.
+// updateBaseline updates the baseline latency of the service: at once when the service was alone or faster than assumed,
+// otherwise slowly upwards and only when the service was alone.
 func (l *Learner) updateBaseline(service string, s Sample) *baseline {
 	ms := milliseconds(s.P99)
 	base, ok := l.baselines[service]
@@ -140,8 +139,8 @@
 	return base
 }
 
-// updatePairs shares the error of the prediction among the pairs by how uncertain
-// each is: the update of a Kalman filter with a diagonal covariance.
+// updatePairs distributes the prediction error among the pairs in proportion to their variance: the update step of a
+// Kalman filter with a diagonal covariance matrix.
 func (l *Learner) updatePairs(service string, s Sample, observed float64) {
 	weights := map[pair]float64{}
 	for _, n := range s.Batch {
@@ -153,18 +152,18 @@
 		predicted += weight * e.Mean
 		variance += weight * weight * e.Variance
 	}
-	wrong := observed - predicted
+	residual := observed - predicted
 	for p, weight := range weights {
 		e := l.pairs[p]
 		gain := e.Variance * weight / variance
-		e.Mean = max(0, e.Mean+gain*wrong)
+		e.Mean = max(0, e.Mean+gain*residual)
 		e.Variance = max(e.Variance*(1-gain*weight), l.config.ObservationVariance/10)
 		e.Samples++
 	}
 }
 
-// agedEstimate finds a pair's estimate and lets its variance grow for the time that
-// has passed.
+// agedEstimate returns the estimate of a pair, creating it if necessary, after its variance has grown for the time since
+// the last update.
 func (l *Learner) agedEstimate(p pair, at time.Time) *estimate {
 	e, ok := l.pairs[p]
 	if !ok {
@@ -179,7 +178,7 @@
 	return e
 }
 
-// evictOldest forgets the pair longest unseen when there are too many.
+// evictOldest removes the least recently observed pair when maxPairs is reached.
 func (l *Learner) evictOldest() {
 	if len(l.pairs) < maxPairs {
 		return
@@ -194,7 +193,7 @@
 	delete(l.pairs, oldest)
 }
 
-// Slowdown implements place.Predictor: the mean, once its variance is low enough.
+// Slowdown implements place.Predictor. It returns the estimated mean if its variance is at most maxKnownVariance.
 func (l *Learner) Slowdown(service, batch map[string]string) (fraction float64, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -216,8 +215,8 @@
 	return max(0, base.Target/base.Alone-1), true
 }
 
-// Blame orders the batch tasks beside a service by their part in its slowdown, the
-// worst first; a pair never observed counts with its uncertainty.
+// Blame returns the indexes of the batch tasks beside a service, ordered by their contribution to its slowdown with the
+// largest first. A pair that was never observed counts with the initial variance.
 func (l *Learner) Blame(service map[string]string, batch []Neighbour) []int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -234,13 +233,13 @@
 	return order
 }
 
-// Dump is what was learned, by "service | batch".
+// Dump is a copy of everything learned. Pairs are keyed by "service | batch".
 type Dump struct {
 	Baselines map[string]baseline `json:"baselines"`
 	Pairs     map[string]estimate `json:"pairs"`
 }
 
-// Dump gives all that was learned.
+// Dump returns a copy of everything learned.
 func (l *Learner) Dump() Dump {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -256,7 +255,7 @@
 
 func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
 
-// labelKey renders a label set in one way.
+// labelKey returns the canonical text of a label set.
 func labelKey(labels map[string]string) string {
 	keys := slices.Sorted(maps.Keys(labels))
 	var b strings.Builder
--- a/services/inventory/cells.go
+++ b/services/inventory/cells.go
@@ -16,10 +16,11 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// CellMapKey is the store's key of the map of cells.
+// CellMapKey is the store's key of the cell map.
 const CellMapKey = "cellmap"
 
-// addMissingRacks makes sure that the map holds every rack of the list.
+// addMissingRacks adds the racks of the list that the cell map lacks to the map in the store. It retries after version
+// conflicts and writes with an unknown outcome.
 func (s *Service) addMissingRacks(ctx context.Context, list models.VMList) error {
 	for {
 		cells, version := s.cellMap()
@@ -27,7 +28,7 @@
 		if !missing {
 			return nil
 		}
-		// Read first: another daemon may have entered the racks.
+		// Read the stored map first: another daemon may have added the racks.
 		found, foundVersion, err := s.readCells(ctx)
 		if err != nil {
 			return err
@@ -83,7 +84,8 @@
 	s.config.Changed()
 }
 
-// Offer takes a peer's map when this daemon has none, as during a store outage.
+// Offer adopts a peer's cell map while this daemon has not read the map from the store, as during a store outage, if
+// the peer's map has more cells.
 func (s *Service) Offer(cells models.CellMap) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +94,7 @@
 	}
 }
 
-// Cells is the map of cells.
+// Cells returns the cell map.
 func (s *Service) Cells() models.CellMap {
 	cells, _ := s.cellMap()
 	return cells
--- a/services/inventory/inventory.go
+++ b/services/inventory/inventory.go
@@ -1,9 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package inventory knows the platform's VMs: the list as last read, when a VM left
-// it, and to which cell each worker belongs. The map of cells is kept in the store
-// and only ever grows.
+// Package inventory tracks the platform's VMs: the list as last read, when a VM was removed from the list, and to which
+// cell each worker belongs. The store holds the cell map, which only ever grows.
 //
 // # Usage
 //
@@ -25,18 +24,18 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Config says where list and map come from.
+// Config configures the service.
 type Config struct {
 	List   platform.List
 	Store  platform.Store
-	Every  time.Duration // between two reads of the list
+	Every  time.Duration // between two reads of the VM list
 	Logger *zap.Logger
 	Scope  tally.Scope
-	// Changed is called after a read that found another list or map.
+	// Changed is called after the VM list or the cell map has changed.
 	Changed func()
 }
 
-// Service holds the list and the map.
+// Service holds the VM list and the cell map. It is safe for concurrent use.
 type Service struct {
 	config  Config
 	trouble *log.Trouble
@@ -45,24 +44,24 @@
 	list      models.VMList
 	vms       map[models.VMID]models.VM
 	removedAt map[models.VMID]time.Time
-	readAt    time.Time // of the list, zero before the first
+	readAt    time.Time // when the list was last read; zero before the first read
 	cells     models.CellMap
-	version   platform.Version // of the map's key
+	version   platform.Version // of the cell map's key; 0 until the map was read from the store
 }
 
-// New makes a service that knows nothing yet.
+// New returns a service that has not read the list or the map yet.
 func New(config Config) *Service {
 	return &Service{
 		config: config, vms: map[models.VMID]models.VM{}, removedAt: map[models.VMID]time.Time{},
 		trouble: log.NewTrouble(log.TroubleConfig{
 			Logger: config.Logger,
-			Began:  "VM list or cell map can't be read; the last one stays in use",
-			Ended:  "VM list and cell map are read again",
+			Began:  "VM list or cell map cannot be refreshed; the last known ones stay in use",
+			Ended:  "VM list and cell map are refreshed again",
 		}),
 	}
 }
 
-// Run reads the list until ctx ends.
+// Run reads the list at each interval until ctx ends.
 func (s *Service) Run(ctx context.Context) { s.loop(ctx) }
 
 func (s *Service) loop(ctx context.Context) {
@@ -85,7 +84,7 @@
 	s.trouble.Note(err)
 }
 
-// Refresh reads the list once and enters new racks in the map.
+// Refresh reads the list once and adds new racks to the cell map.
 func (s *Service) Refresh(ctx context.Context) error {
 	list, err := s.config.List.VMs(ctx)
 	if err != nil {
@@ -122,14 +121,14 @@
 	return changed
 }
 
-// VMs is the list as last read.
+// VMs returns the list as last read.
 func (s *Service) VMs() models.VMList {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.list
 }
 
-// Get gives a VM of the list.
+// Get returns a VM of the list.
 func (s *Service) Get(id models.VMID) (models.VM, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -137,8 +136,8 @@
 	return vm, ok
 }
 
-// Listed tells whether the VM is listed; if not, since when this daemon has known
-// so. A VM that was never seen counts from the first read of the list.
+// Listed reports whether the VM is in the list and, if it is not, since when this daemon has known that the VM is
+// missing. A VM that was never in the list counts as missing since the first read of the list.
 func (s *Service) Listed(id models.VMID) (listed bool, goneSince time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,12 +152,12 @@
 	return false, since
 }
 
-// WorkersOf lists the workers of a cell.
+// WorkersOf returns the workers of a cell.
 func (s *Service) WorkersOf(cell models.CellID) []models.VM {
 	return s.filter(func(vm models.VM) bool { return vm.Kind == models.KindWorker && s.cells.Racks[vm.Rack] == cell })
 }
 
-// Upstreams lists the upstreams.
+// Upstreams returns the upstreams of the list.
 func (s *Service) Upstreams() []models.VM {
 	return s.filter(func(vm models.VM) bool { return vm.Kind == models.KindUpstream })
 }
--- a/services/journal/journal.go
+++ b/services/journal/journal.go
@@ -10,12 +10,12 @@
 // # Usage
 //
 //	j := journal.New(journal.Config{Store: store, Cell: cell, Writer: self, Slots: 32})
-//	if err := j.Take(ctx); err != nil { … }        // reads the journal, writes an entry with epoch+1
+//	if err := j.Acquire(ctx); err != nil { … }     // reads the journal, writes an entry with epoch+1
 //	state := j.State()                             // the state as journalled
 //	err := j.Append(ctx, change)                   // nil: journalled, the change may be acted on
 //	switch {
 //	case errors.Is(err, journal.ErrSuperseded):    // another daemon owns the cell; stop
-//	case errors.Is(err, journal.ErrPending):       // outcome unknown: retry j.Settle until it is not ErrPending
+//	case errors.Is(err, journal.ErrPending):       // outcome unknown: retry j.ResolvePending until it is not ErrPending
 //	case err != nil:                               // nothing was written
 //	}
 //
@@ -38,10 +38,10 @@
 var (
 	// ErrSuperseded says that another daemon has become the owner of the cell.
 	ErrSuperseded = errors.New("cell has another owner")
-	// ErrPending says that the last entry may have been written. The journal accepts no further entry until Settle
-	// has resolved this one.
+	// ErrPending says that the last entry may have been written. The journal accepts no further entry until the
+	// outcome of this one is resolved.
 	ErrPending = errors.New("last append is not settled")
-	// ErrDamaged says that keys in the store cannot be decoded or contradict each other.
+	// ErrDamaged says that the journal's keys in the store contradict each other.
 	ErrDamaged = errors.New("journal is damaged")
 )
 
@@ -78,7 +78,7 @@
 	data  []byte
 }
 
-// New returns an empty journal; call Load, Take or Adopt before anything else.
+// New returns an empty journal; load, acquire or import its content before anything else.
 func New(config Config) *Journal {
 	return &Journal{config: config, state: models.NewCellState(), versions: make([]platform.Version, config.Slots)}
 }
@@ -109,8 +109,8 @@
 }
 
 // Take makes this daemon the owner: it loads the journal and writes the next entry with the next epoch. ErrSuperseded
-// means that another daemon wrote that entry first, ErrPending that the entry may have been written and Settle has to
-// find out.
+// means that another daemon wrote that entry first, ErrPending that the entry may have been written and its outcome
+// has to be resolved.
 func (j *Journal) Take(ctx context.Context) error {
 	if err := j.Load(ctx); err != nil {
 		return err
--- a/services/place/place.go
+++ b/services/place/place.go
@@ -1,9 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package place chooses the worker for a task: first which workers may hold it,
-// then which of them it suits best. It decides from what it is given and keeps no
-// state, so that the same picture always gives the same choice.
+// Package place chooses the worker for a task: it filters the workers that may hold the task and picks the one with the
+// highest score. It keeps no state, so equal requests always result in equal choices.
 //
 // # Usage
 //
@@ -19,16 +18,16 @@
 	"rillsail.example/rillsail/modules/selector"
 )
 
-// Policy says what placement takes into account beside room and rules. The set is
-// closed: FirstFit, Feedback and Pairs.
+// Policy selects what placement takes into account besides free capacity and rules. The set is closed: first fit,
+// feedback and pair prediction.
 type Policy interface{ policy() }
 
 type (
-	// FirstFit takes the first worker with room for batch tasks. A baseline.
+	// FirstFit places a batch task on the first worker with free capacity. It serves as a baseline.
 	FirstFit struct{}
-	// Feedback avoids workers whose services are over target now. A baseline.
+	// Feedback avoids workers on which a service currently exceeds its target. It serves as a baseline.
 	Feedback struct{}
-	// Pairs also predicts what a task will do to the services beside it.
+	// Pairs also predicts by how much a task will slow down the services on the same VM.
 	Pairs struct{}
 )
 
@@ -36,7 +35,7 @@
 func (Feedback) policy() {}
 func (Pairs) policy()    {}
 
-// PolicyOf finds a policy by its name in the settings.
+// PolicyOf returns the policy with the given name in the settings, by default pair prediction.
 func PolicyOf(name string) Policy {
 	switch name {
 	case "first-fit":
@@ -48,25 +47,26 @@
 	}
 }
 
-// Predictor tells what is known of pairs of tasks; package interference learns it.
+// Predictor predicts the interference between pairs of tasks; package interference implements it.
 type Predictor interface {
-	// Slowdown is by how much the batch task raises the service's latency, as a
-	// fraction of the latency alone; known is false for a pair never observed.
+	// Slowdown returns by how much the batch task raises the service's latency, as a fraction of the baseline
+	// latency; known is false for a pair that was never observed.
 	Slowdown(service, batch map[string]string) (fraction float64, known bool)
-	// Headroom is by how much the service's latency may rise before its target.
+	// Headroom returns by how much the service's latency may rise until it reaches the target, as a fraction of the
+	// baseline latency; known is false for a service that was never measured.
 	Headroom(service map[string]string) (fraction float64, known bool)
 }
 
-// Worker is a worker as placement sees it.
+// Worker describes a worker to placement.
 type Worker struct {
 	VM      models.VM
 	Free    models.Resources
-	Tasks   []models.Task // that hold room there
-	Usable  bool          // live, answering, not draining, not quarantined
-	Why     string        // when not usable
-	OverNow bool          // a service there is over its target
-	Held    models.TaskID // room there is being freed for this task
-	Trying  bool          // a pair that isn't known yet is being tried there
+	Tasks   []models.Task // that hold resources on the worker
+	Usable  bool          // the worker is live, answers, and is neither draining nor quarantined
+	Why     string        // reason for which the worker is not usable
+	OverNow bool          // a service on the worker exceeds its target
+	Held    models.TaskID // capacity on the worker is being freed for this task
+	Trying  bool          // a pair that is not known yet is being tried on the worker
 }
 
 // Request is one task to place.
@@ -79,29 +79,30 @@
 	Predict   Predictor
 }
 
-// Choice is the result, with the reason in words for operators.
+// Choice is the result of a request. Reason explains it to operators.
 type Choice struct {
 	Found  bool
 	Worker models.VMID
 	Reason string
-	// Never tells that no worker of the request could hold the task even if empty.
+	// Never is set when the task exceeds the capacity of every worker of the request.
 	Never bool
 }
 
-// Choose picks the best worker.
+// Choose returns the best worker: the one with the highest score among those that may hold the task, or for a batch task
+// under first fit the first of them.
 func Choose(r Request) Choice {
 	var best *Worker
 	bestScore := 0.0
-	misses := rejections{}
+	rejected := rejections{}
 	for i := range r.Workers {
 		w := &r.Workers[i]
 		if why := r.rejectionReason(w); why != "" {
-			misses.add(why)
+			rejected.add(why)
 			continue
 		}
 		score, why := r.score(w)
 		if why != "" {
-			misses.add(why)
+			rejected.add(why)
 			continue
 		}
 		if best == nil || score > bestScore {
@@ -112,12 +113,12 @@
 		}
 	}
 	if best == nil {
-		return Choice{Reason: misses.String(), Never: !r.fitsEmptyWorker()}
+		return Choice{Reason: rejected.String(), Never: !r.fitsEmptyWorker()}
 	}
 	return Choice{Found: true, Worker: best.VM.ID, Reason: fmt.Sprintf("best of %d workers, score %.2f", len(r.Workers), bestScore)}
 }
 
-// fitsEmptyWorker tells whether any worker is large enough when empty.
+// fitsEmptyWorker reports whether the task fits the capacity of any worker.
 func (r Request) fitsEmptyWorker() bool {
 	return slices.ContainsFunc(r.Workers, func(w Worker) bool { return r.Task.Size.Fits(w.VM.Capacity) })
 }
@@ -137,7 +138,7 @@
 	}
 }
 
-// violatedRule checks the operators' rules against what runs on the worker.
+// violatedRule checks the operators' rules against the tasks on the worker; empty when none is violated.
 func (r Request) violatedRule(w *Worker) string {
 	for _, other := range w.Tasks {
 		if why := ViolatedRule(r.Rules, r.Selectors, r.Task.Labels, other.Labels); why != "" {
@@ -147,7 +148,7 @@
 	return ""
 }
 
-// ViolatedRule names the rule by which two tasks must not share a VM; empty when they may.
+// ViolatedRule returns the reason for which the rules keep two tasks from sharing a VM; empty when they may share one.
 func ViolatedRule(rules []models.Rule, selectors *selector.Set, a, b map[string]string) string {
 	shareA, shareB := shareUnset, shareUnset
 	for _, rule := range rules {
@@ -168,8 +169,8 @@
 	return ""
 }
 
-// sharing sums up the share rules for one side: a task that share rules select
-// shares only with the tasks that one of them names.
+// sharing is the result of the share rules for one of two tasks: a task that share rules select may share a VM only with
+// the tasks that one of these rules names.
 type sharing int
 
 const (
@@ -192,20 +193,20 @@
 	return selectors.Matches(rule.Selector, a) && selectors.Matches(rule.With, b)
 }
 
-// rejections counts why workers could not take the task.
+// rejections counts the workers that cannot take the task, by reason.
 type rejections map[string]int
 
-func (m rejections) add(why string) { m[why]++ }
+func (r rejections) add(why string) { r[why]++ }
 
 // String lists the reasons, the most frequent first.
-func (m rejections) String() string {
-	reasons := make([]string, 0, len(m))
-	for why := range m {
+func (r rejections) String() string {
+	reasons := make([]string, 0, len(r))
+	for why := range r {
 		reasons = append(reasons, why)
 	}
 	slices.SortFunc(reasons, func(a, b string) int {
-		if m[a] != m[b] {
-			return m[b] - m[a]
+		if r[a] != r[b] {
+			return r[b] - r[a]
 		}
 		return slices.Compare([]byte(a), []byte(b))
 	})
@@ -214,7 +215,7 @@
 		if i > 0 {
 			text += "; "
 		}
-		text += fmt.Sprintf("%s (%d workers)", why, m[why])
+		text += fmt.Sprintf("%s (%d workers)", why, r[why])
 	}
 	if text == "" {
 		return "the cell has no workers"
--- a/services/place/place_test.go
+++ b/services/place/place_test.go
@@ -14,7 +14,7 @@
 	"rillsail.example/rillsail/modules/selector"
 )
 
-// ruleCase is one line of testdata/rules.json.
+// ruleCase is one case of testdata/rules.json.
 type ruleCase struct {
 	Name  string
 	Rules []models.Rule
@@ -22,7 +22,7 @@
 	Apart bool
 }
 
-// TestRules reads which tasks may share a VM under which rules.
+// TestRules checks for each case whether two tasks may share a VM under its rules, in both directions.
 func TestRules(t *testing.T) {
 	for _, c := range casefile.Read[[]ruleCase](t, "testdata/rules.json") {
 		for _, rule := range c.Rules {
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestReasons says why a task finds no place.
+// TestReasons checks the reasons given for a task that fits no worker.
 func TestReasons(t *testing.T) {
 	size := models.Resources{CPU: 2000, Memory: 10}
 	vm := models.VM{ID: "w", Capacity: models.Resources{CPU: 4000, Memory: 100}}
--- a/services/place/score.go
+++ b/services/place/score.go
@@ -5,27 +5,25 @@
 
 import "rillsail.example/rillsail/models"
 
-// Weights of the score's parts; each part is in 0..1.
+// Weights of the parts of the score; each part is between 0 and 1.
 const (
-	weightSpread          = 4.0 // replicas of one service on different VMs
-	weightQuietNeighbours = 2.0 // services where little batch work disturbs
-	weightPacking         = 1.0 // batch tasks where the VM is fullest
-	weightHeadroom        = 3.0 // batch tasks where services keep the most headroom
+	weightSpread          = 4.0 // places the replicas of a service on different VMs
+	weightQuietNeighbours = 2.0 // places services where batch tasks slow them down least
+	weightPacking         = 1.0 // places batch tasks on the fullest VM
+	weightHeadroom        = 3.0 // places batch tasks where services keep the most headroom
 )
 
-// assumedSlowdown is what a pair that was never observed is taken for; such pairs
-// are tried one at a time on a worker.
+// assumedSlowdown is the slowdown assumed for a pair that was never observed. A worker tries one such pair at a time.
 const assumedSlowdown = 0.15
 
-// usableHeadroom is the part of a service's headroom that placement may use up; the
-// rest is for the error of the predictions.
+// usableHeadroom is the fraction of a service's headroom that placement may use; the rest allows for prediction errors.
 const usableHeadroom = 0.8
 
-// score values a feasible worker; why is set when the policy rules it out.
+// score rates a worker that may hold the task; why is set when the policy excludes the worker.
 func (r Request) score(w *Worker) (score float64, why string) {
 	switch r.Policy.(type) {
 	case FirstFit:
-		return r.spread(w), "" // only services differ; batch tasks take the first
+		return r.spread(w), "" // scores matter only for services, as batch tasks take the first worker
 	case Feedback:
 		return r.scoreFeedback(w)
 	default:
@@ -40,7 +38,7 @@
 	if r.Task.Kind == models.TaskService {
 		return weightSpread*r.spread(w) + weightQuietNeighbours*freeCPUFraction(w), ""
 	}
-	return weightPacking * freeCPUFraction(w), "" // without knowledge of pairs, spreading is the best guess
+	return weightPacking * freeCPUFraction(w), "" // without predictions, prefer the emptiest worker
 }
 
 func (r Request) scorePairs(w *Worker) (float64, string) {
@@ -57,7 +55,7 @@
 	return weightHeadroom*left + weightPacking*usedCPUFraction(w), ""
 }
 
-// spread is 1 when no replica of the task's service is on the worker.
+// spread returns 1 when no other replica of the task's service is on the worker, and less the more there are.
 func (r Request) spread(w *Worker) float64 {
 	same := 0
 	for _, other := range w.Tasks {
@@ -68,7 +66,8 @@
 	return 1 / float64(1+same)
 }
 
-// neighbourQuiet is 1 when nothing on the worker is expected to slow the service down.
+// neighbourQuiet returns 1 when no batch task on the worker is expected to slow the service down, and less the larger
+// the expected slowdown.
 func (r Request) neighbourQuiet(w *Worker) float64 {
 	total := 0.0
 	for _, other := range w.Tasks {
@@ -87,8 +86,8 @@
 	return fraction
 }
 
-// headroomLeft is the least part of headroom that a service on the worker keeps
-// when the batch task comes; why is set when one would go over its target.
+// headroomLeft returns the smallest fraction of headroom that a service on the worker keeps if the batch task is placed
+// there. why is set when a service would exceed its target, or when the worker already tries an unknown pair.
 func (r Request) headroomLeft(w *Worker) (left float64, why string) {
 	left = 1
 	for _, service := range w.Tasks {
@@ -119,7 +118,7 @@
 	return left, ""
 }
 
-// usedCPUFraction is the part of the worker's processors in use.
+// usedCPUFraction returns the fraction of the worker's processor capacity that is reserved by tasks.
 func usedCPUFraction(w *Worker) float64 { return 1 - freeCPUFraction(w) }
 
 func freeCPUFraction(w *Worker) float64 {
--- a/services/platform/http_vms.go
+++ b/services/platform/http_vms.go
@@ -22,7 +22,7 @@
 	PathStop  = "/v1/stop"
 )
 
-// HTTPVMList implements List over HTTP and JSON.
+// HTTPVMList implements VMList over HTTP and JSON.
 type HTTPVMList struct {
 	url     string
 	client  *http.Client
@@ -34,7 +34,7 @@
 	return &HTTPVMList{url: "http://" + config.Address + PathVMs, client: httpClientFor(config), timeout: config.CallTimeout}
 }
 
-// VMs implements List.
+// VMs implements VMList.
 func (l *HTTPVMList) VMs(ctx context.Context) (models.VMList, error) {
 	call := wire.Call{
 		Client: l.client, Method: http.MethodGet, URL: l.url, Limit: maxListAnswer, Timeouts: stall.Evenly(l.timeout),
