--- a/services/journal/journal_test.go
+++ b/services/journal/journal_test.go
@@ -63,14 +63,14 @@
 // TestTakeoverFencesTheFormerOwner lets the previous and the new owner append in turn after a takeover.
 func TestTakeoverFencesTheFormerOwner(t *testing.T) {
 	w := newJournalFactory()
-	former, next := w.newJournal("former"), w.newJournal("next")
-	require.NoError(t, former.Take(t.Context()))
-	require.NoError(t, former.Append(t.Context(), changeOf("a")))
+	previous, next := w.newJournal("previous"), w.newJournal("next")
+	require.NoError(t, previous.Take(t.Context()))
+	require.NoError(t, previous.Append(t.Context(), changeOf("a")))
 	require.NoError(t, next.Take(t.Context()))
-	assert.Greater(t, next.Epoch(), former.Epoch())
+	assert.Greater(t, next.Epoch(), previous.Epoch())
 	assert.Contains(t, next.State().Tasks, models.TaskID("a"))
 	for range 3 * testSlots {
-		assert.True(t, errors.Is(former.Append(t.Context(), changeOf("late")), ErrSuperseded))
+		assert.True(t, errors.Is(previous.Append(t.Context(), changeOf("late")), ErrSuperseded))
 		require.NoError(t, next.Append(t.Context(), changeOf("b")))
 	}
 	assert.NotContains(t, next.State().Tasks, models.TaskID("late"))
@@ -119,22 +119,22 @@
 // the new owner both resolve it.
 func TestHandedOverAppendIsSettledOnce(t *testing.T) {
 	w := newJournalFactory()
-	former, next := w.newJournal("former"), w.newJournal("next")
-	require.NoError(t, former.Take(t.Context()))
+	previous, next := w.newJournal("previous"), w.newJournal("next")
+	require.NoError(t, previous.Take(t.Context()))
 	w.fault = func(_ context.Context, write, after bool, _ string) error {
 		if write && after {
 			return platform.ErrUnknown
 		}
 		return nil
 	}
-	require.True(t, errors.Is(former.Append(t.Context(), changeOf("a")), ErrPending))
-	require.NoError(t, next.Adopt(former.Export()))
+	require.True(t, errors.Is(previous.Append(t.Context(), changeOf("a")), ErrPending))
+	require.NoError(t, next.Adopt(previous.Export()))
 	w.fault = kv.NoFault
 	require.NoError(t, next.Settle(t.Context()))
 	require.NoError(t, next.Append(t.Context(), changeOf("b")))
 	assert.Contains(t, next.State().Tasks, models.TaskID("a"))
-	require.NoError(t, former.Settle(t.Context()), "the slot holds the entry with this owner's write id")
-	assert.True(t, errors.Is(former.Append(t.Context(), changeOf("c")), ErrSuperseded))
+	require.NoError(t, previous.Settle(t.Context()), "the slot holds the entry with this owner's write id")
+	assert.True(t, errors.Is(previous.Append(t.Context(), changeOf("c")), ErrSuperseded))
 }
 
 // TestDamageIsSaid overwrites a slot with data that cannot be decoded.
--- a/services/operate/fate.go
+++ b/services/operate/fate.go
@@ -10,17 +10,17 @@
 	"rillsail.example/rillsail/services/cell"
 )
 
-// outcome is what a call has done of one job: accepted, refused or doubtful. The set is closed,
-// and a value is one of them only.
+// outcome is the outcome of a call for one job: accepted, refused or unknown. The set is closed, and a value has exactly
+// one of these types.
 type outcome interface{ outcome() }
 
 type (
-	// accepted says that what was asked for is done.
+	// accepted says that the job was submitted or cancelled as requested.
 	accepted struct{ job models.Job }
-	// refused says that this call has done nothing, and won't. kind is the text of the
-	// cell's error that it is.
+	// refused says that this call has had no effect and will have none. kind is the text of the error of package cell
+	// that the refusal stands for.
 	refused struct{ kind, reason string }
-	// unknown says that it may have been done, or may still be.
+	// unknown says that the call may have taken effect or may still do so.
 	unknown struct{ reason string }
 )
 
@@ -28,7 +28,7 @@
 func (refused) outcome()  {}
 func (unknown) outcome()  {}
 
-// outcomeOfError is the fate of each job of a call that ended with an error.
+// outcomeOfError returns the outcome for each job of a call that failed with an error.
 func outcomeOfError(err error) outcome {
 	if kind, ok := cell.RefusalOf(err); ok {
 		return refused{kind, err.Error()}
@@ -36,7 +36,7 @@
 	return unknown{err.Error()}
 }
 
-// outcomeOf takes what became of one job out of the answer for all jobs of its home.
+// outcomeOf returns the outcome for one job from the answer to the call for all jobs of a cell.
 func outcomeOf(id models.JobID, answer models.ForwardAnswer, err error) outcome {
 	if err != nil {
 		return outcomeOfError(err)
@@ -52,110 +52,109 @@
 	return outcomeOfError(cell.ErrMaybe)
 }
 
-// callHistory is what has become of the calls of one kind that went through this daemon, job by
-// job. A refusal says that a call has done nothing; that the job won't run it says only when
-// no other call with the job has done anything either. What is remembered is bounded, see
-// generation; calls through other daemons are not known here.
+// callHistory records the outcomes of the calls of one kind that went through this daemon, by job. A refusal says only
+// that one call had no effect; the job was not accepted only if no other call with the job had an effect either. The
+// history is bounded by maxRecentJobs and does not cover calls through other daemons.
 type callHistory struct {
 	mu     sync.Mutex
 	recent map[models.JobID]*jobHistory
 	older  map[models.JobID]*jobHistory
 }
 
-// jobHistory is a job that calls have named.
+// jobHistory summarizes the calls that named a job.
 type jobHistory struct {
-	inFlight int // calls without an answer yet
-	unknown  bool
-	accepted bool
+	inFlight int  // number of calls without an answer yet
+	unknown  bool // a call ended with an unknown outcome and none was accepted
+	accepted bool // a call was accepted
 }
 
 func (h *jobHistory) isEmpty() bool { return h.inFlight == 0 && !h.unknown && !h.accepted }
 
-// maxRecentJobs is for how many jobs a memory is made before the older half is forgotten: at
-// 1,000 jobs in each of the largest calls, the latest 50 calls at least.
+// maxRecentJobs is the number of jobs that the recent half of a history holds before the older half is dropped. The
+// largest calls name 1,000 jobs, so at least the latest 50 calls are remembered.
 const maxRecentJobs = 50_000
 
 func newCallHistory() *callHistory {
 	return &callHistory{recent: map[models.JobID]*jobHistory{}, older: map[models.JobID]*jobHistory{}}
 }
 
-// begin notes that a call with the jobs is under way, until end is called for each.
-func (m *callHistory) begin(ids []models.JobID) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if len(m.recent) >= maxRecentJobs {
-		m.rotate()
+// begin records that a call with the jobs is in flight until end is called for each job.
+func (c *callHistory) begin(ids []models.JobID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.recent) >= maxRecentJobs {
+		c.rotate()
 	}
 	for _, id := range ids {
-		h, ok := m.find(id)
+		h, ok := c.find(id)
 		if !ok {
 			h = &jobHistory{}
 		}
-		m.recent[id] = h
+		c.recent[id] = h
 		h.inFlight++
 	}
 }
 
-// rotate forgets the older half but for what is under way; the caller holds the lock.
-func (m *callHistory) rotate() {
+// rotate drops the older half except for jobs with calls in flight. The caller holds the lock.
+func (c *callHistory) rotate() {
 	kept := map[models.JobID]*jobHistory{}
-	for id, h := range m.older {
+	for id, h := range c.older {
 		if h.inFlight > 0 {
 			kept[id] = h
 		}
 	}
-	m.older, m.recent = m.recent, kept
+	c.older, c.recent = c.recent, kept
 }
 
-// find gives what is known of a job; the caller holds the lock.
-func (m *callHistory) find(id models.JobID) (*jobHistory, bool) {
-	if h, ok := m.recent[id]; ok {
+// find returns the history of a job. The caller holds the lock.
+func (c *callHistory) find(id models.JobID) (*jobHistory, bool) {
+	if h, ok := c.recent[id]; ok {
 		return h, true
 	}
-	h, ok := m.older[id]
+	h, ok := c.older[id]
 	return h, ok
 }
 
-// end notes the fate that a call has given a job, and gives that of the job over all calls.
-func (m *callHistory) end(id models.JobID, f outcome) outcome {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	h, ok := m.find(id)
+// end records the outcome of a call for a job and returns the outcome for the job over all recorded calls.
+func (c *callHistory) end(id models.JobID, o outcome) outcome {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	h, ok := c.find(id)
 	if !ok {
 		return unknown{"unknown: it is not remembered what other calls have done; ask again"}
 	}
 	h.inFlight--
-	switch f := f.(type) {
+	switch o := o.(type) {
 	case accepted:
-		h.accepted, h.unknown = true, false // a job is taken once: calls that come later change nothing
+		h.accepted, h.unknown = true, false // a job is accepted only once: later calls have no effect
 	case unknown:
 		h.unknown = !h.accepted
 	case refused:
-		if !h.isEmpty() && f.kind != jobIDConflict && f.kind != jobNotFound {
-			return f.asUnknown()
+		if !h.isEmpty() && o.kind != jobIDConflict && o.kind != jobNotFound {
+			return o.asUnknown()
 		}
 	}
 	if h.isEmpty() {
-		delete(m.recent, id)
-		delete(m.older, id)
+		delete(c.recent, id)
+		delete(c.older, id)
 	}
-	return f
+	return o
 }
 
-// These refusals speak of the job, whatever other calls have done: one of another content
-// isn't taken, and a job that isn't there can't be cancelled.
+// Refusals that hold whatever the outcome of other calls is: a job with another specification under the same id is not
+// accepted, and a job that does not exist cannot be cancelled.
 var (
 	jobIDConflict = cell.ErrOtherSpec.Error()
 	jobNotFound   = cell.ErrNoJob.Error()
 )
 
-func isJobNotFound(f outcome) bool {
-	r, ok := f.(refused)
+func isJobNotFound(o outcome) bool {
+	r, ok := o.(refused)
 	return ok && r.kind == jobNotFound
 }
 
-// combine is the fate of a job over the calls to two cells, of which either may have it: that
-// it isn't there is said only when neither says anything else.
+// combine returns the outcome for a job from the calls to two cells either of which may hold the job. The result is
+// that the job was not found only if both cells say so.
 func combine(a, b outcome) outcome {
 	switch {
 	case isAccepted(a), isJobNotFound(b):
@@ -169,33 +168,33 @@
 	return a
 }
 
-func isAccepted(f outcome) bool {
-	_, ok := f.(accepted)
+func isAccepted(o outcome) bool {
+	_, ok := o.(accepted)
 	return ok
 }
 
-// asUnknown is the fate of a job that a call has refused and another may have brought in.
+// asUnknown returns the outcome for a job that one call has refused and another call may have submitted or cancelled.
 func (r refused) asUnknown() outcome {
 	return unknown{"unknown: another call with this job may have been done; this one was not: " + r.reason}
 }
 
-// mayBeAccepted tells whether a call with the job may still be done.
-func (m *callHistory) mayBeAccepted(id models.JobID) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	h, ok := m.find(id)
+// mayBeAccepted reports whether a call with the job may still take effect or may have taken effect unconfirmed.
+func (c *callHistory) mayBeAccepted(id models.JobID) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	h, ok := c.find(id)
 	return ok && (h.inFlight > 0 || h.unknown)
 }
 
-// resultOf is what a caller is told.
-func resultOf(id models.JobID, f outcome) models.JobResult {
-	switch f := f.(type) {
+// resultOf converts an outcome to the result that the caller receives.
+func resultOf(id models.JobID, o outcome) models.JobResult {
+	switch o := o.(type) {
 	case accepted:
-		return models.JobResult{ID: id, Job: &f.job}
+		return models.JobResult{ID: id, Job: &o.job}
 	case refused:
-		return models.JobResult{ID: id, Outcome: models.RequestNotRun, Error: f.reason}
+		return models.JobResult{ID: id, Outcome: models.RequestNotRun, Error: o.reason}
 	case unknown:
-		return models.JobResult{ID: id, Outcome: models.RequestUnknown, Error: f.reason}
+		return models.JobResult{ID: id, Outcome: models.RequestUnknown, Error: o.reason}
 	}
 	return models.JobResult{ID: id, Outcome: models.RequestUnknown}
 }
--- a/services/operate/operate.go
+++ b/services/operate/operate.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package operate does what operators ask for, whatever daemon they ask: it finds
-// the cells concerned, asks their owners, and puts the answers together.
+// Package operate serves the operators' requests at any daemon: it determines the cells concerned, calls their owners
+// and merges the answers.
 //
 // # Usage
 //
@@ -29,16 +29,17 @@
 	"rillsail.example/rillsail/services/member"
 )
 
-// Cells reaches the owners of cells; cell.Manager does.
+// Cells calls the owners of cells; cell.Manager implements it.
 type Cells interface {
-	// Forward carries a call to the owner of a cell, here or at a peer.
+	// Forward sends a call to the owner of a cell, which may be this daemon or a peer.
 	Forward(ctx context.Context, call models.ForwardCall) (models.ForwardAnswer, error)
-	// Cells tells what is known of all owned cells, OwnedCells which are owned here.
+	// Cells returns the latest known state of all cells that have an owner.
 	Cells() map[models.CellID]models.CellBeat
+	// OwnedCells returns the cells that this daemon owns.
 	OwnedCells() []models.CellID
 }
 
-// Config is what the service works with.
+// Config holds the services that operators' requests are served from.
 type Config struct {
 	Cells     Cells
 	Inventory *inventory.Service
@@ -47,76 +48,76 @@
 	Entry     *entry.Service
 }
 
-// Service answers operators.
+// Service serves operators' requests.
 type Service struct {
 	config        Config
 	submissions   *callHistory
 	cancellations *callHistory
 }
 
-// New makes the service.
+// New returns a service with an empty call history.
 func New(config Config) *Service {
 	return &Service{config: config, submissions: newCallHistory(), cancellations: newCallHistory()}
 }
 
-// maxConcurrentCellCalls bounds the owners asked at a time.
+// maxConcurrentCellCalls bounds the concurrent calls to cell owners per request.
 const maxConcurrentCellCalls = 8
 
-// errNoCells says that the daemon doesn't know the fleet yet.
+// errNoCells says that the daemon has not read the VM list or the cell map yet.
 var errNoCells = errors.Mark(errors.New("not run: no cell is known yet; the VM list or the store has not been read; ask again in a few seconds"), cell.ErrNotOwner)
 
-// Submit hands each job to the owner of its home cell. The results stand in the
-// order of the jobs; each says whether the job was accepted, not run, or unknown.
+// Submit sends each job to the owner of its home cell. The results are in the order of the jobs; each says whether the
+// job was accepted, was not run, or has an unknown outcome.
 func (s *Service) Submit(ctx context.Context, submission models.Submission) models.JobResults {
 	specs := map[models.JobID]models.JobSpec{}
 	ids := make([]models.JobID, len(submission.Jobs))
 	teams := s.config.View().Teams
-	wrong := map[models.JobID]error{}
+	invalid := map[models.JobID]error{}
 	for i, spec := range submission.Jobs {
 		spec = teams[spec.Team].Jobs.Fill(spec)
 		ids[i], specs[spec.ID] = spec.ID, spec
 		if err := spec.Check(); err != nil {
-			wrong[spec.ID] = errors.Mark(errors.Wrapf(err, "not run: neither the job nor its team %s says so", spec.Team), cell.ErrWrong)
+			invalid[spec.ID] = errors.Mark(errors.Wrapf(err, "not run: neither the job nor its team %s says so", spec.Team), cell.ErrWrong)
 		}
 	}
 	s.submissions.begin(slices.Collect(maps.Keys(specs)))
-	fates := s.callHomes(ids, wrong, func(home models.CellID, ids []models.JobID) (models.ForwardAnswer, error) {
+	outcomes := s.callHomes(ids, invalid, func(home models.CellID, ids []models.JobID) (models.ForwardAnswer, error) {
 		call := models.ForwardCall{Cell: home}
 		for _, id := range ids {
 			call.Submit = append(call.Submit, specs[id])
 		}
 		return s.config.Cells.Forward(ctx, call)
 	})
-	for id, f := range fates {
-		fates[id] = s.submissions.end(id, f)
+	for id, result := range outcomes {
+		outcomes[id] = s.submissions.end(id, result)
 	}
-	return inOrder(ids, fates)
+	return inOrder(ids, outcomes)
 }
 
-// Cancel hands each cancellation to the owner of the job's home cell, and to all others when
-// the job isn't there: its home may have been another before cells were added.
+// Cancel sends each cancellation to the owner of the job's home cell, and to the owners of all other cells if the job is
+// not found there: the home cell may have been another one before cells were added.
 func (s *Service) Cancel(ctx context.Context, cancellation models.Cancellation) models.JobResults {
 	ids := slices.Compact(slices.Sorted(slices.Values(cancellation.Jobs)))
 	s.cancellations.begin(ids)
 	call := func(cell models.CellID, ids []models.JobID) (models.ForwardAnswer, error) {
 		return s.config.Cells.Forward(ctx, models.ForwardCall{Cell: cell, Cancel: ids})
 	}
-	fates := s.callHomes(ids, nil, call)
-	s.callOtherCells(fates, call)
-	for id, f := range fates {
-		fates[id] = s.checkSubmissions(id, s.cancellations.end(id, f))
+	outcomes := s.callHomes(ids, nil, call)
+	s.callOtherCells(outcomes, call)
+	for id, result := range outcomes {
+		outcomes[id] = s.checkSubmissions(id, s.cancellations.end(id, result))
 	}
-	return inOrder(cancellation.Jobs, fates)
+	return inOrder(cancellation.Jobs, outcomes)
 }
 
-// callOtherCells asks the other cells for the jobs that their homes don't have. No cell speaks
-// for the others: a job is nowhere when each has said so.
-func (s *Service) callOtherCells(fates map[models.JobID]outcome, do cellCall) {
+// callOtherCells calls the owners of all other cells for the jobs that were not found in their home cells. No cell knows
+// the jobs of another, so a job does not exist only if every cell says that it was not found.
+func (s *Service) callOtherCells(outcomes map[models.JobID]outcome, do cellCall) {
 	cells := s.config.Inventory.Cells()
 	groups := map[models.CellID][]models.JobID{}
-	for id, f := range fates {
+	for id, result := range outcomes {
 		home, _ := cell.JobHome(id, cells)
-		if !isJobNotFound(f) {
+		if !isJobNotFound(result) {
 			continue
 		}
 		for other := range cells.Cells {
@@ -126,50 +127,49 @@
 		}
 	}
 	for id, others := range callCells(groups, do) {
-		for _, f := range others {
-			fates[id] = combine(fates[id], f)
+		for _, result := range others {
+			outcomes[id] = combine(outcomes[id], result)
 		}
 	}
 }
 
-// checkSubmissions lets a job that isn't there be unknown while a submission of it may still
-// be done.
-func (s *Service) checkSubmissions(id models.JobID, f outcome) outcome {
-	if isJobNotFound(f) && s.submissions.mayBeAccepted(id) {
+// checkSubmissions turns the outcome that a job was not found into an unknown one while a submission of the job through
+// this daemon may still take effect.
+func (s *Service) checkSubmissions(id models.JobID, result outcome) outcome {
+	if isJobNotFound(result) && s.submissions.mayBeAccepted(id) {
 		return unknown{"unknown: a submission of this job may still be done; it isn't there yet"}
 	}
-	return f
+	return result
 }
 
-// cellCall calls the owner of a cell for some jobs.
+// cellCall calls the owner of a cell with a group of jobs.
 type cellCall func(models.CellID, []models.JobID) (models.ForwardAnswer, error)
 
-// callHomes groups jobs by home cell and calls once for each group; those that are
-// wrong are refused.
-func (s *Service) callHomes(ids []models.JobID, wrong map[models.JobID]error, do cellCall) map[models.JobID]outcome {
+// callHomes groups the jobs by home cell and makes one call for each group. Invalid jobs are refused without a call.
+func (s *Service) callHomes(ids []models.JobID, invalid map[models.JobID]error, do cellCall) map[models.JobID]outcome {
 	cells := s.config.Inventory.Cells()
 	groups := map[models.CellID][]models.JobID{}
-	fates := map[models.JobID]outcome{}
+	outcomes := map[models.JobID]outcome{}
 	for _, id := range ids {
 		home, ok := cell.JobHome(id, cells)
-		switch err := wrong[id]; {
+		switch err := invalid[id]; {
 		case err != nil:
-			fates[id] = outcomeOfError(err)
+			outcomes[id] = outcomeOfError(err)
 		case !ok:
-			fates[id] = outcomeOfError(errNoCells)
+			outcomes[id] = outcomeOfError(errNoCells)
 		default:
 			groups[home] = append(groups[home], id)
 		}
 	}
-	for id, f := range callCells(groups, do) {
-		fates[id] = f[0]
+	for id, results := range callCells(groups, do) {
+		outcomes[id] = results[0]
 	}
-	return fates
+	return outcomes
 }
 
-// callCells calls once for each group, and gives for each job what all calls have done.
+// callCells makes one call for each group of jobs, and returns the outcomes of all calls by job.
 func callCells(groups map[models.CellID][]models.JobID, do cellCall) map[models.JobID][]outcome {
-	fates := map[models.JobID][]outcome{}
+	outcomes := map[models.JobID][]outcome{}
 	var mu sync.Mutex
 	calls := pool.New().WithMaxGoroutines(maxConcurrentCellCalls)
 	for cell, group := range groups {
@@ -178,28 +178,28 @@
 			mu.Lock()
 			defer mu.Unlock()
 			for _, id := range group {
-				fates[id] = append(fates[id], outcomeOf(id, answer, err))
+				outcomes[id] = append(outcomes[id], outcomeOf(id, answer, err))
 			}
 		})
 	}
 	calls.Wait()
-	return fates
+	return outcomes
 }
 
-func inOrder(ids []models.JobID, fates map[models.JobID]outcome) models.JobResults {
+func inOrder(ids []models.JobID, outcomes map[models.JobID]outcome) models.JobResults {
 	var ordered models.JobResults
 	for _, id := range ids {
-		ordered.Results = append(ordered.Results, resultOf(id, fates[id]))
+		ordered.Results = append(ordered.Results, resultOf(id, outcomes[id]))
 	}
 	return ordered
 }
 
-// List asks the owners of all cells and puts their answers together.
+// List calls the owners of all cells and merges their answers. Missing names the cells that did not answer.
 func (s *Service) List(ctx context.Context, call models.ForwardCall) models.Listing {
 	cells := slices.Sorted(maps.Keys(s.config.Inventory.Cells().Cells))
 	var mu sync.Mutex
 	listing := models.Listing{Missing: map[models.CellID]string{}}
-	if len(cells) == 0 { // that there is nothing is not known
+	if len(cells) == 0 { // an empty listing would say that nothing exists
 		listing.Missing[models.AnyCell] = errNoCells.Error()
 	}
 	calls := pool.New().WithMaxGoroutines(maxConcurrentCellCalls)
@@ -234,10 +234,10 @@
 	slices.SortFunc(l.Decisions, func(a, b models.Decision) int { return cmp.Compare(a.At, b.At) })
 }
 
-// Refusals lists the latest requests that this daemon refused.
+// Refusals returns the latest requests that this daemon refused.
 func (s *Service) Refusals() []models.RequestRefusal { return s.config.Entry.Refusals() }
 
-// Status sums up this daemon and what it knows of the others.
+// Status summarizes this daemon and what it knows of the other members.
 func (s *Service) Status() models.Status {
 	members := s.config.Members
 	status := models.Status{
--- a/services/operate/operate_test.go
+++ b/services/operate/operate_test.go
@@ -20,7 +20,7 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// stubOwners stand for the cells' owners: each call is answered as the test says.
+// stubOwners stands in for the owners of all cells; the test sets the function that answers the calls.
 type stubOwners struct {
 	answer func(models.ForwardCall) (models.ForwardAnswer, error)
 }
@@ -36,12 +36,12 @@
 // OwnedCells implements Cells.
 func (o *stubOwners) OwnedCells() []models.CellID { return nil }
 
-// failWith answers every call with the error.
+// failWith returns an answer function that fails every call with the error.
 func failWith(err error) func(models.ForwardCall) (models.ForwardAnswer, error) {
 	return func(models.ForwardCall) (models.ForwardAnswer, error) { return models.ForwardAnswer{}, err }
 }
 
-// acceptAll answers every call as done.
+// acceptAll accepts all submissions and cancellations of a call.
 func acceptAll(call models.ForwardCall) (models.ForwardAnswer, error) {
 	var answer models.ForwardAnswer
 	for _, spec := range call.Submit {
@@ -55,7 +55,7 @@
 
 type listFunc func() models.VMList
 
-// VMs implements platform.List.
+// VMs implements platform.VMList.
 func (l listFunc) VMs(context.Context) (models.VMList, error) { return l(), nil }
 
 type testDaemon struct {
@@ -65,7 +65,7 @@
 	t      *testing.T
 }
 
-// newTestDaemon is a daemon that knows two cells.
+// newTestDaemon returns a daemon that knows two cells.
 func newTestDaemon(t *testing.T) *testDaemon {
 	vms := newVMs(t)
 	require.NoError(t, vms.Refresh(t.Context()))
@@ -76,7 +76,7 @@
 	return d
 }
 
-// newVMs is an inventory that has read nothing yet.
+// newVMs returns an inventory that has not read the VM list or the cell map yet.
 func newVMs(t *testing.T) *inventory.Service {
 	f, err := fleet.New(fleet.Config{
 		Run: "test", Workers: 2, PerRack: 1, Worker: models.Resources{CPU: 4000, Memory: 4096}, Domains: []string{"south/a"}, Unserved: true,
@@ -100,8 +100,8 @@
 	return d.Cancel(d.t.Context(), models.Cancellation{Jobs: []models.JobID{id}}).Results[0]
 }
 
-// TestRefusalAfterDoubt lets a call end without answer, and the next with the same job
-// reach nobody: that it was not run says nothing of the first.
+// TestRefusalAfterDoubt makes a call that ends with an unknown outcome, and then a call with the same job that reaches no
+// owner. The refusal of the second call must not hide that the first may have taken effect.
 func TestRefusalAfterDoubt(t *testing.T) {
 	d := newTestDaemon(t)
 	d.owners.answer = failWith(cell.ErrMaybe)
@@ -110,13 +110,13 @@
 	d.owners.answer = failWith(cell.ErrNotOwner)
 	require.Equal(t, models.RequestUnknown, d.submit(jobSpec("first")).Outcome, "the first call may have been done")
 	require.Equal(t, models.RequestUnknown, d.cancel("other").Outcome, "the first call may have been done")
-	wrong := jobSpec("first")
-	wrong.Work = 0
-	require.Equal(t, models.RequestUnknown, d.submit(wrong).Outcome, "the first call may have been done")
+	invalid := jobSpec("first")
+	invalid.Work = 0
+	require.Equal(t, models.RequestUnknown, d.submit(invalid).Outcome, "the first call may have been done")
 }
 
-// TestRefusalAfterAcceptance submits a job again that was accepted, as one does whose
-// answer was lost on its way to the caller.
+// TestRefusalAfterAcceptance submits an accepted job again, as a caller does that did not receive the answer to the first
+// submission.
 func TestRefusalAfterAcceptance(t *testing.T) {
 	d := newTestDaemon(t)
 	require.NotNil(t, d.submit(jobSpec("first")).Job)
@@ -124,7 +124,7 @@
 	require.Equal(t, models.RequestUnknown, d.submit(jobSpec("first")).Outcome, "the job was accepted")
 }
 
-// TestRefusalBesideCallUnderWay submits a job again while the first call with it waits.
+// TestRefusalBesideCallUnderWay submits a job again while the first call with the job is in flight.
 func TestRefusalBesideCallUnderWay(t *testing.T) {
 	d := newTestDaemon(t)
 	arrived, goOn, first := make(chan bool), make(chan bool), make(chan models.JobResult, 1)
@@ -136,12 +136,12 @@
 	go func() { first <- d.submit(jobSpec("first")) }()
 	<-arrived
 	d.owners.answer = failWith(cell.ErrNotOwner)
-	require.Equal(t, models.RequestUnknown, d.submit(jobSpec("first")).Outcome, "the first call is under way")
+	require.Equal(t, models.RequestUnknown, d.submit(jobSpec("first")).Outcome, "the first call is in flight")
 	close(goOn)
 	require.NotNil(t, (<-first).Job)
 }
 
-// TestNoSuchJobAfterDoubt cancels a job whose submission may still be on its way.
+// TestNoSuchJobAfterDoubt cancels a job whose submission may still take effect.
 func TestNoSuchJobAfterDoubt(t *testing.T) {
 	d := newTestDaemon(t)
 	d.owners.answer = failWith(cell.ErrMaybe)
@@ -151,41 +151,41 @@
 	require.Equal(t, models.RequestNotRun, d.cancel("never").Outcome)
 }
 
-// TestRefusalsOfNewJobsStand refuses a job time and again that no call has brought in.
+// TestRefusalsOfNewJobsStand refuses a job several times that no call has submitted; each refusal must be certain.
 func TestRefusalsOfNewJobsStand(t *testing.T) {
 	d := newTestDaemon(t)
 	for _, refusal := range []error{cell.ErrNotOwner, cell.ErrNoStore, cell.ErrOtherSpec} {
 		d.owners.answer = failWith(refusal)
 		require.Equal(t, models.RequestNotRun, d.submit(jobSpec("first")).Outcome, "%v", refusal)
 	}
-	wrong := jobSpec("first")
-	wrong.Work = 0
-	require.Equal(t, models.RequestNotRun, d.submit(wrong).Outcome)
+	invalid := jobSpec("first")
+	invalid.Work = 0
+	require.Equal(t, models.RequestNotRun, d.submit(invalid).Outcome)
 }
 
-// TestListBeforeAnyCellIsKnown lists at a daemon that has read neither list nor map.
+// TestListBeforeAnyCellIsKnown lists jobs at a daemon that has read neither the VM list nor the cell map.
 func TestListBeforeAnyCellIsKnown(t *testing.T) {
 	s := New(Config{Cells: &stubOwners{answer: acceptAll}, Inventory: newVMs(t)})
-	require.NotEmpty(t, s.List(t.Context(), models.ForwardCall{Jobs: true}).Missing, "an empty list says that there is nothing")
+	require.NotEmpty(t, s.List(t.Context(), models.ForwardCall{Jobs: true}).Missing, "an empty listing would say that nothing exists")
 }
 
-// TestCancelAfterCellsWereAdded cancels a job whose home was another cell when it was
-// accepted: the map of cells has grown since.
+// TestCancelAfterCellsWereAdded cancels a job whose home cell was another one when the job was accepted, because cells
+// were added to the cell map since.
 func TestCancelAfterCellsWereAdded(t *testing.T) {
 	d := newTestDaemon(t)
-	elsewhere := acceptAll
+	otherCell := acceptAll
 	d.owners.answer = func(call models.ForwardCall) (models.ForwardAnswer, error) {
 		if h, _ := cell.JobHome(call.Cancel[0], d.config.Inventory.Cells()); call.Cell == h {
 			return models.ForwardAnswer{}, cell.ErrNoJob
 		}
-		return elsewhere(call)
+		return otherCell(call)
 	}
-	require.NotNil(t, d.cancel("first").Job, "its former home has it")
-	elsewhere = failWith(cell.ErrMaybe)
-	require.Equal(t, models.RequestUnknown, d.cancel("first").Outcome, "its former home gave no answer")
-	elsewhere = failWith(cell.ErrNotOwner)
-	require.NotContains(t, d.cancel("first").Error, "no such job", "its former home was not reached")
-	require.NotContains(t, d.cancel("other").Error, "no such job", "its former home was not reached")
-	elsewhere = failWith(cell.ErrNoJob)
+	require.NotNil(t, d.cancel("first").Job, "its previous home cell has the job")
+	otherCell = failWith(cell.ErrMaybe)
+	require.Equal(t, models.RequestUnknown, d.cancel("first").Outcome, "its previous home cell gave no answer")
+	otherCell = failWith(cell.ErrNotOwner)
+	require.NotContains(t, d.cancel("first").Error, "no such job", "its previous home cell was not reached")
+	require.NotContains(t, d.cancel("other").Error, "no such job", "its previous home cell was not reached")
+	otherCell = failWith(cell.ErrNoJob)
 	require.Equal(t, models.RequestNotRun, d.cancel("other").Outcome)
 }
--- a/services/platform/jobs.go
+++ b/services/platform/jobs.go
@@ -86,7 +86,7 @@
 type JobWorkers interface {
 	// StartRun starts a run. The call is idempotent.
 	StartRun(ctx context.Context, worker jobs.Worker, call jobs.StartCall) (models.Milli, error)
-	// StopRun stops a run, which reports then list as ended. A run that has not started is barred from starting.
+	// StopRun stops a run, so that later reports list it as ended, or bars a run that has not started.
 	StopRun(ctx context.Context, worker jobs.Worker, call jobs.StopCall) (models.Milli, error)
 	// SetPace sets the pace to which a run is throttled.
 	SetPace(ctx context.Context, worker jobs.Worker, call jobs.PaceCall) (models.Milli, error)
@@ -100,8 +100,8 @@
 	Gone   bool
 }
 
-// WorkerList is the platform's list of job workers. An entry that does not belong to a worker or cannot be parsed
-// is left out; the other entries remain valid.
+// WorkerList is the platform's list of job workers. An entry that was not written by its worker or cannot be
+// parsed counts as absent; the other entries remain valid.
 type WorkerList interface {
 	// JobWorkers reads the whole list and returns the version from which to follow changes.
 	JobWorkers(ctx context.Context) ([]jobs.Worker, Version, error)
