--- a/services/journal/handover.go
+++ b/services/journal/handover.go
@@ -60,7 +60,7 @@
 		return err
 	}
 	if entry.Sequence != j.sequence+1 {
-		return errors.Wrapf(ErrDamaged, "pending entry %d follows entry %d, expected entry %d", entry.Sequence, j.sequence, j.sequence+1)
+		return errors.Wrapf(ErrDamaged, "pending entry %d follows entry %d", entry.Sequence, j.sequence)
 	}
 	j.pending = &pendingEntry{entry: entry, data: data}
 	return nil
