--- a/services/config/apply_test.go
+++ b/services/config/apply_test.go
@@ -19,27 +19,27 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// lostHead is a store that does one write of the head and loses its answer; lost is called
-// before anything else reaches the store.
-type lostHead struct {
+// lostAnswerStore executes the first write of the head and loses the answer to it. It calls onLost before any other call
+// reaches the store.
+type lostAnswerStore struct {
 	*kv.Local
-	lost func()
-	done bool
+	onLost     func()
+	answerLost bool
 }
 
-func newLostHead(lost func(store platform.Store)) *lostHead {
-	quiet := &kv.Local{Service: kv.New(kv.Config{}), Fault: kv.NoFault}
-	return &lostHead{Local: quiet, lost: func() { lost(quiet) }}
+func newLostAnswerStore(onLost func(store platform.Store)) *lostAnswerStore {
+	local := &kv.Local{Service: kv.New(kv.Config{}), Fault: kv.NoFault}
+	return &lostAnswerStore{Local: local, onLost: func() { onLost(local) }}
 }
 
 // Swap implements platform.Store.
-func (s *lostHead) Swap(ctx context.Context, key string, value []byte, expect platform.Version, lease platform.LeaseID) (platform.Version, error) {
+func (s *lostAnswerStore) Swap(ctx context.Context, key string, value []byte, expect platform.Version, lease platform.LeaseID) (platform.Version, error) {
 	version, err := s.Local.Swap(ctx, key, value, expect, lease)
-	if err != nil || key != HeadKey || s.done {
+	if err != nil || key != HeadKey || s.answerLost {
 		return version, err
 	}
-	s.done = true
-	s.lost()
+	s.answerLost = true
+	s.onLost()
 	return 0, platform.ErrUnknown
 }
 
@@ -59,11 +59,10 @@
 	return models.ConfigChange{Put: []models.ObjectBox{{Object: models.Team{Name: name}}}}
 }
 
-// TestLostAnswerAndUnreadableHead loses the answer of the write that puts a change in force,
-// and lets a daemon that says more in its heads write the next one before the first reads
-// back what became of it.
+// TestLostAnswerAndUnreadableHead loses the answer to the write that puts a change in force. Before the daemon reads the
+// head back, another daemon writes a head with a field that the first daemon does not know and cannot decode.
 func TestLostAnswerAndUnreadableHead(t *testing.T) {
-	store := newLostHead(func(store platform.Store) {
+	store := newLostAnswerStore(func(store platform.Store) {
 		record, err := store.Get(t.Context(), HeadKey)
 		require.NoError(t, err)
 		var head map[string]any
@@ -76,12 +75,13 @@
 	})
 	_, err := serviceOn(store).Apply(t.Context(), teamPut("office"))
 	require.Error(t, err)
-	require.True(t, errors.Is(err, ErrMaybeApplied), "the change is in force, and is answered as if nothing was done: %v", err)
+	require.True(t, errors.Is(err, ErrMaybeApplied), "the change is in force but the error says that it was not applied: %v", err)
 }
 
-// TestLostAnswerIsSettled loses the answer of the write that puts a change in force.
+// TestLostAnswerIsSettled loses the answer to the write that puts a change in force; reading the head back shows that
+// the change took effect.
 func TestLostAnswerIsSettled(t *testing.T) {
-	service := serviceOn(newLostHead(func(platform.Store) {}))
+	service := serviceOn(newLostAnswerStore(func(platform.Store) {}))
 	result, err := service.Apply(t.Context(), teamPut("office"))
 	require.NoError(t, err)
 	require.Equal(t, models.Revision(1), result.Revision)
--- a/services/config/check.go
+++ b/services/config/check.go
@@ -10,12 +10,12 @@
 	"rillsail.example/rillsail/modules/selector"
 )
 
-// contradictions lists what makes a configuration unusable.
+// contradictions returns the problems that make a configuration unusable.
 func contradictions(view *View) []string {
 	var problems []string
 	for i, a := range view.Rules {
 		for _, b := range view.Rules[i+1:] {
-			if contradict(a, b) {
+			if rulesContradict(a, b) {
 				problems = append(problems, fmt.Sprintf("rules %s and %s contradict: %q shall both share with and stay apart from %q",
 					a.Name, b.Name, a.Selector, a.With))
 			}
@@ -29,7 +29,7 @@
 	return problems
 }
 
-func contradict(a, b models.Rule) bool {
+func rulesContradict(a, b models.Rule) bool {
 	if a.Kind == b.Kind || a.Kind == models.RuleYield || b.Kind == models.RuleYield {
 		return false
 	}
@@ -38,7 +38,8 @@
 	return same || mirrored
 }
 
-// warnings lists what an operator should know but what may become right by itself.
+// warnings returns the problems that operators should know of but that do not reject a change, because a later change
+// of jobs or VMs may resolve them.
 func (s *Service) warnings(view *View) []string {
 	var warnings []string
 	vms := s.config.VMs().VMs
