--- a/models/cell.go
+++ b/models/cell.go
@@ -117,15 +117,15 @@
 		if _, ok := next.Racks[vm.Rack]; ok || vm.Kind != KindWorker {
 			continue
 		}
-		next.Racks[vm.Rack] = next.cellFor(vm)
+		next.Racks[vm.Rack] = next.assignCell(vm)
 		changed = true
 	}
 	return next, changed
 }
 
-// cellFor opens a cell for a new rack while there may be more, and otherwise adds
+// assignCell opens a cell for a new rack while there may be more, and otherwise adds
 // the rack to the smallest cell of its failure domain.
-func (m CellMap) cellFor(vm VM) CellID {
+func (m CellMap) assignCell(vm VM) CellID {
 	own := CellID("cell-" + string(vm.Rack))
 	sizes := map[CellID]int{}
 	for _, cell := range m.Racks {
--- a/models/job.go
+++ b/models/job.go
@@ -75,16 +75,16 @@
 	if err := j.JobSpec.Check(); err != nil {
 		return err
 	}
-	if j.Next < 0 || j.Next > j.Tasks || j.ended() > j.Next {
+	if j.Next < 0 || j.Next > j.Tasks || j.endedTasks() > j.Next {
 		return errors.Newf("job %s: counts don't add up", j.ID)
 	}
 	return nil
 }
 
-func (j Job) ended() int { return j.Succeeded + j.Failed + j.MayHaveRun + j.Stopped }
+func (j Job) endedTasks() int { return j.Succeeded + j.Failed + j.MayHaveRun + j.Stopped }
 
 // Remaining is how many tasks have not ended, those without a record included.
-func (j Job) Remaining() int { return j.Tasks - j.ended() }
+func (j Job) Remaining() int { return j.Tasks - j.endedTasks() }
 
 // NewTask makes the record of the job's next task; the caller raises Next with it.
 func (j Job) NewTask(index int) Task {
@@ -111,7 +111,7 @@
 	if t.Outcome != OutcomeSucceeded && t.Reason != "" {
 		j.Reason = t.Reason
 	}
-	return j.close(now)
+	return j.endIfComplete(now)
 }
 
 // Cancel ends every task that has no record yet; those with one are stopped apart.
@@ -122,10 +122,10 @@
 	j.State = JobCancelled
 	j.Stopped += j.Tasks - j.Next
 	j.Next = j.Tasks
-	return j.close(now)
+	return j.endIfComplete(now)
 }
 
-func (j Job) close(now UnixMilli) Job {
+func (j Job) endIfComplete(now UnixMilli) Job {
 	if j.Remaining() > 0 || j.Ended != 0 {
 		return j
 	}
--- a/models/operate.go
+++ b/models/operate.go
@@ -51,20 +51,20 @@
 	Jobs []JobSpec `json:"jobs"`
 }
 
-// maxSubmission bounds the jobs of one call.
-const maxSubmission = 1000
+// maxJobsPerCall bounds the jobs of one call.
+const maxJobsPerCall = 1000
 
-// anyDefaults stand for a team's while a submission is decoded; those of the team are
+// placeholderDefaults stand for a team's while a submission is decoded; those of the team are
 // filled in, and the job checked again, before it is accepted.
-var anyDefaults = JobDefaults{Size: Resources{CPU: 1}, Work: 1}
+var placeholderDefaults = JobDefaults{Size: Resources{CPU: 1}, Work: 1}
 
 // Check checks every job, but for what its team's defaults may fill in.
 func (s Submission) Check() error {
-	if len(s.Jobs) == 0 || len(s.Jobs) > maxSubmission {
-		return newCountError("jobs", len(s.Jobs), maxSubmission)
+	if len(s.Jobs) == 0 || len(s.Jobs) > maxJobsPerCall {
+		return newCountError("jobs", len(s.Jobs), maxJobsPerCall)
 	}
 	for _, job := range s.Jobs {
-		if err := anyDefaults.Fill(job).Check(); err != nil {
+		if err := placeholderDefaults.Fill(job).Check(); err != nil {
 			return err
 		}
 	}
@@ -78,8 +78,8 @@
 
 // Check checks that jobs are named.
 func (c Cancellation) Check() error {
-	if len(c.Jobs) == 0 || len(c.Jobs) > maxSubmission {
-		return newCountError("jobs", len(c.Jobs), maxSubmission)
+	if len(c.Jobs) == 0 || len(c.Jobs) > maxJobsPerCall {
+		return newCountError("jobs", len(c.Jobs), maxJobsPerCall)
 	}
 	for _, id := range c.Jobs {
 		if err := checkName("job id", string(id)); err != nil {
--- a/models/task_step.go
+++ b/models/task_step.go
@@ -30,7 +30,7 @@
 	case EventUnreachable:
 		return stepUnreachable(t)
 	case EventWorkerGone:
-		return stepWorkerGone(t, e)
+		return stepWorkerTerminated(t, e)
 	case EventOfferAccepted:
 		return stepOfferAccepted(t, e)
 	case EventOfferRefused:
@@ -72,7 +72,7 @@
 	t.Reason = e.Reason
 	switch t.State {
 	case TaskQueued:
-		return end(t, TaskStopped, ""), nil, true
+		return endTask(t, TaskStopped, ""), nil, true
 	case TaskPlaced, TaskRunning, TaskEvicting:
 		t.State = TaskEvicting
 		return t, []TaskAction{ActionStop}, true
@@ -129,7 +129,7 @@
 	}
 	actions := []TaskAction{ActionAcknowledge}
 	if t.Unrepeatable && e.Checkpoint == "" && !t.Cancelled {
-		return end(t, TaskDone, OutcomeMayHaveRun), actions, true
+		return endTask(t, TaskDone, OutcomeMayHaveRun), actions, true
 	}
 	return requeue(t, t.Reason), actions, true
 }
@@ -141,14 +141,14 @@
 	actions := []TaskAction{ActionAcknowledge}
 	if e.Success {
 		t.Reason = ""
-		return end(t, TaskDone, OutcomeSucceeded), actions, true
+		return endTask(t, TaskDone, OutcomeSucceeded), actions, true
 	}
 	t.Failures++
 	t.Reason = e.Reason
-	t.FailedOn = appendOnce(t.FailedOn, t.Worker)
+	t.FailedOn = appendUnique(t.FailedOn, t.Worker)
 	giveUp := t.Kind == TaskBatch && (t.Unrepeatable || t.Failures >= MaxTaskFailures)
 	if giveUp && !t.Cancelled {
-		return end(t, TaskDone, OutcomeFailed), actions, true
+		return endTask(t, TaskDone, OutcomeFailed), actions, true
 	}
 	return requeue(t, e.Reason), actions, true
 }
@@ -164,13 +164,13 @@
 	}
 }
 
-func stepWorkerGone(t Task, e EventWorkerGone) (Task, []TaskAction, bool) {
+func stepWorkerTerminated(t Task, e EventWorkerGone) (Task, []TaskAction, bool) {
 	if !t.HoldsRoom() {
 		return t, nil, false
 	}
 	t.Reason = e.Reason
 	if t.Unrepeatable && !t.Cancelled {
-		return end(t, TaskDone, OutcomeMayHaveRun), nil, true
+		return endTask(t, TaskDone, OutcomeMayHaveRun), nil, true
 	}
 	return requeue(t, e.Reason), nil, true
 }
@@ -194,7 +194,7 @@
 }
 
 func stepReturned(t Task, e EventReturned) (Task, []TaskAction, bool) {
-	if !atPeer(t) || e.Attempt <= t.Attempt {
+	if !peerMayReport(t) || e.Attempt <= t.Attempt {
 		return t, nil, false
 	}
 	t.Attempt = e.Attempt
@@ -207,23 +207,23 @@
 }
 
 func stepRemoteDone(t Task, e EventRemoteDone) (Task, []TaskAction, bool) {
-	if !atPeer(t) || e.Attempt <= t.Attempt {
+	if !peerMayReport(t) || e.Attempt <= t.Attempt {
 		return t, nil, false
 	}
 	t.Attempt = e.Attempt
 	t.Reason = e.Reason
 	t.Evictions = e.Evictions
-	return end(t, TaskDone, e.Outcome), nil, true
+	return endTask(t, TaskDone, e.Outcome), nil, true
 }
 
-// atPeer tells whether the other cell may speak for t; its report can overtake the
+// peerMayReport tells whether the other cell may speak for t; its report can overtake the
 // answer to the offer.
-func atPeer(t Task) bool { return t.State == TaskMoved || t.State == TaskOffered }
+func peerMayReport(t Task) bool { return t.State == TaskMoved || t.State == TaskOffered }
 
 // requeue is the move of a task that is proved not to run anywhere.
 func requeue(t Task, reason string) Task {
 	if t.Cancelled {
-		return end(t, TaskStopped, "")
+		return endTask(t, TaskStopped, "")
 	}
 	t.State = TaskQueued
 	t.Worker, t.Incarnation = "", ""
@@ -232,13 +232,13 @@
 	return t
 }
 
-func end(t Task, state TaskState, outcome TaskOutcome) Task {
+func endTask(t Task, state TaskState, outcome TaskOutcome) Task {
 	t.State, t.Outcome = state, outcome
 	t.Peer, t.PeerEpoch = "", 0
 	return t
 }
 
-func appendOnce(list []VMID, id VMID) []VMID {
+func appendUnique(list []VMID, id VMID) []VMID {
 	if slices.Contains(list, id) {
 		return list
 	}
