--- a/models/cell.go
+++ b/models/cell.go
@@ -9,21 +9,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// CellState is everything that must outlive the owner of a cell. It is what a
-// snapshot holds and what the entries after it change.
+// CellState is everything that must survive a change of the cell's owner. A snapshot of the journal holds
+// a CellState, and the journal entries after the snapshot are changes to it.
 type CellState struct {
 	Tasks map[TaskID]Task `json:"tasks"`
 	Jobs  map[JobID]Job   `json:"jobs"`
-	// Generations holds the last generation of each replica homed here.
+	// Generations holds the last generation of each replica whose home is this cell, by "service/replica".
 	Generations map[string]int `json:"generations,omitempty"`
 }
 
-// NewCellState makes the state of a cell that has never had an owner.
+// NewCellState returns the empty state of a cell that has never had an owner.
 func NewCellState() CellState {
 	return CellState{Tasks: map[TaskID]Task{}, Jobs: map[JobID]Job{}, Generations: map[string]int{}}
 }
 
-// Check checks every record.
+// Check validates every record, and that each task is stored under its own ID.
 func (s CellState) Check() error {
 	for id, t := range s.Tasks {
 		if id != t.ID {
@@ -41,13 +41,13 @@
 	return nil
 }
 
-// Clone copies s so that changes to the copy don't show in s. Records are values
-// whose maps and slices are never changed in place.
+// Clone returns a copy of s whose maps can be changed without affecting s. The records share their maps and
+// slices with s; this is safe because nothing changes the maps and slices of a record in place.
 func (s CellState) Clone() CellState {
 	return CellState{Tasks: maps.Clone(s.Tasks), Jobs: maps.Clone(s.Jobs), Generations: maps.Clone(s.Generations)}
 }
 
-// CellChange is one batch of new records. Applying it twice is the same as once.
+// CellChange is one batch of new and removed records. Applying it twice has the same effect as applying it once.
 type CellChange struct {
 	Tasks       []Task         `json:"tasks,omitempty"`
 	DropTasks   []TaskID       `json:"drop_tasks,omitempty"`
@@ -56,12 +56,12 @@
 	Generations map[string]int `json:"generations,omitempty"`
 }
 
-// IsZero tells whether the change holds nothing.
+// IsZero reports whether the change is empty.
 func (c CellChange) IsZero() bool {
 	return len(c.Tasks)+len(c.DropTasks)+len(c.Jobs)+len(c.DropJobs)+len(c.Generations) == 0
 }
 
-// Check checks every record.
+// Check validates every record.
 func (c CellChange) Check() error {
 	if err := checkAll(c.Tasks); err != nil {
 		return err
@@ -69,7 +69,7 @@
 	return checkAll(c.Jobs)
 }
 
-// Apply changes s in place.
+// Apply applies c to s in place.
 func (s *CellState) Apply(c CellChange) {
 	for _, t := range c.Tasks {
 		s.Tasks[t.ID] = t
@@ -86,18 +86,17 @@
 	maps.Copy(s.Generations, c.Generations)
 }
 
-// CellMap says which racks make up which cell. A rack is entered once and never
-// moves, so every daemon agrees on the cell of a worker. Daemons write it to the
-// store by compare-and-swap.
+// CellMap assigns racks to cells. A rack is assigned once and never moves to another cell, so all daemons
+// agree on the cell of a worker. Daemons write the map to the store by compare-and-swap.
 type CellMap struct {
 	Racks map[RackID]CellID        `json:"racks"`
 	Cells map[CellID]FailureDomain `json:"cells"`
 }
 
-// MaxCells bounds the cells of a fleet, and with them the store's calls.
+// MaxCells bounds the number of cells of a fleet, and with it the number of calls to the store.
 const MaxCells = 40
 
-// Check checks that every rack's cell is known.
+// Check validates that the cell of every rack is in the map.
 func (m CellMap) Check() error {
 	for rack, cell := range m.Racks {
 		if _, ok := m.Cells[cell]; !ok {
@@ -107,7 +106,8 @@
 	return nil
 }
 
-// With enters the racks of the list that the map lacks; changed tells whether any.
+// With returns a copy of the map that also holds the racks of the list's workers; changed reports whether
+// any of them was missing.
 func (m CellMap) With(list VMList) (next CellMap, changed bool) {
 	next = CellMap{Racks: maps.Clone(m.Racks), Cells: maps.Clone(m.Cells)}
 	if next.Racks == nil {
@@ -123,10 +123,10 @@
 	return next, changed
 }
 
-// assignCell opens a cell for a new rack while there may be more, and otherwise adds
-// the rack to the smallest cell of its failure domain.
+// assignCell opens a cell for a new rack while the map has fewer than MaxCells cells, and otherwise chooses
+// the smallest cell of the rack's failure domain.
 func (m CellMap) assignCell(vm VM) CellID {
-	own := CellID("cell-" + string(vm.Rack))
+	newCell := CellID("cell-" + string(vm.Rack))
 	sizes := map[CellID]int{}
 	for _, cell := range m.Racks {
 		sizes[cell]++
@@ -141,8 +141,8 @@
 		}
 	}
 	if len(m.Cells) < MaxCells || smallest == "" {
-		m.Cells[own] = vm.Domain
-		return own
+		m.Cells[newCell] = vm.Domain
+		return newCell
 	}
 	return smallest
 }
--- a/models/class.go
+++ b/models/class.go
@@ -5,30 +5,30 @@
 
 import "github.com/cockroachdb/errors"
 
-// Priority is the order in which waiting requests are served.
+// Priority decides the order in which waiting requests are served.
 type Priority string
 
-// The priorities of request classes, first served first.
+// The priorities of request classes, from the first served to the last served.
 const (
 	PriorityUrgent   Priority = "urgent"
 	PriorityOrdinary Priority = "ordinary"
 	PriorityDeferred Priority = "deferred"
 )
 
-// Class is a class of requests, chosen by the labels a request carries.
+// Class is a class of requests. A request's labels decide its class.
 type Class struct {
 	Name     ClassName `json:"name"`
-	Selector string    `json:"selector"` // over the request's labels
+	Selector string    `json:"selector"` // label selector on the request's labels
 	Priority Priority  `json:"priority"`
-	// Deadline is used for requests that bring none; 0 means none.
+	// Deadline applies to requests that carry no deadline of their own; 0 means no deadline.
 	Deadline Milli `json:"deadline_ms"`
-	// Unrepeatable requests are never sent a second time once a byte may have left.
+	// Unrepeatable requests are never sent again once a byte of them may have been sent to an upstream.
 	Unrepeatable bool `json:"unrepeatable,omitempty"`
-	// Upstreams selects the upstreams by their labels; empty selects all.
+	// Upstreams is a label selector for the upstreams that serve the class; empty selects all upstreams.
 	Upstreams string `json:"upstreams,omitempty"`
-	// Floor is the share of slots, in percent, that the class gets under overload.
+	// Floor is the share of slots, in percent, that the class is guaranteed under overload.
 	Floor int `json:"floor_percent,omitempty"`
-	// Order settles which class a request gets when several select it; lower first.
+	// Order decides between several classes whose selectors match a request; the lowest value wins.
 	Order int `json:"order,omitempty"`
 }
 
--- a/models/config_change.go
+++ b/models/config_change.go
@@ -9,22 +9,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ConfigChange is what an operator applies: objects to put and keys to delete, all
-// or nothing.
+// ConfigChange is an operator's change of the configuration: objects to create or replace and keys to delete.
+// It is applied as a whole or not at all.
 type ConfigChange struct {
 	Put    []ObjectBox `json:"put,omitempty"`
 	Delete []ObjectKey `json:"delete,omitempty"`
-	// Base is the revision the operator looked at; 0 stands for the one in force.
-	// An object changed since then is a conflict.
+	// Base is the revision on which the operator based the change; 0 stands for the revision in force.
+	// If an object of the change was changed after Base, the change is a conflict.
 	Base Revision `json:"base,omitempty"`
-	// DryRun only says what would change.
+	// DryRun reports what would change without applying the change.
 	DryRun bool `json:"dry_run,omitempty"`
 }
 
-// maxChangeObjects bounds one change.
+// maxChangeObjects bounds the objects of one change.
 const maxChangeObjects = 1000
 
-// Check rejects empty changes and objects that stand twice.
+// Check rejects a change that is empty, has more than maxChangeObjects objects, or names an object twice.
 func (c ConfigChange) Check() error {
 	n := len(c.Put) + len(c.Delete)
 	if n == 0 || n > maxChangeObjects {
@@ -40,7 +40,7 @@
 	return checkAll(c.Put)
 }
 
-// Keys lists all objects touched.
+// Keys returns the keys of all objects that the change puts or deletes.
 func (c ConfigChange) Keys() []ObjectKey {
 	keys := make([]ObjectKey, 0, len(c.Put)+len(c.Delete))
 	for _, box := range c.Put {
@@ -51,23 +51,23 @@
 	return append(keys, c.Delete...)
 }
 
-// ConfigResult is the answer to an accepted change.
+// ConfigResult is the response to an accepted change.
 type ConfigResult struct {
 	Revision Revision `json:"revision"`
 	Diff     []string `json:"diff,omitempty"`
 	Warnings []string `json:"warnings,omitempty"`
 }
 
-// Check is there for the decoder; every value is allowed.
+// Check implements wire.Checker; every value is valid.
 func (r ConfigResult) Check() error { return nil }
 
-// ConflictError refuses a change because another operator was faster.
+// ConflictError rejects a change because another operator changed the same objects in the meantime.
 type ConflictError struct {
-	Revision Revision `json:"revision"` // in force now
-	Objects  []string `json:"objects"`  // changed since the base
+	Revision Revision `json:"revision"` // in force at the time of the rejection
+	Objects  []string `json:"objects"`  // changed since the change's base
 }
 
-// Error says which objects changed.
+// Error names the objects that changed and the revision in force.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("conflict: %v changed since the revision this change is based on; revision %d is in force, look at it and apply again",
 		e.Objects, e.Revision)
--- a/models/config_object.go
+++ b/models/config_object.go
@@ -21,24 +21,24 @@
 	ObjectVM      ObjectKind = "vm"
 )
 
-// Object is a configuration object. The set is closed: Team, Service, Rule, Class
-// and VMLabels. Operators write them.
+// Object is a configuration object written by operators. The set of types is closed: Team, Service, Rule,
+// Class and VMLabels.
 type Object interface {
-	// Key names the object within the configuration.
+	// Key returns the object's key, which is unique in the configuration.
 	Key() ObjectKey
-	// Check rejects an object that is wrong in itself.
+	// Check rejects an object that is invalid whatever the rest of the configuration holds.
 	Check() error
 	object()
 }
 
-// ObjectKey names one object of the configuration.
+// ObjectKey identifies one object of the configuration.
 type ObjectKey struct {
 	Kind ObjectKind `json:"kind"`
 	Team TeamName   `json:"team,omitempty"`
 	Name string     `json:"name"`
 }
 
-// String is "kind/name", or "kind/team/name" for what belongs to a team.
+// String returns "kind/name", or "kind/team/name" for an object that belongs to a team.
 func (k ObjectKey) String() string {
 	if k.Team == "" {
 		return string(k.Kind) + "/" + k.Name
@@ -46,8 +46,8 @@
 	return string(k.Kind) + "/" + string(k.Team) + "/" + k.Name
 }
 
-// Bucket is the part of the configuration the object is stored in: its team's
-// objects of its kind.
+// Bucket returns the name of the bucket that stores the object: the bucket of the object's kind, or, for an
+// object that belongs to a team, the bucket of the kind and the team.
 func (k ObjectKey) Bucket() BucketName {
 	if k.Team == "" {
 		return BucketName(k.Kind)
@@ -55,21 +55,21 @@
 	return BucketName(string(k.Kind) + "/" + string(k.Team))
 }
 
-// ObjectBox carries an Object over the wire with its kind beside it.
+// ObjectBox wraps an Object together with its kind for JSON, so that the decoder knows the object's type.
 type ObjectBox struct {
 	Object Object
-	// Changed is the revision that last changed the object; the daemon that accepts
-	// a change sets it.
+	// Changed is the revision that last changed the object. The daemon that accepts a change sets it.
 	Changed Revision
 }
 
+// objectWire is the JSON form of an ObjectBox.
 type objectWire struct {
 	Kind    ObjectKind      `json:"kind"`
 	Spec    json.RawMessage `json:"spec"`
 	Changed Revision        `json:"changed,omitempty"`
 }
 
-// MarshalJSON writes the kind and the object.
+// MarshalJSON encodes the object with its kind.
 func (b ObjectBox) MarshalJSON() ([]byte, error) {
 	spec, err := json.Marshal(b.Object)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return json.Marshal(objectWire{Kind: b.Object.Key().Kind, Spec: spec, Changed: b.Changed})
 }
 
-// UnmarshalJSON reads an object of a known kind and checks it.
+// UnmarshalJSON decodes and validates an object of a known kind.
 func (b *ObjectBox) UnmarshalJSON(data []byte) error {
 	var w objectWire
 	if err := strictUnmarshal(data, &w); err != nil {
@@ -92,7 +92,7 @@
 	return object.Check()
 }
 
-// Check checks the object inside.
+// Check validates the wrapped object.
 func (b ObjectBox) Check() error {
 	if b.Object == nil {
 		return errors.New("object is missing")
--- a/models/job.go
+++ b/models/job.go
@@ -5,10 +5,10 @@
 
 import "github.com/cockroachdb/errors"
 
-// MaxJobTasks bounds the tasks of one job.
+// MaxJobTasks bounds the number of tasks of a job.
 const MaxJobTasks = 100_000
 
-// JobSpec is what an operator submits. Amounts are for each task.
+// JobSpec is a job as an operator submits it. Size and Work are per task.
 type JobSpec struct {
 	ID           JobID             `json:"id"`
 	Team         TeamName          `json:"team"`
@@ -20,7 +20,7 @@
 	Unrepeatable bool              `json:"unrepeatable,omitempty"`
 }
 
-// Check rejects a job that names nothing or asks for impossible amounts.
+// Check rejects a job without an ID or a team, and a job whose amounts or labels are out of range.
 func (s JobSpec) Check() error {
 	if err := checkName("job id", string(s.ID)); err != nil {
 		return err
@@ -43,7 +43,7 @@
 	return errors.Wrapf(s.Size.Check(), "job %s", s.ID)
 }
 
-// JobState sums up a job.
+// JobState is the overall state of a job.
 type JobState string
 
 // The states of a job.
@@ -53,14 +53,13 @@
 	JobCancelled JobState = "cancelled"
 )
 
-// Job is the journalled record of a job, kept in its home cell. Tasks from index
-// Next on have no record of their own yet: they are queued and have never run, so
-// a job of thousands of tasks costs one record until they start.
+// Job is the journalled record of a job in the job's home cell. Tasks without a record of their own are queued
+// and have never run, so a job of thousands of tasks takes only one record until its tasks start.
 type Job struct {
 	JobSpec
 	Submitted  UnixMilli `json:"submitted"`
 	State      JobState  `json:"state"`
-	Next       int       `json:"next"`
+	Next       int       `json:"next"` // index of the first task without a record; no later task has one
 	Succeeded  int       `json:"succeeded,omitempty"`
 	Failed     int       `json:"failed,omitempty"`
 	MayHaveRun int       `json:"may_have_run,omitempty"`
@@ -70,7 +69,7 @@
 	Reason     string    `json:"reason,omitempty"`
 }
 
-// Check checks the spec and that the counts can be true.
+// Check validates the spec and that the task counts are consistent.
 func (j Job) Check() error {
 	if err := j.JobSpec.Check(); err != nil {
 		return err
@@ -81,12 +80,14 @@
 	return nil
 }
 
+// endedTasks returns the number of tasks that have ended.
 func (j Job) endedTasks() int { return j.Succeeded + j.Failed + j.MayHaveRun + j.Stopped }
 
-// Remaining is how many tasks have not ended, those without a record included.
+// Remaining returns the number of tasks that have not ended, including the tasks without a record.
 func (j Job) Remaining() int { return j.Tasks - j.endedTasks() }
 
-// NewTask makes the record of the job's next task; the caller raises Next with it.
+// NewTask returns a queued record for the job's task with the given index. Code that stores the record must
+// also advance the index of the job's first task without a record.
 func (j Job) NewTask(index int) Task {
 	return Task{
 		ID: JobTaskID(j.ID, index), Kind: TaskBatch, Job: j.ID, Index: index, Team: j.Team, Labels: j.Labels,
@@ -95,7 +96,7 @@
 	}
 }
 
-// Count adds an ended task to the job's counts and ends the job with its last task.
+// Count adds an ended task to the job's counts, and ends the job if this was its last task.
 func (j Job) Count(t Task, now UnixMilli) Job {
 	switch {
 	case t.State == TaskStopped:
@@ -114,7 +115,8 @@
 	return j.endIfComplete(now)
 }
 
-// Cancel ends every task that has no record yet; those with one are stopped apart.
+// Cancel cancels the job and counts every task without a record as stopped. The owner of the cell stops the
+// tasks that have a record.
 func (j Job) Cancel(now UnixMilli) Job {
 	if j.State != JobActive {
 		return j
@@ -125,6 +127,7 @@
 	return j.endIfComplete(now)
 }
 
+// endIfComplete sets the end time and the final state once no task remains.
 func (j Job) endIfComplete(now UnixMilli) Job {
 	if j.Remaining() > 0 || j.Ended != 0 {
 		return j
--- a/models/member.go
+++ b/models/member.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Member is a daemon as the others know it. The daemon writes it under a lease of
-// the store and sends it in its heartbeats.
+// Member describes a daemon to the other daemons. The daemon writes its record to the store under a lease and
+// sends it in its heartbeats.
 type Member struct {
 	ID          MemberID      `json:"id"`
 	Incarnation Incarnation   `json:"incarnation"`
@@ -19,7 +19,7 @@
 	Leaving     bool          `json:"leaving,omitempty"`
 }
 
-// Check rejects a member that can't be reached.
+// Check rejects a member with an invalid ID or without a usable peer address.
 func (m Member) Check() error {
 	if err := checkName("member id", string(m.ID)); err != nil {
 		return err
@@ -30,27 +30,27 @@
 	return nil
 }
 
-// CellBeat is what the owner of a cell tells of it in its heartbeats.
+// CellBeat is the summary of a cell that its owner sends in heartbeats.
 type CellBeat struct {
 	Epoch Epoch                  `json:"epoch"`
-	Free  Resources              `json:"free"`    // sum over its workers
-	Room  Resources              `json:"room"`    // the largest free place on one worker
-	Teams map[TeamName]Resources `json:"teams"`   // committed by batch tasks
+	Free  Resources              `json:"free"`    // sum over the cell's workers
+	Room  Resources              `json:"room"`    // largest free capacity on one worker
+	Teams map[TeamName]Resources `json:"teams"`   // resources committed to batch tasks
 	Waits int                    `json:"waiting"` // queued tasks
 }
 
-// Heartbeat is what daemons tell each other. The answer is the peer's own.
+// Heartbeat is the state that daemons exchange. The response to a heartbeat is the receiver's own heartbeat.
 type Heartbeat struct {
 	Member     Member              `json:"member"`
 	Uptime     Milli               `json:"uptime_ms"`
 	Revision   Revision            `json:"revision"` // configuration in force at the sender
 	Cells      map[CellID]CellBeat `json:"cells,omitempty"`
-	Load       map[VMID]int        `json:"load,omitempty"`    // per upstream, hundredths of a slot, averaged
+	Load       map[VMID]int        `json:"load,omitempty"`    // averaged load per upstream, in hundredths of a slot
 	Waiting    int                 `json:"waiting,omitempty"` // requests queued at the sender
 	LeavingVMs []VMID              `json:"leaving_vms,omitempty"`
 }
 
-// Check checks the member and that no count is negative.
+// Check validates the member and that no load is negative.
 func (h Heartbeat) Check() error {
 	for id, n := range h.Load {
 		if n < 0 {
--- a/models/operate.go
+++ b/models/operate.go
@@ -3,7 +3,7 @@
 
 package models
 
-// Status sums up a daemon and what it knows of the others.
+// Status summarizes a daemon and what it knows of the other daemons, the cells and the upstreams.
 type Status struct {
 	Self     Member             `json:"self"`
 	Revision Revision           `json:"revision"`
@@ -13,10 +13,10 @@
 	Figures  map[string]float64 `json:"figures"`
 }
 
-// Check is there for the decoder; every value is allowed.
+// Check implements wire.Checker; every value is valid.
 func (s Status) Check() error { return nil }
 
-// MemberStatus is a daemon as another sees it.
+// MemberStatus is the state of a daemon as seen by the daemon that reports it.
 type MemberStatus struct {
 	Member
 	Revision Revision `json:"revision"`
@@ -25,40 +25,40 @@
 	State    string   `json:"state"` // live, leaving or silent
 }
 
-// CellStatus is a cell with its owner.
+// CellStatus is a cell and its owner as seen by one daemon.
 type CellStatus struct {
 	Cell    CellID        `json:"cell"`
 	Domain  FailureDomain `json:"domain"`
-	Owner   MemberID      `json:"owner"` // empty: none is known
+	Owner   MemberID      `json:"owner"` // empty if no owner is known
 	Epoch   Epoch         `json:"epoch"`
 	Free    Resources     `json:"free"`
 	Waiting int           `json:"waiting"`
 }
 
-// UpstreamStatus is an upstream as one daemon sees it.
+// UpstreamStatus is the state of an upstream as seen by one daemon.
 type UpstreamStatus struct {
 	VM      VMID   `json:"vm"`
-	State   string `json:"state"` // live, leaving, drained, ejected
-	Own     int    `json:"own"`   // requests of this daemon in flight
-	Peers   int    `json:"peers"` // those of the others, as last told
-	Share   int    `json:"share"`
+	State   string `json:"state"` // live, leaving, drained or ejected
+	Own     int    `json:"own"`   // requests in flight from this daemon
+	Peers   int    `json:"peers"` // requests in flight from the other daemons, as last reported by them
+	Share   int    `json:"share"` // slots that this daemon may use
 	Slots   int    `json:"slots"`
 	Latency Milli  `json:"latency_ms"`
 }
 
-// Submission is the body of a job submission.
+// Submission is the request body of a job submission.
 type Submission struct {
 	Jobs []JobSpec `json:"jobs"`
 }
 
-// maxJobsPerCall bounds the jobs of one call.
+// maxJobsPerCall bounds the jobs of one submission or cancellation.
 const maxJobsPerCall = 1000
 
-// placeholderDefaults stand for a team's while a submission is decoded; those of the team are
-// filled in, and the job checked again, before it is accepted.
+// placeholderDefaults replaces the team's defaults while a submission is decoded, when the team is not looked
+// up yet. The team's real defaults are filled in, and the job is checked again, before the job is accepted.
 var placeholderDefaults = JobDefaults{Size: Resources{CPU: 1}, Work: 1}
 
-// Check checks every job, but for what its team's defaults may fill in.
+// Check validates every job, except for the values that the defaults of the job's team may fill in.
 func (s Submission) Check() error {
 	if len(s.Jobs) == 0 || len(s.Jobs) > maxJobsPerCall {
 		return newCountError("jobs", len(s.Jobs), maxJobsPerCall)
@@ -71,12 +71,12 @@
 	return nil
 }
 
-// Cancellation is the body of a job cancellation.
+// Cancellation is the request body of a job cancellation.
 type Cancellation struct {
 	Jobs []JobID `json:"jobs"`
 }
 
-// Check checks that jobs are named.
+// Check validates the number of jobs and their IDs.
 func (c Cancellation) Check() error {
 	if len(c.Jobs) == 0 || len(c.Jobs) > maxJobsPerCall {
 		return newCountError("jobs", len(c.Jobs), maxJobsPerCall)
@@ -89,27 +89,27 @@
 	return nil
 }
 
-// JobResult is what became of one job of a call.
+// JobResult is the result of a submission or cancellation for one of its jobs.
 type JobResult struct {
 	ID      JobID          `json:"id"`
 	Job     *Job           `json:"job,omitempty"`
-	Outcome RequestOutcome `json:"outcome,omitempty"` // of a refusal
+	Outcome RequestOutcome `json:"outcome,omitempty"` // empty if the job was accepted
 	Error   string         `json:"error,omitempty"`
 }
 
-// JobResults answers a submission or cancellation, job by job.
+// JobResults is the response to a submission or cancellation, with one result per job.
 type JobResults struct {
 	Results []JobResult `json:"results"`
 }
 
-// Check is there for the decoder; every value is allowed.
+// Check implements wire.Checker; every value is valid.
 func (r JobResults) Check() error { return nil }
 
-// AnyCell stands in a listing for cells that aren't known.
+// AnyCell replaces the cell IDs in a listing while it is not known which cells exist.
 const AnyCell CellID = "*"
 
-// Listing answers the calls that list what all cells hold. Missing names the cells
-// that gave no answer, with the reason; AnyCell when it isn't known which cells there are.
+// Listing is the response to the calls that list records of all cells. Missing holds the cells that did not
+// answer, with the reason; AnyCell is listed there if it is not known which cells exist.
 type Listing struct {
 	Jobs      []Job             `json:"jobs,omitempty"`
 	Tasks     []Task            `json:"tasks,omitempty"`
@@ -118,13 +118,13 @@
 	Missing   map[CellID]string `json:"missing,omitempty"`
 }
 
-// Check is there for the decoder; every value is allowed.
+// Check implements wire.Checker; every value is valid.
 func (l Listing) Check() error { return nil }
 
-// RequestRefusal is a request that got no answer of an upstream, as the daemon that
-// refused it remembers it.
+// RequestRefusal describes a request that got no answer from an upstream, as recorded by the daemon that
+// refused it.
 type RequestRefusal struct {
-	ID      string         `json:"id"` // as told to the caller in Rillsail-Request-Id
+	ID      string         `json:"id"` // as sent to the caller in the header Rillsail-Request-Id
 	At      UnixMilli      `json:"at"`
 	Class   ClassName      `json:"class"`
 	Status  int            `json:"status"`
@@ -133,21 +133,21 @@
 	Waited  Milli          `json:"waited_ms"`
 }
 
-// Refusals are the latest refusals of one daemon, the oldest first.
+// Refusals lists the most recent refusals of one daemon, oldest first.
 type Refusals struct {
 	Refusals []RequestRefusal `json:"refusals"`
 }
 
-// Check is there for the decoder; every value is allowed.
+// Check implements wire.Checker; every value is valid.
 func (r Refusals) Check() error { return nil }
 
-// Configuration is the configuration in force, object by object.
+// Configuration is the configuration in force as a list of its objects.
 type Configuration struct {
 	Revision Revision    `json:"revision"`
 	Objects  []ObjectBox `json:"objects"`
 }
 
-// Check checks every object.
+// Check validates every object.
 func (c Configuration) Check() error {
 	return checkAll(c.Objects)
 }
--- a/models/peer.go
+++ b/models/peer.go
@@ -5,7 +5,7 @@
 
 import "github.com/cockroachdb/errors"
 
-// OfferCall offers tasks of one cell to another, in the epoch the sender knows.
+// OfferCall offers tasks of one cell to another cell. Epoch is the epoch of the other cell that the sender knows.
 type OfferCall struct {
 	From  CellID `json:"from"`
 	To    CellID `json:"to"`
@@ -13,7 +13,7 @@
 	Tasks []Task `json:"tasks"`
 }
 
-// Check checks every task offered.
+// Check validates every task and that its state is offered.
 func (c OfferCall) Check() error {
 	for _, t := range c.Tasks {
 		if err := t.Check(); err != nil {
@@ -26,67 +26,67 @@
 	return nil
 }
 
-// OfferAnswer holds the final answer for each task; one that is missing is open.
+// OfferAnswer holds the final decision on each task. A task that is missing is not decided yet.
 type OfferAnswer struct {
 	Accepted map[TaskID]bool `json:"accepted"`
 }
 
-// Check is there for the decoder; every value is allowed.
+// Check implements wire.Checker; every value is valid.
 func (a OfferAnswer) Check() error { return nil }
 
-// ReportCall tells a home cell what became of tasks it moved away, or asks the
-// other cell to cancel them.
+// ReportCall reports to a home cell the outcome of tasks that it moved to another cell, or asks that other cell
+// to cancel tasks.
 type ReportCall struct {
 	To     CellID   `json:"to"`
 	Tasks  []Task   `json:"tasks,omitempty"`
 	Cancel []TaskID `json:"cancel,omitempty"`
 }
 
-// Check checks every task reported.
+// Check validates every reported task.
 func (c ReportCall) Check() error {
 	return checkAll(c.Tasks)
 }
 
-// ReportAnswer lists the tasks whose report is journalled, or that are not known.
+// ReportAnswer lists the tasks whose report is journalled, and the tasks that the receiver does not know.
 type ReportAnswer struct {
 	Settled []TaskID `json:"settled"`
 }
 
-// Check is there for the decoder; every value is allowed.
+// Check implements wire.Checker; every value is valid.
 func (a ReportAnswer) Check() error { return nil }
 
-// ClaimAction is what a ClaimCall wants.
+// ClaimAction is the operation that a ClaimCall requests.
 type ClaimAction string
 
 // The actions of a claim call.
 const (
-	ClaimTake  ClaimAction = "take"  // the right to send
-	ClaimEnd   ClaimAction = "end"   // the request is over
-	ClaimFree  ClaimAction = "free"  // the request was not run, the key may be taken again
-	ClaimCarry ClaimAction = "carry" // a home that leaves passes on what it knows
+	ClaimTake  ClaimAction = "take"  // acquire the key and with it the right to send the request
+	ClaimEnd   ClaimAction = "end"   // the request has ended
+	ClaimFree  ClaimAction = "free"  // the request was not run; the key may be claimed again
+	ClaimCarry ClaimAction = "carry" // a home daemon that leaves transfers its records
 )
 
-// ClaimRecord is what a home keeps of one key.
+// ClaimRecord is the record of one idempotency key at a home daemon of the key.
 type ClaimRecord struct {
 	Key    string `json:"key"`
-	Holder string `json:"holder"` // the request that holds it
+	Holder string `json:"holder"` // ID of the request that holds the key
 	Ended  bool   `json:"ended,omitempty"`
 }
 
-// ClaimCall asks a home daemon of an idempotency key for the right to send, or
-// tells it what became of the request. Only ClaimCarry names several keys.
+// ClaimCall asks a home daemon of an idempotency key for the right to send the request, or reports the end of
+// the request to it. Only a call with ClaimCarry has several records.
 type ClaimCall struct {
 	Action  ClaimAction   `json:"action"`
 	Records []ClaimRecord `json:"records"`
 }
 
-// MaxIdempotencyKey bounds an idempotency key, in bytes.
+// MaxIdempotencyKey bounds the length of an idempotency key in bytes.
 const MaxIdempotencyKey = 200
 
-// MaxCarried bounds the records of one call.
+// MaxCarried bounds the records of one ClaimCall.
 const MaxCarried = 1000
 
-// Check rejects unknown actions and claims without key or holder.
+// Check rejects unknown actions, a wrong number of records, and records without a valid key and holder.
 func (c ClaimCall) Check() error {
 	switch c.Action {
 	case ClaimTake, ClaimEnd, ClaimFree, ClaimCarry:
@@ -107,20 +107,20 @@
 	return nil
 }
 
-// ClaimState is what a home knows of a key.
+// ClaimState is the state of an idempotency key at a home daemon.
 type ClaimState string
 
-// The states of a key at a home.
+// The states of a key at a home daemon.
 const (
-	ClaimGranted ClaimState = "granted" // to this holder
-	ClaimTaken   ClaimState = "taken"   // another request holds it or has run
-	ClaimUnknown ClaimState = "unknown" // all who knew of the key are gone
+	ClaimGranted ClaimState = "granted" // the requesting holder holds the key
+	ClaimTaken   ClaimState = "taken"   // another request holds the key or has run
+	ClaimUnknown ClaimState = "unknown" // the home daemons that may have known the key were all lost
 )
 
-// ClaimAnswer is a home's answer.
+// ClaimAnswer is a home daemon's response to a ClaimCall.
 type ClaimAnswer struct {
 	State ClaimState `json:"state"`
-	Ended bool       `json:"ended,omitempty"` // the request that holds it is over
+	Ended bool       `json:"ended,omitempty"` // the request that holds the key has ended
 }
 
 // Check rejects an unknown state.
@@ -133,7 +133,7 @@
 	}
 }
 
-// ForwardCall carries an operator's job call to the owner of the job's home cell.
+// ForwardCall forwards an operator's call to the owner of a cell, such as the home cell of a job.
 type ForwardCall struct {
 	Cell   CellID    `json:"cell"`
 	Submit []JobSpec `json:"submit,omitempty"`
@@ -144,15 +144,15 @@
 	Worker bool      `json:"workers,omitempty"` // list workers
 }
 
-// Changes tells whether the call asks for a change.
+// Changes reports whether the call submits or cancels jobs.
 func (c ForwardCall) Changes() bool { return len(c.Submit)+len(c.Cancel) > 0 }
 
-// Check checks every job submitted.
+// Check validates every submitted job.
 func (c ForwardCall) Check() error {
 	return checkAll(c.Submit)
 }
 
-// WorkerStatus is a worker as its owner sees it.
+// WorkerStatus is the state of a worker as seen by the owner of the worker's cell.
 type WorkerStatus struct {
 	VM          VMID        `json:"vm"`
 	Cell        CellID      `json:"cell"`
@@ -162,11 +162,11 @@
 	Usage       Resources   `json:"usage"`
 	Tasks       int         `json:"tasks"`
 	Incarnation Incarnation `json:"incarnation"`
-	State       string      `json:"state"` // live, leaving, draining, silent, quarantined, unknown
+	State       string      `json:"state"` // live, leaving, draining, silent, quarantined or unknown
 }
 
-// ForwardAnswer is the owner's answer; only the parts asked for are filled. Of a job of the
-// call that is neither submitted, cancelled nor refused, the owner doesn't know.
+// ForwardAnswer is the owner's response to a ForwardCall. It holds only the parts that the call asked for. If a
+// job of the call is neither submitted, cancelled nor refused in it, the outcome for that job is unknown.
 type ForwardAnswer struct {
 	Submitted []Job                `json:"submitted,omitempty"`
 	Cancelled []Job                `json:"cancelled,omitempty"`
@@ -177,17 +177,17 @@
 	Decisions []Decision           `json:"decisions,omitempty"`
 }
 
-// JobRefusal says why an owner doesn't do what is asked of a job. Kind is the text of one of
-// its errors, Reason that with what led to it.
+// JobRefusal is the reason for which an owner refuses to submit or cancel a job. Kind is the text of one of the
+// owner's errors, Reason the same error with its context.
 type JobRefusal struct {
 	Kind   string `json:"kind"`
 	Reason string `json:"reason"`
 }
 
-// Check is there for the decoder; the owner fills it from checked records.
+// Check implements wire.Checker; every value is valid, because the owner fills it from validated records.
 func (a ForwardAnswer) Check() error { return nil }
 
-// Decision is a choice of the scheduler's, kept with its reason for operators.
+// Decision is a decision of the scheduler, kept with its reason for operators.
 type Decision struct {
 	At     UnixMilli `json:"at"`
 	Task   TaskID    `json:"task"`
--- a/models/peer_config.go
+++ b/models/peer_config.go
@@ -5,42 +5,42 @@
 
 import "github.com/cockroachdb/errors"
 
-// ConfigQuery asks a peer for a configuration newer than the sender's.
+// ConfigQuery asks a peer for a configuration that is newer than the sender's.
 type ConfigQuery struct {
 	Revision Revision     `json:"revision"`
-	Have     []BucketHash `json:"have,omitempty"`
+	Have     []BucketHash `json:"have,omitempty"` // buckets that the sender already has
 }
 
-// Check is there for the decoder; every value is allowed.
+// Check implements wire.Checker; every value is valid.
 func (q ConfigQuery) Check() error { return nil }
 
-// ConfigTransfer is a peer's configuration: the head and the buckets that the
-// asker lacks, in their stored form, and the map of cells.
+// ConfigTransfer is the response to a ConfigQuery: the head of the peer's configuration, the buckets that the
+// sender of the query lacks, in their stored form, and the map of cells.
 type ConfigTransfer struct {
 	Head    ConfigHead            `json:"head"`
 	Buckets map[BucketHash][]byte `json:"buckets,omitempty"`
 	Cells   CellMap               `json:"cells"`
 }
 
-// Check checks the cells; a head of revision 0 says that the peer has none.
+// Check validates the map of cells. A head with revision 0 is valid: the peer has no newer configuration.
 func (t ConfigTransfer) Check() error { return t.Cells.Check() }
 
-// HandoverCall passes a cell to its next owner while the store can't be written.
-// The sender does nothing more for the cell, whatever the answer.
+// HandoverCall passes a cell to its next owner while the store can't be written. The sender stops acting for
+// the cell whatever the response is.
 type HandoverCall struct {
 	Cell     CellID    `json:"cell"`
 	Epoch    Epoch     `json:"epoch"`
 	Sequence Sequence  `json:"sequence"`
 	Snapshot uint64    `json:"snapshot"`    // version of the snapshot key
-	SnapSeq  Sequence  `json:"snapshot_at"` // entry it holds
-	Versions []uint64  `json:"versions"`    // of the ring's slots
+	SnapSeq  Sequence  `json:"snapshot_at"` // sequence of the last entry that the snapshot holds
+	Versions []uint64  `json:"versions"`    // versions of the journal's ring slots
 	State    CellState `json:"state"`
-	// Pending is the encoded entry whose append is not settled; the peer goes on
-	// settling it under the same write id.
+	// The encoded journal entry whose append has an unknown outcome; the next owner goes on settling it under
+	// the same write ID.
 	Pending []byte `json:"pending,omitempty"`
 }
 
-// Check checks the state that is passed on.
+// Check rejects a call without an epoch or slot versions, and validates the state.
 func (c HandoverCall) Check() error {
 	if c.Epoch == 0 || len(c.Versions) == 0 {
 		return errors.Newf("handover of %s: epoch %d, %d slots", c.Cell, c.Epoch, len(c.Versions))
@@ -48,10 +48,10 @@
 	return c.State.Check()
 }
 
-// HandoverAnswer says whether the peer has taken the cell.
+// HandoverAnswer tells whether the peer has become the owner of the cell.
 type HandoverAnswer struct {
 	Taken bool `json:"taken"`
 }
 
-// Check is there for the decoder; every value is allowed.
+// Check implements wire.Checker; every value is valid.
 func (a HandoverAnswer) Check() error { return nil }
--- a/models/rule.go
+++ b/models/rule.go
@@ -5,22 +5,22 @@
 
 import "github.com/cockroachdb/errors"
 
-// RuleKind says what a rule is about.
+// RuleKind is the kind of a rule.
 type RuleKind string
 
-// The kinds of rule.
+// The kinds of rules.
 const (
 	RuleShare RuleKind = "share" // tasks of Selector share VMs only with tasks of With
 	RuleApart RuleKind = "apart" // tasks of Selector never share a VM with tasks of With
-	RuleYield RuleKind = "yield" // batch tasks of Selector yield in the order of Order
+	RuleYield RuleKind = "yield" // batch tasks of Selector are throttled and evicted in the order of Order
 )
 
-// Rule is a selector of the operators' about the sharing of VMs.
+// Rule is an operator's rule about the sharing of VMs by the tasks that its selectors match.
 type Rule struct {
 	Name     string   `json:"name"`
 	Kind     RuleKind `json:"kind"`
-	Selector string   `json:"selector"`
-	With     string   `json:"with,omitempty"`
+	Selector string   `json:"selector"`        // label selector on tasks
+	With     string   `json:"with,omitempty"`  // label selector on the other tasks; not in yield rules
 	Order    int      `json:"order,omitempty"` // lower yields first
 }
 
--- a/models/service.go
+++ b/models/service.go
@@ -5,14 +5,14 @@
 
 import "github.com/cockroachdb/errors"
 
-// Service is kept running with a number of replicas.
+// Service is a service that is kept running with the configured number of replicas.
 type Service struct {
 	Name     ServiceName       `json:"name"`
 	Team     TeamName          `json:"team"`
 	Labels   map[string]string `json:"labels,omitempty"`
 	Replicas int               `json:"replicas"`
 	Size     Resources         `json:"size"`
-	// Target is the latency that the service's p99 shall stay under.
+	// Target is the upper limit for the service's p99 latency; 0 means no limit.
 	Target Milli `json:"target_p99_ms"`
 }
 
@@ -23,7 +23,7 @@
 	return ObjectKey{Kind: ObjectService, Team: o.Team, Name: string(o.Name)}
 }
 
-// MaxReplicas bounds the replicas of one service.
+// MaxReplicas bounds the number of replicas of a service.
 const MaxReplicas = 10_000
 
 // Check implements Object.
--- a/models/task_action.go
+++ b/models/task_action.go
@@ -3,22 +3,21 @@
 
 package models
 
-// TaskAction is what the owner does once the new record is journalled.
+// TaskAction is an action that the owner of the task's cell takes once the task's new record is journalled.
 type TaskAction string
 
-// The actions that follow a step. All may be repeated, also by a successor.
+// The actions that follow a step. Each may be repeated, also by the next owner of the cell.
 const (
 	ActionStart        TaskAction = "start"         // start the attempt on its worker
 	ActionEvict        TaskAction = "evict"         // checkpoint and stop the attempt
-	ActionStop         TaskAction = "stop"          // stop the attempt for good
-	ActionAcknowledge  TaskAction = "acknowledge"   // the worker may forget the attempt
+	ActionStop         TaskAction = "stop"          // stop the attempt without a checkpoint; the task ends
+	ActionAcknowledge  TaskAction = "acknowledge"   // tell the worker that it may forget the attempt
 	ActionSendOffer    TaskAction = "send-offer"    // offer the task to Peer
-	ActionCancelRemote TaskAction = "cancel-remote" // have Peer stop the task
+	ActionCancelRemote TaskAction = "cancel-remote" // ask Peer to cancel the task
 )
 
-// PendingAction is the action that a journalled record calls for. A successor
-// takes it up from the record alone, so a crash between journal and action loses
-// nothing.
+// PendingAction returns the action that a journalled record requires, if any. The record alone decides it, so
+// the next owner can take the action if its predecessor crashed between writing the journal and acting.
 func (t Task) PendingAction() (TaskAction, bool) {
 	switch t.State {
 	case TaskPlaced:
--- a/models/task_event.go
+++ b/models/task_event.go
@@ -6,39 +6,39 @@
 // TaskEvent is something that happened to a task. The set is closed.
 type TaskEvent interface{ taskEvent() }
 
-// Events from the owner's own decisions.
+// Events that the owner of the cell decides.
 type (
-	// EventPlace starts the next attempt on a worker.
+	// EventPlace places the next attempt of a queued task on a worker.
 	EventPlace struct {
 		Worker      VMID
 		Incarnation Incarnation
 	}
-	// EventEvict takes a task off its worker, to be resumed later.
+	// EventEvict removes a task from its worker; the task is resumed later.
 	EventEvict struct{ Reason string }
-	// EventCancel ends a task for good: its job was cancelled or its replica retired.
+	// EventCancel ends a task permanently: its job was cancelled or its replica retired.
 	EventCancel struct{ Reason string }
-	// EventOffer offers a queued task to another cell in the epoch it is known to have.
+	// EventOffer offers a queued task to another cell, for the epoch of that cell that the owner knows.
 	EventOffer struct {
 		Cell  CellID
 		Epoch Epoch
 	}
 )
 
-// Events from a worker's answers. Each names the attempt it speaks of.
+// Events that follow from a worker's answers or silence. Events about an attempt carry its number.
 type (
-	// EventStarted says that the worker runs the attempt.
+	// EventStarted means that the worker runs the attempt.
 	EventStarted struct{ Attempt Attempt }
-	// EventNeverBegan says that the attempt never ran and is barred at its worker.
+	// EventNeverBegan means that the attempt never ran and that its worker will refuse to start it.
 	EventNeverBegan struct {
 		Attempt Attempt
 		Reason  string
 	}
-	// EventStopped says that the attempt ran and was stopped; Checkpoint may be empty.
+	// EventStopped means that the attempt ran and was stopped; Checkpoint may be empty.
 	EventStopped struct {
 		Attempt    Attempt
 		Checkpoint string
 	}
-	// EventFinished says that the attempt ended by itself.
+	// EventFinished means that the attempt ended by itself, with success or by a failure.
 	EventFinished struct {
 		Attempt Attempt
 		Success bool
@@ -46,18 +46,18 @@
 	}
 	// EventUnreachable says that the worker has been silent for longer than a lease.
 	EventUnreachable struct{}
-	// EventWorkerGone is the proof that nothing runs there any more: the VM left the
-	// list a lease ago, or the worker's process has begun a new incarnation.
+	// EventWorkerGone means that the attempt is proved not to run any more: its VM left the VM list at least
+	// a lease ago, or the worker's process was restarted as a new incarnation.
 	EventWorkerGone struct{ Reason string }
 )
 
-// Events from the other cell of an offer.
+// Events from the other cell, to which the task was offered.
 type (
-	// EventOfferAccepted says that the other cell has journalled the task.
+	// EventOfferAccepted means that the other cell has journalled the task.
 	EventOfferAccepted struct{ Attempt Attempt }
-	// EventOfferRefused says that the other cell never will accept this offer.
+	// EventOfferRefused means that the other cell has not accepted this offer and never will.
 	EventOfferRefused struct{ Attempt Attempt }
-	// EventReturned gives a moved task back to its home, proved not running there.
+	// EventReturned returns a moved task to its home cell; the task is proved not to run in the other cell.
 	EventReturned struct {
 		Attempt    Attempt
 		Checkpoint string
@@ -66,7 +66,7 @@
 		Failures   int
 		FailedOn   []VMID
 	}
-	// EventRemoteDone tells the home how a moved task ended.
+	// EventRemoteDone reports to the home cell how a moved task ended.
 	EventRemoteDone struct {
 		Attempt   Attempt
 		Outcome   TaskOutcome
--- a/models/task_step.go
+++ b/models/task_step.go
@@ -5,10 +5,9 @@
 
 import "slices"
 
-// Step is the life of a task: from a record and an event to the next record and
-// the actions that may be taken once that record is in the journal. An event that
-// doesn't apply, because it is late, repeated or of another attempt, changes
-// nothing; changed tells.
+// Step is the state machine of a task. From a task's record and an event it returns the next record, and the
+// actions that may be taken once that record is in the journal. An event that does not apply, because it is
+// late, repeated or belongs to another attempt, changes nothing; then changed is false.
 func Step(t Task, event TaskEvent) (next Task, actions []TaskAction, changed bool) {
 	switch e := event.(type) {
 	case EventPlace:
@@ -78,7 +77,7 @@
 		return t, []TaskAction{ActionStop}, true
 	case TaskMoved:
 		return t, []TaskAction{ActionCancelRemote}, true
-	default: // offered and lost wait for their answer
+	default: // an offered task waits for the other cell's answer, a lost task for its worker's
 		return t, nil, true
 	}
 }
@@ -88,7 +87,7 @@
 		return t, nil, false
 	}
 	t.State = TaskOffered
-	t.Attempt++ // numbers the offer; the other cell's attempt is the next
+	t.Attempt++ // the offer takes this number; the first attempt in the other cell takes the next
 	t.Peer, t.PeerEpoch = e.Cell, e.Epoch
 	return t, []TaskAction{ActionSendOffer}, true
 }
@@ -146,8 +145,8 @@
 	t.Failures++
 	t.Reason = e.Reason
 	t.FailedOn = appendUnique(t.FailedOn, t.Worker)
-	giveUp := t.Kind == TaskBatch && (t.Unrepeatable || t.Failures >= MaxTaskFailures)
-	if giveUp && !t.Cancelled {
+	failed := t.Kind == TaskBatch && (t.Unrepeatable || t.Failures >= MaxTaskFailures)
+	if failed && !t.Cancelled {
 		return endTask(t, TaskDone, OutcomeFailed), actions, true
 	}
 	return requeue(t, e.Reason), actions, true
@@ -216,11 +215,11 @@
 	return endTask(t, TaskDone, e.Outcome), nil, true
 }
 
-// peerMayReport tells whether the other cell may speak for t; its report can overtake the
-// answer to the offer.
+// peerMayReport reports whether the other cell may report on t. An offered task counts too, because the other
+// cell's report can overtake its answer to the offer.
 func peerMayReport(t Task) bool { return t.State == TaskMoved || t.State == TaskOffered }
 
-// requeue is the move of a task that is proved not to run anywhere.
+// requeue returns a task that is proved not to run anywhere to the queue, or ends it if it is cancelled.
 func requeue(t Task, reason string) Task {
 	if t.Cancelled {
 		return endTask(t, TaskStopped, "")
@@ -232,12 +231,14 @@
 	return t
 }
 
+// endTask moves t to a final state.
 func endTask(t Task, state TaskState, outcome TaskOutcome) Task {
 	t.State, t.Outcome = state, outcome
 	t.Peer, t.PeerEpoch = "", 0
 	return t
 }
 
+// appendUnique returns the list with id appended unless it is already there; it does not change the list in place.
 func appendUnique(list []VMID, id VMID) []VMID {
 	if slices.Contains(list, id) {
 		return list
--- a/models/team.go
+++ b/models/team.go
@@ -9,11 +9,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Team owns services and jobs, up to a quota.
+// Team is the owner of services and jobs, which may use resources up to a quota.
 type Team struct {
 	Name  TeamName    `json:"name"`
-	Quota Resources   `json:"quota"`         // zero parts are not limited
-	Jobs  JobDefaults `json:"jobs,omitzero"` // for what its jobs don't say
+	Quota Resources   `json:"quota"`         // a resource with amount 0 is not limited
+	Jobs  JobDefaults `json:"jobs,omitzero"` // defaults for the team's jobs
 }
 
 func (Team) object() {}
@@ -32,14 +32,14 @@
 	return errors.Wrapf(o.Quota.Check(), "team %s: quota", o.Name)
 }
 
-// JobDefaults are what a team's jobs have when they don't say otherwise.
+// JobDefaults are the values that a team's jobs get for fields that they don't set.
 type JobDefaults struct {
-	Labels map[string]string `json:"labels,omitempty"` // a job's own go before them, label by label
+	Labels map[string]string `json:"labels,omitempty"` // merged with the job's own labels, which take precedence
 	Size   Resources         `json:"size,omitzero"`
 	Work   Milli             `json:"work_ms,omitempty"`
 }
 
-// Check rejects impossible amounts.
+// Check rejects amounts and labels that are out of range.
 func (d JobDefaults) Check() error {
 	if d.Work < 0 {
 		return errors.Newf("work_ms %d is negative", d.Work)
@@ -50,7 +50,7 @@
 	return d.Size.Check()
 }
 
-// Fill gives the job what it doesn't say.
+// Fill returns the job with the defaults filled in for the fields that it doesn't set.
 func (d JobDefaults) Fill(job JobSpec) JobSpec {
 	if len(d.Labels) > 0 {
 		labels := maps.Clone(d.Labels)
--- a/models/vm.go
+++ b/models/vm.go
@@ -9,25 +9,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// VMKind says what a VM of the platform's list is for.
+// VMKind is the purpose of a VM in the platform's VM list.
 type VMKind string
 
-// The kinds of VM: tasks run on workers, requests are answered by upstreams.
+// The kinds of VMs: workers run tasks, upstreams answer requests.
 const (
 	KindWorker   VMKind = "worker"
 	KindUpstream VMKind = "upstream"
 )
 
-// VMState is what the platform's list says of a VM; a VM that is gone is not listed.
+// VMState is the state of a VM in the platform's VM list. A VM that no longer exists is not listed.
 type VMState string
 
-// The states of a VM in the platform's list.
+// The states of a VM in the platform's VM list.
 const (
 	VMLive    VMState = "live"
 	VMLeaving VMState = "leaving"
 )
 
-// VM is one line of the platform's list. The platform writes it.
+// VM is one entry of the platform's VM list. The platform writes it.
 type VM struct {
 	ID       VMID              `json:"id"`
 	Kind     VMKind            `json:"kind"`
@@ -41,13 +41,13 @@
 	MaxConns int               `json:"connections,omitempty"` // upstreams only
 }
 
-// Bounds on what the list may say of an upstream.
+// Upper bounds on the values of an upstream's entry.
 const (
 	maxSlots = 4096
 	maxConns = 1 << 16
 )
 
-// Check rejects a line that names no VM or no usable address.
+// Check rejects an entry with an invalid ID, kind, state or address, or with amounts or labels out of range.
 func (v VM) Check() error {
 	if err := checkName("vm id", string(v.ID)); err != nil {
 		return err
@@ -62,7 +62,8 @@
 		return errors.Newf("vm %s: address %q is not IP:port", v.ID, v.Address)
 	}
 	if v.Kind == KindUpstream && (v.Slots < 1 || v.Slots > maxSlots || v.MaxConns < 1 || v.MaxConns > maxConns) {
-		return errors.Newf("vm %s: slots %d or connections %d out of range", v.ID, v.Slots, v.MaxConns)
+		return errors.Newf("vm %s: slots %d must be 1..%d and connections %d must be 1..%d",
+			v.ID, v.Slots, maxSlots, v.MaxConns, maxConns)
 	}
 	if err := checkLabels(v.Labels); err != nil {
 		return errors.Wrapf(err, "vm %s", v.ID)
@@ -70,12 +71,12 @@
 	return errors.Wrapf(v.Capacity.Check(), "vm %s", v.ID)
 }
 
-// VMList is the platform's list at one moment; it lags behind the truth.
+// VMList is a snapshot of the platform's VM list. It lags behind the actual state of the VMs.
 type VMList struct {
 	VMs []VM `json:"vms"`
 }
 
-// Check checks every line and that no id stands twice.
+// Check validates every entry and that no ID is listed twice.
 func (l VMList) Check() error {
 	seen := make(map[VMID]bool, len(l.VMs))
 	for _, vm := range l.VMs {
--- a/models/vm_labels.go
+++ b/models/vm_labels.go
@@ -5,10 +5,10 @@
 
 import "github.com/cockroachdb/errors"
 
-// LabelDrain on a VM keeps new work off it and moves away what it runs.
+// LabelDrain marks a VM for draining: the VM gets no new work, and its running tasks are moved to other VMs.
 const LabelDrain = "rillsail/drain"
 
-// VMLabels are labels that operators add to those of the platform's list.
+// VMLabels are labels that operators add to a VM's labels in the platform's VM list.
 type VMLabels struct {
 	VM     VMID              `json:"vm"`
 	Labels map[string]string `json:"labels"`
--- a/models/worker.go
+++ b/models/worker.go
@@ -5,30 +5,30 @@
 
 import "github.com/cockroachdb/errors"
 
-// AttemptRef names one attempt of a task at a worker.
+// AttemptRef identifies one attempt of a task at a worker.
 type AttemptRef struct {
 	Task    TaskID  `json:"task"`
 	Attempt Attempt `json:"attempt"`
 }
 
-// Guard is the part of every call to a worker that lets it refuse what is stale.
-// The owner of the worker's cell sends it.
+// Guard is the part of every call to a worker by which the worker recognizes and refuses stale calls. The owner
+// of the worker's cell sends it.
 type Guard struct {
 	Cell        CellID      `json:"cell"`
 	Epoch       Epoch       `json:"epoch"`
-	Incarnation Incarnation `json:"incarnation"` // of the worker; empty only when it isn't known yet
+	Incarnation Incarnation `json:"incarnation"` // of the worker; empty only while the sender does not know it
 }
 
-// Refusal is why a worker did nothing.
+// Refusal is the reason for which a worker refused a call.
 type Refusal string
 
-// The refusals of a worker.
+// The reasons for which a worker refuses a call.
 const (
-	RefusedEpoch       Refusal = "epoch"       // a later owner has spoken
-	RefusedIncarnation Refusal = "incarnation" // meant for the worker's former self
-	RefusedBarred      Refusal = "barred"      // this attempt was stopped before it came
-	RefusedRoom        Refusal = "room"        // the worker's own count is full; the attempt is barred from now on
-	RefusedAttempt     Refusal = "attempt"     // a later attempt of the task was seen
+	RefusedEpoch       Refusal = "epoch"       // an owner with a later epoch has called the worker
+	RefusedIncarnation Refusal = "incarnation" // the call is for another incarnation of the worker
+	RefusedBarred      Refusal = "barred"      // the attempt was stopped before its start call arrived
+	RefusedRoom        Refusal = "room"        // the worker counts too little free capacity; it bars the attempt
+	RefusedAttempt     Refusal = "attempt"     // the worker has seen a later attempt of the task
 )
 
 // StartCall asks a worker to run an attempt under a lease.
@@ -44,7 +44,7 @@
 	Lease      Milli             `json:"lease_ms"`
 }
 
-// Check rejects a call without lease.
+// Check rejects a call without a lease.
 func (c StartCall) Check() error {
 	if c.Lease <= 0 {
 		return errors.Newf("start %s: lease_ms %d must be positive", c.Task, c.Lease)
@@ -52,23 +52,23 @@
 	return c.Size.Check()
 }
 
-// StartAnswer says whether the attempt runs. Repeating a start that runs is accepted.
+// StartAnswer tells whether the attempt runs. A repeated start call for a running attempt is accepted.
 type StartAnswer struct {
 	Refused     Refusal     `json:"refused,omitempty"`
 	Incarnation Incarnation `json:"incarnation"`
-	Epoch       Epoch       `json:"epoch"` // highest seen, when Refused is epoch
+	Epoch       Epoch       `json:"epoch"` // highest epoch that the worker has seen, if Refused is epoch
 }
 
-// RenewCall prolongs the lease of all that runs on the worker, lets it forget
-// ended attempts, and sets the share of processor time of throttled tasks.
+// RenewCall renews the leases of all attempts that run on the worker, lets the worker forget ended attempts, and
+// sets the share of processor time of throttled tasks.
 type RenewCall struct {
 	Guard
 	Lease       Milli          `json:"lease_ms"`
 	Acknowledge []AttemptRef   `json:"acknowledge,omitempty"`
-	Throttle    map[TaskID]int `json:"throttle,omitempty"` // percent; absent tasks run at 100
+	Throttle    map[TaskID]int `json:"throttle,omitempty"` // percent of processor time; 100 for tasks not listed
 }
 
-// Check rejects a call without lease and shares that are no percentage.
+// Check rejects a call without a lease or with a share outside 1 to 100 percent.
 func (c RenewCall) Check() error {
 	if c.Lease <= 0 {
 		return errors.Newf("renew: lease_ms %d must be positive", c.Lease)
@@ -81,31 +81,31 @@
 	return nil
 }
 
-// AttemptStatus is what a worker knows of an attempt.
+// AttemptStatus is the status of an attempt at a worker.
 type AttemptStatus string
 
-// The statuses of an attempt at a worker. Ended ones are kept until acknowledged.
+// The statuses of an attempt at a worker. The worker keeps ended attempts until they are acknowledged.
 const (
 	StatusRunning    AttemptStatus = "running"
 	StatusFinished   AttemptStatus = "finished"
 	StatusFailed     AttemptStatus = "failed"
 	StatusStopped    AttemptStatus = "stopped"
-	StatusNeverBegan AttemptStatus = "never-began" // and is barred from now on
+	StatusNeverBegan AttemptStatus = "never-began" // and the worker will refuse to start it
 )
 
-// AttemptReport is one attempt in a worker's answer.
+// AttemptReport is the report on one attempt in a worker's answer.
 type AttemptReport struct {
 	AttemptRef
 	Status     AttemptStatus `json:"status"`
 	Checkpoint string        `json:"checkpoint,omitempty"`
 	Reason     string        `json:"reason,omitempty"`
-	Usage      Resources     `json:"usage"`              // observed, lags
-	P99        Milli         `json:"p99_ms,omitempty"`   // services only, lags
-	Observed   uint64        `json:"observed,omitempty"` // number of the report the lagging figures are from
-	Progress   int           `json:"progress,omitempty"` // percent of the work
+	Usage      Resources     `json:"usage"`              // measured, with a delay
+	P99        Milli         `json:"p99_ms,omitempty"`   // measured, with a delay; services only
+	Observed   uint64        `json:"observed,omitempty"` // number of the measurement that the delayed values are from
+	Progress   int           `json:"progress,omitempty"` // percent of the task's work
 }
 
-// Check rejects unknown statuses and impossible usage.
+// Check rejects an unknown status and a usage that is out of range.
 func (r AttemptReport) Check() error {
 	switch r.Status {
 	case StatusRunning, StatusFinished, StatusFailed, StatusStopped, StatusNeverBegan:
@@ -115,7 +115,7 @@
 	return errors.Wrapf(r.Usage.Check(), "report of %s", r.Task)
 }
 
-// RenewAnswer is a worker's report.
+// RenewAnswer is a worker's response to a RenewCall: the report on its attempts.
 type RenewAnswer struct {
 	Refused     Refusal         `json:"refused,omitempty"`
 	Incarnation Incarnation     `json:"incarnation"`
@@ -123,29 +123,29 @@
 	Attempts    []AttemptReport `json:"attempts,omitempty"`
 }
 
-// Check checks every report.
+// Check validates the report on every attempt.
 func (a RenewAnswer) Check() error {
 	return checkAll(a.Attempts)
 }
 
-// StopCall stops an attempt, or bars it for good if it has not come yet.
+// StopCall stops an attempt. If the attempt has not arrived yet, the worker bars it permanently.
 type StopCall struct {
 	Guard
 	AttemptRef
-	Checkpoint bool `json:"checkpoint"` // take one first
+	Checkpoint bool `json:"checkpoint"` // take a checkpoint first
 }
 
-// Check is there for the decoder; every value is allowed.
+// Check implements wire.Checker; every value is valid.
 func (c StopCall) Check() error { return nil }
 
-// StopAnswer is the proof that the attempt doesn't run and never will again.
+// StopAnswer is, unless it is a refusal, the proof that the attempt does not run and never will again.
 type StopAnswer struct {
 	Refused     Refusal       `json:"refused,omitempty"`
 	Incarnation Incarnation   `json:"incarnation"`
 	Report      AttemptReport `json:"report"`
 }
 
-// Check checks the report of an answer that is no refusal.
+// Check validates the report unless the call was refused.
 func (a StopAnswer) Check() error {
 	if a.Refused != "" {
 		return nil
@@ -153,5 +153,5 @@
 	return a.Report.Check()
 }
 
-// Check is there for the decoder; every value is allowed.
+// Check implements wire.Checker; every value is valid.
 func (a StartAnswer) Check() error { return nil }
