--- a/models/task_step.go
+++ b/models/task_step.go
@@ -5,10 +5,9 @@
 
 import "slices"
 
-// Step is the life of a task: from a record and an event to the next record and
-// the actions that may be taken once that record is in the journal. An event that
-// doesn't apply, because it is late, repeated or of another attempt, changes
-// nothing; changed tells.
+// Step is the state machine of a task. From a task's record and an event it returns the next record, and the
+// actions that may be taken once that record is in the journal. An event that does not apply, because it is
+// late, repeated or belongs to another attempt, changes nothing; then changed is false.
 func Step(t Task, event TaskEvent) (next Task, actions []TaskAction, changed bool) {
 	switch e := event.(type) {
 	case EventPlace:
@@ -30,7 +29,7 @@
 	case EventUnreachable:
 		return stepUnreachable(t)
 	case EventWorkerGone:
-		return stepWorkerGone(t, e)
+		return stepWorkerTerminated(t, e)
 	case EventOfferAccepted:
 		return stepOfferAccepted(t, e)
 	case EventOfferRefused:
@@ -72,13 +71,13 @@
 	t.Reason = e.Reason
 	switch t.State {
 	case TaskQueued:
-		return end(t, TaskStopped, ""), nil, true
+		return endTask(t, TaskStopped, ""), nil, true
 	case TaskPlaced, TaskRunning, TaskEvicting:
 		t.State = TaskEvicting
 		return t, []TaskAction{ActionStop}, true
 	case TaskMoved:
 		return t, []TaskAction{ActionCancelRemote}, true
-	default: // offered and lost wait for their answer
+	default: // an offered task waits for the other cell's answer, a lost task for its worker's
 		return t, nil, true
 	}
 }
@@ -88,7 +87,7 @@
 		return t, nil, false
 	}
 	t.State = TaskOffered
-	t.Attempt++ // numbers the offer; the other cell's attempt is the next
+	t.Attempt++ // the offer takes this number; the first attempt in the other cell takes the next
 	t.Peer, t.PeerEpoch = e.Cell, e.Epoch
 	return t, []TaskAction{ActionSendOffer}, true
 }
@@ -129,7 +128,7 @@
 	}
 	actions := []TaskAction{ActionAcknowledge}
 	if t.Unrepeatable && e.Checkpoint == "" && !t.Cancelled {
-		return end(t, TaskDone, OutcomeMayHaveRun), actions, true
+		return endTask(t, TaskDone, OutcomeMayHaveRun), actions, true
 	}
 	return requeue(t, t.Reason), actions, true
 }
@@ -141,14 +140,14 @@
 	actions := []TaskAction{ActionAcknowledge}
 	if e.Success {
 		t.Reason = ""
-		return end(t, TaskDone, OutcomeSucceeded), actions, true
+		return endTask(t, TaskDone, OutcomeSucceeded), actions, true
 	}
 	t.Failures++
 	t.Reason = e.Reason
-	t.FailedOn = appendOnce(t.FailedOn, t.Worker)
-	giveUp := t.Kind == TaskBatch && (t.Unrepeatable || t.Failures >= MaxTaskFailures)
-	if giveUp && !t.Cancelled {
-		return end(t, TaskDone, OutcomeFailed), actions, true
+	t.FailedOn = appendUnique(t.FailedOn, t.Worker)
+	failed := t.Kind == TaskBatch && (t.Unrepeatable || t.Failures >= MaxTaskFailures)
+	if failed && !t.Cancelled {
+		return endTask(t, TaskDone, OutcomeFailed), actions, true
 	}
 	return requeue(t, e.Reason), actions, true
 }
@@ -164,13 +163,13 @@
 	}
 }
 
-func stepWorkerGone(t Task, e EventWorkerGone) (Task, []TaskAction, bool) {
+func stepWorkerTerminated(t Task, e EventWorkerGone) (Task, []TaskAction, bool) {
 	if !t.HoldsRoom() {
 		return t, nil, false
 	}
 	t.Reason = e.Reason
 	if t.Unrepeatable && !t.Cancelled {
-		return end(t, TaskDone, OutcomeMayHaveRun), nil, true
+		return endTask(t, TaskDone, OutcomeMayHaveRun), nil, true
 	}
 	return requeue(t, e.Reason), nil, true
 }
@@ -194,7 +193,7 @@
 }
 
 func stepReturned(t Task, e EventReturned) (Task, []TaskAction, bool) {
-	if !atPeer(t) || e.Attempt <= t.Attempt {
+	if !peerMayReport(t) || e.Attempt <= t.Attempt {
 		return t, nil, false
 	}
 	t.Attempt = e.Attempt
@@ -207,23 +206,23 @@
 }
 
 func stepRemoteDone(t Task, e EventRemoteDone) (Task, []TaskAction, bool) {
-	if !atPeer(t) || e.Attempt <= t.Attempt {
+	if !peerMayReport(t) || e.Attempt <= t.Attempt {
 		return t, nil, false
 	}
 	t.Attempt = e.Attempt
 	t.Reason = e.Reason
 	t.Evictions = e.Evictions
-	return end(t, TaskDone, e.Outcome), nil, true
+	return endTask(t, TaskDone, e.Outcome), nil, true
 }
 
-// atPeer tells whether the other cell may speak for t; its report can overtake the
-// answer to the offer.
-func atPeer(t Task) bool { return t.State == TaskMoved || t.State == TaskOffered }
+// peerMayReport reports whether the other cell may report on t. An offered task counts too, because the other
+// cell's report can overtake its answer to the offer.
+func peerMayReport(t Task) bool { return t.State == TaskMoved || t.State == TaskOffered }
 
-// requeue is the move of a task that is proved not to run anywhere.
+// requeue returns a task that is proved not to run anywhere to the queue, or ends it if it is cancelled.
 func requeue(t Task, reason string) Task {
 	if t.Cancelled {
-		return end(t, TaskStopped, "")
+		return endTask(t, TaskStopped, "")
 	}
 	t.State = TaskQueued
 	t.Worker, t.Incarnation = "", ""
@@ -232,13 +231,15 @@
 	return t
 }
 
-func end(t Task, state TaskState, outcome TaskOutcome) Task {
+// endTask moves t to a final state.
+func endTask(t Task, state TaskState, outcome TaskOutcome) Task {
 	t.State, t.Outcome = state, outcome
 	t.Peer, t.PeerEpoch = "", 0
 	return t
 }
 
-func appendOnce(list []VMID, id VMID) []VMID {
+// appendUnique returns the list with id appended unless it is already there; it does not change the list in place.
+func appendUnique(list []VMID, id VMID) []VMID {
 	if slices.Contains(list, id) {
 		return list
 	}
