--- a/services/cell/cycle.go
+++ b/services/cell/cycle.go
@@ -12,33 +12,34 @@
 	"rillsail.example/rillsail/services/place"
 )
 
-// cycle is the path of tasks. It runs whenever something has arrived.
+// cycle runs the stages of the package comment once. The loop calls it after messages, ticks and
+// wake-ups.
 func (o *Owner) cycle(ctx context.Context) {
 	if o.frozen {
 		return
 	}
-	o.observe(ctx)            // what workers, VM list and cancellations say
-	o.drainWorkers()          // what has to leave its VM
-	o.reconcileServices()     // which replicas there should be
-	o.probeStore()            // whether the store is back
-	if !o.storeFails.Load() { // nothing new starts while it is not
-		for _, c := range o.admit() { // who is next, within quotas
+	o.observe(ctx)            // apply worker losses, VM list changes and cancellations
+	o.drainWorkers()          // evict from VMs that leave or are drained
+	o.reconcileServices()     // create and retire replicas
+	o.probeStore()            // check whether the store can be written again
+	if !o.storeFails.Load() { // nothing new starts while the store can't be written
+		for _, c := range o.admit() { // the next tasks in order, within quotas
 			o.placeOne(c)
 		}
 	}
 	o.prune()
-	o.commit(ctx) // journal first
-	o.act()       // then act on what is journalled
-	o.exchange(ctx)
-	o.sweepFlights(time.Now())
+	o.commit(ctx) // journal the changes first
+	o.act()       // act only on journalled records
+	o.sendPeerCalls(ctx)
+	o.pruneInFlight(time.Now())
 	o.publish()
 }
 
-// placeOne finds a place for one candidate: here, in another cell, or by evicting
-// what yields to it.
+// placeOne places one candidate on a worker of this cell, offers it to another cell, or preempts
+// batch tasks for it.
 func (o *Owner) placeOne(c candidate) {
 	if c.virtual && c.task.Index != o.working.Jobs[c.task.Job].Next {
-		return // an earlier task of the job has found no place in this cycle
+		return // an earlier task of the job found no place in this cycle
 	}
 	workers := o.workers()
 	choice := place.Choose(o.request(c.task, workers))
@@ -46,26 +47,26 @@
 		o.start(c, choice)
 		return
 	}
-	if cell, ok := o.otherCell(c.task); ok {
+	if cell, ok := o.chooseCell(c.task); ok {
 		o.offerTo(c, cell)
 		return
 	}
 	if c.task.Kind == models.TaskService || c.task.Urgent {
-		if o.makeWay(c.task, workers) {
+		if o.preempt(c.task, workers) {
 			return
 		}
 	}
 	if choice.Never && !o.anyWorkerCouldHold(c.task) {
 		choice.Reason = "no worker of any cell could hold it even if empty"
 	}
-	o.decide(c.task.ID, "waits", "", choice.Reason)
-	o.noteWaiting(c)
+	o.recordDecision(c.task.ID, "waits", "", choice.Reason)
+	o.skip(c)
 }
 
 func (o *Owner) request(t models.Task, workers []place.Worker) place.Request {
 	if _, pairs := o.policy.(place.Pairs); pairs && t.Kind == models.TaskBatch {
 		for i := range workers {
-			workers[i].Trying = o.trying(workers[i])
+			workers[i].Trying = o.hasUnknownPair(workers[i])
 		}
 	}
 	return place.Request{
@@ -79,14 +80,14 @@
 	o.materialise(c)
 	l := o.links[choice.Worker]
 	if o.step(c.task.ID, models.EventPlace{Worker: choice.Worker, Incarnation: l.incarnation}) {
-		o.decide(c.task.ID, "placed", choice.Worker, choice.Reason)
+		o.recordDecision(c.task.ID, "placed", choice.Worker, choice.Reason)
 	}
 	if held, ok := o.holds[choice.Worker]; ok && held.task == c.task.ID {
 		delete(o.holds, choice.Worker)
 	}
 }
 
-// materialise gives the next task of a job a record of its own.
+// materialise creates the record of a virtual candidate and advances its job to the next task.
 func (o *Owner) materialise(c candidate) {
 	if !c.virtual {
 		return
@@ -94,19 +95,19 @@
 	job := o.working.Jobs[c.task.Job]
 	job.Next++
 	o.putJob(job)
-	o.put(c.task)
+	o.putTask(c.task)
 }
 
-// workers is the picture of the cell's workers as placement needs it.
+// workers returns the cell's workers, ordered by VM id, in the form that placement takes.
 func (o *Owner) workers() []place.Worker {
 	now := time.Now()
 	view := o.config.View()
 	workers := make([]place.Worker, 0, len(o.links))
 	index := make(map[models.VMID]int, len(o.links))
-	for _, id := range o.linkOrder() {
+	for _, id := range o.sortedLinks() {
 		l := o.links[id]
-		w := place.Worker{VM: l.vm, Free: l.vm.Capacity, OverNow: o.overNow(l)}
-		w.Why = o.unusable(l, view.Drained(id), now)
+		w := place.Worker{VM: l.vm, Free: l.vm.Capacity, OverNow: o.overTarget(l)}
+		w.Why = o.unusableReason(l, view.Drained(id), now)
 		w.Usable = w.Why == ""
 		if h, ok := o.holds[id]; ok && now.Before(h.until) {
 			w.Held = h.task
@@ -123,8 +124,8 @@
 	return workers
 }
 
-// unusable says why nothing new may start on a worker; empty when it may.
-func (o *Owner) unusable(l *link, drained bool, now time.Time) string {
+// unusableReason tells why no new task may start on a worker; empty when tasks may start.
+func (o *Owner) unusableReason(l *link, drained bool, now time.Time) string {
 	listed, _ := o.config.Inventory.Listed(l.vm.ID)
 	switch {
 	case !listed:
@@ -133,7 +134,7 @@
 		return "VM is leaving"
 	case drained:
 		return "VM is drained"
-	case o.silent(l, now):
+	case o.isSilent(l, now):
 		return "worker is silent"
 	case l.incarnation == "":
 		return "worker has not answered yet"
@@ -144,19 +145,19 @@
 	}
 }
 
-// probeStore keeps trying the journal after a failure, for nothing else might.
+// probeStore queues an empty append after a failure when nothing else is to be written, so that the
+// owner notices that the store can be written again.
 func (o *Owner) probeStore() {
 	if o.storeFails.Load() && !o.appending && o.dirty.empty() {
 		o.dirty.generations[probeKey] = true
 	}
 }
 
-// prune forgets what has passed: holds, misses, and the oldest ended jobs beyond what
-// the settings keep.
+// prune removes expired holds and skips, and the oldest ended jobs beyond the configured number.
 func (o *Owner) prune() {
 	now := time.Now()
 	maps.DeleteFunc(o.holds, func(_ models.VMID, h hold) bool { return now.After(h.until) })
-	maps.DeleteFunc(o.misses, func(_ string, until time.Time) bool { return now.After(until) })
+	maps.DeleteFunc(o.skippedUntil, func(_ string, until time.Time) bool { return now.After(until) })
 	o.pruneJobs()
 }
 
--- a/services/cell/fate.go
+++ b/services/cell/fate.go
@@ -12,102 +12,104 @@
 	"rillsail.example/rillsail/models"
 )
 
-// fate is what an owner knows of one job of a call: accepted, refused or doubtful. The set
-// is closed, and a value is one of them only. It is taken from what is journalled and what
-// is being written, and not from what the call itself has done: a call that could do
-// nothing may name a job that an earlier one has brought in.
-type fate interface{ fate() }
+// outcome is what an owner knows about one job of a call: accepted, refused or unknown. The set of
+// types is closed and a value is exactly one of them. It is derived from the journalled state and
+// the append under way, and not from what the call itself has done, because a call that had no
+// effect may name a job that an earlier call has submitted.
+type outcome interface{ outcome() }
 
 type (
-	// accepted says that what was asked for is journalled.
+	// accepted means that the requested change is journalled.
 	accepted struct{ job models.Job }
-	// refused says that it is not, and that no write of this owner's that may still be
-	// done holds it.
+	// refused means that the change is not journalled, and that no append of this owner that may
+	// still be written contains it.
 	refused struct{ cause error }
-	// doubtful says that a write holds it of which nobody knows whether it is done.
-	doubtful struct{}
+	// unknown means that an append whose outcome is unknown contains the change.
+	unknown struct{}
 )
 
-func (accepted) fate() {}
-func (refused) fate()  {}
-func (doubtful) fate() {}
+func (accepted) outcome() {}
+func (refused) outcome()  {}
+func (unknown) outcome()  {}
 
-// submission is the fate of a submitted job. cause is why nothing of the call is written;
-// nil when it is.
-func (o *Owner) submission(spec models.JobSpec, cause error) fate {
-	kept, journalled := o.journalled.Jobs[spec.ID]
-	written, writing := o.writing(spec.ID)
+// submissionOutcome returns the outcome of a submitted job. cause tells why the call was not
+// written; it is nil when the call was written.
+func (o *Owner) submissionOutcome(spec models.JobSpec, cause error) outcome {
+	job, journalled := o.journalled.Jobs[spec.ID]
+	pending, isPending := o.pendingJob(spec.ID)
 	switch {
-	case journalled && reflect.DeepEqual(kept.JobSpec, spec):
-		return accepted{o.latest(kept)}
-	case journalled, writing && !reflect.DeepEqual(written.JobSpec, spec):
+	case journalled && reflect.DeepEqual(job.JobSpec, spec):
+		return accepted{o.latestRecord(job)}
+	case journalled, isPending && !reflect.DeepEqual(pending.JobSpec, spec):
 		return refused{errors.Wrapf(ErrOtherSpec, "job %s", spec.ID)}
-	case writing:
-		return doubtful{}
-	case cause == nil: // it was part of an earlier append, which failed
+	case isPending:
+		return unknown{}
+	case cause == nil: // the job was part of an earlier append, which failed
 		return refused{ErrNoStore}
 	default:
 		return refused{cause}
 	}
 }
 
-// cancellation is the fate of a job that is to be cancelled, with cause as above.
-func (o *Owner) cancellation(id models.JobID, cause error) fate {
-	kept, journalled := o.journalled.Jobs[id]
-	written, writing := o.writing(id)
+// cancellationOutcome returns the outcome of cancelling a job; cause is the same as for
+// submissionOutcome.
+func (o *Owner) cancellationOutcome(id models.JobID, cause error) outcome {
+	job, journalled := o.journalled.Jobs[id]
+	pending, isPending := o.pendingJob(id)
 	switch {
-	case journalled && kept.State != models.JobActive:
-		return accepted{o.latest(kept)}
-	case writing && (!journalled || written.State != models.JobActive):
-		return doubtful{}
+	case journalled && job.State != models.JobActive:
+		return accepted{o.latestRecord(job)}
+	case isPending && (!journalled || pending.State != models.JobActive):
+		return unknown{}
 	case cause != nil:
 		return refused{cause}
-	case journalled: // its submission was part of the same append
-		return doubtful{}
+	case journalled: // the job's submission was part of the same append
+		return unknown{}
 	default:
 		return refused{errors.Wrapf(ErrNoJob, "job %s", id)}
 	}
 }
 
-// latest is the record of a journalled job with what has come of it since.
-func (o *Owner) latest(kept models.Job) models.Job {
-	if current, ok := o.working.Jobs[kept.ID]; ok {
+// latestRecord returns the working record of a journalled job, or the journalled record when the job
+// has been dropped from the working state.
+func (o *Owner) latestRecord(journalled models.Job) models.Job {
+	if current, ok := o.working.Jobs[journalled.ID]; ok {
 		return current
 	}
-	return kept
+	return journalled
 }
 
-// writing gives the record of a job in the append under way, or in the one that was when
-// this owner ended.
-func (o *Owner) writing(id models.JobID) (models.Job, bool) {
-	for i := len(o.underWay.Jobs) - 1; i >= 0; i-- { // a later record counts
-		if o.underWay.Jobs[i].ID == id {
-			return o.underWay.Jobs[i], true
+// pendingJob returns the record of a job in the append under way, or in the append that was under
+// way when this owner ended.
+func (o *Owner) pendingJob(id models.JobID) (models.Job, bool) {
+	for i := len(o.pendingChange.Jobs) - 1; i >= 0; i-- { // the last record of a job counts
+		if o.pendingChange.Jobs[i].ID == id {
+			return o.pendingChange.Jobs[i], true
 		}
 	}
 	return models.Job{}, false
 }
 
-// fates answers a call that changes jobs; cause is why those are refused that are.
-func (o *Owner) fates(call models.ForwardCall, cause error) forwardReply {
+// changeReply builds the reply to a call that changes jobs; cause tells why the call was not written.
+func (o *Owner) changeReply(call models.ForwardCall, cause error) forwardReply {
 	var r replyBuilder
 	for _, spec := range call.Submit {
-		r.add(spec.ID, o.submission(spec, cause), &r.answer.Submitted)
+		r.add(spec.ID, o.submissionOutcome(spec, cause), &r.answer.Submitted)
 	}
 	for _, id := range call.Cancel {
-		r.add(id, o.cancellation(id, cause), &r.answer.Cancelled)
+		r.add(id, o.cancellationOutcome(id, cause), &r.answer.Cancelled)
 	}
 	return r.reply(len(call.Submit) + len(call.Cancel))
 }
 
-// replyBuilder puts the fates of a call's jobs together. A job that the answer names
-// nowhere is doubtful.
+// replyBuilder collects the outcomes of a call's jobs. A job that the answer doesn't name has an
+// unknown outcome.
 type replyBuilder struct {
 	answer  models.ForwardAnswer
 	refused []error
 }
 
-func (r *replyBuilder) add(id models.JobID, f fate, done *[]models.Job) {
+func (r *replyBuilder) add(id models.JobID, f outcome, done *[]models.Job) {
 	switch f := f.(type) {
 	case accepted:
 		*done = append(*done, f.job)
@@ -118,11 +120,12 @@
 		kind, _ := RefusalOf(f.cause)
 		r.answer.Refused[id] = models.JobRefusal{Kind: kind, Reason: f.cause.Error()}
 		r.refused = append(r.refused, f.cause)
-	case doubtful:
+	case unknown:
 	}
 }
 
-// reply gives the answer, or an error when it is the same for all jobs of the call.
+// reply returns the answer, or an error when all jobs of the call were refused with the same error or
+// all have an unknown outcome.
 func (r *replyBuilder) reply(jobs int) forwardReply {
 	switch {
 	case len(r.refused) == jobs && len(slices.Compact(r.refused)) == 1:
--- a/services/cell/manager.go
+++ b/services/cell/manager.go
@@ -29,12 +29,12 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// ManagerConfig is what a manager works with.
+// ManagerConfig holds the settings and dependencies of a manager.
 type ManagerConfig struct {
 	Self      models.MemberID
 	Settings  setting.Cell
-	Every     time.Duration // between two looks at who should own what
-	HoldOff   time.Duration // after losing a cell, before taking it back; doubles
+	Every     time.Duration // interval between two checks of the ownership of all cells
+	HoldOff   time.Duration // delay before a lost cell is taken back; doubles with each loss
 	Store     platform.Store
 	Workers   platform.Workers
 	Inventory *inventory.Service
@@ -47,52 +47,52 @@
 	NewID     func() string
 }
 
-// Manager owns the cells that are this daemon's by hash, and takes care of those
-// whose owner is gone while the store can't be written.
+// Manager runs the owners of the cells that rendezvous hashing assigns to this daemon. While the
+// store can't be written, it acts as caretaker of the cells assigned to it that have no owner.
 type Manager struct {
 	config ManagerConfig
 	group  conc.WaitGroup
 	nudge  chan struct{}
 
-	mu        sync.Mutex
-	owners    map[models.CellID]*owned
-	taking    map[models.CellID]bool
-	epochs    map[models.CellID]models.Epoch // highest heard of
-	holdOffs  map[models.CellID]holdOff
-	caring    map[models.CellID]bool // caretaker of, as last logged
-	releasing bool
-	life      context.Context // of all owners; set by Run
+	mu          sync.Mutex
+	owners      map[models.CellID]*runningOwner
+	takeovers   map[models.CellID]bool
+	epochs      map[models.CellID]models.Epoch // highest epoch known of each cell
+	holdOffs    map[models.CellID]holdOff
+	caretakerOf map[models.CellID]bool // cells for which caretaking has been logged
+	releasing   bool
+	runContext  context.Context // parent context of all owners; set by Run
 }
 
-type owned struct {
+type runningOwner struct {
 	owner  *Owner
 	cancel context.CancelFunc
 }
 
-// holdOff keeps two daemons that don't hear each other from taking a cell back and
-// forth without end.
+// holdOff delays taking back a lost cell, so that two daemons that don't receive each other's
+// heartbeats don't take the cell from each other endlessly.
 type holdOff struct {
 	until  time.Time
 	length time.Duration
 }
 
-// maxHoldOff bounds how long a daemon waits before it takes back a cell it lost.
+// maxHoldOff bounds the delay before a daemon takes back a lost cell.
 const maxHoldOff = time.Minute
 
-// NewManager makes a manager that owns nothing.
+// NewManager returns a manager that owns no cells yet.
 func NewManager(c ManagerConfig) *Manager {
 	return &Manager{
 		config: c, nudge: make(chan struct{}, 1),
-		owners: map[models.CellID]*owned{}, taking: map[models.CellID]bool{},
+		owners: map[models.CellID]*runningOwner{}, takeovers: map[models.CellID]bool{},
 		epochs: map[models.CellID]models.Epoch{}, holdOffs: map[models.CellID]holdOff{},
-		caring: map[models.CellID]bool{},
+		caretakerOf: map[models.CellID]bool{},
 	}
 }
 
-// Run takes and leaves cells until ctx ends, and then waits for the owners to end.
+// Run takes over and releases cells until ctx ends, and then waits for the owners to end.
 func (m *Manager) Run(ctx context.Context) {
 	m.mu.Lock()
-	m.life = ctx
+	m.runContext = ctx
 	m.mu.Unlock()
 	m.loop(ctx)
 	m.group.Wait()
@@ -102,7 +102,7 @@
 	ticker := time.NewTicker(m.config.Every)
 	defer ticker.Stop()
 	for {
-		m.tick(ctx)
+		m.reconcile(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -112,7 +112,8 @@
 	}
 }
 
-// Nudge asks for a look at once, because members, list or map have changed.
+// Nudge requests an immediate reconciliation after a change of the members, the VM list or the
+// cell map.
 func (m *Manager) Nudge() {
 	select {
 	case m.nudge <- struct{}{}:
@@ -120,10 +121,11 @@
 	}
 }
 
-// tick looks at each cell: who should own it, who does, and what follows.
-func (m *Manager) tick(ctx context.Context) {
-	m.leaveSuperseded()
-	m.noteEpochs()
+// reconcile ends superseded owners and starts the takeover of each cell that is assigned to this
+// daemon and has no owner here.
+func (m *Manager) reconcile(ctx context.Context) {
+	m.removeSuperseded()
+	m.recordEpochs()
 	members := m.config.Members
 	if !members.Settled() || !members.HearsMost() {
 		return
@@ -131,33 +133,35 @@
 	live := members.LiveIDs()
 	for _, cell := range slices.Sorted(maps.Keys(m.config.Inventory.Cells().Cells)) {
 		preferred, ok := rendezvous.First(string(cell), live)
-		if ok && preferred == m.config.Self && m.mayTake(cell) {
-			m.group.Go(func() { m.runTake(ctx, cell) })
+		if ok && preferred == m.config.Self && m.beginTakeover(cell) {
+			m.group.Go(func() { m.takeOver(ctx, cell) })
 		}
 	}
 }
 
-// leaveSuperseded drops owners that have ended, and ends those that another daemon
-// has superseded, which an owner without changes to write doesn't notice.
-func (m *Manager) leaveSuperseded() {
+// removeSuperseded drops owners that have ended. It also cancels each owner whose cell has an
+// owner in a later epoch according to the heartbeats, because an owner without changes to write
+// doesn't notice that it has been superseded.
+func (m *Manager) removeSuperseded() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for cell, own := range m.owners {
+	for cell, running := range m.owners {
 		_, epoch, other := m.config.Members.OwnerOf(cell)
-		if other && epoch > own.owner.config.Epoch {
-			own.cancel()
+		if other && epoch > running.owner.config.Epoch {
+			running.cancel()
 		}
 		select {
-		case <-own.owner.done:
+		case <-running.owner.done:
 			delete(m.owners, cell)
-			own.cancel()
+			running.cancel()
 			m.holdOffAfterLoss(cell)
 		default:
 		}
 	}
 }
 
-// holdOffAfterLoss doubles the time before the cell is taken back; the caller holds
+// holdOffAfterLoss doubles the delay before the cell is taken back, up to maxHoldOff. It starts
+// again from HoldOff when the last delay ended more than maxHoldOff ago. The caller must hold
 // the lock.
 func (m *Manager) holdOffAfterLoss(cell models.CellID) {
 	h := m.holdOffs[cell]
@@ -169,7 +173,7 @@
 	m.holdOffs[cell] = h
 }
 
-func (m *Manager) noteEpochs() {
+func (m *Manager) recordEpochs() {
 	beats := m.config.Members.Beats()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -180,56 +184,57 @@
 	}
 }
 
-// mayTake tells whether a takeover may begin now, and marks it as begun.
-func (m *Manager) mayTake(cell models.CellID) bool {
+// beginTakeover marks the takeover of a cell as under way; false when it may not begin now.
+func (m *Manager) beginTakeover(cell models.CellID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.releasing || m.owners[cell] != nil || m.taking[cell] || time.Now().Before(m.holdOffs[cell].until) {
+	if m.releasing || m.owners[cell] != nil || m.takeovers[cell] || time.Now().Before(m.holdOffs[cell].until) {
 		return false
 	}
-	m.taking[cell] = true
+	m.takeovers[cell] = true
 	return true
 }
 
-// runTake takes a cell over, or takes care of it when the store can't be written.
-func (m *Manager) runTake(ctx context.Context, cell models.CellID) {
-	defer m.endTaking(cell)
+// takeOver takes over a cell and starts its owner. When the store can't be written, it renews the
+// leases of the cell's tasks instead.
+func (m *Manager) takeOver(ctx context.Context, cell models.CellID) {
+	defer m.endTakeover(cell)
 	j := journal.New(journal.Config{
 		Store: m.config.Store, Cell: cell, Writer: m.config.Self, Slots: m.config.Settings.RingSlots, NewID: m.config.NewID,
 	})
 	err := j.Take(ctx)
 	for errors.Is(err, journal.ErrPending) && ctx.Err() == nil {
-		m.care(ctx, cell)
+		m.renewAllWorkers(ctx, cell)
 		clock.Sleep(ctx, retryAppend)
 		err = j.Settle(ctx)
 	}
 	switch {
 	case err == nil:
-		m.own(ctx, cell, j, false)
+		m.startOwner(ctx, cell, j, false)
 	case isSuperseded(err):
 		m.config.Scope.Counter("takeovers_lost").Inc(1)
 	default:
 		m.config.Scope.Counter("takeovers_failed").Inc(1)
-		m.noteDamage(cell, err)
-		m.care(ctx, cell)
+		m.logDamagedJournal(cell, err)
+		m.renewAllWorkers(ctx, cell)
 	}
 }
 
-func (m *Manager) noteDamage(cell models.CellID, err error) {
+func (m *Manager) logDamagedJournal(cell models.CellID, err error) {
 	if errors.Is(err, journal.ErrDamaged) {
-		m.config.Logger.Error("journal can't be read; nothing is decided for the cell until it is repaired",
+		m.config.Logger.Error("journal is damaged; the cell stays without an owner until the journal is repaired",
 			append(log.Err(err), zap.String("cell", string(cell)))...)
 	}
 }
 
-func (m *Manager) endTaking(cell models.CellID) {
+func (m *Manager) endTakeover(cell models.CellID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.taking, cell)
+	delete(m.takeovers, cell)
 }
 
-// own runs the owner of a cell whose journal has just been taken or adopted.
-func (m *Manager) own(ctx context.Context, cell models.CellID, j *journal.Journal, adopted bool) {
+// startOwner starts the owner of a cell whose journal has just been taken over or adopted.
+func (m *Manager) startOwner(ctx context.Context, cell models.CellID, j *journal.Journal, adopted bool) {
 	owner := NewOwner(OwnerConfig{
 		Adopted: adopted, Cell: cell, Epoch: j.Epoch(), Settings: m.config.Settings, Journal: j, Workers: m.config.Workers,
 		Inventory: m.config.Inventory, View: m.config.View, Peers: m, Learner: m.config.Learner,
@@ -237,47 +242,47 @@
 	})
 	ownerContext, cancel := context.WithCancel(ctx)
 	m.mu.Lock()
-	m.owners[cell] = &owned{owner: owner, cancel: cancel}
+	m.owners[cell] = &runningOwner{owner: owner, cancel: cancel}
 	m.epochs[cell] = j.Epoch()
-	m.caring[cell] = false
+	m.caretakerOf[cell] = false
 	m.mu.Unlock()
-	m.config.Logger.Info("cell is owned here", zap.String("cell", string(cell)),
+	m.config.Logger.Info("this daemon owns the cell now", zap.String("cell", string(cell)),
 		zap.Uint64("epoch", uint64(j.Epoch())), zap.Int("tasks", len(j.State().Tasks)))
 	m.group.Go(func() { owner.Run(ownerContext) })
 	m.config.Members.Nudge()
 }
 
-// Owned gives this daemon's owner of a cell.
-func (m *Manager) owned(cell models.CellID) (*Owner, bool) {
+// localOwner returns the owner of a cell if it runs in this daemon and has not ended.
+func (m *Manager) localOwner(cell models.CellID) (*Owner, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	own, ok := m.owners[cell]
+	running, ok := m.owners[cell]
 	if !ok {
 		return nil, false
 	}
 	select {
-	case <-own.owner.done:
+	case <-running.owner.done:
 		return nil, false
 	default:
-		return own.owner, true
+		return running.owner, true
 	}
 }
 
-// Beat is the source of the cells in this daemon's heartbeats.
+// Beat fills in the cells that this daemon owns, with their published state.
 func (m *Manager) Beat(beat *models.Heartbeat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	beat.Cells = make(map[models.CellID]models.CellBeat, len(m.owners))
-	for cell, own := range m.owners {
-		c := models.CellBeat{Epoch: own.owner.config.Epoch}
-		if published := own.owner.beat.Load(); published != nil {
+	for cell, running := range m.owners {
+		c := models.CellBeat{Epoch: running.owner.config.Epoch}
+		if published := running.owner.beat.Load(); published != nil {
 			c = *published
 		}
 		beat.Cells[cell] = c
 	}
 }
 
-// Cells implements Peers.
+// Cells implements Peers. Of several entries for a cell, the one of the latest epoch counts.
 func (m *Manager) Cells() map[models.CellID]models.CellBeat {
 	cells := map[models.CellID]models.CellBeat{}
 	for _, beat := range m.config.Members.Beats() {
@@ -297,11 +302,11 @@
 	return cells
 }
 
-// Dump gives the state of every cell owned here.
+// Dump returns the state of every cell owned by this daemon.
 func (m *Manager) Dump(ctx context.Context) []Dump {
 	var dumps []Dump
 	for _, cell := range m.OwnedCells() {
-		owner, ok := m.owned(cell)
+		owner, ok := m.localOwner(cell)
 		if !ok {
 			continue
 		}
@@ -319,7 +324,7 @@
 	return dumps
 }
 
-// OwnedCells lists the cells owned here.
+// OwnedCells lists the cells owned by this daemon.
 func (m *Manager) OwnedCells() []models.CellID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/services/cell/refusal_test.go
+++ b/services/cell/refusal_test.go
@@ -16,16 +16,16 @@
 	"rillsail.example/rillsail/models"
 )
 
-// A refusal speaks of the job and not of the call that it answers: the job won't run,
-// whatever earlier calls with it have done.
+// These tests check that a refusal is about the job and not about the call that it answers: a refused
+// job will not run, whatever earlier calls with the job have done.
 
-// told is what a call is told of a job.
-type told string
+// toldOutcome is the outcome of a job as a call's answer tells it.
+type toldOutcome string
 
 const (
-	toldAccepted told = "accepted"
-	toldRefused  told = "refused"
-	toldUnknown  told = "unknown"
+	toldAccepted toldOutcome = "accepted"
+	toldRefused  toldOutcome = "refused"
+	toldUnknown  toldOutcome = "unknown"
 )
 
 type forwarded struct {
@@ -33,8 +33,8 @@
 	err    error
 }
 
-// of gives what is told of one job.
-func (f forwarded) of(id models.JobID) told {
+// outcomeOf returns the outcome that the answer tells of one job.
+func (f forwarded) outcomeOf(id models.JobID) toldOutcome {
 	for _, job := range append(f.answer.Submitted, f.answer.Cancelled...) {
 		if job.ID == id {
 			return toldAccepted
@@ -49,12 +49,12 @@
 	return toldUnknown
 }
 
-// refusalWorld is a cell with one owner, daemon 0.
+// refusalWorld returns a world with one cell, which daemon 0 owns.
 func refusalWorld(t *testing.T) (*world, *testOwner) {
 	w := newWorld(t, t, 4)
-	o, err := w.take(0, worldCells[0])
+	o, err := w.takeOver(0, worldCells[0])
 	require.NoError(t, err)
-	w.after(time.Second)
+	w.advance(time.Second)
 	return w, o
 }
 
@@ -68,17 +68,17 @@
 	return forwarded{answer, err}
 }
 
-// beside makes a call that is under way when it returns.
-func (w *world) beside(call func() forwarded) <-chan forwarded {
+// startConcurrently starts a call in a goroutine and lets it get under way before it returns.
+func (w *world) startConcurrently(call func() forwarded) <-chan forwarded {
 	result := make(chan forwarded, 1)
 	go func() { result <- call() }()
-	w.after(200 * time.Millisecond)
+	w.advance(200 * time.Millisecond)
 	return result
 }
 
 // untilJob waits until the owner holds the job.
 func (w *world) untilJob(o *testOwner, id models.JobID) {
-	w.until(10*time.Second, "job "+string(id)+" is there", func() bool {
+	w.waitUntil(10*time.Second, "job "+string(id)+" is known to its owner", func() bool {
 		answer, err := w.forward(o, models.ForwardCall{Jobs: true})
 		for _, job := range answer.Jobs {
 			if job.ID == id {
@@ -89,76 +89,78 @@
 	})
 }
 
-// TestRepeatBesideLostAnswer submits a job again while the append that holds it is under
-// way, and then loses the answer of the append.
+// TestRepeatBesideLostAnswer submits a job again while the append that contains it is under way; then
+// the answer of the append is lost. The repeated call must not be refused.
 func TestRepeatBesideLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, o := refusalWorld(t)
 		spec, other := testJob("first", 1, 100), testJob("other", 1, 100)
 		w.pause(0)
-		first := w.beside(func() forwarded { return w.submit(o, spec) })
-		again := w.beside(func() forwarded { return w.submit(o, spec) })
-		mixed := w.beside(func() forwarded { return w.submit(o, spec, other) })
-		w.set(func(f *worldFaults) { f.lostAnswers = 1 })
+		first := w.startConcurrently(func() forwarded { return w.submit(o, spec) })
+		again := w.startConcurrently(func() forwarded { return w.submit(o, spec) })
+		mixed := w.startConcurrently(func() forwarded { return w.submit(o, spec, other) })
+		w.setFaults(func(f *worldFaults) { f.lostAnswers = 1 })
 		w.resume(0)
-		require.Equal(t, toldUnknown, (<-first).of("first"))
-		require.Equal(t, toldUnknown, (<-again).of("first"), "the job is written")
+		require.Equal(t, toldUnknown, (<-first).outcomeOf("first"))
+		require.Equal(t, toldUnknown, (<-again).outcomeOf("first"), "the job is written")
 		both := <-mixed
-		require.Equal(t, toldUnknown, both.of("first"), "the job is written")
-		require.Equal(t, toldRefused, both.of("other"), "no append has held it")
+		require.Equal(t, toldUnknown, both.outcomeOf("first"), "the job is written")
+		require.Equal(t, toldRefused, both.outcomeOf("other"), "no append contains the job")
 		w.untilJob(o, "first")
 	})
 }
 
-// TestRepeatInOutage submits a job again that was accepted before, alone and beside
-// another, while nothing can be written.
+// TestRepeatInOutage submits an accepted job again while the store can't be written, alone and together
+// with a new job. Only the new job may be refused.
 func TestRepeatInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, o := refusalWorld(t)
 		spec, other := testJob("first", 1, 100), testJob("other", 1, 100)
-		require.Equal(t, toldAccepted, w.submit(o, spec).of("first"))
-		w.set(func(f *worldFaults) { f.outage = true })
-		require.Equal(t, toldRefused, w.submit(o, other).of("other"))
-		require.Equal(t, toldAccepted, w.submit(o, spec).of("first"), "the job is there")
+		require.Equal(t, toldAccepted, w.submit(o, spec).outcomeOf("first"))
+		w.setFaults(func(f *worldFaults) { f.outage = true })
+		require.Equal(t, toldRefused, w.submit(o, other).outcomeOf("other"))
+		require.Equal(t, toldAccepted, w.submit(o, spec).outcomeOf("first"), "the job is journalled")
 		mixed := w.submit(o, spec, other)
-		require.Equal(t, toldAccepted, mixed.of("first"), "the job is there")
-		require.Equal(t, toldRefused, mixed.of("other"))
+		require.Equal(t, toldAccepted, mixed.outcomeOf("first"), "the job is journalled")
+		require.Equal(t, toldRefused, mixed.outcomeOf("other"))
 	})
 }
 
-// TestRepeatWithWrongJob submits an accepted job beside one whose id is in use.
+// TestRepeatWithWrongJob submits an accepted job together with a job whose id is in use. Only the latter
+// may be refused.
 func TestRepeatWithWrongJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, o := refusalWorld(t)
 		first, second := testJob("first", 1, 100), testJob("second", 1, 100)
-		require.Equal(t, toldAccepted, w.submit(o, first, second).of("first"))
+		require.Equal(t, toldAccepted, w.submit(o, first, second).outcomeOf("first"))
 		changed := testJob("second", 2, 100)
-		require.Equal(t, toldRefused, w.submit(o, changed).of("second"))
+		require.Equal(t, toldRefused, w.submit(o, changed).outcomeOf("second"))
 		mixed := w.submit(o, first, changed)
-		require.Equal(t, toldAccepted, mixed.of("first"), "the job is there")
-		require.Equal(t, toldRefused, mixed.of("second"))
+		require.Equal(t, toldAccepted, mixed.outcomeOf("first"), "the job is journalled")
+		require.Equal(t, toldRefused, mixed.outcomeOf("second"))
 	})
 }
 
-// TestRepeatAtFrozenOwner submits a job again at an owner that has handed the cell over.
+// TestRepeatAtFrozenOwner submits an accepted job and a job of unknown outcome again at an owner that has
+// handed the cell over. Neither may be refused.
 func TestRepeatAtFrozenOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, o := refusalWorld(t)
 		spec, open := testJob("first", 1, 100), testJob("open", 1, 100)
-		require.Equal(t, toldAccepted, w.submit(o, spec).of("first"))
-		w.set(func(f *worldFaults) { f.lostAnswers = 1 })
-		require.Equal(t, toldUnknown, w.submit(o, open).of("open"))
+		require.Equal(t, toldAccepted, w.submit(o, spec).outcomeOf("first"))
+		w.setFaults(func(f *worldFaults) { f.lostAnswers = 1 })
+		require.Equal(t, toldUnknown, w.submit(o, open).outcomeOf("open"))
 		reply := make(chan models.HandoverCall, 1)
-		_, err := await(w.ctx, o.Owner, freezeMessage{reply: reply}, reply)
+		_, err := awaitReply(w.ctx, o.Owner, freezeMessage{reply: reply}, reply)
 		require.NoError(t, err)
-		require.Equal(t, toldAccepted, w.submit(o, spec).of("first"), "the job is there")
-		require.NotEqual(t, toldRefused, w.submit(o, open).of("open"), "the job is handed over")
+		require.Equal(t, toldAccepted, w.submit(o, spec).outcomeOf("first"), "the job is journalled")
+		require.NotEqual(t, toldRefused, w.submit(o, open).outcomeOf("open"), "the append with the job is handed over")
 	})
 }
 
-// idleOwner is an owner without a loop of its own: the test takes its steps.
+// idleOwner returns an owner whose loop doesn't run; the test calls its handlers.
 func (w *world) idleOwner(daemon int) *Owner {
-	vms, j, err := w.equip(daemon, worldCells[0])
+	vms, j, err := w.newDependencies(daemon, worldCells[0])
 	require.NoError(w.t, err)
 	require.NoError(w.t, j.Take(w.ctx))
 	return NewOwner(OwnerConfig{
@@ -167,8 +169,8 @@
 	})
 }
 
-// TestRepeatAtEndingOwner ends an owner with a call in its inbox that repeats a job of the
-// append under way.
+// TestRepeatAtEndingOwner ends an owner while its inbox holds a call that repeats a job of the append
+// under way. The append may be written, so the call must not be refused.
 func TestRepeatAtEndingOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t, 4)
@@ -179,14 +181,14 @@
 		o.handleForward(forwardMessage{call: call, reply: first})
 		o.commit(w.ctx)
 		o.inbox <- forwardMessage{call: call, reply: again}
-		o.refuseWaiting()
-		require.Equal(t, toldUnknown, ofReply(<-first).of("first"), "the job may be written")
-		require.Equal(t, toldUnknown, ofReply(<-again).of("first"), "the job may be written")
+		o.refusePending()
+		require.Equal(t, toldUnknown, forwardedOf(<-first).outcomeOf("first"), "the job may be written")
+		require.Equal(t, toldUnknown, forwardedOf(<-again).outcomeOf("first"), "the job may be written")
 	})
 }
 
-// TestAppendCutOff ends the context of an append that is under way, as the end of its owner
-// does, and lets the owner take up the result before it ends.
+// TestAppendCutOff cancels an append that is under way, as the end of its owner does, and lets the owner
+// handle the result before it ends. The append may be written, so the call must not be refused.
 func TestAppendCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t, 4)
@@ -198,14 +200,14 @@
 		o.commit(w.ctx)
 		o.cancelAppend()
 		o.handle(<-o.inbox)
-		o.refuseWaiting()
-		require.Equal(t, toldUnknown, ofReply(<-first).of("first"), "the job may be written")
+		o.refusePending()
+		require.Equal(t, toldUnknown, forwardedOf(<-first).outcomeOf("first"), "the job may be written")
 	})
 }
 
-// TestOverwrittenEntry loses the answer of an append, lets other owners write over its
-// place in the ring, and submits the job again at the owner that can't see its entry any
-// more.
+// TestOverwrittenEntry loses the answer of an append and lets other owners overwrite its slot in the
+// ring. The job is then submitted again at the first owner, which can no longer find its entry and
+// must not refuse the job, because the entry was written.
 func TestOverwrittenEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t, 4)
@@ -213,13 +215,13 @@
 		call := models.ForwardCall{Submit: []models.JobSpec{testJob("first", 1, 100)}}
 		first, again := make(chan forwardReply, 1), make(chan forwardReply, 1)
 		o.handleForward(forwardMessage{call: call, reply: first})
-		w.set(func(f *worldFaults) { f.lostAnswers = 1 })
+		w.setFaults(func(f *worldFaults) { f.lostAnswers = 1 })
 		o.commit(w.ctx)
 		o.handle(<-o.inbox) // the answer is lost
 		w.pause(0)
-		require.Equal(t, toldUnknown, ofReply(<-first).of("first"))
+		require.Equal(t, toldUnknown, forwardedOf(<-first).outcomeOf("first"))
 		for range w.settings.RingSlots + 1 {
-			_, j, err := w.equip(1, worldCells[0])
+			_, j, err := w.newDependencies(1, worldCells[0])
 			require.NoError(t, err)
 			require.NoError(t, j.Take(w.ctx))
 			require.NoError(t, j.Append(w.ctx, models.CellChange{}))
@@ -229,32 +231,32 @@
 			o.handle(<-o.inbox)
 		}
 		o.handleForward(forwardMessage{call: call, reply: again})
-		require.Equal(t, toldUnknown, ofReply(<-again).of("first"), "the job was written")
+		require.Equal(t, toldUnknown, forwardedOf(<-again).outcomeOf("first"), "the job was written")
 	})
 }
 
-func ofReply(r forwardReply) forwarded { return forwarded{r.answer, r.err} }
+func forwardedOf(r forwardReply) forwarded { return forwarded{r.answer, r.err} }
 
-// TestRepeatedCancellation cancels a job again whose first cancellation has lost its
-// answer or is stored, while nothing can be written.
+// TestRepeatedCancellation cancels jobs again while the store can't be written. A job whose first
+// cancellation was journalled is accepted, and one whose first answer was lost must not be refused.
 func TestRepeatedCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, o := refusalWorld(t)
-		require.Equal(t, toldAccepted, w.submit(o, testJob("first", 1, 100_000), testJob("second", 1, 100_000)).of("first"))
-		require.Equal(t, toldAccepted, w.cancelJob(o, "first").of("first"))
-		w.set(func(f *worldFaults) { f.lostAnswers = 1 })
+		require.Equal(t, toldAccepted, w.submit(o, testJob("first", 1, 100_000), testJob("second", 1, 100_000)).outcomeOf("first"))
+		require.Equal(t, toldAccepted, w.cancelJob(o, "first").outcomeOf("first"))
+		w.setFaults(func(f *worldFaults) { f.lostAnswers = 1 })
 		w.pause(0)
-		lost := w.beside(func() forwarded { return w.cancelJob(o, "second") })
+		lost := w.startConcurrently(func() forwarded { return w.cancelJob(o, "second") })
 		w.resume(0)
-		require.Equal(t, toldUnknown, (<-lost).of("second"))
-		w.set(func(f *worldFaults) { f.outage = true })
-		require.NotEqual(t, toldRefused, w.cancelJob(o, "second").of("second"), "it is cancelled")
-		require.Equal(t, toldAccepted, w.cancelJob(o, "first").of("first"), "it was cancelled before")
+		require.Equal(t, toldUnknown, (<-lost).outcomeOf("second"))
+		w.setFaults(func(f *worldFaults) { f.outage = true })
+		require.NotEqual(t, toldRefused, w.cancelJob(o, "second").outcomeOf("second"), "the cancellation may be written")
+		require.Equal(t, toldAccepted, w.cancelJob(o, "first").outcomeOf("first"), "the cancellation is journalled")
 	})
 }
 
-// TestCancellationBesideSubmission cancels a job while it waits for its append: the answer
-// comes when the cancellation is journalled too. One of a job that was never there is refused.
+// TestCancellationBesideSubmission cancels a job whose submission waits for its append. The answer must
+// wait until the cancellation is journalled too. Cancelling a job that doesn't exist is refused.
 func TestCancellationBesideSubmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t, 4)
@@ -265,20 +267,21 @@
 		o.handleForward(forwardMessage{call: cancel, reply: cancelled})
 		o.commit(w.ctx)
 		o.handle(<-o.inbox)
-		require.Equal(t, toldAccepted, ofReply(<-submitted).of("first"))
-		require.Empty(t, cancelled, "nothing of it is journalled yet")
-		w.after(w.settings.Append)
+		require.Equal(t, toldAccepted, forwardedOf(<-submitted).outcomeOf("first"))
+		require.Empty(t, cancelled, "the cancellation is not journalled yet")
+		w.advance(w.settings.Append)
 		o.commit(w.ctx)
 		o.handle(<-o.inbox)
-		answer := ofReply(<-cancelled)
-		require.Equal(t, toldAccepted, answer.of("first"))
-		require.Equal(t, toldRefused, answer.of("none"))
+		answer := forwardedOf(<-cancelled)
+		require.Equal(t, toldAccepted, answer.outcomeOf("first"))
+		require.Equal(t, toldRefused, answer.outcomeOf("none"))
 		require.Equal(t, models.JobCancelled, o.journal.State().Jobs["first"].State)
 	})
 }
 
-// TestOfferForSuccessor offers a task to an owner in the epoch of its successor, and lets
-// another cell's report come in: that the owner holds no such task is no acceptance.
+// TestOfferForSuccessor offers a task to an owner in the epoch of its successor, and then delivers
+// another cell's report, which runs the waiters. That the owner holds no record of the task must not
+// be taken for an acceptance.
 func TestOfferForSuccessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t, 4)
@@ -292,19 +295,20 @@
 		o.handleReport(reportMessage{reply: reports, call: models.ReportCall{To: worldCells[0]}})
 		select {
 		case answer := <-offers:
-			require.Empty(t, answer.Accepted, "nobody has taken the task")
+			require.Empty(t, answer.Accepted, "no owner has accepted the task")
 		default:
 		}
 	})
 }
 
-// TestReportToFormerHome reports the end of a task to an owner that has been superseded,
-// doesn't know it, and has never heard of the task.
+// TestReportToFormerHome reports the end of a task to an owner that has been superseded without noticing
+// and doesn't know the task. The owner must not settle the report, because its successor's journal
+// holds the task.
 func TestReportToFormerHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t, 4)
 		o := w.idleOwner(0)
-		_, j, err := w.equip(1, worldCells[0])
+		_, j, err := w.newDependencies(1, worldCells[0])
 		require.NoError(t, err)
 		require.NoError(t, j.Take(w.ctx))
 		moved := models.Job{JobSpec: testJob("away", 1, 100)}.NewTask(0)
@@ -315,16 +319,16 @@
 		reports := make(chan models.ReportAnswer, 1)
 		o.handleReport(reportMessage{reply: reports, call: models.ReportCall{To: worldCells[0], Tasks: []models.Task{ended}}})
 		o.commit(w.ctx)
-		w.after(time.Second)
+		w.advance(time.Second)
 		for len(o.inbox) > 0 {
 			o.handle(<-o.inbox)
 		}
-		require.Empty(t, reports, "the home's owner has not heard of the end")
+		require.Empty(t, reports, "the home cell's owner has not journalled the end of the task")
 	})
 }
 
-// TestReportOfForgottenTask reports the end of a task a second time: the home has settled it
-// and says so again.
+// TestReportOfForgottenTask reports the end of a task that the home cell has already settled and dropped.
+// The home must settle the report again.
 func TestReportOfForgottenTask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, t, 4)
@@ -334,7 +338,7 @@
 		reports := make(chan models.ReportAnswer, 1)
 		o.handleReport(reportMessage{reply: reports, call: models.ReportCall{To: worldCells[0], Tasks: []models.Task{ended}}})
 		o.commit(w.ctx)
-		w.after(time.Second)
+		w.advance(time.Second)
 		for len(o.inbox) > 0 {
 			o.handle(<-o.inbox)
 		}
@@ -342,15 +346,16 @@
 	})
 }
 
-// TestUnansweredMessage hands an owner that is ending a message that it never answers.
+// TestUnansweredMessage sends a message to an owner that receives it and ends without a reply. The message
+// may have been executed, so the error must not be a refusal.
 func TestUnansweredMessage(t *testing.T) {
 	ended := &Owner{inbox: make(chan message, inboxSize), done: make(chan struct{})}
-	var unheard message = forwardMessage{call: models.ForwardCall{Submit: []models.JobSpec{testJob("first", 1, 100)}}}
+	var msg message = forwardMessage{call: models.ForwardCall{Submit: []models.JobSpec{testJob("first", 1, 100)}}}
 	go func() {
 		<-ended.inbox
 		close(ended.done)
 	}()
-	_, err := await(context.Background(), ended, unheard, make(chan forwardReply))
+	_, err := awaitReply(context.Background(), ended, msg, make(chan forwardReply))
 	_, refused := RefusalOf(err)
-	require.False(t, refused, "the loop has taken the message and may have done it: %v", err)
+	require.False(t, refused, "the loop has received the message and may have executed it: %v", err)
 }
--- a/services/cell/world_test.go
+++ b/services/cell/world_test.go
@@ -32,15 +32,15 @@
 
 var viewOf = config.ViewOf
 
-// world is a store, a fleet and any number of owners in one process on the clock of
-// a synctest bubble. The owners are the real ones; only wires are replaced.
+// world is a store, a fleet and any number of owners in one process, on the clock of a synctest
+// bubble. The owners are the real ones; only the network connections are replaced.
 type world struct {
 	t      require.TestingT
 	ctx    context.Context
 	store  *kv.Service
 	fleet  *fleet.Fleet
 	view   *config.View
-	owners map[models.CellID][]*testOwner // the latest last
+	owners map[models.CellID][]*testOwner // the latest owner last
 	made   int
 
 	settings setting.Cell
@@ -50,17 +50,17 @@
 	faults worldFaults
 }
 
-// worldFaults are the faults in force.
+// worldFaults are the faults that are currently injected.
 type worldFaults struct {
-	outage      bool
-	lostAnswers int              // of store writes that take effect
-	lateCalls   map[int]chan any // by daemon: its calls wait until the channel closes
-	repeat      bool             // calls to workers arrive twice
-	lostReplies int              // answers of workers
-	lossy       *rand.Rand       // draws which answers of workers are lost, 3 of 10
-	lateStarts  int              // calls to workers that arrive after they were given up
-	lateOffers  int              // offers of which another copy arrives later
-	cutFrom     map[int]bool     // daemons that reach no worker
+	outage       bool
+	lostAnswers  int              // number of store writes that take effect and whose answers are lost
+	lateCalls    map[int]chan any // by daemon: its calls wait until the channel is closed
+	repeatCalls  bool             // calls to workers are delivered twice
+	lostReplies  int              // number of answers of workers that are lost
+	lossyReplies *rand.Rand       // draws the answers of workers that are lost, 3 of 10
+	lateStarts   int              // number of calls to workers that arrive after the caller has timed out
+	lateOffers   int              // number of offers of which a second copy arrives later
+	cutFrom      map[int]bool     // daemons that can't reach any worker
 }
 
 type testOwner struct {
@@ -98,7 +98,7 @@
 	t.Cleanup(func() {
 		w.healAll()
 		cancel()
-		time.Sleep(time.Minute) // every goroutine ends
+		time.Sleep(time.Minute) // lets every goroutine end
 		synctest.Wait()
 	})
 	return w
@@ -116,15 +116,15 @@
 	w.view = v
 }
 
-func (w *world) set(change func(*worldFaults)) {
+func (w *world) setFaults(change func(*worldFaults)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change(&w.faults)
 }
 
-// pause lets all calls of a daemon wait, as when its process is frozen.
+// pause makes all calls of a daemon wait, as when its process is frozen.
 func (w *world) pause(daemon int) {
-	w.set(func(f *worldFaults) {
+	w.setFaults(func(f *worldFaults) {
 		if f.lateCalls[daemon] == nil {
 			f.lateCalls[daemon] = make(chan any)
 		}
@@ -132,7 +132,7 @@
 }
 
 func (w *world) resume(daemon int) {
-	w.set(func(f *worldFaults) {
+	w.setFaults(func(f *worldFaults) {
 		if f.lateCalls[daemon] != nil {
 			close(f.lateCalls[daemon])
 			delete(f.lateCalls, daemon)
@@ -144,8 +144,8 @@
 	for daemon := range 8 {
 		w.resume(daemon)
 	}
-	w.set(func(f *worldFaults) {
-		f.outage, f.lostAnswers, f.repeat, f.lostReplies, f.lateStarts, f.lateOffers = false, 0, false, 0, 0, 0
+	w.setFaults(func(f *worldFaults) {
+		f.outage, f.lostAnswers, f.repeatCalls, f.lostReplies, f.lateStarts, f.lateOffers = false, 0, false, 0, 0, 0
 		f.cutFrom = map[int]bool{}
 	})
 	for _, vm := range w.fleet.VMs().VMs {
@@ -154,8 +154,8 @@
 	}
 }
 
-// wait lets a call of a paused daemon wait.
-func (w *world) wait(ctx context.Context, daemon int) error {
+// waitWhilePaused blocks a call of a paused daemon until the daemon is resumed or ctx ends.
+func (w *world) waitWhilePaused(ctx context.Context, daemon int) error {
 	w.mu.Lock()
 	late := w.faults.lateCalls[daemon]
 	w.mu.Unlock()
@@ -172,7 +172,7 @@
 
 func (w *world) storeFor(daemon int) platform.Store {
 	return &kv.Local{Service: w.store, Wait: time.Second, Fault: func(ctx context.Context, write, after bool, _ string) error {
-		if err := w.wait(ctx, daemon); err != nil {
+		if err := w.waitWhilePaused(ctx, daemon); err != nil {
 			return errors.Mark(err, platform.ErrUnknown)
 		}
 		w.mu.Lock()
@@ -188,8 +188,8 @@
 	}}
 }
 
-// lateBy is how late a late call arrives.
-const lateBy = 1500 * time.Millisecond
+// lateDelay is the delay of late calls and late copies of offers.
+const lateDelay = 1500 * time.Millisecond
 
 var errLost = errors.New("answer lost")
 
@@ -197,7 +197,7 @@
 	return &fleet.Local{
 		Fleet: w.fleet,
 		Fault: func(ctx context.Context, after bool, _ string) error {
-			if err := w.wait(ctx, daemon); err != nil {
+			if err := w.waitWhilePaused(ctx, daemon); err != nil {
 				return err
 			}
 			w.mu.Lock()
@@ -205,7 +205,7 @@
 			if w.faults.cutFrom[daemon] {
 				return errLost
 			}
-			if after && w.faults.lossy != nil && w.faults.lossy.IntN(10) < 3 {
+			if after && w.faults.lossyReplies != nil && w.faults.lossyReplies.IntN(10) < 3 {
 				return errLost
 			}
 			if after && w.faults.lostReplies > 0 {
@@ -221,12 +221,12 @@
 				return 0
 			}
 			w.faults.lateStarts--
-			return lateBy
+			return lateDelay
 		},
 		Repeat: func() bool {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			return w.faults.repeat
+			return w.faults.repeatCalls
 		},
 	}
 }
@@ -236,9 +236,9 @@
 // VMs implements platform.List.
 func (l listFunc) VMs(context.Context) (models.VMList, error) { return l(), nil }
 
-// take lets a daemon take over a cell. Former owners go on until they find out.
-func (w *world) take(daemon int, cell models.CellID) (*testOwner, error) {
-	vms, j, err := w.equip(daemon, cell)
+// takeOver makes a daemon take over a cell. Previous owners continue until they notice.
+func (w *world) takeOver(daemon int, cell models.CellID) (*testOwner, error) {
+	vms, j, err := w.newDependencies(daemon, cell)
 	if err != nil {
 		return nil, err
 	}
@@ -250,11 +250,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return w.own(daemon, cell, j, vms, false), nil
+	return w.startOwner(daemon, cell, j, vms, false), nil
 }
 
-// equip makes what a daemon needs to own a cell.
-func (w *world) equip(daemon int, cell models.CellID) (*inventory.Service, *journal.Journal, error) {
+// newDependencies returns the inventory and the journal that a daemon needs to own a cell.
+func (w *world) newDependencies(daemon int, cell models.CellID) (*inventory.Service, *journal.Journal, error) {
 	store := w.storeFor(daemon)
 	vms := inventory.New(inventory.Config{
 		List: listFunc(w.fleet.VMs), Store: store, Every: 200 * time.Millisecond,
@@ -266,19 +266,19 @@
 	return vms, j, vms.Refresh(w.ctx)
 }
 
-// adopt lets a daemon go on with a cell that was handed to it. The cell map is read
-// from the store before, for in an outage a daemon has it from its peers.
+// adopt makes a daemon continue a cell that was handed over to it. The cell map is read from the store
+// with the outage suspended, because in an outage a daemon has received the map from its peers.
 func (w *world) adopt(daemon int, cell models.CellID, call models.HandoverCall) {
 	outage := false
-	w.set(func(f *worldFaults) { outage, f.outage = f.outage, false })
-	vms, j, err := w.equip(daemon, cell)
-	w.set(func(f *worldFaults) { f.outage = outage })
+	w.setFaults(func(f *worldFaults) { outage, f.outage = f.outage, false })
+	vms, j, err := w.newDependencies(daemon, cell)
+	w.setFaults(func(f *worldFaults) { f.outage = outage })
 	require.NoError(w.t, err)
 	require.NoError(w.t, j.Adopt(call))
-	w.own(daemon, cell, j, vms, true)
+	w.startOwner(daemon, cell, j, vms, true)
 }
 
-func (w *world) own(daemon int, cell models.CellID, j *journal.Journal, vms *inventory.Service, adopted bool) *testOwner {
+func (w *world) startOwner(daemon int, cell models.CellID, j *journal.Journal, vms *inventory.Service, adopted bool) *testOwner {
 	ctx, cancel := context.WithCancel(w.ctx)
 	o := &testOwner{daemon: daemon, cancel: cancel, Owner: NewOwner(OwnerConfig{
 		Cell: cell, Epoch: j.Epoch(), Adopted: adopted, Settings: w.settings, Journal: j, Workers: w.workersFor(daemon), Inventory: vms,
@@ -299,7 +299,7 @@
 	return fmt.Sprint("id-", w.made)
 }
 
-// worldPeers reaches the latest owner of each cell.
+// worldPeers delivers calls to the latest owner of each cell.
 type worldPeers struct{ w *world }
 
 // Cells implements Peers.
@@ -324,12 +324,12 @@
 	defer p.w.mu.Unlock()
 	if p.w.faults.lateOffers > 0 {
 		p.w.faults.lateOffers--
-		time.AfterFunc(lateBy, func() { p.offerAgain(call) })
+		time.AfterFunc(lateDelay, func() { p.offerAgain(call) })
 	}
 	return answer, err
 }
 
-// offerAgain delivers a late copy of an offer, whose answer nobody waits for.
+// offerAgain delivers a late copy of an offer. Its answer is discarded.
 func (p *worldPeers) offerAgain(call models.OfferCall) {
 	p.w.mu.Lock()
 	defer p.w.mu.Unlock()
@@ -349,7 +349,7 @@
 func askOwner[A any](ctx context.Context, o *testOwner, m message, reply <-chan A) (A, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	return await(ctx, o.Owner, m, reply)
+	return awaitReply(ctx, o.Owner, m, reply)
 }
 
 func (w *world) ownerless(cell models.CellID) bool {
@@ -358,7 +358,7 @@
 	return len(w.owners[cell]) == 0
 }
 
-// owner is the latest owner of a cell.
+// owner returns the latest owner of a cell.
 func (w *world) owner(cell models.CellID) *testOwner {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -373,23 +373,23 @@
 	return forwardTo(ctx, o.Owner, call)
 }
 
-// after lets time pass and checks what must always hold.
-func (w *world) after(d time.Duration) {
+// advance lets time pass and checks that the fleet has seen no violation of its invariants.
+func (w *world) advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 	require.Empty(w.t, w.fleet.Audit().Violations)
 }
 
-// until lets time pass until the condition holds.
-func (w *world) until(most time.Duration, what string, condition func() bool) {
-	end := time.Now().Add(most)
+// waitUntil lets time pass until the condition holds; it fails with what after limit.
+func (w *world) waitUntil(limit time.Duration, what string, condition func() bool) {
+	end := time.Now().Add(limit)
 	for !condition() {
 		require.True(w.t, time.Now().Before(end), what)
-		w.after(100 * time.Millisecond)
+		w.advance(100 * time.Millisecond)
 	}
 }
 
-// jobs lists the jobs of all cells as their latest owners know them.
+// jobs returns the jobs of all cells as their latest owners know them.
 func (w *world) jobs() map[models.JobID]models.Job {
 	jobs := map[models.JobID]models.Job{}
 	for _, cell := range slices.Sorted(maps.Keys(w.owners)) {
@@ -411,8 +411,8 @@
 	}
 }
 
-// verdict keeps the first failure of a run and ends the run, so that package rapid
-// can look for a shorter script that fails.
+// verdict records the first failure of a run and ends the run, so that package rapid can shrink the
+// failing script.
 type verdict struct{ failure string }
 
 type runEnded struct{}
@@ -423,8 +423,8 @@
 // FailNow implements require.TestingT.
 func (v *verdict) FailNow() { panic(runEnded{}) }
 
-// in runs a script in a bubble of its own and gives the failure, if any.
-func in(t *testing.T, run func(t *testing.T, v *verdict)) string {
+// runInBubble runs a script in a synctest bubble of its own and returns the failure, if any.
+func runInBubble(t *testing.T, run func(t *testing.T, v *verdict)) string {
 	t.Helper()
 	v := &verdict{}
 	synctest.Test(t, func(t *testing.T) {
--- a/services/contention/service.go
+++ b/services/contention/service.go
@@ -6,50 +6,51 @@
 import "math"
 
 const (
-	startFactor = 0.35 // of a pair that nothing is known of: the mean of the fitted ones
-	startSpread = 0.5  // its standard deviation
-	// startVariance is also the most that an estimate gets by drifting.
-	startVariance = startSpread * startSpread
-	// factorDrift is the variance that a factor gains in a second.
-	factorDrift = 5e-4
-	// unevenness is the standard deviation by which tasks of one filling image differ, as a
-	// part of their factor.
-	unevenness = 0.35
-	// saturated is a load above which the tail says little more than that it is too long.
-	saturated = 0.95
+	priorFactor       = 0.35 // of a pair without observations: the mean of the fitted factors
+	priorFactorStdDev = 0.5  // standard deviation of priorFactor
+	// priorFactorVariance is also the maximum variance that an estimate reaches by drift.
+	priorFactorVariance = priorFactorStdDev * priorFactorStdDev
+	// factorDriftVariance is the variance that a factor gains per second.
+	factorDriftVariance = 5e-4
+	// taskStdDev is the standard deviation between tasks of the same filler image, as a fraction
+	// of their factor.
+	taskStdDev = 0.35
+	// saturatedLoad is the load above which a tail shows little more than that it is too long.
+	saturatedLoad = 0.95
 )
 
-// Service is what is known of one serving image: the factors of all filling images beside
-// it, estimated by Bayesian linear regression, and the unit of its loads.
+// Service holds the parameters of one serving image: the interference factors of all filler
+// images on it, estimated by Bayesian linear regression, and the idle tail, which sets the unit of its loads.
 type Service struct {
 	mean         []float64
 	covariance   [][]float64
 	observations int
 	idle         idleTail
-	// shared is the mean with what other cells have learned, and sharedVariance its variance;
-	// they are what decides.
-	shared, sharedVariance []float64
+	// combined holds the means combined with the factors of other cells, and combinedVariance their
+	// variances. Predictions use these two.
+	combined, combinedVariance []float64
 }
 
-// grow makes room for so many filling images.
+// grow extends the parameters to n filler images.
 func (s *Service) grow(n int) {
 	for len(s.mean) < n {
-		s.mean = append(s.mean, startFactor)
-		s.shared = append(s.shared, startFactor)
-		s.sharedVariance = append(s.sharedVariance, startVariance)
+		s.mean = append(s.mean, priorFactor)
+		s.combined = append(s.combined, priorFactor)
+		s.combinedVariance = append(s.combinedVariance, priorFactorVariance)
 		for i := range s.covariance {
 			s.covariance[i] = append(s.covariance[i], 0)
 		}
 		row := make([]float64, len(s.mean))
-		row[len(row)-1] = startVariance
+		row[len(row)-1] = priorFactorVariance
 		s.covariance = append(s.covariance, row)
 	}
 }
 
-// spread is the standard deviation of a factor.
-func (s *Service) spread(i int) float64 { return math.Sqrt(max(0, s.covariance[i][i])) }
+// stdDev returns the standard deviation of this cell's own estimate of a factor.
+func (s *Service) stdDev(i int) float64 { return math.Sqrt(max(0, s.covariance[i][i])) }
 
-// Added is the load that shares of a worker add, with its variance.
+// Added returns the load that filler images add by using shares of a worker, and its variance. The shares are in
+// the order of the images' indexes.
 func (s *Service) Added(shares []float64) (mean, variance float64) {
 	for i, share := range shares {
 		m, v := s.AddedBy(i, share)
@@ -59,19 +60,19 @@
 	return mean, variance
 }
 
-// AddedBy is the load that a share of the filling image with an index adds, with its
-// variance.
+// AddedBy returns the load that the filler image with index i adds by using a share of a worker, and
+// its variance.
 func (s *Service) AddedBy(i int, share float64) (mean, variance float64) {
 	if share == 0 {
 		return 0, 0
 	}
 	mean = s.Factor(i) * share
-	return mean, share*share*s.sharedVariance[i] + unevenness*unevenness*mean*mean
+	return mean, share*share*s.combinedVariance[i] + taskStdDev*taskStdDev*mean*mean
 }
 
-// expectation is what this cell's own estimates say that shares add, with its variance
-// and the covariances of each factor with it.
-func (s *Service) expectation(shares []float64) (mean, variance float64, gain []float64) {
+// predictAdded returns the added load that this cell's own estimates predict for shares of a worker, its
+// variance, and the covariance of each factor with the prediction.
+func (s *Service) predictAdded(shares []float64) (mean, variance float64, gain []float64) {
 	s.grow(len(shares))
 	gain = make([]float64, len(s.mean))
 	for i := range s.mean {
@@ -82,13 +83,13 @@
 	for i, share := range shares {
 		part := max(0, s.mean[i]) * share
 		mean += part
-		variance += share*gain[i] + unevenness*unevenness*part*part
+		variance += share*gain[i] + taskStdDev*taskStdDev*part*part
 	}
 	return mean, variance, gain
 }
 
-// correct takes an observation: by how much it differs from what was expected, the
-// variance of that difference, and the gain that expectation gave.
+// correct updates the factors with an observation: the difference between observation and prediction, the
+// variance of the difference, and the covariances that predictAdded returned as gain.
 func (s *Service) correct(difference, variance float64, gain []float64) {
 	for i := range gain {
 		s.mean[i] += gain[i] * difference / variance
@@ -99,13 +100,13 @@
 	s.observations++
 }
 
-// drift lets knowledge fade with time.
-func (s *Service) drift(passed float64) {
+// addDrift increases the variances of the factors, which may have changed in the seconds passed.
+func (s *Service) addDrift(passed float64) {
 	for i := range s.covariance {
-		s.covariance[i][i] = min(startVariance, s.covariance[i][i]+factorDrift*passed)
+		s.covariance[i][i] = min(priorFactorVariance, s.covariance[i][i]+factorDriftVariance*passed)
 	}
 }
 
-// Factor is the load that the filling image with an index adds when it uses a whole worker;
-// it is never negative.
-func (s *Service) Factor(i int) float64 { return max(0, s.shared[i]) }
+// Factor returns the load that the filler image with index i adds when it uses a whole worker. The factor
+// is never negative.
+func (s *Service) Factor(i int) float64 { return max(0, s.combined[i]) }
--- a/services/control/configuration.go
+++ b/services/control/configuration.go
@@ -17,63 +17,65 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Configurations follows the operators' configuration.
+// Configurations watches the operators' configuration and applies its newest version.
 type Configurations struct {
-	config  Config
-	health  *storeHealth
-	current atomic.Pointer[jobs.Configuration]
-	changed func(*jobs.Configuration)
-	version platform.Version // the store's, to wait from; 0: read first; belongs to the loop
-	trouble *log.Trouble
-	// confirmed is when the store last gave a configuration, or said that there is no newer one.
-	confirmed atomic.Pointer[time.Time]
+	config   Config
+	health   *storeHealth
+	current  atomic.Pointer[jobs.Configuration]
+	onChange func(*jobs.Configuration)
+	version  platform.Version // store version to watch from; 0: read first; used by the loop only
+	trouble  *log.Trouble
+	// confirmedAt is when the store last returned a configuration, or said that there is no newer one.
+	confirmedAt atomic.Pointer[time.Time]
 }
 
 func newConfigurations(c Config, health *storeHealth) *Configurations {
 	f := &Configurations{config: c, health: health, trouble: log.NewTrouble(log.TroubleConfig{
 		Logger: c.Logger, Began: "configuration can't be followed", Ended: "configuration is followed again",
 	})}
-	f.confirm()
+	f.markConfirmed()
 	return f
 }
 
-func (c *Configurations) confirm() {
+func (c *Configurations) markConfirmed() {
 	now := c.config.Clock.Now()
-	c.confirmed.Store(&now)
+	c.confirmedAt.Store(&now)
 }
 
-// age is for how long the store has not confirmed that the configuration in force is the newest.
-func (c *Configurations) age() time.Duration { return c.config.Clock.Since(*c.confirmed.Load()) }
+// unconfirmedFor returns the time since the store last confirmed that the configuration in force is the newest.
+func (c *Configurations) unconfirmedFor() time.Duration {
+	return c.config.Clock.Since(*c.confirmedAt.Load())
+}
 
-// meter hands on which version is in force, and for how long that is unconfirmed.
-func (c *Configurations) meter(scope tally.Scope) {
+// publishMetrics publishes the version in force and the time since it was last confirmed as the newest.
+func (c *Configurations) publishMetrics(scope tally.Scope) {
 	if current := c.current.Load(); current != nil {
 		scope.Gauge("configuration_version").Update(float64(current.Version))
 	}
-	scope.Gauge("configuration_unconfirmed").Update(c.age().Seconds())
+	scope.Gauge("configuration_unconfirmed").Update(c.unconfirmedFor().Seconds())
 }
 
-// configurationRetry is the pause after a read that failed.
-const configurationRetry = 200 * time.Millisecond
+// configurationRetryPause is the pause after a failed read.
+const configurationRetryPause = 200 * time.Millisecond
 
-// Run follows the configuration until ctx ends.
+// Run watches the configuration until ctx ends.
 func (c *Configurations) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := c.step(ctx)
+		err := c.fetchNext(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		c.trouble.Note(err)
 		if err != nil {
 			c.health.note(err)
-			sleep(ctx, configurationRetry)
+			sleep(ctx, configurationRetryPause)
 		}
 	}
 }
 
-// step waits for the next configuration, or reads it when there is none yet or the
-// store has forgotten what came after the current one.
-func (c *Configurations) step(ctx context.Context) error {
+// fetchNext waits for the next configuration. It reads the configuration instead if there is none
+// yet, or if the store no longer keeps the changes since the current one.
+func (c *Configurations) fetchNext(ctx context.Context) error {
 	read := func() (jobs.Configuration, platform.Version, error) { return c.config.Feed.Configuration(ctx) }
 	if c.version > 0 {
 		read = func() (jobs.Configuration, platform.Version, error) {
@@ -85,37 +87,38 @@
 	switch {
 	case err == nil:
 		c.health.note(nil)
-		c.confirm()
-		c.accept(&configuration)
+		c.markConfirmed()
+		c.apply(&configuration)
 		return nil
 	case version > 0 && errors.Is(err, platform.ErrNotFound):
 		c.health.note(nil)
-		c.confirm()
-		return nil // there is none yet, or none newer
-	case c.version > 0 && mustReadAnew(err):
-		// Of several changes only the last matters. Over a narrow link, fetching each in turn falls
-		// further behind with each.
-		c.config.Logger.Info("configuration is read anew in place of its changes", zap.Error(err))
+		c.markConfirmed()
+		return nil // there is no configuration yet, or no newer one
+	case c.version > 0 && mustReload(err):
+		// Only the last of several changes matters. A daemon on a narrow link that fetched them one
+		// by one would fall further behind with each.
+		c.config.Logger.Info("changes of the configuration cannot be watched; reading it whole", zap.Error(err))
 		c.version = 0
 		return nil
 	default:
-		// The next watch brings what has changed since the version, and costs nothing when
-		// nothing has; a read would bring the whole each time the store has not answered.
+		// The next watch returns the changes since the version, and transfers nothing if there are none.
+		// A read would transfer the whole configuration after every call that the store does not answer.
 		return err
 	}
 }
 
-// accept puts a configuration in force. It never goes back.
-func (c *Configurations) accept(configuration *jobs.Configuration) {
+// apply puts a configuration in force, unless it is not newer than the current one.
+func (c *Configurations) apply(configuration *jobs.Configuration) {
 	if before := c.current.Load(); before != nil && before.Version >= configuration.Version {
 		return
 	}
 	c.current.Store(configuration)
 	c.config.Logger.Info("configuration is in force", zap.Uint64("version", uint64(configuration.Version)),
 		zap.Int("queues", len(configuration.Queues)), zap.Int("bytes", configuration.Size))
-	c.changed(configuration)
+	c.onChange(configuration)
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/services/control/metered.go
+++ b/services/control/metered.go
@@ -15,33 +15,35 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// storeMeter counts calls to the store by kind and result, with their times.
+// storeMeter counts calls to the store by kind and result, and records their durations.
 type storeMeter struct{ scope tally.Scope }
 
-func (m storeMeter) note(call string, began time.Time, err error) {
-	scope := m.count(call, err)
-	scope.Histogram("store_call_time", metrics.LatencyBuckets).RecordDuration(time.Since(began))
+// recordTimed counts a call that has just ended, and records its duration.
+func (m storeMeter) recordTimed(call string, start time.Time, err error) {
+	scope := m.recordCall(call, err)
+	scope.Histogram("store_call_time", metrics.LatencyBuckets).RecordDuration(time.Since(start))
 }
 
-// count counts a call whose time says nothing, for it waits for a change.
-func (m storeMeter) count(call string, err error) tally.Scope {
-	scope := m.scope.Tagged(map[string]string{"call": call, "result": storeResult(err)})
+// recordCall counts a call without its duration. Watches use it alone: they wait for a change, so that
+// their duration means nothing.
+func (m storeMeter) recordCall(call string, err error) tally.Scope {
+	scope := m.scope.Tagged(map[string]string{"call": call, "result": storeResultTag(err)})
 	scope.Counter("store_calls").Inc(1)
 	return scope
 }
 
-// meteredStore is a store whose calls are counted.
+// meteredStore is a store that counts its calls.
 type meteredStore struct {
 	platform.TxnStore
 	storeMeter
 }
 
-// storeResult names the result of a call to the store.
-func storeResult(err error) string {
+// storeResultTag returns the value of the metrics tag "result" for a call to the store.
+func storeResultTag(err error) string {
 	switch {
 	case err == nil:
 		return "ok"
-	case errors.Is(err, platform.ErrUnknown): // first, whatever else the error says
+	case errors.Is(err, platform.ErrUnknown): // checked first: the error may wrap others as well
 		return "no_answer"
 	case errors.Is(err, platform.ErrLimited):
 		return "limited"
@@ -56,52 +58,52 @@
 
 // Get implements platform.Store.
 func (m *meteredStore) Get(ctx context.Context, key string) (platform.Record, error) {
-	began := time.Now()
+	start := time.Now()
 	record, err := m.TxnStore.Get(ctx, key)
-	m.note("get", began, err)
+	m.recordTimed("get", start, err)
 	return record, err
 }
 
 // List implements platform.Store.
 func (m *meteredStore) List(ctx context.Context, prefix string) ([]platform.Record, platform.Version, error) {
-	began := time.Now()
+	start := time.Now()
 	records, at, err := m.TxnStore.List(ctx, prefix)
-	m.note("list", began, err)
+	m.recordTimed("list", start, err)
 	return records, at, err
 }
 
 // Watch implements platform.Store.
 func (m *meteredStore) Watch(ctx context.Context, prefix string, after platform.Version) ([]platform.Record, platform.Version, error) {
 	records, at, err := m.TxnStore.Watch(ctx, prefix, after)
-	m.count("watch", err)
+	m.recordCall("watch", err)
 	return records, at, err
 }
 
 // Swap implements platform.Store.
 func (m *meteredStore) Swap(ctx context.Context, key string, value []byte, expect platform.Version, lease platform.LeaseID) (platform.Version, error) {
-	began := time.Now()
+	start := time.Now()
 	version, err := m.TxnStore.Swap(ctx, key, value, expect, lease)
-	m.note("swap", began, err)
+	m.recordTimed("swap", start, err)
 	return version, err
 }
 
 // Commit implements platform.TxnStore.
 func (m *meteredStore) Commit(ctx context.Context, txn platform.Txn) (platform.Version, error) {
-	began := time.Now()
+	start := time.Now()
 	version, err := m.TxnStore.Commit(ctx, txn)
-	m.note("commit", began, err)
+	m.recordTimed("commit", start, err)
 	return version, err
 }
 
 // KeepAlive implements platform.Store.
 func (m *meteredStore) KeepAlive(ctx context.Context, lease platform.LeaseID) error {
-	began := time.Now()
+	start := time.Now()
 	err := m.TxnStore.KeepAlive(ctx, lease)
-	m.note("keep_alive", began, err)
+	m.recordTimed("keep_alive", start, err)
 	return err
 }
 
-// meteredFeed is a configuration feed whose calls are counted.
+// meteredFeed is a configuration feed that counts its calls.
 type meteredFeed struct {
 	platform.ConfigurationFeed
 	storeMeter
@@ -109,20 +111,20 @@
 
 // Configuration implements platform.ConfigurationFeed.
 func (m *meteredFeed) Configuration(ctx context.Context) (jobs.Configuration, platform.Version, error) {
-	began := time.Now()
+	start := time.Now()
 	configuration, at, err := m.ConfigurationFeed.Configuration(ctx)
-	m.note("read_configuration", began, err)
+	m.recordTimed("read_configuration", start, err)
 	return configuration, at, err
 }
 
 // NextConfiguration implements platform.ConfigurationFeed.
 func (m *meteredFeed) NextConfiguration(ctx context.Context, after platform.Version) (jobs.Configuration, platform.Version, error) {
 	configuration, at, err := m.ConfigurationFeed.NextConfiguration(ctx, after)
-	m.count("watch_configuration", err)
+	m.recordCall("watch_configuration", err)
 	return configuration, at, err
 }
 
-// meteredList is a list of workers whose calls are counted.
+// meteredList is a list of workers that counts its calls.
 type meteredList struct {
 	platform.WorkerList
 	storeMeter
@@ -130,15 +132,15 @@
 
 // JobWorkers implements platform.WorkerList.
 func (m *meteredList) JobWorkers(ctx context.Context) ([]jobs.Worker, platform.Version, error) {
-	began := time.Now()
+	start := time.Now()
 	workers, at, err := m.WorkerList.JobWorkers(ctx)
-	m.note("list_workers", began, err)
+	m.recordTimed("list_workers", start, err)
 	return workers, at, err
 }
 
 // WorkerChanges implements platform.WorkerList.
 func (m *meteredList) WorkerChanges(ctx context.Context, after platform.Version) ([]platform.WorkerChange, platform.Version, error) {
 	changes, at, err := m.WorkerList.WorkerChanges(ctx, after)
-	m.count("watch_workers", err)
+	m.recordCall("watch_workers", err)
 	return changes, at, err
 }
--- a/services/dispatch/evidence_play_test.go
+++ b/services/dispatch/evidence_play_test.go
@@ -21,97 +21,99 @@
 	"rillsail.example/rillsail/modules/casefile"
 )
 
-// A play of evidence has a core alone, with workers that go by chance and tasks that end them, and knows which is
-// which. No daemon, store or connection takes part, so that thousands of lost runs are judged in a second.
+// A loss simulation consists of a core alone, with workers that are lost by chance and tasks that crash workers, and
+// knows the cause of each loss. No daemon, store or connection takes part, so that thousands of lost runs are judged
+// in a second.
 
-// evidenceCase is a case of testdata/evidence_plays.json: how often workers go by themselves, and what is allowed.
+// evidenceCase is a case of testdata/evidence_plays.json: how often workers are lost by chance, and which error
+// rates are allowed.
 type evidenceCase struct {
 	Name       string       `json:"name"`
-	AloneEvery models.Milli `json:"alone_every_ms"` // how long a worker runs on average until it goes by itself; 0: it never does
-	BurstEvery models.Milli `json:"burst_every_ms"` // 0: there are none
+	AloneEvery models.Milli `json:"alone_every_ms"` // how long a worker runs on average until it is lost by itself; 0: it never is
+	BurstEvery models.Milli `json:"burst_every_ms"` // 0: there are no bursts
 	BurstShare float64      `json:"burst_share"`    // of the workers
-	// GivenUp is how many of a million innocent runs that are lost may give their job up, and TooOften how many
-	// of a thousand tasks that end their workers may be started a sixth time.
+	// GivenUp is how many jobs of a million lost innocent runs may be abandoned, and TooOften how many of a thousand
+	// tasks that crash their workers may be started a sixth time.
 	GivenUp  float64 `json:"given_up_per_million"`
 	TooOften float64 `json:"too_often_per_thousand"`
 }
 
 const (
-	playWorkers  = 12
-	playStep     = 20 * time.Millisecond
-	playReport   = 100 * time.Millisecond
-	playHandIn   = 250 * time.Millisecond
-	playWork     = time.Second
-	playTime     = 20 * time.Second // in which jobs come
-	playEnd      = 60 * time.Second // by which all is decided
-	playDown     = 3300 * time.Millisecond
-	playCrashing = 0.08 // of the jobs
-	mostStarts   = 5
-	leastCrash   = 5 * time.Millisecond
-	crashSpread  = 300 // the longest time until a crash, over the shortest
-	playsInCI    = 40  // of each case
-	playsOfFew   = 2000
+	simulatedWorkers    = 12
+	simulationStep      = 20 * time.Millisecond
+	reportInterval      = 100 * time.Millisecond
+	submitInterval      = 250 * time.Millisecond
+	taskRuntime         = time.Second
+	submitTime          = 20 * time.Second // in which jobs are submitted
+	simulationTime      = 60 * time.Second // by which all jobs are decided
+	workerDowntime      = 3300 * time.Millisecond
+	crashingJobShare    = 0.08 // of the jobs
+	maxStarts           = 5
+	minCrashTime        = 5 * time.Millisecond
+	crashTimeRange      = 300 // the longest time until a crash, divided by the shortest
+	simulationsInCI     = 40  // of each case
+	simulationsOfBursts = 2000
 )
 
-// playedWorker is a worker of a play, as it is.
-type playedWorker struct {
+// simulatedWorker is the true state of a worker in a simulation.
+type simulatedWorker struct {
 	info  jobs.Worker
-	down  time.Time // since when it is; zero: it is up
-	runs  map[jobs.TaskID]playedRun
+	down  time.Time // since when the worker is down; zero: it is up
+	runs  map[jobs.TaskID]simulatedRun
 	ended []jobs.Ended
-	clock time.Time // when it showed nothing
+	clock time.Time // when the worker's clock showed 0
 }
 
-// running are the tasks that run, in the same order in each play.
-func (w *playedWorker) running() []jobs.TaskID {
+// running returns the running tasks, in the same order in each simulation.
+func (w *simulatedWorker) running() []jobs.TaskID {
 	return slices.SortedFunc(maps.Keys(w.runs), func(a, b jobs.TaskID) int { return cmp.Compare(a.String(), b.String()) })
 }
 
-type playedRun struct {
+type simulatedRun struct {
 	run   jobs.RunID
 	began time.Time
 }
 
-// evidencePlay is one play of a case.
-type evidencePlay struct {
+// lossSimulation is one simulation of a case.
+type lossSimulation struct {
 	*Core
 	evidenceCase
-	draw     *rand.Rand
-	now      time.Time
-	began    time.Time
-	workers  []*playedWorker
-	made     int
-	crashing map[jobs.ID]time.Duration
-	crashes  map[jobs.ID]int
-	lost     int // runs of jobs that end no worker
-	burst    time.Time
+	random      *rand.Rand
+	now         time.Time
+	began       time.Time
+	workers     []*simulatedWorker
+	workersMade int
+	crashing    map[jobs.ID]time.Duration
+	crashes     map[jobs.ID]int
+	lost        int // runs of jobs that crash no worker
+	burst       time.Time
 }
 
-func newEvidencePlay(c evidenceCase, seed uint64) *evidencePlay {
-	p := &evidencePlay{
-		evidenceCase: c, draw: rand.New(rand.NewPCG(seed, 7)), began: time.Unix(1_000_000, 0),
+func newLossSimulation(c evidenceCase, seed uint64) *lossSimulation {
+	p := &lossSimulation{
+		evidenceCase: c, random: rand.New(rand.NewPCG(seed, 7)), began: time.Unix(1_000_000, 0),
 		crashing: map[jobs.ID]time.Duration{}, crashes: map[jobs.ID]int{},
 	}
 	p.now = p.began
 	p.Core = New(Config{Epoch: 5, Taken: p.now, Lease: 4 * time.Second, LongestLease: 8 * time.Second, Logger: zap.NewNop()})
 	p.Enrol(jobs.Roster{}, p.now)
-	for range playWorkers {
-		p.workers = append(p.workers, p.boot())
+	for range simulatedWorkers {
+		p.workers = append(p.workers, p.newWorker())
 	}
 	p.list()
 	return p
 }
 
-func (p *evidencePlay) boot() *playedWorker {
-	p.made++
-	id := jobs.WorkerID(fmt.Sprintf("w%d", p.made))
-	return &playedWorker{
+func (p *lossSimulation) newWorker() *simulatedWorker {
+	p.workersMade++
+	id := jobs.WorkerID(fmt.Sprintf("w%d", p.workersMade))
+	return &simulatedWorker{
 		info: jobs.Worker{ID: id, Pool: testPool, Address: string(id), Capacity: models.Resources{CPU: 4000, Memory: 8000}},
-		runs: map[jobs.TaskID]playedRun{}, clock: p.now,
+		runs: map[jobs.TaskID]simulatedRun{}, clock: p.now,
 	}
 }
 
-func (p *evidencePlay) list() {
+func (p *lossSimulation) list() {
 	list := make([]jobs.Worker, 0, len(p.workers))
 	for _, w := range p.workers {
 		list = append(list, w.info)
@@ -119,15 +121,15 @@
 	p.SetWorkers(list, p.now)
 }
 
-func (p *evidencePlay) run() {
-	for n := 0; p.now.Sub(p.began) < playEnd; n++ {
-		p.now = p.now.Add(playStep)
-		if at := p.now.Sub(p.began); at > time.Second && at < playTime && at%playHandIn < playStep {
-			p.handIn(n)
+func (p *lossSimulation) run() {
+	for n := 0; p.now.Sub(p.began) < simulationTime; n++ {
+		p.now = p.now.Add(simulationStep)
+		if at := p.now.Sub(p.began); at > time.Second && at < submitTime && at%submitInterval < simulationStep {
+			p.submit(n)
 		}
-		p.work()
-		p.lose()
-		if p.now.Sub(p.began)%playReport < playStep {
+		p.completeRuns()
+		p.loseAndReplaceWorkers()
+		if p.now.Sub(p.began)%reportInterval < simulationStep {
 			p.report()
 		}
 		p.obey()
@@ -135,21 +137,21 @@
 	}
 }
 
-func (p *evidencePlay) handIn(n int) {
+func (p *lossSimulation) submit(n int) {
 	id := jobs.ID(fmt.Sprintf("%016x", n))
-	if p.draw.Float64() < playCrashing {
-		p.crashing[id] = time.Duration(float64(leastCrash) * math.Pow(crashSpread, p.draw.Float64()))
+	if p.random.Float64() < crashingJobShare {
+		p.crashing[id] = time.Duration(float64(minCrashTime) * math.Pow(crashTimeRange, p.random.Float64()))
 	}
 	p.AddJob(jobs.Record{
 		Spec: jobs.Spec{ID: id, Queue: "q", Steps: []jobs.Step{{
-			Count: 4, Size: models.Resources{CPU: 1000, Memory: 500}, Estimate: models.MilliOf(playWork),
+			Count: 4, Size: models.Resources{CPU: 1000, Memory: 500}, Estimate: models.MilliOf(taskRuntime),
 		}}},
 		Terms: jobs.Terms{Pool: testPool, MaxAttempts: 3, Slack: 250, Stretch: 1.5}, Accepted: models.UnixMilliOf(p.now),
 	}, jobs.Progress{}, true, p.now)
 }
 
-// work ends runs that are done, and workers that a run ends.
-func (p *evidencePlay) work() {
+// completeRuns ends the runs that are done, and the workers that a run crashes.
+func (p *lossSimulation) completeRuns() {
 	for _, w := range p.workers {
 		for _, id := range w.running() {
 			r := w.runs[id]
@@ -158,8 +160,8 @@
 			switch {
 			case crashes && id.Index == 0 && ran >= after:
 				p.crashes[id.Job]++
-				p.down(w)
-			case ran >= playWork && w.down.IsZero():
+				p.crash(w)
+			case ran >= taskRuntime && w.down.IsZero():
 				delete(w.runs, id)
 				w.ended = append(w.ended, jobs.Ended{Number: uint64(len(w.ended) + 1), Task: id, Run: r.run, How: jobs.EndSucceeded})
 			}
@@ -167,7 +169,7 @@
 	}
 }
 
-func (p *evidencePlay) down(w *playedWorker) {
+func (p *lossSimulation) crash(w *simulatedWorker) {
 	if !w.down.IsZero() {
 		return
 	}
@@ -181,23 +183,24 @@
 	p.Unreached(w.info.ID, true, p.now)
 }
 
-// lose lets workers go by themselves, and others come in the places of those that went.
-func (p *evidencePlay) lose() {
+// loseAndReplaceWorkers loses workers by chance, alone and in bursts, and replaces those that have been down for
+// workerDowntime.
+func (p *lossSimulation) loseAndReplaceWorkers() {
 	burst := p.BurstEvery > 0 && p.now.Sub(p.burst) >= p.BurstEvery.Duration()
 	if burst {
 		p.burst = p.now
 	}
 	came := false
 	for n, w := range p.workers {
-		alone := p.AloneEvery > 0 && p.draw.Float64() < float64(playStep)/float64(p.AloneEvery.Duration())
+		alone := p.AloneEvery > 0 && p.random.Float64() < float64(simulationStep)/float64(p.AloneEvery.Duration())
 		switch {
-		case !w.down.IsZero() && p.now.Sub(w.down) >= playDown:
+		case !w.down.IsZero() && p.now.Sub(w.down) >= workerDowntime:
 			p.Replaced(w.info.ID, p.now)
-			p.workers[n] = p.boot()
+			p.workers[n] = p.newWorker()
 			came = true
-		case p.now.Sub(p.began) > playTime:
-		case alone || burst && p.draw.Float64() < p.BurstShare:
-			p.down(w)
+		case p.now.Sub(p.began) > submitTime:
+		case alone || burst && p.random.Float64() < p.BurstShare:
+			p.crash(w)
 		}
 	}
 	if came {
@@ -205,7 +208,7 @@
 	}
 }
 
-func (p *evidencePlay) report() {
+func (p *lossSimulation) report() {
 	for _, w := range p.workers {
 		if !w.down.IsZero() {
 			p.Unreached(w.info.ID, true, p.now)
@@ -221,9 +224,9 @@
 	}
 }
 
-// obey carries out what the core orders.
-func (p *evidencePlay) obey() {
-	workers := map[jobs.WorkerID]*playedWorker{}
+// obey carries out the core's orders.
+func (p *lossSimulation) obey() {
+	workers := map[jobs.WorkerID]*simulatedWorker{}
 	for _, w := range p.workers {
 		workers[w.info.ID] = w
 	}
@@ -235,7 +238,7 @@
 				p.Started(order, Result{Outcome: OutcomeUnreached}, p.now)
 				continue
 			}
-			w.runs[order.Call.Task] = playedRun{run: order.Call.Run, began: p.now}
+			w.runs[order.Call.Task] = simulatedRun{run: order.Call.Run, began: p.now}
 			p.Started(order, Result{Outcome: OutcomeDone}, p.now)
 		case StopOrder:
 			if w := workers[order.Worker.ID]; w != nil {
@@ -246,47 +249,47 @@
 	}
 }
 
-// TestEvidenceOfLostRuns holds what is promised of tasks that lose workers: of a million innocent runs that are lost
-// few give their job up, and of a thousand tasks that end their workers few are started a sixth time, also
-// where workers go in bursts, or one by one all the time.
+// TestEvidenceOfLostRuns checks the error rates promised for tasks that lose workers, also where workers are lost in
+// bursts or one by one all the time: few jobs are abandoned of a million innocent runs that are lost, and few of a
+// thousand tasks that crash their workers are started a sixth time.
 func TestEvidenceOfLostRuns(t *testing.T) {
-	playEvidence(t, "testdata/evidence_plays.json", playsInCI)
+	simulateLosses(t, "testdata/evidence_plays.json", simulationsInCI)
 }
 
-// TestEvidenceOfLostRunsInFrequentBursts guards against innocent jobs that are given up where some of the workers go at
-// the same moment every 2 s, so that what is lost starts again at the same time after each burst.
+// TestEvidenceOfLostRunsInFrequentBursts guards against innocent jobs that are abandoned where some of the workers
+// are lost at the same moment every 2 s, so that lost tasks start again at the same time after each burst.
 func TestEvidenceOfLostRunsInFrequentBursts(t *testing.T) {
-	playEvidence(t, "testdata/evidence_plays_bursts.json", playsOfFew)
+	simulateLosses(t, "testdata/evidence_plays_bursts.json", simulationsOfBursts)
 }
 
-// playEvidence plays each case of a file so often.
-func playEvidence(t *testing.T, file string, plays int) {
+// simulateLosses runs the given number of simulations for each case of a file.
+func simulateLosses(t *testing.T, file string, simulations int) {
 	for _, c := range casefile.Read[[]evidenceCase](t, file) {
 		t.Run(c.Name, func(t *testing.T) {
 			t.Parallel()
 			var all evidenceTally
-			for seed := range plays {
-				p := newEvidencePlay(c, uint64(seed))
+			for seed := range simulations {
+				p := newLossSimulation(c, uint64(seed))
 				p.run()
 				all.add(p)
 			}
-			t.Logf("%d plays: %+v", plays, all)
+			t.Logf("%d simulations: %+v", simulations, all)
 			require.LessOrEqual(t, float64(all.givenUp), 1+c.GivenUp*float64(all.lost)/1e6)
 			require.LessOrEqual(t, float64(all.tooOften), 1+c.TooOften*float64(all.crashing)/1e3)
 		})
 	}
 }
 
-// evidenceTally is what plays have come to.
+// evidenceTally sums up the results of simulations.
 type evidenceTally struct {
 	lost      int // innocent runs
-	givenUp   int // of their jobs
-	crashing  int // tasks that end their workers
-	tooOften  int // of them, started a sixth time
-	undecided int // of them, not given up in time
+	givenUp   int // abandoned jobs of innocent runs
+	crashing  int // tasks that crash their workers
+	tooOften  int // of these tasks, started a sixth time
+	undecided int // of these tasks, not abandoned in time
 }
 
-func (all *evidenceTally) add(p *evidencePlay) {
+func (all *evidenceTally) add(p *lossSimulation) {
 	all.lost += p.lost
 	all.crashing += len(p.crashing)
 	for id, ended := range p.ended {
@@ -295,7 +298,7 @@
 		}
 	}
 	for id := range p.crashing {
-		if p.crashes[id] > mostStarts {
+		if p.crashes[id] > maxStarts {
 			all.tooOften++
 		}
 		if state, _ := p.State(id); !state.Ended() {
--- a/services/dispatch/recent.go
+++ b/services/dispatch/recent.go
@@ -10,66 +10,67 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// A worker that starts again under its id is known to have ended at once, before it is known which others went
-// at the same moment. So a loss that is younger than that is weighed again, and nobody is given up on it before.
+// The end of a worker that starts again under its id is known at once, before it is known which other workers were
+// lost at the same moment. So a loss that is too recent for this is evaluated again later, and no task is abandoned
+// for it before.
 
-// othersKnown is how long after a loss those of other workers are known that went with it: calls to them break,
-// or run into their time limit.
-const othersKnown = 500 * time.Millisecond
+// simultaneousLossesKnownAfter is how long after a loss the losses of other workers at the same moment are known:
+// calls to them break or time out.
+const simultaneousLossesKnownAfter = 500 * time.Millisecond
 
-// recentLoss is the loss of a worker that is to be weighed again.
+// recentLoss is the loss of a worker whose evidence is evaluated again later.
 type recentLoss struct {
-	of   jobs.Incarnation
-	at   time.Time
-	runs []weighedRun
+	incarnation jobs.Incarnation
+	at          time.Time
+	runs        []weighedRun
 }
 
-// weighedRun is a run that was lost, with what its weight was drawn from.
+// weighedRun is a lost run with the circumstances that its evidence was computed from.
 type weighedRun struct {
 	task *task
 	run  jobs.RunID
-	circumstances
+	lossContext
 }
 
-// weighLater lets a loss be weighed again if it is recent.
-func (c *Core) weighLater(recent recentLoss, now time.Time) {
-	if now.Sub(recent.at) >= othersKnown {
+// scheduleReevaluation lets a recent loss be evaluated again.
+func (c *Core) scheduleReevaluation(recent recentLoss, now time.Time) {
+	if now.Sub(recent.at) >= simultaneousLossesKnownAfter {
 		return
 	}
 	for _, r := range recent.runs {
-		r.task.weighedAt = recent.at.Add(othersKnown)
+		r.task.weighedAt = recent.at.Add(simultaneousLossesKnownAfter)
 	}
 	c.recent = append(c.recent, recent)
 }
 
-// weighAgain weighs losses anew once others are known that came with them.
+// weighAgain evaluates recent losses again once simultaneous losses of other workers are known.
 func (c *Core) weighAgain(now time.Time) {
 	c.recent = slices.DeleteFunc(c.recent, func(recent recentLoss) bool {
-		if now.Sub(recent.at) < othersKnown {
+		if now.Sub(recent.at) < simultaneousLossesKnownAfter {
 			return false
 		}
-		chance := c.chanceAt(recent.of, recent.at, now)
+		chance := c.chanceRateAt(recent.incarnation, recent.at, now)
 		for _, r := range recent.runs {
-			if chance > r.chance {
-				r.chance = chance
+			if chance > r.chanceRate {
+				r.chanceRate = chance
 				c.setWeight(r)
 			}
-			c.judgeLater(r.task)
+			c.queueVerdict(r.task)
 		}
 		return true
 	})
 }
 
-// setWeight puts a lost run's new weight in the place of the former one.
+// setWeight replaces the evidence of a lost run.
 func (c *Core) setWeight(r weighedRun) {
-	doubt, weight := r.weigh()
+	doubt, weight := r.evidence()
 	of := func(lost jobs.LostRun) bool { return lost.Run == r.run }
 	if at := slices.IndexFunc(r.task.byChance, of); at >= 0 {
-		r.task.byChance = lowered(r.task.byChance, at, hundredths(doubt), hundredths(weight))
+		r.task.byChance = withLoweredEvidence(r.task.byChance, at, roundToHundredths(doubt), roundToHundredths(weight))
 	}
 	suspicion := &r.task.suspicion
 	if at := slices.IndexFunc(suspicion.Lost, of); at >= 0 {
-		suspicion.Lost = lowered(suspicion.Lost, at, hundredths(doubt), hundredths(weight))
+		suspicion.Lost = withLoweredEvidence(suspicion.Lost, at, roundToHundredths(doubt), roundToHundredths(weight))
 		c.change(r.task.step.job)
 	}
 }
--- a/services/dispatch/reserve_test.go
+++ b/services/dispatch/reserve_test.go
@@ -13,23 +13,23 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// The pattern: workers leave at short notice, all tasks that last and were there look for
-// another place at once, and short jobs go on coming. The figures are those of the users' days
-// in small: of each worker's room tasks that last take three quarters, short work an eighth, and a
-// quarter of the workers leaves.
+// The scenario: workers leave at short notice, all their long-running tasks look for another worker at once,
+// and short jobs keep arriving. The proportions are those of the users' days, scaled down:
+// long-running tasks take three quarters of each worker, short work takes an eighth, and a quarter of the
+// workers leaves.
 
-// shortage is a core of four workers with tasks that last on all of them and short work.
+// shortage is a core of four workers with long-running tasks on all of them, and short work.
 type shortage struct {
 	*bench
-	t    *testing.T
-	made int
+	t         *testing.T
+	shortJobs int
 }
 
 const (
-	lastingID = testJob
-	// each worker of the bench has 4000 thousandths of a core
-	lastingCPU = 1000
-	shortCPU   = 1000
+	longRunningID = testJob
+	// in thousandths of a core, of which each worker of the bench has 4000
+	longRunningCPU = 1000
+	shortCPU       = 1000
 )
 
 func newShortage(t *testing.T) *shortage {
@@ -38,12 +38,12 @@
 		s.report(n, jobs.Report{})
 	}
 	lasting := servingStep
-	lasting.Count, lasting.Size.CPU, lasting.Target = 12, lastingCPU, 0
+	lasting.Count, lasting.Size.CPU, lasting.Target = 12, longRunningCPU, 0
 	s.AddJob(s.job(lasting), jobs.Progress{}, true, s.now)
 	for _, start := range s.storedStarts() {
 		s.Started(start, Result{Outcome: OutcomeDone}, s.now)
 	}
-	require.Equal(t, 12, s.running(lastingID))
+	require.Equal(t, 12, s.running(longRunningID))
 	return s
 }
 
@@ -60,17 +60,17 @@
 	return n
 }
 
-// hand adds a short job of so many tasks.
-func (s *shortage) hand(tasks int) jobs.ID {
-	s.made++
+// addShortJob adds a short job with the given number of tasks.
+func (s *shortage) addShortJob(tasks int) jobs.ID {
+	s.shortJobs++
 	record := s.job(jobs.Step{Count: tasks, Size: models.Resources{CPU: shortCPU, Memory: 10}, Estimate: 800})
-	record.Spec.ID = jobs.ID(string(testJob[:14]) + []string{"b0", "b1", "b2", "b3"}[s.made])
+	record.Spec.ID = jobs.ID(string(testJob[:14]) + []string{"b0", "b1", "b2", "b3"}[s.shortJobs])
 	s.AddJob(record, jobs.Progress{}, true, s.now)
 	return record.Spec.ID
 }
 
-// look lets time pass in which the workers report what runs, and places what waits.
-func (s *shortage) look(passed time.Duration) {
+// advance lets time pass while the workers report what runs, and starts what can be placed.
+func (s *shortage) advance(passed time.Duration) {
 	for end := s.now.Add(passed); s.now.Before(end); {
 		for n := range s.ids {
 			if w := s.workers[s.ids[n]]; w != nil {
@@ -83,7 +83,7 @@
 	}
 }
 
-// rows are the runs on a worker as it reports them.
+// rows returns the runs on a worker as the worker reports them.
 func (s *shortage) rows(w *worker) []jobs.Run {
 	var rows []jobs.Run
 	for _, t := range w.tasks {
@@ -92,89 +92,90 @@
 	return rows
 }
 
-// TestTasksThatLostTheirWorkerLeaveRoomToShortWork lets a worker go that tasks that last had
-// filled. Of the three that are left two are full of them, and short work has half of the third.
+// TestTasksThatLostTheirWorkerLeaveRoomToShortWork loses a worker that was filled with long-running tasks. Of
+// the three remaining workers two are full of long-running tasks, and short work uses half of the third.
 func TestTasksThatLostTheirWorkerLeaveRoomToShortWork(t *testing.T) {
 	s := newShortage(t)
-	first := s.hand(2)
-	s.look(400 * time.Millisecond)
+	first := s.addShortJob(2)
+	s.advance(400 * time.Millisecond)
 	require.Equal(t, 2, s.running(first))
 	s.Replaced(s.ids[0], s.now)
-	lost := 12 - s.running(lastingID)
+	lost := 12 - s.running(longRunningID)
 	require.Positive(t, lost)
-	s.look(time.Second)
-	require.Less(t, s.running(lastingID), 12, "they don't take all room that is left")
-	second := s.hand(1)
-	s.look(400 * time.Millisecond)
-	require.Equal(t, 1, s.running(second), "short work that comes finds a place")
-	s.look(lastsLeaves)
-	require.Greater(t, s.running(lastingID), 12-lost, "they have waited for long enough")
+	s.advance(time.Second)
+	require.Less(t, s.running(longRunningID), 12, "they don't take all remaining capacity")
+	second := s.addShortJob(1)
+	s.advance(400 * time.Millisecond)
+	require.Equal(t, 1, s.running(second), "short work that arrives is placed")
+	s.advance(shortReserveTime)
+	require.Greater(t, s.running(longRunningID), 12-lost, "they have waited long enough")
 }
 
-// TestTasksThatLastTakeRoomThatNobodyElseNeeds loses a worker when there is no short work.
+// TestTasksThatLastTakeRoomThatNobodyElseNeeds loses a worker while there is no short work.
 func TestTasksThatLastTakeRoomThatNobodyElseNeeds(t *testing.T) {
 	s := newShortage(t)
 	s.Replaced(s.ids[0], s.now)
-	s.look(400 * time.Millisecond)
-	require.Equal(t, 12, s.running(lastingID))
+	s.advance(400 * time.Millisecond)
+	require.Equal(t, 12, s.running(longRunningID))
 }
 
-// TestDemandOfShortWorkIsForgotten: room is left for as long as it may be needed again.
+// TestDemandOfShortWorkIsForgotten checks that capacity is left to short work only as long as it may be needed
+// again.
 func TestDemandOfShortWorkIsForgotten(t *testing.T) {
 	s := newShortage(t)
-	s.short.demand = 4000
+	s.shortWork.demand = 4000
 	for range 100 {
 		s.now = s.now.Add(100 * time.Millisecond)
-		s.lookAtShortWork(s.now)
+		s.updateShortWork(s.now)
 	}
-	require.Less(t, s.short.demand, 200.0)
+	require.Less(t, s.shortWork.demand, 200.0)
 }
 
-// TestRoomLeftToShortWorkIsOfferedToOtherCells: a task of another cell that found no place there
-// has waited, and may not be kept from the only room that there is. With the room kept back from
-// it as well, tasks that had lost their workers waited for 15 s.
+// TestRoomLeftToShortWorkIsOfferedToOtherCells guards against withholding capacity left to short work from
+// tasks of other cells. Such a task has already waited in its cell, and this capacity may be all there is:
+// tasks that had lost their workers waited for 15 s.
 func TestRoomLeftToShortWorkIsOfferedToOtherCells(t *testing.T) {
 	s := newShortage(t)
-	s.hand(2)
-	s.look(400 * time.Millisecond)
-	s.short.demand = 16_000
+	s.addShortJob(2)
+	s.advance(400 * time.Millisecond)
+	s.shortWork.demand = 16_000
 	step := servingStep
-	step.Size.CPU = lastingCPU
+	step.Size.CPU = longRunningCPU
 	demand := jobs.Demand{Job: "00000000000000cc", Pool: testPool, Step: step}
 	require.Equal(t, []int{1}, s.Places([]jobs.Demand{demand}, s.now))
 }
 
-// TestTaskThatLeavesRoomIsNotOfferedToOtherCells: it has a place here, once it has waited.
+// TestTaskThatLeavesRoomIsNotOfferedToOtherCells checks that a task that waits in favour of short work is not
+// offered to other cells, since it can be placed here after its wait.
 func TestTaskThatLeavesRoomIsNotOfferedToOtherCells(t *testing.T) {
 	s := newShortage(t)
-	s.hand(2)
-	s.look(400 * time.Millisecond)
+	s.addShortJob(2)
+	s.advance(400 * time.Millisecond)
 	s.Replaced(s.ids[0], s.now)
-	s.look(time.Second)
-	require.Less(t, s.running(lastingID), 12)
-	for _, step := range s.jobs[lastingID].steps {
+	s.advance(time.Second)
+	require.Less(t, s.running(longRunningID), 12)
+	for _, step := range s.jobs[longRunningID].steps {
 		require.Zero(t, step.stuck)
 	}
 }
 
-// TestTaskFromAnotherCellDoesNotWaitAnew tells of a task that lasts and had lost its worker. Its cell
-// was full for 11 s; another one that had room left to short work said that it had a place, and got
-// the task, which waited there for 5 s more. Callers saw it not run while there was room for it. Why:
-// a task that lasts leaves room to short work for 5 s from when it begins to wait, and one that came
-// with the first record of its job in a cell was taken for new there. What showed it: "work is handed
-// to another cell" and the task's "run starts", 5.004 s later, with no line between.
+// TestTaskFromAnotherCellDoesNotWaitAnew guards against a long-running task that leaves capacity to short work
+// for 5 s in each cell it comes to. One that had lost its worker waited 11 s in its full cell, then 5 s more in
+// the cell that took it, because a task in the first record of its job in a cell was treated as new. Its
+// callers saw the task not run while there was capacity for it. In the log, "work is handed to another cell"
+// and the task's "run starts" are then 5.004 s apart, with no line between.
 func TestTaskFromAnotherCellDoesNotWaitAnew(t *testing.T) {
 	s := newShortage(t)
-	s.hand(2)
-	s.look(400 * time.Millisecond)
-	s.short.demand = 16_000
+	s.addShortJob(2)
+	s.advance(400 * time.Millisecond)
+	s.shortWork.demand = 16_000
 	step := servingStep
-	step.Size.CPU = lastingCPU
+	step.Size.CPU = longRunningCPU
 	step.Count = 2
 	record := s.job(step)
 	record.Spec.ID = "00000000000000cc"
 	part := record.NewPart(jobs.TaskSet{0: {1}}, 7)
 	s.AddJob(part, jobs.Progress{}, true, s.now)
-	s.look(100 * time.Millisecond)
+	s.advance(100 * time.Millisecond)
 	require.Equal(t, 1, s.running(part.Spec.ID))
 }
--- a/services/dispatch/room.go
+++ b/services/dispatch/room.go
@@ -5,7 +5,7 @@
 
 import "rillsail.example/rillsail/models"
 
-// add puts a task on the worker and takes its room.
+// add assigns a task to the worker and deducts its resources.
 func (w *worker) add(t *task) {
 	t.worker = w
 	t.position = len(w.tasks)
@@ -14,7 +14,7 @@
 	w.expectedValid = false
 }
 
-// remove takes a task off the worker and gives its room back.
+// remove takes a task off the worker and releases its resources.
 func (w *worker) remove(t *task) {
 	last := len(w.tasks) - 1
 	w.tasks[t.position] = w.tasks[last]
@@ -25,8 +25,9 @@
 	w.expectedValid = false
 }
 
-// room is what a task of the step takes of its worker's room: a filling one no processor time.
-func (s *step) room() models.Resources {
+// footprint returns what a task of the step deducts from its worker's free capacity; filler tasks deduct no
+// CPU.
+func (s *step) footprint() models.Resources {
 	size := s.spec.Size
 	if s.spec.Fills {
 		size.CPU = 0
@@ -34,15 +35,15 @@
 	return size
 }
 
-// account adds what a task has declared, or takes it away with sign -1.
+// account adds the task's declared resources, or subtracts them if sign is -1.
 func (w *worker) account(t *task, sign models.MilliCPU) {
 	spec := t.step.spec
-	size := t.step.room()
+	size := t.step.footprint()
 	switch {
 	case spec.Fills:
-		w.filling += sign * spec.Size.CPU
+		w.fillerCPU += sign * spec.Size.CPU
 	case spec.Lasts:
-		w.lasting += sign * size.CPU
+		w.longRunningCPU += sign * size.CPU
 	}
 	if sign > 0 {
 		w.used = w.used.Add(size)
@@ -51,8 +52,8 @@
 	}
 }
 
-// free is the room that no task has declared.
+// free returns the resources that no task has declared.
 func (w *worker) free() models.Resources { return w.info.Capacity.Sub(w.used) }
 
-// capacity is the worker's processor time, to divide by.
-func (w *worker) capacity() float64 { return float64(max(1, w.info.Capacity.CPU)) }
+// cpuCapacity returns the worker's CPU as a divisor, which is never zero.
+func (w *worker) cpuCapacity() float64 { return float64(max(1, w.info.Capacity.CPU)) }
--- a/services/dispatch/stop.go
+++ b/services/dispatch/stop.go
@@ -11,7 +11,7 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// stop begins the end of a task's run.
+// stop begins to stop a task's run. The stop itself is ordered by retryStops.
 func (c *Core) stop(t *task, reason string) {
 	if t.worker == nil || t.state == taskStopping || t.state == taskDone {
 		return
@@ -19,19 +19,19 @@
 	c.config.Logger.Info("run is to stop", zap.Stringer("task", t.id()), zap.Uint64("run", uint64(t.run)),
 		zap.String("worker", string(t.worker.info.ID)), zap.String("reason", reason))
 	t.state = taskStopping
-	t.settled = time.Time{}
-	t.tried = time.Time{}
+	t.answeredAt = time.Time{}
+	t.orderedAt = time.Time{}
 	c.stopping[t] = struct{}{}
 }
 
-// orderStop orders the stop of a run, whether it has come to the worker yet or not.
+// orderStop orders a worker to stop a run, or to bar it if the run has not arrived there yet.
 func (c *Core) orderStop(w *worker, task jobs.TaskID, run jobs.RunID) {
 	c.orders = append(c.orders, StopOrder{
 		Worker: w.info, Call: jobs.StopCall{Task: task, Run: run, Fence: w.fence},
 	})
 }
 
-// stopPause is how long the answer to a stop is waited for before it is repeated.
+// stopPause is how long the answer to a stop is awaited before the stop is repeated.
 const stopPause = 800 * time.Millisecond
 
 // retryStops orders stops that are new or were not answered in time.
@@ -40,8 +40,8 @@
 		switch {
 		case t.state != taskStopping || t.worker == nil:
 			delete(c.stopping, t)
-		case t.settled.IsZero() && now.Sub(t.tried) >= stopPause:
-			t.tried = now
+		case t.answeredAt.IsZero() && now.Sub(t.orderedAt) >= stopPause:
+			t.orderedAt = now
 			c.orderStop(t.worker, t.id(), t.run)
 		}
 	}
--- a/services/entry/gate.go
+++ b/services/entry/gate.go
@@ -25,100 +25,102 @@
 	Scope     tally.Scope
 }
 
-// gate admits requests to upstreams' slots. What finds no slot waits in its class;
-// classes are served by priority, with a floor for those that can wait.
+// gate grants requests slots of upstreams. A request that finds no free slot waits in the
+// queue of its class. Queues are served by priority, but a class with a floor earns that
+// percentage of the grants while its requests wait.
 type gate struct {
 	config gateConfig
 	picker Picker
 
-	mu        sync.Mutex
-	upstreams map[models.VMID]*upstream
-	order     []*upstream // by id
-	classes   map[models.ClassName]*classQueue
-	waiting   int
-	service   average // of service times, in seconds
-	deferred  int     // slots held by deferred requests
-	capacity  int     // slots that are this daemon's to give
-	contended bool    // the own share was used up since the last heartbeat
-	slacks    map[models.MemberID]float64
-	borrow    float64 // part of peers' unused shares that may be used
+	mu              sync.Mutex
+	upstreams       map[models.VMID]*upstream
+	sorted          []*upstream // by VM id
+	classes         map[models.ClassName]*classQueue
+	waiting         int                         // requests in all queues
+	meanServiceTime average                     // time to the answer's header, in seconds
+	deferredSlots   int                         // slots held by deferred requests
+	capacity        int                         // this daemon's shares of the slots of all usable upstreams
+	shareExhausted  bool                        // this daemon's shares were used up since the last heartbeat
+	peerSlack       map[models.MemberID]float64 // unused fraction of each peer's shares, averaged
+	borrowFraction  float64                     // fraction of the peers' unused shares that this daemon may borrow
 }
 
-// classQueue holds the waiting requests of one class, the oldest first.
+// classQueue is the queue of one class, the oldest request first.
 type classQueue struct {
-	class   models.Class
-	waiters []*waiter
-	credit  float64 // of the class's floor; a grant is due from 1 on
-	gap     average // seconds between two grants while others wait
-	granted time.Time
+	class         models.Class
+	waiters       []*waiter
+	credit        float64   // grants earned by the class's floor; from 1 on the class precedes others
+	grantInterval average   // seconds between two grants while requests of the class wait
+	lastGrant     time.Time // zero if the queue was empty after the last grant
 }
 
+// waiter is a request in a queue.
 type waiter struct {
-	req     *request
-	granted chan grant // receives once
+	req    *request
+	result chan admitResult // receives at most one value
 }
 
-// grant is what a waiter gets: a slot, or the final refusal.
-type grant struct {
+// admitResult is either a slot or the final refusal.
+type admitResult struct {
 	slot    *slot
 	refusal *refusal
 }
 
 func newGate(c gateConfig) *gate {
 	return &gate{
-		config: c, picker: pickerOf(c.Settings.Picker),
+		config: c, picker: newPicker(c.Settings.Picker),
 		upstreams: map[models.VMID]*upstream{}, classes: map[models.ClassName]*classQueue{},
-		slacks: map[models.MemberID]float64{},
+		peerSlack: map[models.MemberID]float64{},
 	}
 }
 
-// admit waits for a slot. A request that cannot make its deadline is refused at
-// once; one whose deadline passes while it waits, at that moment.
+// admit waits for a slot. A request that cannot meet its deadline is refused at once; a
+// request whose deadline passes in the queue is refused at that moment.
 func (g *gate) admit(ctx context.Context, req *request) (*slot, *refusal) {
-	w := &waiter{req: req, granted: make(chan grant, 1)}
+	w := &waiter{req: req, result: make(chan admitResult, 1)}
 	if refusal := g.enqueue(w); refusal != nil {
 		return nil, refusal
 	}
 	select {
-	case given := <-w.granted:
-		return given.slot, given.refusal
+	case result := <-w.result:
+		return result.slot, result.refusal
 	case <-ctx.Done():
 	}
-	if given, ok := g.withdraw(w); ok {
-		return given.slot, given.refusal
+	if result, ok := g.removeWaiter(w); ok {
+		return result.slot, result.refusal
 	}
-	return nil, notRunYet("deadline passed while waiting for a slot", g.estimate(req.class))
+	return nil, notRunRefusal("deadline passed while waiting for a slot", g.estimateWait(req.class))
 }
 
 func (g *gate) enqueue(w *waiter) *refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	class := w.req.class
-	if !g.anyFor(class) {
-		return notRunYet("no upstream serves class "+string(class.Name)+" now", comeBack)
+	if !g.hasUpstreamFor(class) {
+		return notRunRefusal("no upstream serves class "+string(class.Name)+" now", minRetryAfter)
 	}
-	if wait := g.estimateLocked(class); g.tooLate(w.req, wait) {
-		return notRunYet("the queue is too long for the request's deadline", max(wait, comeBack))
+	if wait := g.estimateWaitLocked(class); g.wouldMissDeadline(w.req, wait) {
+		return notRunRefusal("the queue is too long for the request's deadline", max(wait, minRetryAfter))
 	}
 	if g.waiting >= g.config.Settings.MaxWaiting && !g.displace(class) {
-		return notRunYet("too many requests wait", max(g.estimateLocked(class), comeBack))
+		return notRunRefusal("too many requests wait", max(g.estimateWaitLocked(class), minRetryAfter))
 	}
-	q := g.queueOf(class)
+	q := g.queueFor(class)
 	q.waiters = append(q.waiters, w)
 	g.waiting++
 	g.dispatch()
 	return nil
 }
 
-// comeBack is the least time that a refused caller is told to wait.
-const comeBack = time.Second
+// minRetryAfter is the shortest time after which a refused caller is told to retry.
+const minRetryAfter = time.Second
 
-// anyFor tells whether any upstream may serve the class; the caller holds the lock.
-func (g *gate) anyFor(class models.Class) bool {
-	return slices.ContainsFunc(g.order, func(u *upstream) bool { return u.serves(class, g.config.Selectors) })
+// hasUpstreamFor reports whether any upstream accepts requests of the class; g.mu must be held.
+func (g *gate) hasUpstreamFor(class models.Class) bool {
+	return slices.ContainsFunc(g.sorted, func(u *upstream) bool { return u.serves(class, g.config.Selectors) })
 }
 
-func (g *gate) queueOf(class models.Class) *classQueue {
+func (g *gate) queueFor(class models.Class) *classQueue {
 	q, ok := g.classes[class.Name]
 	if !ok {
 		q = &classQueue{}
@@ -128,13 +130,14 @@
 	return q
 }
 
-// withdraw takes a waiter out; ok gives what it was granted a moment before.
-func (g *gate) withdraw(w *waiter) (given grant, ok bool) {
+// removeWaiter removes a waiter whose context has ended from its queue. If the waiter has
+// received a result in the meantime, removeWaiter returns that result and true instead.
+func (g *gate) removeWaiter(w *waiter) (result admitResult, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
-	case given = <-w.granted:
-		return given, true
+	case result = <-w.result:
+		return result, true
 	default:
 	}
 	q := g.classes[w.req.class.Name]
@@ -142,5 +145,5 @@
 		q.waiters = slices.Delete(q.waiters, i, i+1)
 		g.waiting--
 	}
-	return grant{}, false
+	return admitResult{}, false
 }
--- a/services/entry/slot.go
+++ b/services/entry/slot.go
@@ -13,86 +13,86 @@
 	"rillsail.example/rillsail/services/config"
 )
 
-// slot is one request's place at an upstream.
+// slot is a slot of an upstream that one request holds.
 type slot struct {
 	gate     *gate
 	upstream *upstream
 	class    models.Class
-	// id and address are the upstream's when the slot was taken. Who sends the request holds no
-	// lock, and the VM list may give the upstream another address meanwhile.
+	// id and address are copied from the upstream when the slot is taken: the request is sent
+	// without the gate's lock, and the VM list may change the upstream's address meanwhile.
 	id      models.VMID
 	address string
 }
 
-// used counts this daemon's requests in flight.
-func (g *gate) used() int {
-	used := 0
-	for _, u := range g.order {
-		used += u.own
+// ownInFlight returns the number of this daemon's requests in flight at all upstreams.
+func (g *gate) ownInFlight() int {
+	total := 0
+	for _, u := range g.sorted {
+		total += u.ownInFlight
 	}
-	return used
+	return total
 }
 
-// Borrowing grows with each heartbeat in which this daemon's own share was used up,
-// so that when all entries meet a surge at once each hears of the others' before it
-// has borrowed much. The rest stays for the lenders' next surge.
+// Borrowing grows by borrowStep with each heartbeat in which this daemon's own shares were
+// used up: when a surge reaches all entries at once, each learns of the others' load before
+// it has borrowed much. maxBorrow leaves the rest to the lenders for their next surge.
 const (
 	borrowStep = 0.45
-	borrowMost = 0.9
+	maxBorrow  = 0.9
 )
 
-// adaptBorrowing follows whether the own share was used up since the last heartbeat,
-// and says how much may be borrowed of each upstream; parts of slots add up along
-// the list.
-func (g *gate) adaptBorrowing() {
-	if g.contended {
-		g.borrow = min(borrowMost, g.borrow+borrowStep)
+// updateBorrowing adapts the fraction that may be borrowed to whether this daemon's shares
+// were used up since the last heartbeat, and computes the slots that may be borrowed at each
+// upstream. Fractions of slots carry over to the next upstream in the list.
+func (g *gate) updateBorrowing() {
+	if g.shareExhausted {
+		g.borrowFraction = min(maxBorrow, g.borrowFraction+borrowStep)
 	} else {
-		g.borrow = 0
+		g.borrowFraction = 0
 	}
-	g.contended = false
-	left := 0.0
-	for _, u := range g.order {
-		left += g.borrow * u.spare
-		u.borrowed = int(left)
-		left -= float64(u.borrowed)
+	g.shareExhausted = false
+	carry := 0.0
+	for _, u := range g.sorted {
+		carry += g.borrowFraction * u.peerSpare
+		u.borrowable = int(carry)
+		carry -= float64(u.borrowable)
 	}
 }
 
-func (g *gate) take(u *upstream, class models.Class) *slot {
-	u.use.note(u.own, time.Now())
-	u.own++
+func (g *gate) takeSlot(u *upstream, class models.Class) *slot {
+	u.ownLoad.update(u.ownInFlight, time.Now())
+	u.ownInFlight++
 	if class.Priority == models.PriorityDeferred {
-		g.deferred++
+		g.deferredSlots++
 	}
 	return &slot{gate: g, upstream: u, class: class, id: u.id(), address: u.vm.Address}
 }
 
-// release gives the slot back with what was learned of the upstream. wait is the
-// time to the answer's header, 0 when there was none.
-func (s *slot) release(v verdict, wait time.Duration) {
+// release returns the slot and records the verdict on the upstream. timeToHeader is the time
+// to the answer's header, 0 if there was none.
+func (s *slot) release(v verdict, timeToHeader time.Duration) {
 	g := s.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	s.upstream.use.note(s.upstream.own, now)
-	s.upstream.own--
+	s.upstream.ownLoad.update(s.upstream.ownInFlight, now)
+	s.upstream.ownInFlight--
 	if s.class.Priority == models.PriorityDeferred {
-		g.deferred--
+		g.deferredSlots--
 	}
-	if wait > 0 {
-		g.service.add(wait.Seconds())
-		s.upstream.latency.add(wait.Seconds())
+	if timeToHeader > 0 {
+		g.meanServiceTime.add(timeToHeader.Seconds())
+		s.upstream.latency.add(timeToHeader.Seconds())
 	}
-	if s.upstream.note(v, now) {
+	if s.upstream.record(v, now) {
 		g.config.Scope.Counter("ejections").Inc(1)
-		g.config.Logger.Warn("upstream fails; it gets single requests until one succeeds",
-			zap.String("upstream", string(s.upstream.id())), zap.Duration("for", s.upstream.ejected.Sub(now)))
+		g.config.Logger.Warn("upstream ejected after failures; afterwards it gets one request at a time until one succeeds",
+			zap.String("upstream", string(s.upstream.id())), zap.Duration("for", s.upstream.ejectedUntil.Sub(now)))
 	}
 	g.dispatch()
 }
 
-// sync follows the VM list, the members and their heartbeats.
+// sync applies the VM list, the live members, the peers' heartbeats and the configuration.
 func (g *gate) sync(vms []models.VM, live []models.MemberID, beats map[models.MemberID]models.Heartbeat, view *config.View) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -112,28 +112,28 @@
 			delete(g.upstreams, id)
 		}
 	}
-	g.reorder()
-	g.share(live)
-	g.hear(live, beats)
-	g.adaptBorrowing()
+	g.sortUpstreams()
+	g.computeShares(live)
+	g.applyHeartbeats(live, beats)
+	g.updateBorrowing()
 	g.dispatch()
 	g.config.Scope.Gauge("waiting").Update(float64(g.waiting))
 	g.config.Scope.Gauge("capacity").Update(float64(g.capacity))
 }
 
-// ready tells whether any upstream is known.
-func (g *gate) ready() bool {
+// hasUpstreams reports whether any upstream is known.
+func (g *gate) hasUpstreams() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.order) > 0
+	return len(g.sorted) > 0
 }
 
-func (g *gate) reorder() {
-	g.order = g.order[:0]
+func (g *gate) sortUpstreams() {
+	g.sorted = g.sorted[:0]
 	for _, u := range g.upstreams {
-		g.order = append(g.order, u)
+		g.sorted = append(g.sorted, u)
 	}
-	slices.SortFunc(g.order, func(a, b *upstream) int {
+	slices.SortFunc(g.sorted, func(a, b *upstream) int {
 		if a.id() < b.id() {
 			return -1
 		}
--- a/services/entry/trial_test.go
+++ b/services/entry/trial_test.go
@@ -25,22 +25,22 @@
 	"rillsail.example/rillsail/services/config"
 )
 
-// trial is one run: the real entries on the clock of a synctest bubble, before fake
-// upstreams with slots; only the wire is replaced. Time is exact, so tails don't
-// show the noise of the machine.
+// trial configures one run of real entries in front of fake upstreams with slots, in a
+// synctest bubble. Only the network is replaced. The fake clock is exact, so tail latencies
+// do not contain noise of the machine.
 type trial struct {
 	picker    string
-	load      float64 // of all slots
+	load      float64 // fraction of the capacity of all slots
 	entries   int
 	upstreams int
 	slots     int
 	seconds   int
 	seed      uint64
 	slow      bool // upstream 0 is 5 times slower
-	failing   bool // upstream 0 fails everything at once
-	leaving   bool // upstream 0 leaves in the middle; the list lags by 5 s
+	failing   bool // upstream 0 fails every request immediately
+	leaving   bool // upstream 0 leaves halfway through; the VM list lags by trialListLag
 	uneven    bool // entry 0 gets three times its share
-	storm     bool // callers send again at once what was refused, up to 3 times
+	storm     bool // callers resend refused requests at once, up to 3 times
 }
 
 const (
@@ -53,7 +53,7 @@
 
 var trialMean = time.Duration(float64(trialMedian) * math.Exp(trialSigma*trialSigma/2))
 
-// trialClassNames are the names of trialClasses, the first served first.
+// trialClassNames lists the names of trialClasses in the order of service.
 var trialClassNames = []string{"urgent", "ordinary", "deferred"}
 
 var trialClasses = []models.Object{
@@ -62,7 +62,7 @@
 	models.Class{Name: "deferred", Selector: "class=deferred", Priority: models.PriorityDeferred, Deadline: 10_000, Floor: 10},
 }
 
-// trialRun is a trial under way.
+// trialRun is the state of a running trial.
 type trialRun struct {
 	trial
 	upstreams []*fakeUpstream
@@ -78,11 +78,11 @@
 	classes  map[string]*trialClass
 }
 
-// trialClass is what became of the requests of one class.
+// trialClass counts the results of the requests of one class.
 type trialClass struct {
-	sent, right, refused, failed int
-	status                       map[int]int
-	latency                      *hdrhistogram.Histogram
+	sent, succeeded, refused, failed int
+	status                           map[int]int
+	latency                          *hdrhistogram.Histogram
 }
 
 func newTrialClass() *trialClass {
@@ -90,16 +90,16 @@
 }
 
 func (c *trialClass) ms(q float64) float64 { return float64(c.latency.ValueAtQuantile(q)) / 1000 }
-func (c *trialClass) goodput() float64     { return float64(c.right) / float64(max(c.sent, 1)) }
+func (c *trialClass) goodput() float64     { return float64(c.succeeded) / float64(max(c.sent, 1)) }
 
-// count takes the last answer to a request that was meant to be sent at a time.
-func (c *trialClass) count(status int, meant time.Time) {
+// count records the last answer to a request that was scheduled for the given time.
+func (c *trialClass) count(status int, scheduled time.Time) {
 	c.sent++
 	c.status[status]++
 	switch status {
 	case http.StatusOK:
-		c.right++
-		_ = c.latency.RecordValue(max(1, time.Since(meant).Microseconds())) // at most the deadline
+		c.succeeded++
+		_ = c.latency.RecordValue(max(1, time.Since(scheduled).Microseconds())) // in range: no answer is later than the deadline
 	case http.StatusServiceUnavailable:
 		c.refused++
 	default:
@@ -110,13 +110,13 @@
 func newTrialRun(t trial) *trialRun {
 	r := &trialRun{trial: t, random: rand.New(rand.NewPCG(t.seed, 1)), classes: map[string]*trialClass{}, view: config.ViewOf(1, trialClasses...)}
 	for i := range t.upstreams {
-		r.upstreams = append(r.upstreams, &fakeUpstream{trial: r, slots: make(chan struct{}, t.slots), factor: 1})
+		r.upstreams = append(r.upstreams, &fakeUpstream{trial: r, slots: make(chan struct{}, t.slots), slowdown: 1})
 		r.vms = append(r.vms, models.VM{
 			ID: models.VMID(fmt.Sprint("u", i)), Kind: models.KindUpstream, State: models.VMLive,
 			Address: fmt.Sprintf("10.0.0.1:%d", i+1), Slots: t.slots, MaxConns: 64,
 		})
 	}
-	r.spoil(r.upstreams[0])
+	r.injectFaults(r.upstreams[0])
 	for _, name := range trialClassNames {
 		r.classes[name] = newTrialClass()
 	}
@@ -126,10 +126,10 @@
 	return r
 }
 
-// spoil gives an upstream the faults of the trial.
-func (r *trialRun) spoil(u *fakeUpstream) {
+// injectFaults applies the faults of the trial to an upstream.
+func (r *trialRun) injectFaults(u *fakeUpstream) {
 	if r.slow {
-		u.factor = 5
+		u.slowdown = 5
 	}
 	u.fails = r.failing
 	if r.leaving {
@@ -144,11 +144,11 @@
 		Self: models.MemberID(fmt.Sprint("e", i)), Settings: settings, MaxBody: 1 << 20, View: func() *config.View { return r.view },
 		Logger: zap.NewNop(), Scope: tally.NoopScope, NewID: func() string { return "id" },
 	})
-	s.repeat, s.once = r, r
+	s.pooledTransport, s.singleUseTransport = r, r
 	return s
 }
 
-// run sends at a fixed rate for the trial's time and waits for all answers.
+// run exchanges heartbeats, sends requests for the trial's duration, and waits for all answers.
 func (r *trialRun) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	go r.heartbeats(ctx)
@@ -159,7 +159,8 @@
 	synctest.Wait()
 }
 
-// sendAll sends for the trial's time, as independent callers do, and waits for the answers.
+// sendAll sends requests at random intervals for the trial's duration, as independent callers do, and
+// waits for the answers.
 func (r *trialRun) sendAll() {
 	rate := r.load * float64(len(r.upstreams)*r.slots) / trialMean.Seconds()
 	random := rand.New(rand.NewPCG(r.seed, 2))
@@ -169,13 +170,13 @@
 	start := time.Now()
 	for at := time.Duration(0); at < time.Duration(r.seconds)*time.Second; at += gap() {
 		time.Sleep(time.Until(start.Add(at)))
-		class, entry := r.draw(random)
+		class, entry := r.drawRequest(random)
 		group.Go(func() { r.send(class, entry, start.Add(at)) })
 	}
 }
 
-// draw chooses the class of a request and the entry that it is sent to.
-func (r *trialRun) draw(random *rand.Rand) (class string, entry int) {
+// drawRequest draws the class of a request and the entry that receives it.
+func (r *trialRun) drawRequest(random *rand.Rand) (class string, entry int) {
 	class = []string{"urgent", "ordinary", "ordinary", "ordinary", "deferred"}[random.IntN(5)]
 	entry = random.IntN(len(r.entries))
 	if r.uneven && random.IntN(len(r.entries)+2) < 3 {
@@ -184,14 +185,14 @@
 	return class, entry
 }
 
-// send sends a request, in a storm again and again, and counts the last answer.
-func (r *trialRun) send(class string, entry int, meant time.Time) {
-	tries := 1
+// send sends a request, resends it in a storm as long as it is refused, and counts the last answer.
+func (r *trialRun) send(class string, entry int, scheduled time.Time) {
+	attempts := 1
 	if r.storm {
-		tries = 4
+		attempts = 4
 	}
 	status := 0
-	for range tries {
+	for range attempts {
 		request := httptest.NewRequest(http.MethodPost, "/", strings.NewReader("x"))
 		request.Header.Set(models.HeaderLabels, "class="+class)
 		recorder := httptest.NewRecorder()
@@ -203,10 +204,10 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.classes[class].count(status, meant)
+	r.classes[class].count(status, scheduled)
 }
 
-// heartbeats exchanges what the entries tell each other, each in its turn.
+// heartbeats exchanges the heartbeats of the entries in turn.
 func (r *trialRun) heartbeats(ctx context.Context) {
 	var live []models.MemberID
 	for _, e := range r.entries {
@@ -214,7 +215,7 @@
 	}
 	beats := make([]models.Heartbeat, len(r.entries))
 	for _, e := range r.entries {
-		e.Sync(r.listed(), live, nil)
+		e.Sync(r.listedVMs(), live, nil)
 	}
 	for {
 		for i, e := range r.entries {
@@ -222,24 +223,24 @@
 				return
 			}
 			e.Beat(&beats[i])
-			e.Sync(r.listed(), live, heardBy(i, live, beats))
+			e.Sync(r.listedVMs(), live, heartbeatsFor(i, live, beats))
 		}
 	}
 }
 
-// heardBy are the others' heartbeats as entry i has them.
-func heardBy(i int, live []models.MemberID, beats []models.Heartbeat) map[models.MemberID]models.Heartbeat {
-	heard := map[models.MemberID]models.Heartbeat{}
+// heartbeatsFor returns the other entries' heartbeats, which entry i has received.
+func heartbeatsFor(i int, live []models.MemberID, beats []models.Heartbeat) map[models.MemberID]models.Heartbeat {
+	received := map[models.MemberID]models.Heartbeat{}
 	for j := range beats {
 		if j != i {
-			heard[live[j]] = beats[j]
+			received[live[j]] = beats[j]
 		}
 	}
-	return heard
+	return received
 }
 
-// listed is the platform's list, which lags.
-func (r *trialRun) listed() []models.VM {
+// listedVMs returns the platform's VM list, which lags by trialListLag.
+func (r *trialRun) listedVMs() []models.VM {
 	vms := append([]models.VM(nil), r.vms...)
 	for i, u := range r.upstreams {
 		if !u.leavesAt.IsZero() && time.Since(u.leavesAt) > trialListLag {
@@ -255,8 +256,8 @@
 	*n++
 }
 
-// play runs a trial in a bubble of its own.
-func play(t *testing.T, settings trial) *trialRun {
+// runTrial runs a trial in a synctest bubble of its own.
+func runTrial(t *testing.T, settings trial) *trialRun {
 	t.Helper()
 	var r *trialRun
 	synctest.Test(t, func(*testing.T) {
--- a/services/member/peer_state.go
+++ b/services/member/peer_state.go
@@ -11,94 +11,95 @@
 	"rillsail.example/rillsail/models"
 )
 
-// peerState is what is known of one peer.
+// peerState is the known state of one peer.
 type peerState struct {
-	member models.Member
-	beat   models.Heartbeat
-	heard  time.Time // zero: never
-	live   bool      // as last logged
+	member     models.Member
+	heartbeat  models.Heartbeat
+	lastHeard  time.Time // zero if no heartbeat has arrived
+	loggedLive bool      // liveness as last logged
 }
 
-// Receive takes a peer's heartbeat and gives this daemon's own.
+// Receive records a peer's heartbeat and returns this daemon's own.
 func (s *Service) Receive(beat models.Heartbeat) models.Heartbeat {
-	s.hear(beat)
+	s.recordHeartbeat(beat)
 	return s.compose()
 }
 
-// hear takes a heartbeat into what is known of its sender.
-func (s *Service) hear(beat models.Heartbeat) {
+// recordHeartbeat updates the state of the sender with its heartbeat. A new incarnation means that the
+// previous one was lost.
+func (s *Service) recordHeartbeat(beat models.Heartbeat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if beat.Member.ID == s.self.ID {
 		return
 	}
-	k := s.stateOf(beat.Member.ID)
-	if !k.heard.IsZero() && k.member.Incarnation != beat.Member.Incarnation {
-		s.noteLost(k)
+	p := s.peerStateOf(beat.Member.ID)
+	if !p.lastHeard.IsZero() && p.member.Incarnation != beat.Member.Incarnation {
+		s.recordLost(p)
 	}
-	k.member, k.beat, k.heard = beat.Member, beat, time.Now()
-	s.noteLive(k)
+	p.member, p.heartbeat, p.lastHeard = beat.Member, beat, time.Now()
+	s.updateLiveness(p)
 }
 
-// stateOf gives the state of a peer and makes it for a new one; the caller holds the lock.
-func (s *Service) stateOf(id models.MemberID) *peerState {
-	k, ok := s.known[id]
+// peerStateOf returns the state of a peer, and creates it for a new peer; s.mu must be held.
+func (s *Service) peerStateOf(id models.MemberID) *peerState {
+	p, ok := s.peers[id]
 	if !ok {
-		k = &peerState{}
-		s.known[id] = k
+		p = &peerState{}
+		s.peers[id] = p
 	}
-	return k
+	return p
 }
 
-// forget drops a peer that isn't live.
-func (s *Service) forget(id models.MemberID) {
+// forgetPeer removes a peer that is not live, and records it as lost.
+func (s *Service) forgetPeer(id models.MemberID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if k, ok := s.known[id]; ok && !s.isLive(k) {
-		s.noteLost(k)
-		delete(s.known, id)
+	if p, ok := s.peers[id]; ok && !s.isLive(p) {
+		s.recordLost(p)
+		delete(s.peers, id)
 	}
 }
 
-// isLive tells whether the peer was heard lately; the caller holds the lock.
-func (s *Service) isLive(k *peerState) bool {
-	return !k.heard.IsZero() && time.Since(k.heard) < s.config.SilentAfter
+// isLive reports whether a heartbeat of the peer arrived within SilentAfter; s.mu must be held.
+func (s *Service) isLive(p *peerState) bool {
+	return !p.lastHeard.IsZero() && time.Since(p.lastHeard) < s.config.SilentAfter
 }
 
-// noteLive logs when a peer comes or goes; the caller holds the lock.
-func (s *Service) noteLive(k *peerState) {
-	live := s.isLive(k)
-	if live == k.live {
+// updateLiveness logs a change of a peer's liveness, and records a peer that became silent as lost; s.mu must be held.
+func (s *Service) updateLiveness(p *peerState) {
+	live := s.isLive(p)
+	if live == p.loggedLive {
 		return
 	}
-	k.live = live
-	state := "peer is silent"
+	p.loggedLive = live
+	message := "peer is silent: no heartbeat within the limit"
 	if live {
-		state = "peer is live"
+		message = "peer is live"
 	} else {
-		s.noteLost(k)
+		s.recordLost(p)
 	}
-	s.config.Logger.Info(state, zap.String("peer", string(k.member.ID)), zap.String("address", k.member.PeerAddress))
+	s.config.Logger.Info(message, zap.String("peer", string(p.member.ID)), zap.String("address", p.member.PeerAddress))
 }
 
-// noteLost notes that a member may have died with what it knew; the caller holds
-// the lock. One that left as planned has passed it on.
-func (s *Service) noteLost(k *peerState) {
-	if !k.member.Leaving {
-		s.lost[k.member.ID] = time.Now()
+// recordLost records that a member may have been lost together with its state; s.mu must be
+// held. A member that left as planned has handed its state over and is not recorded.
+func (s *Service) recordLost(p *peerState) {
+	if !p.member.Leaving {
+		s.lostAt[p.member.ID] = time.Now()
 	}
 }
 
-// LostSince lists the members that lost their memory within the time.
+// LostSince lists the members that lost their state within the given time.
 func (s *Service) LostSince(within time.Duration) []models.MemberID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var ids []models.MemberID
-	for id, at := range s.lost {
+	for id, at := range s.lostAt {
 		if time.Since(at) < within {
 			ids = append(ids, id)
 		} else {
-			delete(s.lost, id)
+			delete(s.lostAt, id)
 		}
 	}
 	return ids
