--- a/services/daemon/daemon.go
+++ b/services/daemon/daemon.go
@@ -65,25 +65,27 @@
 	listeners []*listen.Server
 }
 
-// idMaker makes ids that no other process makes.
-type idMaker struct {
-	prefix string
-	next   atomic.Uint64
+// idGenerator makes ids that no other process makes.
+type idGenerator struct {
+	prefix  string
+	counter atomic.Uint64
 }
 
-func newIDMaker() (*idMaker, error) {
+func newIDGenerator() (*idGenerator, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
 		return nil, errors.Wrap(err, "draw random id")
 	}
-	return &idMaker{prefix: hex.EncodeToString(random[:])}, nil
+	return &idGenerator{prefix: hex.EncodeToString(random[:])}, nil
 }
 
-func (m *idMaker) make() string { return m.prefix + "-" + strconv.FormatUint(m.next.Add(1), 36) }
+func (m *idGenerator) newID() string {
+	return m.prefix + "-" + strconv.FormatUint(m.counter.Add(1), 36)
+}
 
 // New makes a daemon and opens its listeners.
 func New(c Config) (*Daemon, error) {
-	ids, err := newIDMaker()
+	ids, err := newIDGenerator()
 	if err != nil {
 		return nil, err
 	}
@@ -91,16 +93,16 @@
 		Settings: c.Settings, Logger: c.Logger, Metrics: metrics.New(metrics.Config{Process: "rillsail"}),
 		manager: graceful.New(graceful.Config{Logger: c.Logger}), Learner: interference.New(interference.Config{}),
 	}
-	d.assemble(ids)
-	if err := d.open(c.Routers(d)); err != nil {
+	d.buildServices(ids)
+	if err := d.openListeners(c.Routers(d)); err != nil {
 		return nil, err
 	}
-	d.arrange()
+	d.registerLoops()
 	return d, nil
 }
 
-// assemble makes the parts and connects them.
-func (d *Daemon) assemble(ids *idMaker) {
+// buildServices makes the parts and connects them.
+func (d *Daemon) buildServices(ids *idGenerator) {
 	s := d.Settings
 	self := models.Member{
 		ID: models.MemberID(s.Daemon.ID), Incarnation: models.Incarnation(ids.prefix),
@@ -122,18 +124,18 @@
 	})
 	d.Config = config.New(config.Config{
 		Store: store, Logger: d.Logger, Scope: scope.SubScope("config"), Sync: s.Member.Heartbeat,
-		FromPeers: d.configFromPeers, Accepted: d.configAccepted, VMs: d.Inventory.VMs, NewID: ids.make,
+		FromPeers: d.configFromPeers, Accepted: d.configAccepted, VMs: d.Inventory.VMs, NewID: ids.newID,
 	})
 	d.Cells = cell.NewManager(cell.ManagerConfig{
 		Self: self.ID, Settings: s.Cell, Every: s.Member.Heartbeat, HoldOff: s.Member.SilentAfter, Store: store,
 		Workers:   platform.NewHTTPWorkers(platform.HTTPConfig{CallTimeout: s.Platform.CallTimeout}),
 		Inventory: d.Inventory, View: d.Config.View, Members: d.Members, Client: d.client, Learner: d.Learner,
-		Logger: d.Logger, Scope: scope.SubScope("cell"), NewID: ids.make,
+		Logger: d.Logger, Scope: scope.SubScope("cell"), NewID: ids.newID,
 	})
 	d.Claims = claim.New(claim.Config{Self: self.ID, Members: d.Members, Client: d.client, Keep: s.Entry.ClaimKeepDone})
 	d.Entry = entry.New(entry.Config{
 		Self: self.ID, Settings: s.Entry, MaxBody: int64(s.Listen.MaxBody), BodyTimeout: s.Listen.BodyTimeout, View: d.Config.View, Claims: d.Claims,
-		Logger: d.Logger, Scope: scope.SubScope("entry"), NewID: ids.make,
+		Logger: d.Logger, Scope: scope.SubScope("entry"), NewID: ids.newID,
 	})
 	d.Operate = operate.New(operate.Config{
 		Cells: d.Cells, Inventory: d.Inventory, Members: d.Members, View: d.Config.View, Entry: d.Entry,
@@ -143,14 +145,14 @@
 	d.Members.AddSource(func(b *models.Heartbeat) { b.Revision = d.Config.View().Revision() })
 }
 
-// arrange sets the loops and the order of a planned stop: tell the peers, let the
+// registerLoops sets the loops and the order of a planned stop: tell the peers, let the
 // balancer and the requests in flight end, pass on cells and claims.
-func (d *Daemon) arrange() {
+func (d *Daemon) registerLoops() {
 	d.manager.Loop("inventory", d.Inventory.Run)
 	d.manager.Loop("configuration", d.Config.Run)
 	d.manager.Loop("members", d.Members.Run)
 	d.manager.Loop("cells", d.Cells.Run)
-	d.manager.Loop("sync", d.syncLoop)
+	d.manager.Loop("sync", d.syncEntryLoop)
 	for _, l := range d.listeners {
 		d.manager.Loop("listener "+l.Address(), l.Run)
 	}
@@ -180,23 +182,23 @@
 	return d.Entry.Drain(ctx)
 }
 
-// releaseSilences is for how many silent periods a stop waits for peers to take its
+// releaseSilentPeriods is for how many silent periods a stop waits for peers to take its
 // cells.
-const releaseSilences = 3
+const releaseSilentPeriods = 3
 
 func (d *Daemon) release(ctx context.Context) error {
-	return d.Cells.Release(ctx, releaseSilences*d.Settings.Member.SilentAfter)
+	return d.Cells.Release(ctx, releaseSilentPeriods*d.Settings.Member.SilentAfter)
 }
 
 // Heard takes what a peer's heartbeat says beside membership.
 func (d *Daemon) Heard(beat models.Heartbeat) { d.Config.Hint(beat.Revision) }
 
-// syncLoop hands the entry what is known of upstreams and peers.
-func (d *Daemon) syncLoop(ctx context.Context) {
+// syncEntryLoop hands the entry what is known of upstreams and peers.
+func (d *Daemon) syncEntryLoop(ctx context.Context) {
 	ticker := time.NewTicker(d.Settings.Member.Heartbeat)
 	defer ticker.Stop()
 	for {
-		d.sync()
+		d.syncEntry()
 		select {
 		case <-ctx.Done():
 			return
@@ -205,7 +207,7 @@
 	}
 }
 
-func (d *Daemon) sync() {
+func (d *Daemon) syncEntry() {
 	beats := d.Members.Beats()
 	for _, beat := range beats {
 		d.Config.Hint(beat.Revision)
@@ -214,13 +216,13 @@
 }
 
 func (d *Daemon) inventoryChanged() {
-	d.sync()
+	d.syncEntry()
 	d.Cells.Nudge()
 }
 
 func (d *Daemon) configAccepted(*config.View) {
 	d.Members.Nudge() // peers hear of the revision at once
-	d.sync()
+	d.syncEntry()
 }
 
 // configFromPeers asks the peer that has told the highest revision, if that is newer
--- a/services/daemon/listeners.go
+++ b/services/daemon/listeners.go
@@ -24,7 +24,7 @@
 	Peer     http.Handler
 }
 
-func (d *Daemon) open(h Handlers) error {
+func (d *Daemon) openListeners(h Handlers) error {
 	s := d.Settings.Listen
 	limit := int64(s.MaxBody)
 	for _, l := range []struct {
--- a/services/daemon/scheduler.go
+++ b/services/daemon/scheduler.go
@@ -54,7 +54,7 @@
 
 // NewScheduler makes a scheduler and opens its listeners.
 func NewScheduler(c SchedulerConfig) (*Scheduler, error) {
-	ids, err := newIDMaker()
+	ids, err := newIDGenerator()
 	if err != nil {
 		return nil, err
 	}
@@ -65,10 +65,10 @@
 	advertised := cmp.Or(c.Settings.Listen.PeerAdvertised, c.Settings.Listen.Peer)
 	s.control = control.New(control.Config{
 		Self: c.Settings.Daemon.ID, Address: advertised, Settings: c.Settings.Jobs,
-		Store: c.Store, Workers: c.Workers, WorkerCalls: c.WorkerCalls, Connections: c.Connections, List: c.List, Feed: c.Feed, NewID: ids.make,
+		Store: c.Store, Workers: c.Workers, WorkerCalls: c.WorkerCalls, Connections: c.Connections, List: c.List, Feed: c.Feed, NewID: ids.newID,
 		Logger: c.Logger, Scope: s.metrics.Scope.SubScope("control"),
 	})
-	if err := s.open(c); err != nil {
+	if err := s.openListeners(c); err != nil {
 		return nil, err
 	}
 	s.manager.Loop("configuration", s.control.Configurations.Run)
@@ -79,8 +79,8 @@
 	return s, nil
 }
 
-// open opens the listeners whose addresses are given.
-func (s *Scheduler) open(c SchedulerConfig) error {
+// openListeners opens the listeners whose addresses are given.
+func (s *Scheduler) openListeners(c SchedulerConfig) error {
 	l := c.Settings.Listen
 	for _, each := range []struct {
 		name, address string
@@ -89,7 +89,7 @@
 		{"callers", l.Caller, c.Callers(s.control)},
 		{"readiness", l.Ready, c.Ready(s.control.Ready)},
 		{"peers", l.Peer, listen.LimitBody(int64(l.MaxBody), s.control.Handler())},
-		{"figures", l.Metrics, s.figures()},
+		{"figures", l.Metrics, s.metricsHandler()},
 	} {
 		if each.address == "" {
 			continue
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// figures serves the metrics and the state dump.
-func (s *Scheduler) figures() http.Handler {
+// metricsHandler serves the metrics and the state dump.
+func (s *Scheduler) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", s.metrics.Handler)
 	mux.HandleFunc("/state", func(w http.ResponseWriter, _ *http.Request) {
--- a/services/daemon/scheduler_test.go
+++ b/services/daemon/scheduler_test.go
@@ -18,8 +18,8 @@
 	"rillsail.example/rillsail/services/control"
 )
 
-// newReleased makes a scheduler that owns no cells, with a listener for callers.
-func newReleased(t *testing.T) *Scheduler {
+// newSchedulerWithoutCells makes a scheduler that owns no cells, with a listener for callers.
+func newSchedulerWithoutCells(t *testing.T) *Scheduler {
 	t.Helper()
 	callers, err := listen.Open(listen.Config{Address: "127.0.0.1:0", MaxConnections: 1})
 	require.NoError(t, err)
@@ -34,7 +34,7 @@
 // does; so only the detector can fail this test (make race).
 func TestReleaseDrainsCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newReleased(t)
+		s := newSchedulerWithoutCells(t)
 		began := time.Now()
 		require.NoError(t, s.release(t.Context()))
 		require.Equal(t, shareOf(s.settings.Jobs.StopGrace, drainShare), time.Since(began))
@@ -47,7 +47,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), limit)
 		defer cancel()
 		began := time.Now()
-		require.NoError(t, newReleased(t).release(ctx))
+		require.NoError(t, newSchedulerWithoutCells(t).release(ctx))
 		require.Equal(t, limit, time.Since(began))
 	})
 }
--- a/services/standin/demo/demo.go
+++ b/services/standin/demo/demo.go
@@ -48,7 +48,7 @@
 }
 
 const (
-	daemons       = 3
+	daemonCount   = 3
 	operatorToken = "demo-operator"
 	peerToken     = "demo-peer"
 )
@@ -56,7 +56,7 @@
 // Run starts everything, shows the main job, and runs until ctx ends.
 func Run(ctx context.Context, c Config) error {
 	stop := &stopper{}
-	defer stop.all()
+	defer stop.stopAll()
 	store, vms, err := startPlatform(stop)
 	if err != nil {
 		return err
@@ -81,14 +81,14 @@
 	cancels []func()
 }
 
-func (s *stopper) add(run func(context.Context)) {
+func (s *stopper) start(run func(context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var group conc.WaitGroup
 	group.Go(func() { run(ctx) })
 	s.cancels = append(s.cancels, func() { cancel(); group.Wait() })
 }
 
-func (s *stopper) all() {
+func (s *stopper) stopAll() {
 	for i := len(s.cancels) - 1; i >= 0; i-- {
 		s.cancels[i]()
 	}
@@ -104,7 +104,7 @@
 	if err != nil {
 		return "", "", err
 	}
-	stop.add(f.Run)
+	stop.start(f.Run)
 	if vms, err = listenAndServe(stop, f.Handler()); err != nil {
 		return "", "", err
 	}
@@ -118,7 +118,7 @@
 		return "", errors.Wrap(err, "listen")
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
-	stop.add(func(ctx context.Context) {
+	stop.start(func(ctx context.Context) {
 		end := context.AfterFunc(ctx, func() { _ = server.Close() })
 		defer end()
 		_ = server.Serve(listener) // ends with ctx
@@ -129,7 +129,7 @@
 func startDaemons(c Config, stop *stopper, store, vms string) (Running, error) {
 	var running Running
 	var ports portblock.Block
-	for i := range daemons {
+	for i := range daemonCount {
 		settings, err := settingsFor(i, store, vms, &ports)
 		if err != nil {
 			return running, err
@@ -142,7 +142,7 @@
 		if err != nil {
 			return running, err
 		}
-		stop.add(d.Run)
+		stop.start(d.Run)
 		running = Running{Operator: settings.Listen.Operator, Token: operatorToken, Caller: settings.Listen.Caller}
 		logger.Debug("daemon runs", zap.String("operator", running.Operator))
 	}
--- a/services/standin/demo/show.go
+++ b/services/standin/demo/show.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	showTimeout = 60 * time.Second
-	showPause   = 200 * time.Millisecond
-	showLimit   = 16 << 20
+	showTimeout   = 60 * time.Second
+	pollInterval  = 200 * time.Millisecond
+	maxAnswerSize = 16 << 20
 )
 
 // show drives the main job and tells each step.
@@ -29,7 +29,7 @@
 	defer cancel()
 	op := operatorClient{address: r.Operator}
 	fmt.Fprintln(out, "waiting until every cell has an owner ...")
-	if err := op.until(ctx, func() (bool, error) {
+	if err := op.waitUntil(ctx, func() (bool, error) {
 		status, err := ask[models.Status](ctx, op, http.MethodGet, "/v1/status", nil)
 		return err == nil && len(status.Cells) > 0 && allOwned(status) && len(status.Upstream) > 0, nil
 	}); err != nil {
@@ -98,7 +98,7 @@
 	}
 	r.Task = models.JobTaskID(job.ID, 0)
 	var done models.Job
-	err := op.until(ctx, func() (bool, error) {
+	err := op.waitUntil(ctx, func() (bool, error) {
 		listing, err := ask[models.Listing](ctx, op, http.MethodGet, "/v1/jobs", nil)
 		if err == nil && len(listing.Jobs) == 1 {
 			done = listing.Jobs[0]
@@ -109,7 +109,7 @@
 		return errors.Wrap(err, "wait for the job")
 	}
 	fmt.Fprintf(out, "job %s: %s, %d of %d tasks succeeded\n", done.ID, done.State, done.Succeeded, done.Tasks)
-	return op.until(ctx, func() (bool, error) {
+	return op.waitUntil(ctx, func() (bool, error) {
 		tasks, err := ask[models.Listing](ctx, op, http.MethodGet, "/v1/tasks", nil)
 		running := runningReplicas(tasks)
 		if err != nil || len(running) < 3 {
@@ -125,7 +125,7 @@
 // submit sends the job until it is accepted. That is safe whatever the answer is: a
 // job's id is taken only once.
 func submit(ctx context.Context, out io.Writer, op operatorClient, job models.JobSpec) error {
-	return op.until(ctx, func() (bool, error) {
+	return op.waitUntil(ctx, func() (bool, error) {
 		results, err := ask[models.JobResults](ctx, op, http.MethodPost, "/v1/jobs", models.Submission{Jobs: []models.JobSpec{job}})
 		if err != nil || len(results.Results) != 1 {
 			return false, errors.Wrap(err, "submit job")
@@ -154,13 +154,13 @@
 
 func ask[T wire.Checker](ctx context.Context, op operatorClient, method, path string, body any) (T, error) {
 	return wire.Do[T](ctx, wire.Call{
-		Client: http.DefaultClient, Method: method, URL: "http://" + op.address + path, Token: operatorToken, Limit: showLimit,
+		Client: http.DefaultClient, Method: method, URL: "http://" + op.address + path, Token: operatorToken, Limit: maxAnswerSize,
 	}, body)
 }
 
-// until asks again and again until done says so or ctx ends.
-func (op operatorClient) until(ctx context.Context, done func() (bool, error)) error {
-	ticker := time.NewTicker(showPause)
+// waitUntil asks again and again until done says so or ctx ends.
+func (op operatorClient) waitUntil(ctx context.Context, done func() (bool, error)) error {
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		ok, err := done()
--- a/services/standin/fleet/attempt.go
+++ b/services/standin/fleet/attempt.go
@@ -16,13 +16,13 @@
 	call      models.StartCall
 	status    models.AttemptStatus
 	progress  float64 // 0..1
-	share     float64 // of processor time, 1 when not throttled
+	cpuShare  float64 // of processor time, 1 when not throttled
 	leaseEnds time.Time
-	ended     string
+	endReason string
 	// samples are the latencies of a service, oldest first; the report lags by
 	// reading an older one.
-	samples  []sample
-	observed uint64
+	samples     []sample
+	sampleCount uint64
 }
 
 // sample is the latency of a service at one moment.
@@ -39,7 +39,7 @@
 	report := models.AttemptReport{
 		AttemptRef: a.call.AttemptRef,
 		Status:     a.status,
-		Reason:     a.ended,
+		Reason:     a.endReason,
 		Progress:   int(a.progress * 100),
 		Usage:      scale(a.call.Size, w.fleet.sizeFactor(a.call)),
 	}
@@ -50,7 +50,7 @@
 	for i := len(a.samples) - 1; i >= 0; i-- {
 		if !a.samples[i].at.After(before) {
 			report.P99 = models.MilliOf(a.samples[i].p99)
-			report.Observed = a.observed - uint64(len(a.samples)-1-i)
+			report.Observed = a.sampleCount - uint64(len(a.samples)-1-i)
 			break
 		}
 	}
@@ -74,17 +74,17 @@
 		case w.faulty:
 			w.finish(a, models.StatusFailed, "worker is faulty")
 		case a.call.Kind == models.TaskService:
-			w.observe(a, now)
+			w.sampleLatency(a, now)
 		default:
-			w.work(a, passed)
+			w.advanceBatch(a, passed)
 		}
 	}
 }
 
-// work lets a batch task go on; the caller holds the lock.
-func (w *worker) work(a *attempt, passed time.Duration) {
+// advanceBatch lets a batch task go on; the caller holds the lock.
+func (w *worker) advanceBatch(a *attempt, passed time.Duration) {
 	needed := a.call.Work.Duration().Seconds() * w.fleet.sizeFactor(a.call)
-	a.progress += passed.Seconds() * a.share / max(needed, 0.001)
+	a.progress += passed.Seconds() * a.cpuShare / max(needed, 0.001)
 	if a.progress >= 1 {
 		a.progress = 1
 		w.finish(a, models.StatusFinished, "")
@@ -94,13 +94,13 @@
 // sampleLimit is how many latencies are kept for lagging reports.
 const sampleLimit = 256
 
-// observe takes the latency of a service; the caller holds the lock.
-func (w *worker) observe(a *attempt, now time.Time) {
+// sampleLatency takes the latency of a service; the caller holds the lock.
+func (w *worker) sampleLatency(a *attempt, now time.Time) {
 	slowdown := 1.0
-	pairs := w.fleet.pairs()
+	pairs := w.fleet.slowdowns()
 	for _, other := range w.attempts {
 		if other.call.Kind == models.TaskBatch && other.status == models.StatusRunning {
-			slowdown += other.share * pairs.Slowdown(a.call.Labels[appLabel], other.call.Labels[appLabel])
+			slowdown += other.cpuShare * pairs.Slowdown(a.call.Labels[appLabel], other.call.Labels[appLabel])
 		}
 	}
 	base := a.call.Target.Duration() / 2
@@ -108,8 +108,8 @@
 	if len(a.samples) > sampleLimit {
 		a.samples = a.samples[len(a.samples)-sampleLimit:]
 	}
-	a.observed++
-	w.fleet.audit.latency(slowdown > 2)
+	a.sampleCount++
+	w.fleet.audit.countSample(slowdown > 2)
 }
 
 // scale multiplies an amount by a factor.
@@ -121,8 +121,8 @@
 	}
 }
 
-// spread gives a number in 0..1 that depends on the text alone.
-func spread(text string) float64 {
+// hashFraction gives a number in 0..1 that depends on the text alone.
+func hashFraction(text string) float64 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(text)) // never fails
 	return float64(h.Sum32()%10_000) / 10_000
--- a/services/standin/fleet/audit.go
+++ b/services/standin/fleet/audit.go
@@ -61,32 +61,32 @@
 	return ms, err == nil
 }
 
-// mostStartTime bounds what the histogram of start times holds, in milliseconds.
-const mostStartTime = 3_600_000
+// maxStartTime bounds what the histogram of start times holds, in milliseconds.
+const maxStartTime = 3_600_000
 
 // auditor watches all tasks and requests of the fleet.
 type auditor struct {
-	mu       sync.Mutex
-	audit    Audit
-	running  map[models.TaskID]models.VMID
-	finished map[models.TaskID]int // successes whose result is not lost
-	ever     map[models.TaskID]int // successes
-	starts   map[models.TaskID]int
-	executed map[string]int // runs of a request by its load id
-	starting *hdrhistogram.Histogram
-	ran      map[string]models.VMID
+	mu            sync.Mutex
+	audit         Audit
+	running       map[models.TaskID]models.VMID
+	keptSuccesses map[models.TaskID]int // successes whose result is not lost
+	successes     map[models.TaskID]int // successes
+	starts        map[models.TaskID]int
+	requestRuns   map[string]int // runs of a request by its load id
+	startTimes    *hdrhistogram.Histogram
+	startedOn     map[string]models.VMID
 }
 
 func newAuditor() *auditor {
 	return &auditor{
-		audit:    Audit{ByUpstream: map[models.VMID]int64{}},
-		running:  map[models.TaskID]models.VMID{},
-		finished: map[models.TaskID]int{},
-		ever:     map[models.TaskID]int{},
-		starts:   map[models.TaskID]int{},
-		executed: map[string]int{},
-		starting: hdrhistogram.New(1, mostStartTime, 3),
-		ran:      map[string]models.VMID{},
+		audit:         Audit{ByUpstream: map[models.VMID]int64{}},
+		running:       map[models.TaskID]models.VMID{},
+		keptSuccesses: map[models.TaskID]int{},
+		successes:     map[models.TaskID]int{},
+		starts:        map[models.TaskID]int{},
+		requestRuns:   map[string]int{},
+		startTimes:    hdrhistogram.New(1, maxStartTime, 3),
+		startedOn:     map[string]models.VMID{},
 	}
 }
 
@@ -96,29 +96,29 @@
 	}
 }
 
-func (a *auditor) started(vm models.VMID, call models.StartCall) {
+func (a *auditor) attemptStarted(vm models.VMID, call models.StartCall) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.audit.Starts++
 	a.starts[call.Task]++
 	if submitted, ok := submittedAt(call.Task); ok && call.Attempt == 1 {
-		_ = a.starting.RecordValue(max(1, time.Now().UnixMilli()-submitted)) // beyond an hour isn't counted
+		_ = a.startTimes.RecordValue(max(1, time.Now().UnixMilli()-submitted)) // beyond an hour isn't counted
 	}
 	if other, ok := a.running[call.Task]; ok {
 		a.violation("task %s attempt %d started on %s while it runs on %s", call.Task, call.Attempt, vm, other)
 	}
-	if a.finished[call.Task] > 0 {
+	if a.keptSuccesses[call.Task] > 0 {
 		a.violation("task %s attempt %d started on %s after it had finished", call.Task, call.Attempt, vm)
 	}
 	attempt := fmt.Sprintf("%s#%d", call.Task, call.Attempt)
-	if before, ok := a.ran[attempt]; ok {
+	if before, ok := a.startedOn[attempt]; ok {
 		a.violation("task %s attempt %d started twice, on %s and %s", call.Task, call.Attempt, before, vm)
 	}
-	a.ran[attempt] = vm
+	a.startedOn[attempt] = vm
 	a.running[call.Task] = vm
 }
 
-func (a *auditor) ended(vm models.VMID, call models.StartCall, status models.AttemptStatus) {
+func (a *auditor) attemptEnded(vm models.VMID, call models.StartCall, status models.AttemptStatus) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.running[call.Task] == vm {
@@ -127,8 +127,8 @@
 	switch status {
 	case models.StatusFinished:
 		a.audit.Finished++
-		a.finished[call.Task]++
-		a.ever[call.Task]++
+		a.keptSuccesses[call.Task]++
+		a.successes[call.Task]++
 	case models.StatusFailed:
 		a.audit.Failed++
 	default:
@@ -141,10 +141,10 @@
 func (a *auditor) resultLost(task models.TaskID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.finished[task]--
+	a.keptSuccesses[task]--
 }
 
-func (a *auditor) committed(vm models.VM, used models.Resources) {
+func (a *auditor) checkCapacity(vm models.VM, used models.Resources) {
 	if used.Fits(vm.Capacity) {
 		return
 	}
@@ -153,7 +153,7 @@
 	a.violation("vm %s holds %+v of %+v", vm.ID, used, vm.Capacity)
 }
 
-func (a *auditor) latency(slow bool) {
+func (a *auditor) countSample(slow bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.audit.Samples++
@@ -162,13 +162,13 @@
 	}
 }
 
-func (a *auditor) reached(vm models.VMID) {
+func (a *auditor) countUpstream(vm models.VMID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.audit.ByUpstream[vm]++
 }
 
-func (a *auditor) request(id string, unrepeatable, overrun bool) {
+func (a *auditor) requestRun(id string, unrepeatable, overrun bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.audit.Requests++
@@ -178,25 +178,25 @@
 	if id == "" {
 		return
 	}
-	a.executed[id]++
-	if unrepeatable && a.executed[id] > 1 {
-		a.violation("unrepeatable request %s ran %d times", id, a.executed[id])
+	a.requestRuns[id]++
+	if unrepeatable && a.requestRuns[id] > 1 {
+		a.violation("unrepeatable request %s ran %d times", id, a.requestRuns[id])
 	}
 }
 
 func (a *auditor) runsOf(id string) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.executed[id]
+	return a.requestRuns[id]
 }
 
-func (a *auditor) get() Audit {
+func (a *auditor) snapshot() Audit {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	audit := a.audit
 	audit.Running = len(a.running)
-	audit.StartP50 = models.Milli(a.starting.ValueAtQuantile(50))
-	audit.StartP99 = models.Milli(a.starting.ValueAtQuantile(99))
+	audit.StartP50 = models.Milli(a.startTimes.ValueAtQuantile(50))
+	audit.StartP99 = models.Milli(a.startTimes.ValueAtQuantile(99))
 	audit.ByUpstream = maps.Clone(a.audit.ByUpstream)
 	audit.Violations = append([]string{}, a.audit.Violations...)
 	return audit
--- a/services/standin/fleet/control.go
+++ b/services/standin/fleet/control.go
@@ -51,7 +51,7 @@
 // Check is there for the decoder; Apply says what is wrong.
 func (c Control) Check() error { return nil }
 
-const maxControl = 1 << 16
+const maxControlSize = 1 << 16
 
 // Handler serves the VM list and the fleet's own paths.
 func (f *Fleet) Handler() http.Handler {
@@ -66,7 +66,7 @@
 }
 
 func (f *Fleet) serveControl(w http.ResponseWriter, r *http.Request) {
-	control, err := wire.Decode[Control](r.Body, maxControl)
+	control, err := wire.Decode[Control](r.Body, maxControlSize)
 	if err == nil {
 		err = f.Apply(control)
 	}
@@ -92,17 +92,17 @@
 	switch control.Action {
 	case ActionKill:
 		w.kill(false)
-		f.list(control.VM, "")
+		f.setListed(control.VM, "")
 	case ActionRestart:
 		w.kill(true)
 	case ActionCut, ActionHeal:
-		w.set(func() { w.cut = control.Action == ActionCut })
+		w.update(func() { w.cut = control.Action == ActionCut })
 	case ActionLeave:
-		f.list(control.VM, models.VMLeaving)
+		f.setListed(control.VM, models.VMLeaving)
 	case ActionStay:
-		f.list(control.VM, models.VMLive)
+		f.setListed(control.VM, models.VMLive)
 	case ActionFaulty, ActionSound:
-		w.set(func() { w.faulty = control.Action == ActionFaulty })
+		w.update(func() { w.faulty = control.Action == ActionFaulty })
 	default:
 		return errors.Newf("action %q is not for workers", control.Action)
 	}
@@ -112,52 +112,52 @@
 func (f *Fleet) applyToUpstream(u *upstream, control Control) error {
 	switch control.Action {
 	case ActionKill:
-		u.set(func() { u.cut = true })
-		f.list(control.VM, "")
+		u.update(func() { u.cut = true })
+		f.setListed(control.VM, "")
 	case ActionCut, ActionHeal:
-		u.set(func() { u.cut = control.Action == ActionCut })
+		u.update(func() { u.cut = control.Action == ActionCut })
 	case ActionLeave:
-		u.set(func() { u.leaving = true })
-		f.list(control.VM, models.VMLeaving)
+		u.update(func() { u.leaving = true })
+		f.setListed(control.VM, models.VMLeaving)
 	case ActionStay:
-		u.set(func() { u.leaving = false })
-		f.list(control.VM, models.VMLive)
+		u.update(func() { u.leaving = false })
+		f.setListed(control.VM, models.VMLive)
 	case ActionFaulty, ActionSound:
-		u.set(func() { u.faulty = control.Action == ActionFaulty })
+		u.update(func() { u.faulty = control.Action == ActionFaulty })
 	case ActionSlow:
-		u.set(func() { u.factor = max(control.Factor, 1) })
+		u.update(func() { u.factor = max(control.Factor, 1) })
 	case ActionHalf:
-		u.set(func() { u.half = control.Count })
+		u.update(func() { u.truncate = control.Count })
 	case ActionHangUp:
-		u.set(func() { u.hangUp = control.Count })
+		u.update(func() { u.hangUp = control.Count })
 	case ActionForeign:
-		u.set(func() { u.foreign = control.Count })
+		u.update(func() { u.wrongID = control.Count })
 	default:
 		return errors.Newf("action %q is not for upstreams", control.Action)
 	}
 	return nil
 }
 
-// list changes what the list will say of a VM; an empty state drops it.
-func (f *Fleet) list(id models.VMID, state models.VMState) {
+// setListed changes what the list will say of a VM; an empty state drops it.
+func (f *Fleet) setListed(id models.VMID, state models.VMState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.truth = slices.Clone(f.truth)
-	for i, vm := range f.truth {
+	f.actualVMs = slices.Clone(f.actualVMs)
+	for i, vm := range f.actualVMs {
 		if vm.ID != id {
 			continue
 		}
 		if state == "" {
-			f.truth = slices.Delete(f.truth, i, i+1)
+			f.actualVMs = slices.Delete(f.actualVMs, i, i+1)
 		} else {
-			f.truth[i].State = state
+			f.actualVMs[i].State = state
 		}
 		break
 	}
 	f.publish(f.config.ListLag)
 }
 
-func (w *worker) set(change func()) {
+func (w *worker) update(change func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change()
@@ -173,7 +173,7 @@
 	return mux
 }
 
-const maxAgentCall = 4 << 20
+const maxAgentCallSize = 4 << 20
 
 func serveAgent[C wire.Checker, A any](w *worker, perform func(C) A) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
@@ -183,7 +183,7 @@
 		if unreachable {
 			panic(http.ErrAbortHandler)
 		}
-		call, err := wire.Decode[C](r.Body, maxAgentCall)
+		call, err := wire.Decode[C](r.Body, maxAgentCallSize)
 		if err != nil {
 			wire.WriteError(rw, err)
 			return
--- a/services/standin/fleet/fleet.go
+++ b/services/standin/fleet/fleet.go
@@ -59,8 +59,8 @@
 // Slowdown is what one batch task adds to the service's latency, as a factor.
 func (t PairTable) Slowdown(service, batch string) float64 { return t[Pair{service, batch}] }
 
-// pairs is the table in force now.
-func (f *Fleet) pairs() PairTable {
+// slowdowns is the table in force now.
+func (f *Fleet) slowdowns() PairTable {
 	if f.config.Pairs == nil {
 		return nil
 	}
@@ -79,12 +79,12 @@
 	listeners []net.Listener
 
 	mu        sync.Mutex
-	truth     []models.VM // what the list will say once it has caught up
-	published []listed
+	actualVMs []models.VM // what the list will say once it has caught up
+	published []listSnapshot
 }
 
-// listed is what the list says from a moment on.
-type listed struct {
+// listSnapshot is what the list says from a moment on.
+type listSnapshot struct {
 	from time.Time
 	vms  []models.VM
 }
@@ -150,8 +150,8 @@
 // open listens on the loopback and enters the VM in the list.
 func (f *Fleet) open(vm *models.VM) (net.Listener, error) {
 	if f.config.Unserved {
-		vm.Address = fmt.Sprintf("127.0.0.1:%d", len(f.truth)+1)
-		f.truth = append(f.truth, *vm)
+		vm.Address = fmt.Sprintf("127.0.0.1:%d", len(f.actualVMs)+1)
+		f.actualVMs = append(f.actualVMs, *vm)
 		return nil, nil
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -159,7 +159,7 @@
 		return nil, errors.Wrapf(err, "listen for %s", vm.ID)
 	}
 	vm.Address = listener.Addr().String()
-	f.truth = append(f.truth, *vm)
+	f.actualVMs = append(f.actualVMs, *vm)
 	return listener, nil
 }
 
@@ -170,7 +170,7 @@
 
 // publish makes the list say the truth once the lag has passed.
 func (f *Fleet) publish(lag time.Duration) {
-	f.published = append(f.published, listed{from: time.Now().Add(lag), vms: slices.Clone(f.truth)})
+	f.published = append(f.published, listSnapshot{from: time.Now().Add(lag), vms: slices.Clone(f.actualVMs)})
 }
 
 // VMs is what the list says now.
@@ -185,7 +185,7 @@
 }
 
 // Audit is what really happened so far.
-func (f *Fleet) Audit() Audit { return f.audit.get() }
+func (f *Fleet) Audit() Audit { return f.audit.snapshot() }
 
 // RunsOf is how often upstreams ran the request with the load id.
 func (f *Fleet) RunsOf(id string) int { return f.audit.runsOf(id) }
@@ -228,7 +228,7 @@
 	if f.config.SizeError == 0 {
 		return 1
 	}
-	s := spread(call.Labels[appLabel] + string(call.Task))
+	s := hashFraction(call.Labels[appLabel] + string(call.Task))
 	if s < 0.5 {
 		return 1 / (1 + f.config.SizeError*2*s)
 	}
--- a/services/standin/fleet/local.go
+++ b/services/standin/fleet/local.go
@@ -81,7 +81,7 @@
 func (f *Fleet) FinishedRuns(task models.TaskID) (all, kept int) {
 	f.audit.mu.Lock()
 	defer f.audit.mu.Unlock()
-	return f.audit.ever[task], f.audit.finished[task]
+	return f.audit.successes[task], f.audit.keptSuccesses[task]
 }
 
 // StartsOf is how many attempts of the task began at any worker.
--- a/services/standin/fleet/upstream.go
+++ b/services/standin/fleet/upstream.go
@@ -44,44 +44,44 @@
 	vm    models.VM
 	slots chan struct{}
 
-	mu      sync.Mutex
-	cut     bool
-	leaving bool
-	faulty  bool
-	factor  int
-	half    int
-	hangUp  int
-	foreign int
-	conns   int
+	mu       sync.Mutex
+	cut      bool
+	leaving  bool
+	faulty   bool
+	factor   int
+	truncate int
+	hangUp   int
+	wrongID  int
+	conns    int
 }
 
 func newUpstream(f *Fleet, vm models.VM) *upstream {
 	return &upstream{fleet: f, vm: vm, slots: make(chan struct{}, vm.Slots), factor: 1}
 }
 
-func (u *upstream) set(change func()) {
+func (u *upstream) update(change func()) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	change()
 }
 
-// behaviour is what one request will meet.
-type behaviour struct {
-	leaving, faulty, half, hangUp, foreign bool
-	factor                                 int
+// requestFaults is what one request will meet.
+type requestFaults struct {
+	leaving, faulty, truncate, hangUp, wrongID bool
+	factor                                     int
 }
 
-// behave takes what the next request will meet; it aborts when the VM is cut.
-func (u *upstream) behave() behaviour {
+// nextFaults takes what the next request will meet; it aborts when the VM is cut.
+func (u *upstream) nextFaults() requestFaults {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.cut {
 		panic(http.ErrAbortHandler)
 	}
-	b := behaviour{leaving: u.leaving, faulty: u.faulty, factor: u.factor}
-	b.half = takeOne(&u.half)
+	b := requestFaults{leaving: u.leaving, faulty: u.faulty, factor: u.factor}
+	b.truncate = takeOne(&u.truncate)
 	b.hangUp = takeOne(&u.hangUp)
-	b.foreign = takeOne(&u.foreign)
+	b.wrongID = takeOne(&u.wrongID)
 	return b
 }
 
@@ -95,8 +95,8 @@
 
 // ServeHTTP runs one request.
 func (u *upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	b := u.behave()
-	u.fleet.audit.reached(u.vm.ID)
+	b := u.nextFaults()
+	u.fleet.audit.countUpstream(u.vm.ID)
 	if b.leaving {
 		w.Header().Set("Connection", "close")
 	}
@@ -108,20 +108,20 @@
 		http.Error(w, "faulty", http.StatusInternalServerError)
 		return
 	}
-	overrun := u.enter(r)
-	u.fleet.audit.request(r.Header.Get(HeaderLoadID), r.Header.Get(HeaderUnrepeatable) != "", overrun)
+	overrun := u.acquireSlot(r)
+	u.fleet.audit.requestRun(r.Header.Get(HeaderLoadID), r.Header.Get(HeaderUnrepeatable) != "", overrun)
 	if watch, err := strconv.Atoi(r.Header.Get(HeaderWatch)); err == nil {
 		<-u.slots // a standing watcher takes a connection, not a slot
 		u.stream(w, r, time.Duration(watch)*time.Millisecond)
 		return
 	}
-	time.Sleep(u.workOf(r) * time.Duration(b.factor))
+	time.Sleep(u.serviceTime(r) * time.Duration(b.factor))
 	<-u.slots
 	u.answer(w, r, body, b)
 }
 
-// enter waits for a slot and tells whether none was free.
-func (u *upstream) enter(r *http.Request) (overrun bool) {
+// acquireSlot waits for a slot and tells whether none was free.
+func (u *upstream) acquireSlot(r *http.Request) (overrun bool) {
 	select {
 	case u.slots <- struct{}{}:
 		return false
@@ -135,7 +135,7 @@
 	}
 }
 
-func (u *upstream) workOf(r *http.Request) time.Duration {
+func (u *upstream) serviceTime(r *http.Request) time.Duration {
 	if ms, err := strconv.Atoi(r.Header.Get(HeaderWork)); err == nil {
 		return time.Duration(ms) * time.Millisecond
 	}
@@ -147,20 +147,20 @@
 	return "answer to " + id + " " + string(body) + strings.Repeat(".", filling) + " end"
 }
 
-func (u *upstream) answer(w http.ResponseWriter, r *http.Request, body []byte, b behaviour) {
+func (u *upstream) answer(w http.ResponseWriter, r *http.Request, body []byte, b requestFaults) {
 	if b.hangUp {
 		panic(http.ErrAbortHandler)
 	}
 	filling, _ := strconv.Atoi(r.Header.Get(HeaderBytes))
 	text := AnswerFor(r.Header.Get(HeaderLoadID), body, filling)
 	id := r.Header.Get(models.HeaderRequestID)
-	if b.foreign { // the answer to somebody else
+	if b.wrongID { // the answer to somebody else
 		id += "-other"
 		text = AnswerFor(r.Header.Get(HeaderLoadID)+"-other", body, filling)
 	}
 	w.Header().Set(models.HeaderRequestID, id)
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	if b.half {
+	if b.truncate {
 		_, _ = io.WriteString(w, text[:len(text)/2])
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
@@ -168,14 +168,14 @@
 	_, _ = io.WriteString(w, text)
 }
 
-const watchLine = 50 * time.Millisecond
+const watchLineInterval = 50 * time.Millisecond
 
 // stream sends a line now and then, and a last one, as a standing watcher gets them.
 func (u *upstream) stream(w http.ResponseWriter, r *http.Request, length time.Duration) {
 	controller := http.NewResponseController(w)
 	end := time.NewTimer(length)
 	defer end.Stop()
-	ticker := time.NewTicker(watchLine)
+	ticker := time.NewTicker(watchLineInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/services/standin/fleet/worker.go
+++ b/services/standin/fleet/worker.go
@@ -15,36 +15,36 @@
 
 // worker is the agent of one worker VM.
 type worker struct {
-	mu          sync.Mutex
-	fleet       *Fleet
-	vm          models.VM
-	incarnation models.Incarnation
-	runs        int
-	epochs      map[models.CellID]models.Epoch
-	attempts    map[models.TaskID]*attempt
-	barred      map[models.TaskID]models.Attempt
-	down        bool // the VM is dead
-	cut         bool // the VM runs but can't be reached
-	faulty      bool // every task fails
+	mu           sync.Mutex
+	fleet        *Fleet
+	vm           models.VM
+	incarnation  models.Incarnation
+	incarnations int
+	epochs       map[models.CellID]models.Epoch
+	attempts     map[models.TaskID]*attempt
+	barred       map[models.TaskID]models.Attempt
+	down         bool // the VM is dead
+	cut          bool // the VM runs but can't be reached
+	faulty       bool // every task fails
 }
 
 func newWorker(f *Fleet, vm models.VM) *worker {
 	w := &worker{fleet: f, vm: vm}
-	w.begin()
+	w.startIncarnation()
 	return w
 }
 
-// begin starts a new incarnation, which remembers nothing.
-func (w *worker) begin() {
-	w.runs++
-	w.incarnation = models.Incarnation(fmt.Sprintf("%s-%s-%d", w.vm.ID, w.fleet.config.Run, w.runs))
+// startIncarnation starts a new incarnation, which remembers nothing.
+func (w *worker) startIncarnation() {
+	w.incarnations++
+	w.incarnation = models.Incarnation(fmt.Sprintf("%s-%s-%d", w.vm.ID, w.fleet.config.Run, w.incarnations))
 	w.epochs = map[models.CellID]models.Epoch{}
 	w.attempts = map[models.TaskID]*attempt{}
 	w.barred = map[models.TaskID]models.Attempt{}
 }
 
-// guard checks a call's epoch and incarnation; the caller holds the lock.
-func (w *worker) guard(g models.Guard, needIncarnation bool) models.Refusal {
+// checkFencing checks a call's epoch and incarnation; the caller holds the lock.
+func (w *worker) checkFencing(g models.Guard, needIncarnation bool) models.Refusal {
 	if g.Incarnation != w.incarnation && (g.Incarnation != "" || needIncarnation) {
 		return models.RefusedIncarnation
 	}
@@ -58,7 +58,7 @@
 func (w *worker) start(call models.StartCall) models.StartAnswer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	answer := models.StartAnswer{Incarnation: w.incarnation, Refused: w.guard(call.Guard, true), Epoch: w.epochs[call.Cell]}
+	answer := models.StartAnswer{Incarnation: w.incarnation, Refused: w.checkFencing(call.Guard, true), Epoch: w.epochs[call.Cell]}
 	if answer.Refused != "" {
 		return answer
 	}
@@ -83,7 +83,7 @@
 
 // launch starts an attempt; the caller holds the lock.
 func (w *worker) launch(call models.StartCall) {
-	a := &attempt{call: call, status: models.StatusRunning, share: 1, leaseEnds: time.Now().Add(call.Lease.Duration())}
+	a := &attempt{call: call, status: models.StatusRunning, cpuShare: 1, leaseEnds: time.Now().Add(call.Lease.Duration())}
 	if text, ok := strings.CutPrefix(call.Checkpoint, checkpointPrefix); ok {
 		a.progress, _ = strconv.ParseFloat(text, 64)
 	}
@@ -91,8 +91,8 @@
 		w.finish(old, models.StatusStopped, "replaced")
 	}
 	w.attempts[call.Task] = a
-	w.fleet.audit.started(w.vm.ID, call)
-	w.fleet.audit.committed(w.vm, w.used())
+	w.fleet.audit.attemptStarted(w.vm.ID, call)
+	w.fleet.audit.checkCapacity(w.vm, w.used())
 }
 
 func (w *worker) used() models.Resources {
@@ -109,14 +109,14 @@
 
 // finish ends an attempt; the caller holds the lock.
 func (w *worker) finish(a *attempt, status models.AttemptStatus, reason string) {
-	a.status, a.ended = status, reason
-	w.fleet.audit.ended(w.vm.ID, a.call, status)
+	a.status, a.endReason = status, reason
+	w.fleet.audit.attemptEnded(w.vm.ID, a.call, status)
 }
 
 func (w *worker) renew(call models.RenewCall) models.RenewAnswer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	answer := models.RenewAnswer{Incarnation: w.incarnation, Refused: w.guard(call.Guard, false), Epoch: w.epochs[call.Cell]}
+	answer := models.RenewAnswer{Incarnation: w.incarnation, Refused: w.checkFencing(call.Guard, false), Epoch: w.epochs[call.Cell]}
 	if answer.Refused != "" {
 		return answer
 	}
@@ -130,9 +130,9 @@
 	for id, a := range w.attempts {
 		if a.status == models.StatusRunning {
 			a.leaseEnds = now.Add(call.Lease.Duration())
-			a.share = 1
+			a.cpuShare = 1
 			if percent, ok := call.Throttle[id]; ok {
-				a.share = float64(percent) / 100
+				a.cpuShare = float64(percent) / 100
 			}
 		}
 		answer.Attempts = append(answer.Attempts, w.report(a))
@@ -143,7 +143,7 @@
 func (w *worker) stop(call models.StopCall) models.StopAnswer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	answer := models.StopAnswer{Incarnation: w.incarnation, Refused: w.guard(call.Guard, true)}
+	answer := models.StopAnswer{Incarnation: w.incarnation, Refused: w.checkFencing(call.Guard, true)}
 	if answer.Refused != "" {
 		return answer
 	}
@@ -176,5 +176,5 @@
 		}
 	}
 	w.down = !restart
-	w.begin()
+	w.startIncarnation()
 }
--- a/services/standin/grid/audit.go
+++ b/services/standin/grid/audit.go
@@ -13,29 +13,29 @@
 
 // audit knows what was accepted and what really ran.
 type audit struct {
-	begin      time.Time
-	specs      map[jobs.ID]jobs.Spec
-	attempts   map[jobs.ID]int
-	where      map[jobs.TaskID]map[*incarnation]jobs.RunID // under way
-	done       map[jobs.TaskID]bool
-	lastStart  map[jobs.ID]time.Time // when a task of the job was started last
-	settled    map[jobs.TaskID]bool  // succeeded, and the end was acknowledged
-	failed     map[jobs.TaskID]int   // failed runs whose ends were acknowledged
-	failures   map[jobs.TaskID]int   // failed runs
-	lapsed     int                   // runs that nobody prolonged
-	crashes    map[jobs.TaskID]int   // workers that the task has ended
-	afterwards map[jobs.TaskID]int   // starts of it once it had ended mostCrashes
-	breaches   []string
+	startedAt             time.Time
+	specs                 map[jobs.ID]jobs.Spec
+	attempts              map[jobs.ID]int
+	running               map[jobs.TaskID]map[*incarnation]jobs.RunID // under way
+	succeeded             map[jobs.TaskID]bool
+	lastStart             map[jobs.ID]time.Time // when a task of the job was started last
+	acknowledgedSuccesses map[jobs.TaskID]bool  // succeeded, and the end was acknowledged
+	acknowledgedFailures  map[jobs.TaskID]int   // failed runs whose ends were acknowledged
+	failures              map[jobs.TaskID]int   // failed runs
+	lapsed                int                   // runs that nobody prolonged
+	crashes               map[jobs.TaskID]int   // workers that the task has ended
+	startsAfterCrashes    map[jobs.TaskID]int   // starts of it once it had ended crashLimit
+	breaches              []string
 	checkpointAudit
 	orderAudit
 }
 
 func newAudit() *audit {
 	return &audit{
-		begin: time.Now(), specs: map[jobs.ID]jobs.Spec{}, attempts: map[jobs.ID]int{}, lastStart: map[jobs.ID]time.Time{},
-		where: map[jobs.TaskID]map[*incarnation]jobs.RunID{}, done: map[jobs.TaskID]bool{}, failures: map[jobs.TaskID]int{},
-		settled: map[jobs.TaskID]bool{}, failed: map[jobs.TaskID]int{},
-		crashes: map[jobs.TaskID]int{}, afterwards: map[jobs.TaskID]int{},
+		startedAt: time.Now(), specs: map[jobs.ID]jobs.Spec{}, attempts: map[jobs.ID]int{}, lastStart: map[jobs.ID]time.Time{},
+		running: map[jobs.TaskID]map[*incarnation]jobs.RunID{}, succeeded: map[jobs.TaskID]bool{}, failures: map[jobs.TaskID]int{},
+		acknowledgedSuccesses: map[jobs.TaskID]bool{}, acknowledgedFailures: map[jobs.TaskID]int{},
+		crashes: map[jobs.TaskID]int{}, startsAfterCrashes: map[jobs.TaskID]int{},
 		checkpointAudit: newCheckpointAudit(), orderAudit: newOrderAudit(),
 	}
 }
@@ -57,8 +57,8 @@
 	a.breaches = append(a.breaches, fmt.Sprintf(format, args...))
 }
 
-// started checks everything that must hold when a run begins.
-func (a *audit) started(w *incarnation, r *run, call jobs.StartCall) {
+// runStarted checks everything that must hold when a run begins.
+func (a *audit) runStarted(w *incarnation, r *run, call jobs.StartCall) {
 	a.lastStart[r.task.Job] = time.Now()
 	step := a.step(r.task)
 	if step == nil {
@@ -68,47 +68,47 @@
 	if call.Payload != a.specs[r.task.Job].Payload {
 		a.breach("%s runs with another payload", r.task)
 	}
-	for other := range a.where[r.task] {
+	for other := range a.running[r.task] {
 		a.breach("%s runs on %s and on %s", r.task, other.info.ID, w.info.ID)
 	}
-	if a.settled[r.task] {
+	if a.acknowledgedSuccesses[r.task] {
 		a.breach("%s runs again although its success was acknowledged", r.task)
 	}
-	if !step.Lasts && a.failed[r.task] >= a.attempts[r.task.Job] {
-		a.breach("%s runs again after %d failed runs", r.task, a.failed[r.task])
+	if !step.Lasts && a.acknowledgedFailures[r.task] >= a.attempts[r.task.Job] {
+		a.breach("%s runs again after %d failed runs", r.task, a.acknowledgedFailures[r.task])
 	}
-	a.checkCrashes(r.task)
+	a.checkStartsAfterCrashes(r.task)
 	a.checkOrder(r.task, step)
 	a.checkPlace(w, r.task, step)
-	a.checkRoom(w)
-	a.checkFences(w, r, call)
-	a.checkCheckpoint(w, r, call.Checkpoint, time.Since(a.begin))
-	if a.where[r.task] == nil {
-		a.where[r.task] = map[*incarnation]jobs.RunID{}
+	a.checkCapacity(w)
+	a.checkStaleStart(w, r, call)
+	a.checkCheckpoint(w, r, call.Checkpoint, time.Since(a.startedAt))
+	if a.running[r.task] == nil {
+		a.running[r.task] = map[*incarnation]jobs.RunID{}
 	}
-	a.where[r.task][w] = r.id
+	a.running[r.task][w] = r.id
 }
 
 // The users' bound on what a task may do that ends its workers: after so many crashes it must
 // not be started as often again.
 const (
-	mostCrashes      = 3
-	startsAfterwards = 3
+	crashLimit   = 3
+	breachStarts = 3
 )
 
-// checkCrashes checks that a task which ends its workers is given up in time.
-func (a *audit) checkCrashes(task jobs.TaskID) {
-	if a.crashes[task] < mostCrashes {
+// checkStartsAfterCrashes checks that a task which ends its workers is given up in time.
+func (a *audit) checkStartsAfterCrashes(task jobs.TaskID) {
+	if a.crashes[task] < crashLimit {
 		return
 	}
-	a.afterwards[task]++
-	if a.afterwards[task] >= startsAfterwards {
-		a.breach("%s is started %d times more after it has ended %d workers", task, a.afterwards[task], a.crashes[task])
+	a.startsAfterCrashes[task]++
+	if a.startsAfterCrashes[task] >= breachStarts {
+		a.breach("%s is started %d times more after it has ended %d workers", task, a.startsAfterCrashes[task], a.crashes[task])
 	}
 }
 
-// crashed notes that a task has ended its worker.
-func (a *audit) crashed(task jobs.TaskID) { a.crashes[task]++ }
+// workerCrashed notes that a task has ended its worker.
+func (a *audit) workerCrashed(task jobs.TaskID) { a.crashes[task]++ }
 
 // checkOrder checks that the steps a task waits for are done.
 func (a *audit) checkOrder(task jobs.TaskID, step *jobs.Step) {
@@ -116,7 +116,7 @@
 	for _, after := range step.After {
 		for index := range spec.Steps[after].Count {
 			earlier := jobs.TaskID{Job: task.Job, Occurrence: task.Occurrence, Step: after, Index: index}
-			if !a.done[earlier] {
+			if !a.succeeded[earlier] {
 				a.breach("%s runs before %s has succeeded", task, earlier)
 				return
 			}
@@ -124,23 +124,23 @@
 	}
 }
 
-// checkRoom checks that a worker is not committed to more than it has.
-func (a *audit) checkRoom(w *incarnation) {
+// checkCapacity checks that a worker is not committed to more than it has.
+func (a *audit) checkCapacity(w *incarnation) {
 	var used models.Resources
 	for _, r := range w.runs {
 		used = used.Add(r.size)
 	}
-	if bound := w.bound(); !used.Fits(bound) {
+	if bound := w.capacityLimit(); !used.Fits(bound) {
 		a.breach("%s is committed to %+v of %+v", w.info.ID, used, bound)
 	}
 }
 
-// ended notes the end of a run.
-func (a *audit) ended(w *incarnation, task jobs.TaskID, how jobs.End) {
-	delete(a.where[task], w)
+// runEnded notes the end of a run.
+func (a *audit) runEnded(w *incarnation, task jobs.TaskID, how jobs.End) {
+	delete(a.running[task], w)
 	switch how {
 	case jobs.EndSucceeded:
-		a.done[task] = true
+		a.succeeded[task] = true
 	case jobs.EndFailed:
 		a.failures[task]++
 	case jobs.EndLapsed:
@@ -148,12 +148,12 @@
 	}
 }
 
-// acknowledged notes an end that the worker may forget: it must count from now on.
-func (a *audit) acknowledged(ended jobs.Ended) {
+// endAcknowledged notes an end that the worker may forget: it must count from now on.
+func (a *audit) endAcknowledged(ended jobs.Ended) {
 	switch ended.How {
 	case jobs.EndSucceeded:
-		a.settled[ended.Task] = true
+		a.acknowledgedSuccesses[ended.Task] = true
 	case jobs.EndFailed:
-		a.failed[ended.Task]++
+		a.acknowledgedFailures[ended.Task]++
 	}
 }
--- a/services/standin/grid/audit_orders.go
+++ b/services/standin/grid/audit_orders.go
@@ -11,40 +11,40 @@
 
 // orderAudit knows what each worker was told, whatever the worker itself makes of it.
 type orderAudit struct {
-	fences map[*incarnation]jobs.Fence // the highest that spoke to the worker
-	runs   map[place]jobs.RunID        // the highest run that was started or stopped, or has ended, there
+	highestFences map[*incarnation]jobs.Fence // the highest that spoke to the worker
+	highestRuns   map[taskOnWorker]jobs.RunID // the highest run that was started or stopped, or has ended, there
 }
 
-// place is a task on a worker.
-type place struct {
+// taskOnWorker is a task on a worker.
+type taskOnWorker struct {
 	worker *incarnation
 	task   jobs.TaskID
 }
 
 func newOrderAudit() orderAudit {
-	return orderAudit{fences: map[*incarnation]jobs.Fence{}, runs: map[place]jobs.RunID{}}
+	return orderAudit{highestFences: map[*incarnation]jobs.Fence{}, highestRuns: map[taskOnWorker]jobs.RunID{}}
 }
 
-// spokenTo notes a call to a worker.
-func (a *orderAudit) spokenTo(w *incarnation, fence jobs.Fence) {
-	a.fences[w] = max(a.fences[w], fence)
+// noteFence notes a call to a worker.
+func (a *orderAudit) noteFence(w *incarnation, fence jobs.Fence) {
+	a.highestFences[w] = max(a.highestFences[w], fence)
 }
 
-// barredRun notes a run that was stopped or has ended on a worker, which bars those up to it.
-func (a *orderAudit) barredRun(w *incarnation, task jobs.TaskID, run jobs.RunID) {
-	at := place{w, task}
-	a.runs[at] = max(a.runs[at], run)
+// noteRun notes a run that was stopped or has ended on a worker, which bars those up to it.
+func (a *orderAudit) noteRun(w *incarnation, task jobs.TaskID, run jobs.RunID) {
+	at := taskOnWorker{w, task}
+	a.highestRuns[at] = max(a.highestRuns[at], run)
 }
 
-// checkFences checks that no former owner and no run of the past starts anything.
-func (a *audit) checkFences(w *incarnation, r *run, call jobs.StartCall) {
-	if call.Fence < a.fences[w] {
-		a.breach("%s is started on %s by fence %d after %d", r.task, w.info.ID, call.Fence, a.fences[w])
+// checkStaleStart checks that no former owner and no run of the past starts anything.
+func (a *audit) checkStaleStart(w *incarnation, r *run, call jobs.StartCall) {
+	if call.Fence < a.highestFences[w] {
+		a.breach("%s is started on %s by fence %d after %d", r.task, w.info.ID, call.Fence, a.highestFences[w])
 	}
-	if last := a.runs[place{w, r.task}]; r.id <= last {
+	if last := a.highestRuns[taskOnWorker{w, r.task}]; r.id <= last {
 		a.breach("run %d of %s begins on %s after run %d", r.id, r.task, w.info.ID, last)
 	}
-	a.barredRun(w, r.task, r.id)
+	a.noteRun(w, r.task, r.id)
 }
 
 // checkPlace checks that a task may be on its worker.
--- a/services/standin/grid/checkpoints.go
+++ b/services/standin/grid/checkpoints.go
@@ -21,77 +21,77 @@
 	Number int
 }
 
-// textOf is a short text that tells what a checkpoint stands for.
-func textOf(saved Saved) jobs.Text {
+// defaultCheckpointText is a short text that tells what a checkpoint stands for.
+func defaultCheckpointText(saved Saved) jobs.Text {
 	return jobs.Text(fmt.Sprintf("%s@%d#%d", saved.Task, saved.Work.Milliseconds(), saved.Number))
 }
 
-// save makes a checkpoint of a run.
-func (g *Grid) save(r *run, work time.Duration) jobs.Text {
-	saved := Saved{Task: r.task, Run: r.id, Work: work, Number: g.audit.saves() + 1}
-	text := textOf
+// saveCheckpoint makes a checkpoint of a run.
+func (g *Grid) saveCheckpoint(r *run, work time.Duration) jobs.Text {
+	saved := Saved{Task: r.task, Run: r.id, Work: work, Number: g.audit.checkpointCount() + 1}
+	text := defaultCheckpointText
 	if g.config.Text != nil {
 		text = g.config.Text
 	}
-	r.shown = text(saved)
-	g.audit.saved(r.shown, saved)
-	return r.shown
+	r.reportedCheckpoint = text(saved)
+	g.audit.noteCheckpoint(r.reportedCheckpoint, saved)
+	return r.reportedCheckpoint
 }
 
-// restore lets a run that is about to begin save, and go on from a checkpoint if it brings one
+// restoreCheckpoint lets a run that is about to begin save, and go on from a checkpoint if it brings one
 // of its task.
-func (g *Grid) restore(r *run, brought jobs.Text) {
+func (g *Grid) restoreCheckpoint(r *run, brought jobs.Text) {
 	step := g.audit.step(r.task)
-	r.checkpoints = step != nil && step.Checkpoints && g.config.Save > 0
+	r.makesCheckpoints = step != nil && step.Checkpoints && g.config.Save > 0
 	saved, ok := g.audit.checkpointOf(r.task, brought)
-	if !r.checkpoints || !ok {
+	if !r.makesCheckpoints || !ok {
 		return
 	}
-	r.left = max(0, r.work-saved.Work)
-	r.from = r.work - r.left
+	r.remaining = max(0, r.work-saved.Work)
+	r.startWork = r.work - r.remaining
 	r.since = r.since.Add(g.config.Restore)
 	if !g.config.ShowsOwn {
-		r.shown = brought
+		r.reportedCheckpoint = brought
 	}
 }
 
-// savedBy is the checkpoint that a run under way shows; empty: none.
-func (g *Grid) savedBy(r *run, now time.Time) jobs.Text {
-	if !r.checkpoints {
+// currentCheckpoint is the checkpoint that a run under way shows; empty: none.
+func (g *Grid) currentCheckpoint(r *run, now time.Time) jobs.Text {
+	if !r.makesCheckpoints {
 		return ""
 	}
-	if saves := int((r.done(now) - r.from) / g.config.Save); saves > r.saves {
-		r.saves = saves
-		g.save(r, r.from+time.Duration(saves)*g.config.Save)
+	if saves := int((r.workDone(now) - r.startWork) / g.config.Save); saves > r.intervalsSaved {
+		r.intervalsSaved = saves
+		g.saveCheckpoint(r, r.startWork+time.Duration(saves)*g.config.Save)
 	}
-	return r.shown
+	return r.reportedCheckpoint
 }
 
-// leftBy is the checkpoint that stands beside a run's end: a new one if it was stopped, none if
+// endCheckpoint is the checkpoint that stands beside a run's end: a new one if it was stopped, none if
 // it has succeeded.
-func (g *Grid) leftBy(w *incarnation, r *run, how jobs.End) jobs.Text {
+func (g *Grid) endCheckpoint(w *incarnation, r *run, how jobs.End) jobs.Text {
 	now := time.Now()
 	switch {
 	case how == jobs.EndFailed && w.faults.WrongTexts:
 		return g.audit.latestOfOthers(r.task)
-	case !r.checkpoints || how == jobs.EndSucceeded:
+	case !r.makesCheckpoints || how == jobs.EndSucceeded:
 		return ""
 	case how == jobs.EndStopped:
-		return g.save(r, r.done(now))
+		return g.saveCheckpoint(r, r.workDone(now))
 	default:
-		return g.savedBy(r, now)
+		return g.currentCheckpoint(r, now)
 	}
 }
 
-// noteHeard notes the checkpoints of a report that is answered.
-func (g *Grid) noteHeard(report jobs.Report) {
+// noteReported notes the checkpoints of a report that is answered.
+func (g *Grid) noteReported(report jobs.Report) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, r := range report.Running {
-		g.audit.heard(r.Checkpoint)
+		g.audit.noteReported(r.Checkpoint)
 	}
 	for _, e := range report.Ended {
-		g.audit.heard(e.Checkpoint)
+		g.audit.noteReported(e.Checkpoint)
 	}
 }
 
@@ -99,7 +99,7 @@
 func (g *Grid) CheckpointsBrought() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.audit.brought
+	return g.audit.startsFromCheckpoint
 }
 
 // WorkLost is the work that began anew although a checkpoint of it had been reported in a call
@@ -108,15 +108,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	sum := time.Duration(0)
-	for _, b := range g.audit.behind {
-		sum += b.Best - b.From
+	for _, b := range g.audit.staleStarts {
+		sum += b.ReportedWork - b.StartWork
 	}
 	return sum
 }
 
 // StartsBehind lists the runs that began with less than had been reported of their task.
-func (g *Grid) StartsBehind() []StartBehind {
+func (g *Grid) StartsBehind() []StaleStart {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return slices.Clone(g.audit.behind)
+	return slices.Clone(g.audit.staleStarts)
 }
--- a/services/standin/grid/faults.go
+++ b/services/standin/grid/faults.go
@@ -46,13 +46,13 @@
 func (g *Grid) ChangeFaults(place int, change func(faults *Faults)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	w := g.at(place)
+	w := g.incarnationAt(place)
 	change(&w.faults)
 	for _, r := range w.runs {
 		if r.stalled != w.faults.Stalled {
-			r.settle(time.Now())
+			r.updateRemaining(time.Now())
 			r.stalled = w.faults.Stalled
-			g.arm(w, r)
+			g.scheduleEnd(w, r)
 		}
 	}
 }
@@ -86,22 +86,22 @@
 func (g *Grid) Crash(place int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.startAgain(place)
+	g.restart(place)
 }
 
-// startAgain ends the worker in a place and brings up the next incarnation.
-func (g *Grid) startAgain(place int) (ended, next *incarnation) {
-	ended = g.at(place)
-	g.end(ended)
+// restart ends the worker in a place and brings up the next incarnation.
+func (g *Grid) restart(place int) (ended, next *incarnation) {
+	ended = g.incarnationAt(place)
+	g.endIncarnation(ended)
 	g.replace(ended)
-	return ended, g.at(place)
+	return ended, g.incarnationAt(place)
 }
 
 // CrashBehind does the same, and what goes wrong with the calls to the worker goes on.
 func (g *Grid) CrashBehind(place int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ended, next := g.startAgain(place)
+	ended, next := g.restart(place)
 	next.faults = ended.faults
 }
 
@@ -109,8 +109,8 @@
 func (g *Grid) CrashSilently(place int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ended, _ := g.startAgain(place)
-	ended.silent = true
+	ended, _ := g.restart(place)
+	ended.crashedSilently = true
 }
 
 // CrashFor ends the worker in a place with all that runs there. Nobody listens at its address
@@ -118,19 +118,19 @@
 func (g *Grid) CrashFor(place int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if w := g.at(place); w.up {
-		g.goDown(w)
+	if w := g.incarnationAt(place); w.up {
+		g.takeDown(w)
 	}
 }
 
-// end ends a worker with all that runs there.
-func (g *Grid) end(w *incarnation) {
+// endIncarnation ends a worker with all that runs there.
+func (g *Grid) endIncarnation(w *incarnation) {
 	w.up = false
 	for _, r := range w.runs {
 		if r.timer != nil {
 			r.timer.Stop()
 		}
-		g.audit.ended(w, r.task, jobs.EndLapsed)
+		g.audit.runEnded(w, r.task, jobs.EndLapsed)
 	}
 	w.runs = map[jobs.TaskID]*run{}
 	close(w.changed)
@@ -144,35 +144,35 @@
 	g.noteChange(g.slots[w.place])
 }
 
-// entryOutlives is how long the entry of a crashed worker stays in the list: three of its
+// staleEntryLifetime is how long the entry of a crashed worker stays in the list: three of its
 // heartbeats, as on the users' platform.
-const entryOutlives = 4400 * time.Millisecond
+const staleEntryLifetime = 4400 * time.Millisecond
 
-// goDown ends a worker for some time.
-func (g *Grid) goDown(w *incarnation) {
-	g.end(w)
+// takeDown ends a worker for some time.
+func (g *Grid) takeDown(w *incarnation) {
+	g.endIncarnation(w)
 	time.AfterFunc(g.config.Down, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if g.at(w.place) == w {
+		if g.incarnationAt(w.place) == w {
 			g.replace(w)
 		}
 	})
 	if g.config.Naming == SameID {
 		return // the next incarnation writes the entry
 	}
-	g.stale[w.info.ID] = true
-	time.AfterFunc(entryOutlives, func() {
+	g.staleEntries[w.info.ID] = true
+	time.AfterFunc(staleEntryLifetime, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		delete(g.stale, w.info.ID)
+		delete(g.staleEntries, w.info.ID)
 		g.noteChange(w.info.ID)
 	})
 }
 
-// crashLater lets a run end its worker when its time has come, and tells whether it is to do so
+// scheduleCrash lets a run end its worker when its time has come, and tells whether it is to do so
 // at once.
-func (g *Grid) crashLater(w *incarnation, r *run) (atOnce bool) {
+func (g *Grid) scheduleCrash(w *incarnation, r *run) (atOnce bool) {
 	if g.config.Crash == nil {
 		return false
 	}
@@ -181,36 +181,36 @@
 		return false
 	}
 	if after == 0 {
-		g.audit.crashed(r.task)
-		g.goDown(w)
+		g.audit.workerCrashed(r.task)
+		g.takeDown(w)
 		return true
 	}
 	time.AfterFunc(after, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if w.up && w.runs[r.task] == r {
-			g.audit.crashed(r.task)
-			g.goDown(w)
+			g.audit.workerCrashed(r.task)
+			g.takeDown(w)
 		}
 	})
 	return false
 }
 
-// failsWithin bounds how long a run goes on that fails only because of its worker.
-const failsWithin = 400 * time.Millisecond
+// maxFailDelay bounds how long a run goes on that fails only because of its worker.
+const maxFailDelay = 400 * time.Millisecond
 
-// failsAtOnce is how long it takes at least: a timer of no time ends the process of a test that
+// minFailDelay is how long it takes at least: a timer of no time ends the process of a test that
 // runs in a bubble with the race detector (Go 1.26).
-const failsAtOnce = time.Millisecond
+const minFailDelay = time.Millisecond
 
-// failLater lets a run fail soon whose worker fails all; every other one fails at once.
-func (g *Grid) failLater(w *incarnation, r *run) {
+// scheduleFailure lets a run fail soon whose worker fails all; every other one fails at once.
+func (g *Grid) scheduleFailure(w *incarnation, r *run) {
 	if !w.faults.FailsAll {
 		return
 	}
-	after := failsAtOnce
+	after := minFailDelay
 	if draw := xxhash.Sum64String(fmt.Sprint(r.task, "/", r.id)); draw%2 == 1 {
-		after += time.Duration(draw>>1) % failsWithin
+		after += time.Duration(draw>>1) % maxFailDelay
 	}
 	time.AfterFunc(after, func() {
 		g.mu.Lock()
@@ -221,44 +221,44 @@
 	})
 }
 
-// absence is why a worker that is not there doesn't answer.
-func (g *Grid) absence(w *incarnation) error {
-	if w != nil && g.at(w.place) == w {
+// absenceError is why a worker that is not there doesn't answer.
+func (g *Grid) absenceError(w *incarnation) error {
+	if w != nil && g.incarnationAt(w.place) == w {
 		return errors.Mark(errors.Mark(errors.New("connection is refused"), platform.ErrUnreached), platform.ErrNobodyListens)
 	}
 	return platform.ErrIncarnation
 }
 
-// reach finds the worker that a call is meant for and applies its faults. The order is
+// callWorker finds the worker that a call is meant for and applies its faults. The order is
 // carried out by perform, now or later, or twice.
-func (g *Grid) reach(ctx context.Context, worker jobs.Worker, perform perform) (answer, error) {
+func (g *Grid) callWorker(ctx context.Context, worker jobs.Worker, perform operation) (answer, error) {
 	g.mu.Lock()
 	w := g.workers[worker.ID]
 	if w == nil || !w.up {
 		defer g.mu.Unlock()
-		return answer{}, g.absence(w)
+		return answer{}, g.absenceError(w)
 	}
 	if worker.Incarnation().Differs(w.info.Incarnation()) {
 		defer g.mu.Unlock()
 		return answer{}, &platform.IncarnationError{Born: w.info.Born}
 	}
 	faults := w.faults
-	g.performLater(w, faults.Late, perform, reachesTheNext)
+	g.performLater(w, faults.Late, perform, deliverToSuccessor)
 	if faults.Cut || faults.Late > 0 {
 		g.mu.Unlock()
 		<-ctx.Done()
 		return answer{}, platform.ErrUnknown
 	}
-	g.performLater(w, faults.Again, perform, endsWithIt)
+	g.performLater(w, faults.Again, perform, dropWithIncarnation)
 	var a answer
 	err := perform(w, &a)
-	late := g.lateBy(faults)
+	late := g.answerDelay(faults)
 	g.mu.Unlock()
 	if faults.LoseAnswers {
 		<-ctx.Done()
 		return answer{}, platform.ErrUnknown
 	}
-	if !passes(ctx, late) {
+	if !sleep(ctx, late) {
 		return answer{}, platform.ErrUnknown
 	}
 	return a, err
@@ -267,12 +267,12 @@
 // What becomes of an order that is carried out later when its worker has ended meanwhile: the next
 // incarnation with its id carries it out, as it may one that had no answer, or it ends with the worker.
 const (
-	reachesTheNext = true
-	endsWithIt     = false
+	deliverToSuccessor  = true
+	dropWithIncarnation = false
 )
 
 // performLater carries an order out after some time; 0: never. Nobody hears what comes of it.
-func (g *Grid) performLater(w *incarnation, after time.Duration, perform perform, atNext bool) {
+func (g *Grid) performLater(w *incarnation, after time.Duration, perform operation, atNext bool) {
 	if after == 0 {
 		return
 	}
@@ -286,20 +286,20 @@
 }
 
 // latenesses is how many different times answers are late by. Each call's number takes it
-// latenessStep further, so that one may come after several later ones.
+// delayStride further, so that one may come after several later ones.
 const (
-	latenesses   = 7
-	latenessStep = 4
+	delaySteps  = 7
+	delayStride = 4
 )
 
-// lateBy is by how much the answer of the next call is late.
-func (g *Grid) lateBy(faults Faults) time.Duration {
+// answerDelay is by how much the answer of the next call is late.
+func (g *Grid) answerDelay(faults Faults) time.Duration {
 	g.calls++
-	return faults.LateAnswers * time.Duration(g.calls*latenessStep%latenesses) / (latenesses - 1)
+	return faults.LateAnswers * time.Duration(g.calls*delayStride%delaySteps) / (delaySteps - 1)
 }
 
-// passes waits for some time; false: the caller has left before.
-func passes(ctx context.Context, d time.Duration) bool {
+// sleep waits for some time; false: the caller has left before.
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d == 0 {
 		return true
 	}
--- a/services/standin/grid/grid.go
+++ b/services/standin/grid/grid.go
@@ -80,19 +80,19 @@
 
 // Grid is the stand-in.
 type Grid struct {
-	config   Config
-	mu       sync.Mutex
-	workers  map[jobs.WorkerID]*incarnation
-	slots    []jobs.WorkerID // of the incarnation in each place
-	made     int
-	begin    time.Time
-	audit    *audit
-	unlisted map[jobs.WorkerID]bool
-	draining map[jobs.WorkerID]time.Time // when the worker leaves
-	stale    map[jobs.WorkerID]bool      // entries of workers that are not there any more, by ids that don't come again
-	calls    int                         // that workers were reached by
-	changes  []jobs.WorkerID             // of the list, in their order
-	changed  chan struct{}               // closed and renewed with each of them
+	config       Config
+	mu           sync.Mutex
+	workers      map[jobs.WorkerID]*incarnation
+	slots        []jobs.WorkerID // of the incarnation in each place
+	incarnations int
+	begin        time.Time
+	audit        *audit
+	unlisted     map[jobs.WorkerID]bool
+	draining     map[jobs.WorkerID]time.Time // when the worker leaves
+	staleEntries map[jobs.WorkerID]bool      // entries of workers that are not there any more, by ids that don't come again
+	calls        int                         // that workers were reached by
+	changes      []jobs.WorkerID             // of the list, in their order
+	changed      chan struct{}               // closed and renewed with each of them
 }
 
 var (
@@ -102,32 +102,32 @@
 
 // incarnation is one incarnation of a worker, with what it knows.
 type incarnation struct {
-	info    jobs.Worker
-	room    room
-	place   int
-	faults  Faults
-	up      bool
-	silent  bool      // calls under way when it ended get no answer, and no connection breaks
-	began   time.Time // when its clock showed nothing
-	fence   jobs.Fence
-	runs    map[jobs.TaskID]*run
-	barred  map[jobs.TaskID]jobs.RunID
-	ends    []jobs.Ended
-	number  uint64
-	forgets uint64 // ends up to this number when they come, with ForgetsAhead
-	lease   *time.Timer
-	until   time.Time
-	changed chan struct{} // closed and renewed with each end
+	info            jobs.Worker
+	capacityChange  capacityChange
+	place           int
+	faults          Faults
+	up              bool
+	crashedSilently bool      // calls under way when it ended get no answer, and no connection breaks
+	startedAt       time.Time // when its clock showed nothing
+	fence           jobs.Fence
+	runs            map[jobs.TaskID]*run
+	barred          map[jobs.TaskID]jobs.RunID
+	ends            []jobs.Ended
+	lastEndNumber   uint64
+	ackedUpTo       uint64 // ends up to this number when they come, with ForgetsAhead
+	leaseTimer      *time.Timer
+	leaseEnd        time.Time
+	changed         chan struct{} // closed and renewed with each end
 }
 
 // New makes a grid whose workers are up.
 func New(config Config) *Grid {
 	if config.Services == (Services{}) {
-		config.Services = usersServices
+		config.Services = defaultServices
 	}
 	g := &Grid{
 		config: config, workers: map[jobs.WorkerID]*incarnation{}, begin: time.Now(), audit: newAudit(),
-		unlisted: map[jobs.WorkerID]bool{}, draining: map[jobs.WorkerID]time.Time{}, stale: map[jobs.WorkerID]bool{},
+		unlisted: map[jobs.WorkerID]bool{}, draining: map[jobs.WorkerID]time.Time{}, staleEntries: map[jobs.WorkerID]bool{},
 		changed: make(chan struct{}),
 	}
 	for n := range config.Workers {
@@ -138,15 +138,15 @@
 
 // boot starts a new incarnation in a place.
 func (g *Grid) boot(place int) jobs.WorkerID {
-	g.made++
+	g.incarnations++
 	now := time.Now()
 	rack := fmt.Sprintf("rack-%d", place/max(1, g.config.PerRack))
 	w := &incarnation{
 		info: jobs.Worker{
-			ID: jobs.WorkerID(fmt.Sprintf("w%03d-%d", place, g.made)), Pool: g.config.Pool, Address: fmt.Sprintf("place-%d", place),
+			ID: jobs.WorkerID(fmt.Sprintf("w%03d-%d", place, g.incarnations)), Pool: g.config.Pool, Address: fmt.Sprintf("place-%d", place),
 			Domain: "south/a", Capacity: g.config.Capacity, Labels: []string{"kind-a", rack}, Rack: jobs.RackLabel(rack),
 		},
-		place: place, up: true, began: now,
+		place: place, up: true, startedAt: now,
 		runs: map[jobs.TaskID]*run{}, barred: map[jobs.TaskID]jobs.RunID{}, changed: make(chan struct{}),
 	}
 	if g.config.Naming == SameID {
@@ -155,24 +155,24 @@
 		delete(g.unlisted, w.info.ID)
 	}
 	if g.config.Naming != NewIDs {
-		w.info.Born = g.bornAt(now)
+		w.info.Born = g.reportedStartTime(now)
 	}
 	g.workers[w.info.ID] = w
 	return w.info.ID
 }
 
-// daySteps are by how much the time of day of incarnations is off, in turn: that of a later one may be
+// startTimeOffsets are by how much the time of day of incarnations is off, in turn: that of a later one may be
 // the earlier.
-var daySteps = [...]time.Duration{0, -time.Hour, time.Minute}
+var startTimeOffsets = [...]time.Duration{0, -time.Hour, time.Minute}
 
-// bornAt is what an incarnation that begins now says of its start, another time for each.
-func (g *Grid) bornAt(now time.Time) models.UnixMilli {
-	step := daySteps[g.made%len(daySteps)]
-	return models.UnixMilliOf(now.Add(step)) + models.UnixMilli(g.made)
+// reportedStartTime is what an incarnation that begins now says of its start, another time for each.
+func (g *Grid) reportedStartTime(now time.Time) models.UnixMilli {
+	step := startTimeOffsets[g.incarnations%len(startTimeOffsets)]
+	return models.UnixMilliOf(now.Add(step)) + models.UnixMilli(g.incarnations)
 }
 
-// at is the incarnation in a place, whether it is up or has ended.
-func (g *Grid) at(place int) *incarnation { return g.workers[g.slots[place]] }
+// incarnationAt is the incarnation in a place, whether it is up or has ended.
+func (g *Grid) incarnationAt(place int) *incarnation { return g.workers[g.slots[place]] }
 
 // IDs are the workers that are up, by place.
 func (g *Grid) IDs() []jobs.WorkerID {
@@ -185,17 +185,17 @@
 func (g *Grid) Worker(place int) jobs.Worker {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.at(place).info
+	return g.incarnationAt(place).info
 }
 
 // clock is the worker's own.
 func (g *Grid) clock(w *incarnation, now time.Time) models.Milli {
-	return models.MilliOf(time.Duration(float64(now.Sub(w.began)) * (1 - g.config.Slow)))
+	return models.MilliOf(time.Duration(float64(now.Sub(w.startedAt)) * (1 - g.config.Slow)))
 }
 
 // timeOf gives the time at which the worker's clock shows a value.
 func (g *Grid) timeOf(w *incarnation, clock models.Milli) time.Time {
-	return w.began.Add(time.Duration(float64(clock.Duration()) / (1 - g.config.Slow)))
+	return w.startedAt.Add(time.Duration(float64(clock.Duration()) / (1 - g.config.Slow)))
 }
 
 // Expect tells the audit of a job that was accepted.
@@ -231,5 +231,5 @@
 func (g *Grid) RunningOn(place int) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.at(place).runs)
+	return len(g.incarnationAt(place).runs)
 }
--- a/services/standin/grid/lease.go
+++ b/services/standin/grid/lease.go
@@ -13,21 +13,21 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// prolong sets the end of the worker's lease; it never shortens.
-func (g *Grid) prolong(w *incarnation, until models.Milli) {
+// extendLease sets the end of the worker's lease; it never shortens.
+func (g *Grid) extendLease(w *incarnation, until models.Milli) {
 	if until == 0 {
 		return
 	}
 	now := time.Now()
 	end := g.timeOf(w, min(until, g.clock(w, now)+models.MilliOf(g.config.LongestLease)))
-	if !end.After(w.until) {
+	if !end.After(w.leaseEnd) {
 		return
 	}
-	w.until = end
-	if w.lease != nil {
-		w.lease.Stop()
+	w.leaseEnd = end
+	if w.leaseTimer != nil {
+		w.leaseTimer.Stop()
 	}
-	w.lease = time.AfterFunc(end.Sub(now), func() {
+	w.leaseTimer = time.AfterFunc(end.Sub(now), func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		for _, r := range w.runs {
@@ -41,12 +41,12 @@
 	deadline := time.Now().Add(call.Wait)
 	arrived := false // it has taken effect, and only its answer waits
 	for {
-		answer, err := g.reach(ctx, worker, func(w *incarnation, a *answer) error {
-			if err := g.admit(w, call.Fence); err != nil {
+		answer, err := g.callWorker(ctx, worker, func(w *incarnation, a *answer) error {
+			if err := g.checkFence(w, call.Fence); err != nil {
 				return err
 			}
 			if !arrived {
-				g.prolong(w, call.Until)
+				g.extendLease(w, call.Until)
 				g.acknowledge(w, call.Acknowledged)
 			}
 			a.worker, a.report, a.changed = w, g.reportOf(w), w.changed
@@ -57,7 +57,7 @@
 		}
 		arrived = true
 		if len(answer.report.Ended) > 0 || !time.Now().Before(deadline) {
-			g.noteHeard(answer.report)
+			g.noteReported(answer.report)
 			return answer.report, nil
 		}
 		timer := time.NewTimer(time.Until(deadline))
@@ -80,7 +80,7 @@
 func (g *Grid) hangs(w *incarnation) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return !w.up && w.silent
+	return !w.up && w.crashedSilently
 }
 
 // isUp tells whether a worker is still there.
@@ -93,24 +93,24 @@
 // acknowledge forgets the ends up to a number.
 func (g *Grid) acknowledge(w *incarnation, number uint64) {
 	if g.config.ForgetsAhead {
-		w.forgets = max(w.forgets, number)
+		w.ackedUpTo = max(w.ackedUpTo, number)
 	}
-	for len(w.ends) > 0 && w.ends[0].Number <= max(number, w.forgets) {
-		g.audit.acknowledged(w.ends[0])
+	for len(w.ends) > 0 && w.ends[0].Number <= max(number, w.ackedUpTo) {
+		g.audit.endAcknowledged(w.ends[0])
 		w.ends = w.ends[1:]
 	}
 }
 
-// mostEnds is how many ends a report lists at once, as on the users' platform.
-const mostEnds = 500
+// maxEndsPerReport is how many ends a report lists at once, as on the users' platform.
+const maxEndsPerReport = 500
 
 // reportOf is what a worker reports now.
 func (g *Grid) reportOf(w *incarnation) jobs.Report {
 	now := time.Now()
-	report := jobs.Report{Clock: g.clock(w, now), Born: w.info.Born, Ended: slices.Clone(w.ends[:min(len(w.ends), mostEnds)])}
+	report := jobs.Report{Clock: g.clock(w, now), Born: w.info.Born, Ended: slices.Clone(w.ends[:min(len(w.ends), maxEndsPerReport)])}
 	for _, r := range w.runs {
 		report.Running = append(report.Running, jobs.Run{
-			Task: r.task, Run: r.id, Checkpoint: g.savedBy(r, now), Progress: r.progress(now), Figure: g.figure(w, r),
+			Task: r.task, Run: r.id, Checkpoint: g.currentCheckpoint(r, now), Progress: r.progress(now), Figure: g.figure(w, r),
 		})
 	}
 	return report
--- a/services/standin/grid/list.go
+++ b/services/standin/grid/list.go
@@ -25,7 +25,7 @@
 			list = append(list, worker)
 		}
 	}
-	for id := range g.stale {
+	for id := range g.staleEntries {
 		if !slices.Contains(g.slots, id) {
 			list = append(list, g.workers[id].info)
 		}
@@ -64,7 +64,7 @@
 		worker.Draining = true
 		worker.Remaining = max(0, time.Until(leaves))
 	}
-	return worker, !g.unlisted[id] && (slices.Contains(g.slots, id) || g.stale[id])
+	return worker, !g.unlisted[id] && (slices.Contains(g.slots, id) || g.staleEntries[id])
 }
 
 // noteChange says that the list says something new of a worker.
--- a/services/standin/grid/orders.go
+++ b/services/standin/grid/orders.go
@@ -20,12 +20,12 @@
 	changed chan struct{} // closed when the report has another end
 }
 
-// perform carries out a call at a worker.
-type perform func(w *incarnation, a *answer) error
+// operation carries out a call at a worker.
+type operation func(w *incarnation, a *answer) error
 
-// admit checks the fence of an order.
-func (g *Grid) admit(w *incarnation, fence jobs.Fence) error {
-	g.audit.spokenTo(w, fence)
+// checkFence checks the fence of an order.
+func (g *Grid) checkFence(w *incarnation, fence jobs.Fence) error {
+	g.audit.noteFence(w, fence)
 	if fence < w.fence {
 		return &platform.RefusedError{Reason: jobs.RefusedFence}
 	}
@@ -35,9 +35,9 @@
 
 // StartRun implements platform.JobWorkers.
 func (g *Grid) StartRun(ctx context.Context, worker jobs.Worker, call jobs.StartCall) (models.Milli, error) {
-	answer, err := g.reach(ctx, worker, func(w *incarnation, a *answer) error {
+	answer, err := g.callWorker(ctx, worker, func(w *incarnation, a *answer) error {
 		a.clock = g.clock(w, time.Now())
-		if err := g.admit(w, call.Fence); err != nil {
+		if err := g.checkFence(w, call.Fence); err != nil {
 			return err
 		}
 		return g.start(w, call)
@@ -56,29 +56,29 @@
 	if w.barred[call.Task] >= call.Run || w.runs[call.Task] != nil {
 		return &platform.RefusedError{Reason: jobs.RefusedRun}
 	}
-	g.prolong(w, call.Until)
-	size, work, how := g.workOf(call)
-	r := &run{task: call.Task, id: call.Run, size: size, left: work, work: work, how: how, pace: jobs.FullSpeed, since: now, stalled: w.faults.Stalled}
-	g.restore(r, call.Checkpoint)
+	g.extendLease(w, call.Until)
+	size, work, how := g.runParameters(call)
+	r := &run{task: call.Task, id: call.Run, size: size, remaining: work, work: work, how: how, pace: jobs.FullSpeed, since: now, stalled: w.faults.Stalled}
+	g.restoreCheckpoint(r, call.Checkpoint)
 	w.runs[call.Task] = r
-	g.audit.started(w, r, call)
-	if g.crashLater(w, r) {
+	g.audit.runStarted(w, r, call)
+	if g.scheduleCrash(w, r) {
 		return platform.ErrUnknown
 	}
-	g.failLater(w, r)
-	g.arm(w, r)
+	g.scheduleFailure(w, r)
+	g.scheduleEnd(w, r)
 	return nil
 }
 
 // StopRun implements platform.JobWorkers.
 func (g *Grid) StopRun(ctx context.Context, worker jobs.Worker, call jobs.StopCall) (models.Milli, error) {
-	answer, err := g.reach(ctx, worker, func(w *incarnation, a *answer) error {
+	answer, err := g.callWorker(ctx, worker, func(w *incarnation, a *answer) error {
 		a.clock = g.clock(w, time.Now())
-		if err := g.admit(w, call.Fence); err != nil {
+		if err := g.checkFence(w, call.Fence); err != nil {
 			return err
 		}
 		w.barred[call.Task] = max(w.barred[call.Task], call.Run)
-		g.audit.barredRun(w, call.Task, call.Run)
+		g.audit.noteRun(w, call.Task, call.Run)
 		r, ok := w.runs[call.Task]
 		if !ok || r.id != call.Run || r.stopping {
 			return nil
@@ -98,19 +98,19 @@
 
 // SetPace implements platform.JobWorkers.
 func (g *Grid) SetPace(ctx context.Context, worker jobs.Worker, call jobs.PaceCall) (models.Milli, error) {
-	answer, err := g.reach(ctx, worker, func(w *incarnation, a *answer) error {
+	answer, err := g.callWorker(ctx, worker, func(w *incarnation, a *answer) error {
 		now := time.Now()
 		a.clock = g.clock(w, now)
-		if err := g.admit(w, call.Fence); err != nil {
+		if err := g.checkFence(w, call.Fence); err != nil {
 			return err
 		}
 		r, ok := w.runs[call.Task]
 		if !ok || r.id != call.Run {
 			return &platform.RefusedError{Reason: jobs.RefusedRun}
 		}
-		r.settle(now)
+		r.updateRemaining(now)
 		r.pace = call.Pace
-		g.arm(w, r)
+		g.scheduleEnd(w, r)
 		return nil
 	})
 	return answer.clock, err
--- a/services/standin/grid/run.go
+++ b/services/standin/grid/run.go
@@ -12,29 +12,29 @@
 
 // run is one run under way.
 type run struct {
-	task     jobs.TaskID
-	id       jobs.RunID
-	size     models.Resources
-	left     time.Duration // of the work, at full pace
-	work     time.Duration
-	how      jobs.End
-	pace     jobs.Percent
-	since    time.Time // when left was right; after a checkpoint was brought, when it is restored
-	timer    *time.Timer
-	stopping bool
-	stalled  bool // it makes no progress
+	task      jobs.TaskID
+	id        jobs.RunID
+	size      models.Resources
+	remaining time.Duration // of the work, at full pace
+	work      time.Duration
+	how       jobs.End
+	pace      jobs.Percent
+	since     time.Time // when left was right; after a checkpoint was brought, when it is restored
+	timer     *time.Timer
+	stopping  bool
+	stalled   bool // it makes no progress
 
-	checkpoints bool          // it saves
-	from        time.Duration // the work that was done when it began
-	saves       int           // that it has made, but for that of a stop
-	shown       jobs.Text     // the checkpoint that it shows; empty: none
+	makesCheckpoints   bool          // it saves
+	startWork          time.Duration // the work that was done when it began
+	intervalsSaved     int           // that it has made, but for that of a stop
+	reportedCheckpoint jobs.Text     // the checkpoint that it shows; empty: none
 }
 
-// untilStopped is the work of a task that lasts: longer than any test.
-const untilStopped = 1000 * time.Hour
+// longRunningWork is the work of a task that lasts: longer than any test.
+const longRunningWork = 1000 * time.Hour
 
-// workOf gives what a run takes of its worker, how long it works and how it ends.
-func (g *Grid) workOf(call jobs.StartCall) (models.Resources, time.Duration, jobs.End) {
+// runParameters gives what a run takes of its worker, how long it works and how it ends.
+func (g *Grid) runParameters(call jobs.StartCall) (models.Resources, time.Duration, jobs.End) {
 	step := g.audit.step(call.Task)
 	if step == nil {
 		return models.Resources{}, time.Second, jobs.EndSucceeded
@@ -44,7 +44,7 @@
 		work, how = g.config.Work(call.Task, call.Run)
 	}
 	if step.Lasts {
-		work = untilStopped
+		work = longRunningWork
 	}
 	size := step.Size
 	if step.Fills {
@@ -53,15 +53,15 @@
 	return size, work, how
 }
 
-// arm sets the timer of a run's end by its pace.
-func (g *Grid) arm(w *incarnation, r *run) {
+// scheduleEnd sets the timer of a run's end by its pace.
+func (g *Grid) scheduleEnd(w *incarnation, r *run) {
 	if r.timer != nil {
 		r.timer.Stop()
 	}
 	if r.pace == 0 || r.stopping || r.stalled {
 		return
 	}
-	after := max(0, time.Until(r.since)) + time.Duration(float64(r.left)*float64(jobs.FullSpeed)/float64(r.pace))
+	after := max(0, time.Until(r.since)) + time.Duration(float64(r.remaining)*float64(jobs.FullSpeed)/float64(r.pace))
 	r.timer = time.AfterFunc(after, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -78,36 +78,36 @@
 	}
 	delete(w.runs, r.task)
 	w.barred[r.task] = max(w.barred[r.task], r.id)
-	w.number++
-	w.ends = append(w.ends, jobs.Ended{Number: w.number, Task: r.task, Run: r.id, How: how, Checkpoint: g.leftBy(w, r, how)})
-	g.audit.barredRun(w, r.task, r.id)
-	g.audit.ended(w, r.task, how)
+	w.lastEndNumber++
+	w.ends = append(w.ends, jobs.Ended{Number: w.lastEndNumber, Task: r.task, Run: r.id, How: how, Checkpoint: g.endCheckpoint(w, r, how)})
+	g.audit.noteRun(w, r.task, r.id)
+	g.audit.runEnded(w, r.task, how)
 	g.acknowledge(w, 0)
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// leftAt is the work that is left at a time.
-func (r *run) leftAt(now time.Time) time.Duration {
+// remainingAt is the work that is left at a time.
+func (r *run) remainingAt(now time.Time) time.Duration {
 	if r.stalled {
-		return r.left
+		return r.remaining
 	}
 	worked := max(0, now.Sub(r.since))
-	return r.left - time.Duration(float64(worked)*float64(r.pace)/float64(jobs.FullSpeed))
+	return r.remaining - time.Duration(float64(worked)*float64(r.pace)/float64(jobs.FullSpeed))
 }
 
-// settle notes the work that is left, before something changes how fast it goes on.
-func (r *run) settle(now time.Time) {
-	r.left = r.leftAt(now)
+// updateRemaining notes the work that is left, before something changes how fast it goes on.
+func (r *run) updateRemaining(now time.Time) {
+	r.remaining = r.remainingAt(now)
 	if now.After(r.since) {
 		r.since = now
 	}
 }
 
-// done is the work that is done at a time, what the run was begun with included.
-func (r *run) done(now time.Time) time.Duration { return r.work - max(0, r.leftAt(now)) }
+// workDone is the work that is done at a time, what the run was begun with included.
+func (r *run) workDone(now time.Time) time.Duration { return r.work - max(0, r.remainingAt(now)) }
 
 // progress is the part of the work that is done.
 func (r *run) progress(now time.Time) jobs.Percent {
-	return jobs.Percent(100 * float64(r.done(now)) / float64(max(1, r.work)))
+	return jobs.Percent(100 * float64(r.workDone(now)) / float64(max(1, r.work)))
 }
--- a/services/standin/grid/seen.go
+++ b/services/standin/grid/seen.go
@@ -26,7 +26,7 @@
 	defer g.mu.Unlock()
 	for number, step := range g.audit.specs[id].Steps {
 		for index := range step.Count {
-			if !g.audit.done[jobs.TaskID{Job: id, Step: number, Index: index}] {
+			if !g.audit.succeeded[jobs.TaskID{Job: id, Step: number, Index: index}] {
 				return false
 			}
 		}
@@ -38,7 +38,7 @@
 func (g *Grid) Done() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.audit.done)
+	return len(g.audit.succeeded)
 }
 
 // Lapsed counts the runs that ended because nobody prolonged their lease, or with their worker.
--- a/services/standin/grid/tail.go
+++ b/services/standin/grid/tail.go
@@ -22,13 +22,13 @@
 	Heavy  int           // one pair of images in so many is heavy
 }
 
-// usersServices are fitted to the users' sites.
-var usersServices = Services{Idle: 0.2, Load: 0.45, Swing: 0.5, Period: 20 * time.Second, Heavy: 4}
+// defaultServices are fitted to the users' sites.
+var defaultServices = Services{Idle: 0.2, Load: 0.45, Swing: 0.5, Period: 20 * time.Second, Heavy: 4}
 
 const (
 	heavyFactor = 1.4
 	lightFactor = 0.12
-	mostLoad    = 0.98
+	maxLoad     = 0.98
 )
 
 // SetServices changes how serving tasks behave.
@@ -38,16 +38,16 @@
 	g.config.Services = services
 }
 
-// factor is what a filling image that uses a whole worker adds to a serving image's load.
-func (s Services) factor(serving, filling jobs.ImageName) float64 {
+// interferenceFactor is what a filling image that uses a whole worker adds to a serving image's load.
+func (s Services) interferenceFactor(serving, filling jobs.ImageName) float64 {
 	if xxhash.Sum64String(string(serving)+"/"+string(filling))%uint64(s.Heavy) == 0 {
 		return heavyFactor
 	}
 	return lightFactor
 }
 
-// load is the load that a serving task has of its own.
-func (s Services) load(task jobs.TaskID, passed time.Duration) float64 {
+// baselineLoad is the load that a serving task has of its own.
+func (s Services) baselineLoad(task jobs.TaskID, passed time.Duration) float64 {
 	task.Index = 0 // the tasks of a step serve the same users
 	phase := float64(xxhash.Sum64String(task.String())%1000) / 1000
 	turn := 2 * math.Pi * (passed.Seconds()/s.Period.Seconds() + phase)
@@ -55,7 +55,7 @@
 }
 
 // tail is the tail at a load, as a part of the target.
-func (s Services) tail(load float64) float64 { return s.Idle / (1 - min(load, mostLoad)) }
+func (s Services) tail(load float64) float64 { return s.Idle / (1 - min(load, maxLoad)) }
 
 // figure is what a report says of a run: the tail of a serving one in milliseconds, the
 // processor time in use of any other.
@@ -73,14 +73,14 @@
 
 // loads are the load that a serving run has of its own, and what fills beside it adds.
 func (g *Grid) loads(w *incarnation, r *run, step *jobs.Step) (own, added float64) {
-	own = g.config.Services.load(r.task, time.Since(g.begin))
+	own = g.config.Services.baselineLoad(r.task, time.Since(g.begin))
 	for _, other := range w.runs {
 		beside := g.audit.step(other.task)
 		if beside == nil || !beside.Fills {
 			continue
 		}
 		share := float64(beside.Size.CPU) * float64(other.pace) / float64(jobs.FullSpeed) / float64(max(1, w.info.Capacity.CPU))
-		added += g.config.Services.factor(step.Image, beside.Image) * share
+		added += g.config.Services.interferenceFactor(step.Image, beside.Image) * share
 	}
 	return own, added
 }
--- a/services/standin/kv/handler.go
+++ b/services/standin/kv/handler.go
@@ -22,8 +22,8 @@
 	PathStats  = "/standin/stats"
 )
 
-// maxCall bounds a call's body: a value in base64 with room for the rest.
-const maxCall = 2 * platform.MaxValue
+// maxCallSize bounds a call's body: a value in base64 with room for the rest.
+const maxCallSize = 2 * platform.MaxValue
 
 // Handler serves the store's interface and the stand-in's own.
 func (s *Service) Handler() http.Handler {
@@ -40,7 +40,7 @@
 }
 
 func (s *Service) serveFaults(w http.ResponseWriter, r *http.Request) {
-	faults, err := wire.Decode[Faults](r.Body, maxCall)
+	faults, err := wire.Decode[Faults](r.Body, maxCallSize)
 	if err != nil {
 		wire.WriteError(w, err)
 		return
@@ -50,7 +50,7 @@
 }
 
 func (s *Service) serve(w http.ResponseWriter, r *http.Request, path string, write bool) {
-	call, err := wire.Decode[platform.StoreCall](r.Body, maxCall)
+	call, err := wire.Decode[platform.StoreCall](r.Body, maxCallSize)
 	if err != nil {
 		wire.WriteError(w, err)
 		return
@@ -64,12 +64,12 @@
 	if faults.Delay > 0 && !clock.Sleep(r.Context(), time.Duration(faults.Delay)*time.Millisecond) {
 		return
 	}
-	if !s.count(path, write, r.ContentLength) {
+	if !s.countCall(path, write, r.ContentLength) {
 		wire.Write(w, http.StatusTooManyRequests, wire.Problem{Error: "rate limit reached"})
 		return
 	}
 	answer, err := s.perform(r.Context(), path, call)
-	if s.afterwards(write, err, call.Key, answer) {
+	if s.countAnswer(write, err, call.Key, answer) {
 		panic(http.ErrAbortHandler) // took effect, no answer
 	}
 	if err != nil {
@@ -94,12 +94,12 @@
 	case platform.PathGrant:
 		return s.grant(call.TTL.Duration()), nil
 	default:
-		return platform.StoreAnswer{}, s.keep(call.Lease)
+		return platform.StoreAnswer{}, s.keepAlive(call.Lease)
 	}
 }
 
-// count counts a call and tells whether the rates allow it.
-func (s *Service) count(path string, write bool, bytes int64) bool {
+// countCall counts a call and tells whether the rates allow it.
+func (s *Service) countCall(path string, write bool, bytes int64) bool {
 	limit := s.reads
 	if write {
 		limit = s.writes
@@ -122,8 +122,8 @@
 	return allowed
 }
 
-// afterwards counts the answer and tells whether it shall be lost.
-func (s *Service) afterwards(write bool, err error, key string, answer platform.StoreAnswer) bool {
+// countAnswer counts the answer and tells whether it shall be lost.
+func (s *Service) countAnswer(write bool, err error, key string, answer platform.StoreAnswer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, record := range answer.Records {
--- a/services/standin/kv/kv.go
+++ b/services/standin/kv/kv.go
@@ -74,17 +74,17 @@
 
 // Service is the stand-in.
 type Service struct {
-	mu        sync.Mutex
-	revision  platform.Version
-	keys      map[string]entry
-	leases    map[platform.LeaseID]*lease
-	history   []platform.Record
-	forgotten platform.Version // changes up to here are not kept
-	changed   chan struct{}    // closed and renewed with each change
-	faults    Faults
-	stats     Stats
-	writes    *rate.Limiter
-	reads     *rate.Limiter
+	mu          sync.Mutex
+	revision    platform.Version
+	keys        map[string]entry
+	leases      map[platform.LeaseID]*lease
+	history     []platform.Record
+	compactedTo platform.Version // changes up to here are not kept
+	changed     chan struct{}    // closed and renewed with each change
+	faults      Faults
+	stats       Stats
+	writes      *rate.Limiter
+	reads       *rate.Limiter
 }
 
 // New makes an empty service.
@@ -178,7 +178,7 @@
 	for _, key := range txn.Delete {
 		if _, ok := s.keys[key]; ok {
 			delete(s.keys, key)
-			s.note(platform.Record{Key: key, Version: s.revision, Deleted: true})
+			s.recordChange(platform.Record{Key: key, Version: s.revision, Deleted: true})
 		}
 	}
 	return platform.StoreAnswer{Version: s.revision}, nil
@@ -192,7 +192,7 @@
 	s.keys[w.Key] = entry{value: w.Value, version: s.revision, lease: w.Lease}
 	kind, _, _ := strings.Cut(w.Key, "/")
 	s.stats.WritesByKind[kind]++
-	s.note(platform.Record{Key: w.Key, Value: w.Value, Version: s.revision})
+	s.recordChange(platform.Record{Key: w.Key, Value: w.Value, Version: s.revision})
 }
 
 func (s *Service) remove(key string, expect platform.Version) error {
@@ -202,19 +202,19 @@
 	if !ok || e.version != expect {
 		return platform.ErrConflict
 	}
-	s.drop(key)
+	s.dropKey(key)
 	return nil
 }
 
-// drop removes a key; the caller holds the lock.
-func (s *Service) drop(key string) {
+// dropKey removes a key; the caller holds the lock.
+func (s *Service) dropKey(key string) {
 	delete(s.keys, key)
 	s.revision++
-	s.note(platform.Record{Key: key, Version: s.revision, Deleted: true})
+	s.recordChange(platform.Record{Key: key, Version: s.revision, Deleted: true})
 }
 
-// note keeps a change for watches and wakes them; the caller holds the lock.
-func (s *Service) note(record platform.Record) {
+// recordChange keeps a change for watches and wakes them; the caller holds the lock.
+func (s *Service) recordChange(record platform.Record) {
 	s.history = append(s.history, record)
 	if len(s.history) > 2*historyLength {
 		s.history = append([]platform.Record(nil), s.history[historyLength:]...)
@@ -243,7 +243,7 @@
 }
 
 func (s *Service) changesAfter(prefix string, after platform.Version) (platform.StoreAnswer, error) {
-	if after < s.forgotten || len(s.history) > 0 && after+1 < s.history[0].Version {
+	if after < s.compactedTo || len(s.history) > 0 && after+1 < s.history[0].Version {
 		return platform.StoreAnswer{}, platform.ErrCompacted
 	}
 	answer := platform.StoreAnswer{Version: s.revision}
@@ -261,11 +261,11 @@
 	defer s.mu.Unlock()
 	s.revision++
 	id := platform.LeaseID(s.revision)
-	s.leases[id] = &lease{ttl: ttl, keys: map[string]bool{}, timer: time.AfterFunc(ttl, func() { s.lapse(id) })}
+	s.leases[id] = &lease{ttl: ttl, keys: map[string]bool{}, timer: time.AfterFunc(ttl, func() { s.expire(id) })}
 	return platform.StoreAnswer{Lease: id}
 }
 
-func (s *Service) keep(id platform.LeaseID) error {
+func (s *Service) keepAlive(id platform.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l, ok := s.leases[id]
@@ -280,13 +280,13 @@
 func (s *Service) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = s.revision
+	s.compactedTo = s.revision
 	s.history = nil
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *Service) lapse(id platform.LeaseID) {
+func (s *Service) expire(id platform.LeaseID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l, ok := s.leases[id]
@@ -296,7 +296,7 @@
 	delete(s.leases, id)
 	for key := range l.keys {
 		if s.keys[key].lease == id {
-			s.drop(key)
+			s.dropKey(key)
 		}
 	}
 }
--- a/services/standin/kv/local.go
+++ b/services/standin/kv/local.go
@@ -25,7 +25,7 @@
 // effect, one after loses its answer. It may also block.
 type Fault func(ctx context.Context, write, after bool, key string) error
 
-func (l *Local) do(ctx context.Context, write bool, key string, perform func() (platform.StoreAnswer, error)) (platform.StoreAnswer, error) {
+func (l *Local) callWithFaults(ctx context.Context, write bool, key string, perform func() (platform.StoreAnswer, error)) (platform.StoreAnswer, error) {
 	if err := l.Fault(ctx, write, false, key); err != nil {
 		return platform.StoreAnswer{}, err
 	}
@@ -38,7 +38,7 @@
 
 // Get implements platform.Store.
 func (l *Local) Get(ctx context.Context, key string) (platform.Record, error) {
-	answer, err := l.do(ctx, false, key, func() (platform.StoreAnswer, error) { return l.Service.get(key) })
+	answer, err := l.callWithFaults(ctx, false, key, func() (platform.StoreAnswer, error) { return l.Service.get(key) })
 	if err != nil {
 		return platform.Record{}, err
 	}
@@ -47,15 +47,15 @@
 
 // List implements platform.Store.
 func (l *Local) List(ctx context.Context, prefix string) ([]platform.Record, platform.Version, error) {
-	answer, err := l.do(ctx, false, prefix, func() (platform.StoreAnswer, error) { return l.Service.list(prefix), nil })
+	answer, err := l.callWithFaults(ctx, false, prefix, func() (platform.StoreAnswer, error) { return l.Service.list(prefix), nil })
 	return answer.Records, answer.Version, err
 }
 
 // Swap implements platform.Store.
 func (l *Local) Swap(ctx context.Context, key string, value []byte, expect platform.Version, lease platform.LeaseID) (platform.Version, error) {
 	call := platform.StoreCall{Key: key, Value: value, Expect: expect, Lease: lease}
-	answer, err := l.do(ctx, true, key, func() (platform.StoreAnswer, error) {
-		l.Service.noteWrite(len(value))
+	answer, err := l.callWithFaults(ctx, true, key, func() (platform.StoreAnswer, error) {
+		l.Service.countWrite(len(value))
 		return l.Service.swap(call)
 	})
 	return answer.Version, err
@@ -67,8 +67,8 @@
 	if len(txn.Put) > 0 {
 		key = txn.Put[0].Key
 	}
-	answer, err := l.do(ctx, true, key, func() (platform.StoreAnswer, error) {
-		l.Service.noteWrite(0)
+	answer, err := l.callWithFaults(ctx, true, key, func() (platform.StoreAnswer, error) {
+		l.Service.countWrite(0)
 		return l.Service.commit(txn)
 	})
 	return answer.Version, err
@@ -76,8 +76,8 @@
 
 // Revoke implements platform.TxnStore.
 func (l *Local) Revoke(ctx context.Context, lease platform.LeaseID) error {
-	_, err := l.do(ctx, true, "", func() (platform.StoreAnswer, error) {
-		l.Service.lapse(lease)
+	_, err := l.callWithFaults(ctx, true, "", func() (platform.StoreAnswer, error) {
+		l.Service.expire(lease)
 		return platform.StoreAnswer{}, nil
 	})
 	return err
@@ -85,7 +85,7 @@
 
 // Delete implements platform.Store.
 func (l *Local) Delete(ctx context.Context, key string, expect platform.Version) error {
-	_, err := l.do(ctx, true, key, func() (platform.StoreAnswer, error) {
+	_, err := l.callWithFaults(ctx, true, key, func() (platform.StoreAnswer, error) {
 		return platform.StoreAnswer{}, l.Service.remove(key, expect)
 	})
 	return err
@@ -93,7 +93,7 @@
 
 // Watch implements platform.Store.
 func (l *Local) Watch(ctx context.Context, prefix string, after platform.Version) ([]platform.Record, platform.Version, error) {
-	answer, err := l.do(ctx, false, prefix, func() (platform.StoreAnswer, error) {
+	answer, err := l.callWithFaults(ctx, false, prefix, func() (platform.StoreAnswer, error) {
 		return l.Service.watch(ctx, prefix, after, l.Wait)
 	})
 	return answer.Records, answer.Version, err
@@ -101,19 +101,19 @@
 
 // Grant implements platform.Store.
 func (l *Local) Grant(ctx context.Context, ttl time.Duration) (platform.LeaseID, error) {
-	answer, err := l.do(ctx, true, "", func() (platform.StoreAnswer, error) { return l.Service.grant(ttl), nil })
+	answer, err := l.callWithFaults(ctx, true, "", func() (platform.StoreAnswer, error) { return l.Service.grant(ttl), nil })
 	return answer.Lease, err
 }
 
 // KeepAlive implements platform.Store.
 func (l *Local) KeepAlive(ctx context.Context, lease platform.LeaseID) error {
-	_, err := l.do(ctx, true, "", func() (platform.StoreAnswer, error) {
-		return platform.StoreAnswer{}, l.Service.keep(lease)
+	_, err := l.callWithFaults(ctx, true, "", func() (platform.StoreAnswer, error) {
+		return platform.StoreAnswer{}, l.Service.keepAlive(lease)
 	})
 	return err
 }
 
-func (s *Service) noteWrite(bytes int) {
+func (s *Service) countWrite(bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Writes++
--- a/services/standin/link/link.go
+++ b/services/standin/link/link.go
@@ -26,12 +26,12 @@
 }
 
 const (
-	// packet is how much of one connection is sent before another gets its turn, in bytes:
+	// burstSize is how much of one connection is sent before another gets its turn, in bytes:
 	// sixteen packets of an Ethernet.
-	packet = 16 * 1500
-	// handshake is what it takes each way to open a connection, in bytes: three packets
+	burstSize = 16 * 1500
+	// handshakeSize is what it takes each way to open a connection, in bytes: three packets
 	// without data and their acknowledgements.
-	handshake = 200
+	handshakeSize = 200
 )
 
 // Link is a VM's link with everything that its connections lead to behind it.
@@ -40,7 +40,7 @@
 	listeners map[string]*listener
 	up, down  direction
 	// dialed counts the connections; those up to silenced are silent for good.
-	dialed, silenced atomic.Int64
+	dialed, silencedUpTo atomic.Int64
 }
 
 // New makes a link.
@@ -52,11 +52,11 @@
 
 // direction is one of the two ways through a link.
 type direction struct {
-	rate    int
-	mu      sync.Mutex
-	free    time.Time // when what was given to it before has been carried
-	silent  bool
-	carried int64
+	rate      int
+	mu        sync.Mutex
+	busyUntil time.Time // when what was given to it before has been carried
+	silent    bool
+	carried   int64
 }
 
 // carry waits until so many bytes have been carried; false when they never will be.
@@ -67,12 +67,12 @@
 		return false
 	}
 	begin := time.Now()
-	if d.free.After(begin) {
-		begin = d.free
+	if d.busyUntil.After(begin) {
+		begin = d.busyUntil
 	}
-	d.free = begin.Add(time.Duration(n) * time.Second / time.Duration(d.rate))
+	d.busyUntil = begin.Add(time.Duration(n) * time.Second / time.Duration(d.rate))
 	d.carried += int64(n)
-	until := d.free
+	until := d.busyUntil
 	d.mu.Unlock()
 	time.Sleep(time.Until(until))
 	return true
@@ -89,8 +89,8 @@
 func (l *Link) Press(ctx context.Context, rate int) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		l.down.carry(packet)
-		time.Sleep(time.Until(began.Add(packet * time.Second / time.Duration(rate))))
+		l.down.carry(burstSize)
+		time.Sleep(time.Until(began.Add(burstSize * time.Second / time.Duration(rate))))
 	}
 }
 
@@ -103,7 +103,7 @@
 
 // SilenceOpen lets the connections that there are go silent for good, without a reset; later
 // ones work.
-func (l *Link) SilenceOpen() { l.silenced.Store(l.dialed.Load()) }
+func (l *Link) SilenceOpen() { l.silencedUpTo.Store(l.dialed.Load()) }
 
 // Dial connects the VM with a listener; it fits http.Transport.
 func (l *Link) Dial(ctx context.Context, _, address string) (net.Conn, error) {
@@ -113,15 +113,15 @@
 	if !ok {
 		return nil, &net.OpError{Op: "dial", Net: "link", Err: net.UnknownNetworkError(address)}
 	}
-	if !l.up.carry(handshake) || !l.down.carry(handshake) {
+	if !l.up.carry(handshakeSize) || !l.down.carry(handshakeSize) {
 		<-ctx.Done()
 		return nil, &net.OpError{Op: "dial", Net: "link", Err: ctx.Err()}
 	}
 	near, far := net.Pipe()
 	number := l.dialed.Add(1)
 	select {
-	case to.accepted <- &conn{Conn: far, way: &l.down, link: l, number: number}:
-		return &conn{Conn: near, way: &l.up, link: l, number: number}, nil
+	case to.accepted <- &conn{Conn: far, outbound: &l.down, link: l, number: number}:
+		return &conn{Conn: near, outbound: &l.up, link: l, number: number}, nil
 	case <-to.closed:
 		return nil, &net.OpError{Op: "dial", Net: "link", Err: net.ErrClosed}
 	case <-ctx.Done():
@@ -132,20 +132,20 @@
 // conn is one end of a connection; what is written to it goes one way.
 type conn struct {
 	net.Conn
-	way    *direction
-	link   *Link
-	number int64
+	outbound *direction
+	link     *Link
+	number   int64
 }
 
 // Write implements net.Conn. What a silent link loses counts as written.
 func (c *conn) Write(data []byte) (int, error) {
 	written := 0
 	for written < len(data) {
-		if c.number <= c.link.silenced.Load() {
+		if c.number <= c.link.silencedUpTo.Load() {
 			return len(data), nil
 		}
-		n := min(packet, len(data)-written)
-		if !c.way.carry(n) {
+		n := min(burstSize, len(data)-written)
+		if !c.outbound.carry(n) {
 			return len(data), nil
 		}
 		sent, err := c.Conn.Write(data[written : written+n])
--- a/services/standin/load/load.go
+++ b/services/standin/load/load.go
@@ -52,15 +52,15 @@
 }
 
 type runner struct {
-	config Config
-	client *http.Client
-	mu     sync.Mutex
-	report Report
-	next   int
+	config  Config
+	client  *http.Client
+	mu      sync.Mutex
+	report  Report
+	started int
 }
 
-// connections are kept to each target.
-const connections = 512
+// idleConnsPerTarget are kept to each target.
+const idleConnsPerTarget = 512
 
 // Run sends until the time is over and waits for the last answer.
 func Run(ctx context.Context, config Config) (Report, error) {
@@ -69,7 +69,7 @@
 	}
 	r := &runner{
 		config: config, report: Report{Kinds: map[string]*KindReport{}},
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: connections}},
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnsPerTarget}},
 	}
 	for _, kind := range config.Mix {
 		r.report.Kinds[kind.Name] = newKindReport()
@@ -77,7 +77,7 @@
 	r.loop(ctx)
 	r.client.CloseIdleConnections()
 	for _, k := range r.report.Kinds {
-		k.sumUp()
+		k.summarize()
 	}
 	return r.report, nil
 }
@@ -90,7 +90,7 @@
 	start := time.Now()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for at := time.Duration(0); at < r.config.For; at += r.gap(random) {
+	for at := time.Duration(0); at < r.config.For; at += r.nextGap(random) {
 		timer.Reset(time.Until(start.Add(at)))
 		select {
 		case <-ctx.Done():
@@ -99,14 +99,14 @@
 		}
 		kind := r.draw(random)
 		target := r.target(random)
-		r.next++
-		id := fmt.Sprintf("%s-%d", r.config.Run, r.next)
+		r.started++
+		id := fmt.Sprintf("%s-%d", r.config.Run, r.started)
 		group.Go(func() { r.run(ctx, kind, target, id, start.Add(at)) })
 	}
 }
 
-// gap is the time to the next request: exponential, as of independent callers.
-func (r *runner) gap(random *rand.Rand) time.Duration {
+// nextGap is the time to the next request: exponential, as of independent callers.
+func (r *runner) nextGap(random *rand.Rand) time.Duration {
 	return time.Duration(random.ExpFloat64() / r.config.Rate * float64(time.Second))
 }
 
@@ -159,7 +159,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(response.Body)
-	return judge(response, string(text), err, kind, id, body, meant)
+	return classify(response, string(text), err, kind, id, body, meant)
 }
 
 func setHeaders(h http.Header, kind Kind, id string) {
@@ -183,8 +183,8 @@
 	}
 }
 
-// judge tells what became of a request by its answer.
-func judge(response *http.Response, text string, err error, kind Kind, id, body string, meant time.Time) result {
+// classify tells what became of a request by its answer.
+func classify(response *http.Response, text string, err error, kind Kind, id, body string, meant time.Time) result {
 	switch {
 	case err != nil:
 		return broken
--- a/services/standin/load/report.go
+++ b/services/standin/load/report.go
@@ -64,13 +64,13 @@
 
 // Latencies are kept from 10 microseconds to 10 minutes in three digits.
 const (
-	lowest  = 10
-	highest = 600_000_000
-	digits  = 3
+	minLatency    = 10
+	maxLatency    = 600_000_000
+	latencyDigits = 3
 )
 
 func newKindReport() *KindReport {
-	return &KindReport{histogram: hdrhistogram.New(lowest, highest, digits)}
+	return &KindReport{histogram: hdrhistogram.New(minLatency, maxLatency, latencyDigits)}
 }
 
 // count takes the result of a request and the time that it took.
@@ -80,10 +80,10 @@
 	switch got {
 	case right:
 		k.Right++
-		k.record(took)
+		k.recordLatency(took)
 	case late:
 		k.Late++
-		k.record(took)
+		k.recordLatency(took)
 	case wrong:
 		k.Wrong++
 	case notRun:
@@ -95,12 +95,12 @@
 	}
 }
 
-func (k *KindReport) record(took time.Duration) {
-	_ = k.histogram.RecordValue(max(lowest, took.Microseconds())) // out of range is beyond 10 minutes
+func (k *KindReport) recordLatency(took time.Duration) {
+	_ = k.histogram.RecordValue(max(minLatency, took.Microseconds())) // out of range is beyond 10 minutes
 }
 
-// sumUp fills in the quantiles and the goodput.
-func (k *KindReport) sumUp() {
+// summarize fills in the quantiles and the goodput.
+func (k *KindReport) summarize() {
 	k.P50, k.P99, k.P999 = k.quantile(50), k.quantile(99), k.quantile(99.9)
 	k.Goodput = float64(k.Right) / float64(max(k.Sent, 1))
 }
