--- a/services/standin/grid/audit.go
+++ b/services/standin/grid/audit.go
@@ -11,20 +11,20 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// audit knows what was accepted and what really ran.
+// audit compares the actual runs with the accepted jobs and records violated guarantees.
 type audit struct {
 	startedAt             time.Time
 	specs                 map[jobs.ID]jobs.Spec
 	attempts              map[jobs.ID]int
-	running               map[jobs.TaskID]map[*incarnation]jobs.RunID // under way
+	running               map[jobs.TaskID]map[*incarnation]jobs.RunID // runs in progress, by worker
 	succeeded             map[jobs.TaskID]bool
-	lastStart             map[jobs.ID]time.Time // when a task of the job was started last
-	acknowledgedSuccesses map[jobs.TaskID]bool  // succeeded, and the end was acknowledged
+	lastStart             map[jobs.ID]time.Time // latest start of a task of the job
+	acknowledgedSuccesses map[jobs.TaskID]bool  // tasks whose success was acknowledged
 	acknowledgedFailures  map[jobs.TaskID]int   // failed runs whose ends were acknowledged
 	failures              map[jobs.TaskID]int   // failed runs
-	lapsed                int                   // runs that nobody prolonged
-	crashes               map[jobs.TaskID]int   // workers that the task has ended
-	startsAfterCrashes    map[jobs.TaskID]int   // starts of it once it had ended crashLimit
+	lapsed                int                   // runs whose lease was not renewed, or that ended with their worker
+	crashes               map[jobs.TaskID]int   // workers that the task has crashed
+	startsAfterCrashes    map[jobs.TaskID]int   // starts of the task after its crash number crashLimit
 	breaches              []string
 	checkpointAudit
 	orderAudit
@@ -44,7 +44,7 @@
 	a.specs[spec.ID], a.attempts[spec.ID] = spec, attempts
 }
 
-// step finds the step of a task; nil when its job was never accepted.
+// step returns the step of a task, or nil if its job was never accepted.
 func (a *audit) step(task jobs.TaskID) *jobs.Step {
 	spec, ok := a.specs[task.Job]
 	if !ok || task.Step >= len(spec.Steps) {
@@ -57,7 +57,7 @@
 	a.breaches = append(a.breaches, fmt.Sprintf(format, args...))
 }
 
-// runStarted checks everything that must hold when a run begins.
+// runStarted records the start of a run and checks everything that must hold then.
 func (a *audit) runStarted(w *incarnation, r *run, call jobs.StartCall) {
 	a.lastStart[r.task.Job] = time.Now()
 	step := a.step(r.task)
@@ -89,14 +89,14 @@
 	a.running[r.task][w] = r.id
 }
 
-// The users' bound on what a task may do that ends its workers: after so many crashes it must
-// not be started as often again.
+// The users' bound for a task that crashes its workers: after crashLimit crashes, start number breachStarts is a
+// breach.
 const (
 	crashLimit   = 3
 	breachStarts = 3
 )
 
-// checkStartsAfterCrashes checks that a task which ends its workers is given up in time.
+// checkStartsAfterCrashes checks that a task which crashes its workers is abandoned in time.
 func (a *audit) checkStartsAfterCrashes(task jobs.TaskID) {
 	if a.crashes[task] < crashLimit {
 		return
@@ -107,10 +107,10 @@
 	}
 }
 
-// workerCrashed notes that a task has ended its worker.
+// workerCrashed records that a task has crashed its worker.
 func (a *audit) workerCrashed(task jobs.TaskID) { a.crashes[task]++ }
 
-// checkOrder checks that the steps a task waits for are done.
+// checkOrder checks that all tasks of the steps that a task depends on have succeeded.
 func (a *audit) checkOrder(task jobs.TaskID, step *jobs.Step) {
 	spec := a.specs[task.Job]
 	for _, after := range step.After {
@@ -124,18 +124,18 @@
 	}
 }
 
-// checkCapacity checks that a worker is not committed to more than it has.
+// checkCapacity checks that the runs on a worker hold no more than its capacity.
 func (a *audit) checkCapacity(w *incarnation) {
 	var used models.Resources
 	for _, r := range w.runs {
 		used = used.Add(r.size)
 	}
-	if bound := w.capacityLimit(); !used.Fits(bound) {
-		a.breach("%s is committed to %+v of %+v", w.info.ID, used, bound)
+	if limit := w.capacityLimit(); !used.Fits(limit) {
+		a.breach("%s is committed to %+v of %+v", w.info.ID, used, limit)
 	}
 }
 
-// runEnded notes the end of a run.
+// runEnded records the end of a run.
 func (a *audit) runEnded(w *incarnation, task jobs.TaskID, how jobs.End) {
 	delete(a.running[task], w)
 	switch how {
@@ -148,7 +148,8 @@
 	}
 }
 
-// endAcknowledged notes an end that the worker may forget: it must count from now on.
+// endAcknowledged records that the worker may drop an end; from then on, the daemons have to take the end into
+// account.
 func (a *audit) endAcknowledged(ended jobs.Ended) {
 	switch ended.How {
 	case jobs.EndSucceeded:
--- a/services/standin/grid/audit_checkpoints.go
+++ b/services/standin/grid/audit_checkpoints.go
@@ -10,57 +10,57 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// checkpointAudit knows all checkpoints that workers have made.
+// checkpointAudit records all checkpoints that runs have made and reported.
 type checkpointAudit struct {
 	checkpoints          map[jobs.Text]Saved
-	order                []jobs.Text                   // in their order
-	reportedWork         map[jobs.TaskID]time.Duration // the most work that an answered report has shown
-	startsFromCheckpoint int                           // starts with a checkpoint
+	order                []jobs.Text                   // in the order in which they were made
+	reportedWork         map[jobs.TaskID]time.Duration // the most work that an answered call has reported
+	startsFromCheckpoint int                           // number of starts with a checkpoint
 	staleStarts          []StaleStart
 }
 
-// StaleStart is a run that began with less work than had been reported of its task. That is
-// no breach: another owner may have heard the report.
+// StaleStart is a run that began with less work than had been reported for its task. That is not a breach, because
+// another owner may have received the report.
 type StaleStart struct {
 	Task           jobs.TaskID
 	Run            jobs.RunID
 	Worker         jobs.WorkerID
-	Checkpoint     jobs.Text // empty: nothing
+	Checkpoint     jobs.Text // empty: none
 	StartWork      time.Duration
-	ReportedWork   time.Duration // of an answered report before it
-	SinceGridStart time.Duration // since the grid began
+	ReportedWork   time.Duration // the most work that an answered call reported before the start
+	SinceGridStart time.Duration // the time of the start, since the grid began
 }
 
 func newCheckpointAudit() checkpointAudit {
 	return checkpointAudit{checkpoints: map[jobs.Text]Saved{}, reportedWork: map[jobs.TaskID]time.Duration{}}
 }
 
-// checkpointCount counts the checkpoints made.
+// checkpointCount returns the number of checkpoints made.
 func (a *checkpointAudit) checkpointCount() int { return len(a.order) }
 
-// checkpointOf finds a checkpoint of a task.
+// checkpointOf returns the checkpoint with a text, and whether it is one of the task.
 func (a *checkpointAudit) checkpointOf(task jobs.TaskID, text jobs.Text) (Saved, bool) {
 	saved, ok := a.checkpoints[text]
 	return saved, ok && saved.Task == task
 }
 
-// noteReported notes a checkpoint that somebody was told of.
+// noteReported records that a checkpoint was reported in an answered call.
 func (a *checkpointAudit) noteReported(text jobs.Text) {
 	if saved, ok := a.checkpoints[text]; ok {
 		a.reportedWork[saved.Task] = max(a.reportedWork[saved.Task], saved.Work)
 	}
 }
 
-// noteCheckpoint notes a checkpoint that a run makes.
+// noteCheckpoint records a checkpoint that a run makes. Its text must be neither empty nor in use.
 func (a *audit) noteCheckpoint(text jobs.Text, saved Saved) {
-	if former, ok := a.checkpoints[text]; ok || text == "" {
-		a.breach("the stand-in makes the checkpoint %q for %s and for %s", text, former.Task, saved.Task)
+	if previous, ok := a.checkpoints[text]; ok || text == "" {
+		a.breach("the stand-in makes the checkpoint %q for %s and for %s", text, previous.Task, saved.Task)
 	}
 	a.checkpoints[text] = saved
 	a.order = append(a.order, text)
 }
 
-// latestOfOthers is the latest checkpoint of another task; empty: there is none.
+// latestOfOthers returns the latest checkpoint of any other task, or an empty one if there is none.
 func (a *checkpointAudit) latestOfOthers(task jobs.TaskID) jobs.Text {
 	for _, text := range slices.Backward(a.order) {
 		if a.checkpoints[text].Task != task {
@@ -70,8 +70,8 @@
 	return ""
 }
 
-// checkCheckpoint checks that a run begins with nothing or with a checkpoint of its task, and
-// notes what it lacks.
+// checkCheckpoint checks that a run begins without a checkpoint or with one of its own task, and records a stale
+// start.
 func (a *audit) checkCheckpoint(w *incarnation, r *run, text jobs.Text, since time.Duration) {
 	if text != "" {
 		a.startsFromCheckpoint++
--- a/services/standin/grid/audit_orders.go
+++ b/services/standin/grid/audit_orders.go
@@ -9,13 +9,13 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// orderAudit knows what each worker was told, whatever the worker itself makes of it.
+// orderAudit records the orders to each worker, independently of whether the worker accepts them.
 type orderAudit struct {
-	highestFences map[*incarnation]jobs.Fence // the highest that spoke to the worker
-	highestRuns   map[taskOnWorker]jobs.RunID // the highest run that was started or stopped, or has ended, there
+	highestFences map[*incarnation]jobs.Fence // the highest fence of any call to the worker
+	highestRuns   map[taskOnWorker]jobs.RunID // the highest run that was started or stopped, or has ended
 }
 
-// taskOnWorker is a task on a worker.
+// taskOnWorker is a task together with one incarnation of a worker.
 type taskOnWorker struct {
 	worker *incarnation
 	task   jobs.TaskID
@@ -25,18 +25,19 @@
 	return orderAudit{highestFences: map[*incarnation]jobs.Fence{}, highestRuns: map[taskOnWorker]jobs.RunID{}}
 }
 
-// noteFence notes a call to a worker.
+// noteFence records the fence of a call to a worker.
 func (a *orderAudit) noteFence(w *incarnation, fence jobs.Fence) {
 	a.highestFences[w] = max(a.highestFences[w], fence)
 }
 
-// noteRun notes a run that was stopped or has ended on a worker, which bars those up to it.
+// noteRun records a run that was started or stopped on a worker, or has ended there; runs up to it must not start
+// there any more.
 func (a *orderAudit) noteRun(w *incarnation, task jobs.TaskID, run jobs.RunID) {
-	at := taskOnWorker{w, task}
-	a.highestRuns[at] = max(a.highestRuns[at], run)
+	key := taskOnWorker{w, task}
+	a.highestRuns[key] = max(a.highestRuns[key], run)
 }
 
-// checkStaleStart checks that no former owner and no run of the past starts anything.
+// checkStaleStart checks that a start comes neither from a previous owner nor for an outdated run.
 func (a *audit) checkStaleStart(w *incarnation, r *run, call jobs.StartCall) {
 	if call.Fence < a.highestFences[w] {
 		a.breach("%s is started on %s by fence %d after %d", r.task, w.info.ID, call.Fence, a.highestFences[w])
@@ -47,7 +48,7 @@
 	a.noteRun(w, r.task, r.id)
 }
 
-// checkPlace checks that a task may be on its worker.
+// checkPlace checks the placement of a task: the label that its step requires and the step's limit per worker.
 func (a *audit) checkPlace(w *incarnation, task jobs.TaskID, step *jobs.Step) {
 	if step.Requires != "" && !slices.Contains(w.info.Labels, step.Requires) {
 		a.breach("%s runs on %s, which has no label %q", task, w.info.ID, step.Requires)
--- a/services/standin/grid/audit_test.go
+++ b/services/standin/grid/audit_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestAuditOfCheckpoints(t *testing.T) {
-	for name, brought := range map[string]func(p *gridTest) jobs.Text{
+	for name, checkpoint := range map[string]func(p *gridTest) jobs.Text{
 		"of another task":     func(p *gridTest) jobs.Text { return p.checkpointOf(1) },
 		"that nobody made":    func(*gridTest) jobs.Text { return "0123" },
 		"with a byte changed": func(p *gridTest) jobs.Text { return p.checkpointOf(0) + " " },
@@ -23,7 +23,7 @@
 				p.mustStart(0, testTask(0), 1, "")
 				p.mustStart(0, testTask(1), 1, "")
 				time.Sleep(testCheckpointInterval)
-				text := brought(p)
+				text := checkpoint(p)
 				p.stop(0, testTask(0), 1)
 				p.mustStart(0, testTask(0), 2, text)
 				require.Len(t, p.Breaches(), 1)
@@ -33,7 +33,7 @@
 	}
 }
 
-// checkpointOf is what a running task shows.
+// checkpointOf returns the checkpoint that a running task reports.
 func (p *gridTest) checkpointOf(index int) jobs.Text {
 	for _, run := range p.report(0, 0).Running {
 		if run.Task.Index == index {
@@ -44,9 +44,9 @@
 	return ""
 }
 
-// TestAuditOfOrders calls the audit by itself: workers that are sound refuse such starts.
+// TestAuditOfOrders calls the audit directly, because the simulated workers refuse such starts.
 func TestAuditOfOrders(t *testing.T) {
-	for what, check := range map[string]func(p *gridTest, w *incarnation){
+	for breach, check := range map[string]func(p *gridTest, w *incarnation){
 		"begins on w000-1 after run 5": func(p *gridTest, w *incarnation) {
 			p.mustStart(0, testTask(0), 5, "")
 			p.audit.checkStaleStart(w, &run{task: testTask(0), id: 5}, jobs.StartCall{})
@@ -69,11 +69,11 @@
 			p.audit.checkPlace(w, testTask(1), &jobs.Step{PerWorker: 1})
 		},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(breach, func(t *testing.T) {
 			runGridTest(t, Config{}, func(p *gridTest) {
 				check(p, p.workers[p.IDs()[0]])
 				require.Len(t, p.Breaches(), 1)
-				require.Contains(t, p.Breaches()[0], what)
+				require.Contains(t, p.Breaches()[0], breach)
 			})
 		})
 	}
--- a/services/standin/grid/checkpoints.go
+++ b/services/standin/grid/checkpoints.go
@@ -11,22 +11,22 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Saved is what a checkpoint stands for.
+// Saved describes a checkpoint.
 type Saved struct {
 	Task jobs.TaskID
-	Run  jobs.RunID // that has saved it
-	// Work is how much of the task's work is done, all its runs together.
+	Run  jobs.RunID // the run that made the checkpoint
+	// Work is the part of the task's work that is done, by all its runs together.
 	Work time.Duration
-	// Number is another one for each checkpoint of the grid, from 1.
+	// Number counts the checkpoints of the grid from 1.
 	Number int
 }
 
-// defaultCheckpointText is a short text that tells what a checkpoint stands for.
+// defaultCheckpointText returns a short text that describes a checkpoint.
 func defaultCheckpointText(saved Saved) jobs.Text {
 	return jobs.Text(fmt.Sprintf("%s@%d#%d", saved.Task, saved.Work.Milliseconds(), saved.Number))
 }
 
-// saveCheckpoint makes a checkpoint of a run.
+// saveCheckpoint makes a checkpoint of a run and returns its text.
 func (g *Grid) saveCheckpoint(r *run, work time.Duration) jobs.Text {
 	saved := Saved{Task: r.task, Run: r.id, Work: work, Number: g.audit.checkpointCount() + 1}
 	text := defaultCheckpointText
@@ -38,12 +38,12 @@
 	return r.reportedCheckpoint
 }
 
-// restoreCheckpoint lets a run that is about to begin save, and go on from a checkpoint if it brings one
-// of its task.
-func (g *Grid) restoreCheckpoint(r *run, brought jobs.Text) {
+// restoreCheckpoint sets up the checkpoints of a run before it begins: whether the run makes any, and the work that it
+// continues if it is started with a checkpoint of its own task.
+func (g *Grid) restoreCheckpoint(r *run, given jobs.Text) {
 	step := g.audit.step(r.task)
 	r.makesCheckpoints = step != nil && step.Checkpoints && g.config.Save > 0
-	saved, ok := g.audit.checkpointOf(r.task, brought)
+	saved, ok := g.audit.checkpointOf(r.task, given)
 	if !r.makesCheckpoints || !ok {
 		return
 	}
@@ -51,11 +51,11 @@
 	r.startWork = r.work - r.remaining
 	r.since = r.since.Add(g.config.Restore)
 	if !g.config.ShowsOwn {
-		r.reportedCheckpoint = brought
+		r.reportedCheckpoint = given
 	}
 }
 
-// currentCheckpoint is the checkpoint that a run under way shows; empty: none.
+// currentCheckpoint returns the checkpoint that a run in progress reports, or an empty one if there is none.
 func (g *Grid) currentCheckpoint(r *run, now time.Time) jobs.Text {
 	if !r.makesCheckpoints {
 		return ""
@@ -67,7 +67,7 @@
 	return r.reportedCheckpoint
 }
 
-// endCheckpoint is the checkpoint that stands beside a run's end: a new one if it was stopped, none if
+// endCheckpoint returns the checkpoint that is reported with a run's end: a new one if the run was stopped, none if
 // it has succeeded.
 func (g *Grid) endCheckpoint(w *incarnation, r *run, how jobs.End) jobs.Text {
 	now := time.Now()
@@ -83,7 +83,7 @@
 	}
 }
 
-// noteReported notes the checkpoints of a report that is answered.
+// noteReported tells the audit which checkpoints an answered call has reported.
 func (g *Grid) noteReported(report jobs.Report) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -95,26 +95,25 @@
 	}
 }
 
-// CheckpointsBrought counts the runs that began with a checkpoint.
+// CheckpointsBrought returns the number of runs that began with a checkpoint.
 func (g *Grid) CheckpointsBrought() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.audit.startsFromCheckpoint
 }
 
-// WorkLost is the work that began anew although a checkpoint of it had been reported in a call
-// that was answered.
+// WorkLost returns the work that was repeated although an answered call had reported a checkpoint of it.
 func (g *Grid) WorkLost() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	sum := time.Duration(0)
-	for _, b := range g.audit.staleStarts {
-		sum += b.ReportedWork - b.StartWork
+	for _, s := range g.audit.staleStarts {
+		sum += s.ReportedWork - s.StartWork
 	}
 	return sum
 }
 
-// StartsBehind lists the runs that began with less than had been reported of their task.
+// StartsBehind returns the runs that began with less work than had been reported for their task.
 func (g *Grid) StartsBehind() []StaleStart {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/services/standin/grid/checkpoints_test.go
+++ b/services/standin/grid/checkpoints_test.go
@@ -15,7 +15,7 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// gridTest is a grid of two workers that a test calls as an owner does.
+// gridTest is a grid of two workers that a test calls in the way an owner does.
 type gridTest struct {
 	t *testing.T
 	*Grid
@@ -28,7 +28,7 @@
 	testStopTime           = 300 * time.Millisecond
 )
 
-// runGridTest runs a test on a bubble's clock.
+// runGridTest runs a test on the clock of a synctest bubble.
 func runGridTest(t *testing.T, config Config, test func(p *gridTest)) {
 	synctest.Test(t, func(t *testing.T) {
 		config.Workers, config.Capacity = 2, models.Resources{CPU: 4000, Memory: 8000}
@@ -43,14 +43,14 @@
 	})
 }
 
-// testJob is a job with checkpoints, and one without.
+// testJob returns the id of the job with checkpoints (0) or of the one without (1).
 func testJob(n int) jobs.ID { return []jobs.ID{"000000000000000a", "000000000000000b"}[n] }
 
 func testTask(index int) jobs.TaskID { return jobs.TaskID{Job: testJob(0), Index: index} }
 
 func (p *gridTest) worker(place int) jobs.Worker { return jobs.Worker{ID: p.IDs()[place]} }
 
-// leaseEndAt is the end of a lease that begins now.
+// leaseEndAt returns the end of a lease that begins now, on the clock of the worker in a place.
 func (p *gridTest) leaseEndAt(place int) models.Milli {
 	return p.clock(p.incarnationAt(place), time.Now().Add(testLease))
 }
@@ -67,21 +67,21 @@
 	require.NoError(p.t, p.tryStart(place, jobs.StartCall{Task: task, Run: run, Checkpoint: checkpoint}))
 }
 
-// stop stops a run and lets it end.
+// stop stops a run and waits until it has ended.
 func (p *gridTest) stop(place int, task jobs.TaskID, run jobs.RunID) {
 	_, err := p.StopRun(p.t.Context(), p.worker(place), jobs.StopCall{Task: task, Run: run})
 	require.NoError(p.t, err)
 	time.Sleep(testStopTime + time.Millisecond)
 }
 
-// report prolongs the lease and takes a report.
+// report renews the lease of the worker in a place and returns its report.
 func (p *gridTest) report(place int, acknowledged uint64) jobs.Report {
 	report, err := p.ProlongLease(p.t.Context(), p.worker(place), jobs.LeaseCall{Until: p.leaseEndAt(place), Acknowledged: acknowledged})
 	require.NoError(p.t, err)
 	return report
 }
 
-// onlyCheckpoint is the checkpoint of the only run in a report.
+// onlyCheckpoint returns the checkpoint of the only run on a worker.
 func (p *gridTest) onlyCheckpoint(place int) jobs.Text {
 	report := p.report(place, 0)
 	require.Len(p.t, report.Running, 1)
@@ -91,11 +91,11 @@
 func TestRunsSaveAndGoOn(t *testing.T) {
 	runGridTest(t, Config{Restore: 500 * time.Millisecond}, func(p *gridTest) {
 		p.mustStart(0, testTask(0), 1, "")
-		require.Empty(t, p.onlyCheckpoint(0), "nothing is saved yet")
+		require.Empty(t, p.onlyCheckpoint(0), "the run has made no checkpoint yet")
 		time.Sleep(testCheckpointInterval + time.Millisecond)
 		first := p.onlyCheckpoint(0)
 		require.NotEmpty(t, first)
-		require.Equal(t, first, p.onlyCheckpoint(0), "no more work is saved")
+		require.Equal(t, first, p.onlyCheckpoint(0), "no new checkpoint before the interval has passed")
 		time.Sleep(2 * testCheckpointInterval)
 		require.NotEqual(t, first, p.onlyCheckpoint(0))
 		p.stop(0, testTask(0), 1)
@@ -104,12 +104,12 @@
 		require.Equal(t, jobs.EndStopped, ended[0].How)
 
 		p.mustStart(1, testTask(0), 2, ended[0].Checkpoint)
-		require.Equal(t, ended[0].Checkpoint, p.onlyCheckpoint(1), "it shows what it has brought")
+		require.Equal(t, ended[0].Checkpoint, p.onlyCheckpoint(1), "the run reports the checkpoint that it started from")
 		time.Sleep(4 * time.Second)
 		p.report(1, 0)
 		require.Zero(t, p.Done())
 		time.Sleep(3200 * time.Millisecond)
-		require.Equal(t, 1, p.Done(), "3.3 s of work were brought, 6.7 s and half a second of restoring are over")
+		require.Equal(t, 1, p.Done(), "3.3 s of work came with the checkpoint; the other 6.7 s and 0.5 s for the restore have passed")
 		require.Empty(t, p.report(1, 0).Ended[0].Checkpoint)
 		require.Equal(t, 1, p.CheckpointsBrought())
 		require.Zero(t, p.WorkLost())
@@ -126,7 +126,7 @@
 		p.mustStart(0, testTask(1), 1, "")
 		p.mustStart(0, jobs.TaskID{Job: testJob(1)}, 1, "")
 		time.Sleep(3 * time.Second)
-		for range 2 { // listed again until they are acknowledged
+		for range 2 { // reports list ends again until they are acknowledged
 			for _, ended := range p.report(0, 0).Ended {
 				require.Equal(t, ended.How == jobs.EndFailed && ended.Task == testTask(0), ended.Checkpoint != "", "%+v", ended)
 			}
@@ -139,8 +139,8 @@
 		p.SetFaults(1, Faults{})
 		lapsed := p.report(1, 0).Ended
 		require.Len(t, lapsed, 1)
-		require.NotEmpty(t, lapsed[0].Checkpoint, "what it saved while nobody reached it")
-		require.Equal(t, 2*time.Second, p.WorkLost(), "two seconds were reported, and run 2 brought nothing")
+		require.NotEmpty(t, lapsed[0].Checkpoint, "the checkpoint that the run made while the worker was unreachable")
+		require.Equal(t, 2*time.Second, p.WorkLost(), "two seconds of work were reported, and run 2 started without a checkpoint")
 		require.Empty(t, p.Breaches())
 	})
 }
@@ -149,11 +149,11 @@
 	runGridTest(t, Config{ShowsOwn: true}, func(p *gridTest) {
 		p.mustStart(0, testTask(0), 1, "")
 		time.Sleep(testCheckpointInterval)
-		brought := p.onlyCheckpoint(0)
-		p.mustStart(1, testTask(0), 2, brought)
+		given := p.onlyCheckpoint(0)
+		p.mustStart(1, testTask(0), 2, given)
 		require.Empty(t, p.onlyCheckpoint(1))
 		time.Sleep(testCheckpointInterval)
-		require.NotContains(t, []jobs.Text{"", brought}, p.onlyCheckpoint(1))
+		require.NotContains(t, []jobs.Text{"", given}, p.onlyCheckpoint(1))
 	})
 }
 
@@ -241,7 +241,7 @@
 		p.SetFaults(0, Faults{})
 		p.stop(0, testTask(0), 1)
 		time.Sleep(3 * time.Second)
-		require.Empty(t, p.report(0, 0).Running, "the start that is done again is refused")
+		require.Empty(t, p.report(0, 0).Running, "the repeated start is refused")
 	})
 }
 
@@ -256,6 +256,6 @@
 		p.Crash(0)
 		p.mustStart(0, testTask(0), 1, "")
 		p.stop(0, testTask(0), 1)
-		require.Equal(t, uint64(1), p.report(0, 0).Ended[0].Number, "another incarnation counts from 1")
+		require.Equal(t, uint64(1), p.report(0, 0).Ended[0].Number, "another incarnation numbers its ends from 1")
 	})
 }
--- a/services/standin/grid/faults.go
+++ b/services/standin/grid/faults.go
@@ -15,25 +15,25 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Faults are what goes wrong with the calls to one worker.
+// Faults are the faults of one worker and of the calls to it.
 type Faults struct {
-	// Cut: calls have neither effect nor answer.
+	// Cut: calls have no effect and get no answer.
 	Cut bool
-	// Late: orders have no answer and are carried out so much later.
+	// Late: calls get no answer and take effect after this delay.
 	Late time.Duration
-	// LoseAnswers: calls take effect and have no answer.
+	// LoseAnswers: calls take effect and get no answer.
 	LoseAnswers bool
-	// LateAnswers: calls take effect at once, and their answers come up to so much later, each
-	// after another time: they pass each other.
+	// LateAnswers: calls take effect at once and their answers are delayed by up to this time. The delay
+	// differs from call to call, so that answers overtake each other.
 	LateAnswers time.Duration
-	// Again: calls take effect and are answered, and take effect once more so much later, after
-	// newer ones.
+	// Again: calls take effect and are answered, and take effect a second time after this delay, possibly
+	// after newer calls.
 	Again time.Duration
-	// FailsAll: each run that is started fails soon, some of them at once. Reports are as usual.
+	// FailsAll: each run that is started fails soon, some at once. Reports are unaffected.
 	FailsAll bool
-	// WrongTexts: ends of runs that fail show the latest checkpoint of another task.
+	// WrongTexts: failed runs report the latest checkpoint of another task with their end.
 	WrongTexts bool
-	// Stalled: runs make no progress. Reports are as usual.
+	// Stalled: runs make no progress. Reports are unaffected.
 	Stalled bool
 }
 
@@ -57,7 +57,7 @@
 	}
 }
 
-// SetListed lets the worker in a place be in the list, or missing there.
+// SetListed sets whether the list contains the worker in a place.
 func (g *Grid) SetListed(place int, listed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -65,7 +65,7 @@
 	g.noteChange(g.slots[place])
 }
 
-// Drain lets the worker in a place say that it leaves after some time.
+// Drain marks the worker in a place as draining, to leave after the remaining time.
 func (g *Grid) Drain(place int, remaining time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -73,7 +73,7 @@
 	g.noteChange(g.slots[place])
 }
 
-// StopDraining lets the worker in a place say that it stays.
+// StopDraining marks the worker in a place as no longer draining.
 func (g *Grid) StopDraining(place int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -81,15 +81,14 @@
 	g.noteChange(g.slots[place])
 }
 
-// Crash ends the worker in a place with all that runs there; another incarnation comes
-// up at its address.
+// Crash ends the worker in a place with all its runs and starts another incarnation at its address at once.
 func (g *Grid) Crash(place int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.restart(place)
 }
 
-// restart ends the worker in a place and brings up the next incarnation.
+// restart ends the worker in a place and starts the next incarnation.
 func (g *Grid) restart(place int) (ended, next *incarnation) {
 	ended = g.incarnationAt(place)
 	g.endIncarnation(ended)
@@ -97,7 +96,7 @@
 	return ended, g.incarnationAt(place)
 }
 
-// CrashBehind does the same, and what goes wrong with the calls to the worker goes on.
+// CrashBehind does the same as Crash, and the next incarnation keeps the worker's faults.
 func (g *Grid) CrashBehind(place int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -105,7 +104,7 @@
 	next.faults = ended.faults
 }
 
-// CrashSilently does the same as Crash, as a loss of power would: calls under way hang.
+// CrashSilently does the same as Crash, but like a power loss: pending calls hang instead of breaking.
 func (g *Grid) CrashSilently(place int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -113,8 +112,8 @@
 	ended.crashedSilently = true
 }
 
-// CrashFor ends the worker in a place with all that runs there. Nobody listens at its address
-// for Config.Down, and its entry stays in the list for a while.
+// CrashFor ends the worker in a place with all its runs. Its address refuses connections for Config.Down, and
+// its list entry outlives it.
 func (g *Grid) CrashFor(place int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -123,7 +122,7 @@
 	}
 }
 
-// endIncarnation ends a worker with all that runs there.
+// endIncarnation ends a worker with all its runs.
 func (g *Grid) endIncarnation(w *incarnation) {
 	w.up = false
 	for _, r := range w.runs {
@@ -137,18 +136,18 @@
 	w.changed = make(chan struct{})
 }
 
-// replace brings up another incarnation at the address of a worker that has ended.
+// replace starts another incarnation at the address of a worker that has ended.
 func (g *Grid) replace(w *incarnation) {
 	g.slots[w.place] = g.boot(w.place)
 	g.noteChange(w.info.ID)
 	g.noteChange(g.slots[w.place])
 }
 
-// staleEntryLifetime is how long the entry of a crashed worker stays in the list: three of its
-// heartbeats, as on the users' platform.
+// staleEntryLifetime is how long the entry of a crashed worker stays in the list: three of its heartbeats, as on
+// the users' platform.
 const staleEntryLifetime = 4400 * time.Millisecond
 
-// takeDown ends a worker for some time.
+// takeDown ends a worker and starts the next incarnation after Config.Down.
 func (g *Grid) takeDown(w *incarnation) {
 	g.endIncarnation(w)
 	time.AfterFunc(g.config.Down, func() {
@@ -159,7 +158,7 @@
 		}
 	})
 	if g.config.Naming == SameID {
-		return // the next incarnation writes the entry
+		return // the next incarnation overwrites the entry
 	}
 	g.staleEntries[w.info.ID] = true
 	time.AfterFunc(staleEntryLifetime, func() {
@@ -170,8 +169,8 @@
 	})
 }
 
-// scheduleCrash lets a run end its worker when its time has come, and tells whether it is to do so
-// at once.
+// scheduleCrash schedules the crash of the worker that Config.Crash asks for. If the crash is due at the start of the
+// run, scheduleCrash takes the worker down and returns true.
 func (g *Grid) scheduleCrash(w *incarnation, r *run) (atOnce bool) {
 	if g.config.Crash == nil {
 		return false
@@ -196,14 +195,15 @@
 	return false
 }
 
-// maxFailDelay bounds how long a run goes on that fails only because of its worker.
+// maxFailDelay bounds how much later than minFailDelay a run fails on a worker with FailsAll.
 const maxFailDelay = 400 * time.Millisecond
 
-// minFailDelay is how long it takes at least: a timer of no time ends the process of a test that
-// runs in a bubble with the race detector (Go 1.26).
+// minFailDelay is the least time until such a failure: with Go 1.26, a timer of duration 0 ends the process of a
+// test that runs in a synctest bubble with the race detector.
 const minFailDelay = time.Millisecond
 
-// scheduleFailure lets a run fail soon whose worker fails all; every other one fails at once.
+// scheduleFailure schedules the failure of a run whose worker has FailsAll; about every other run fails after the
+// least delay.
 func (g *Grid) scheduleFailure(w *incarnation, r *run) {
 	if !w.faults.FailsAll {
 		return
@@ -221,7 +221,8 @@
 	})
 }
 
-// absenceError is why a worker that is not there doesn't answer.
+// absenceError returns the error of a call to an incarnation that does not exist or has ended: the connection is
+// refused while the place is down, otherwise the call reaches another incarnation.
 func (g *Grid) absenceError(w *incarnation) error {
 	if w != nil && g.incarnationAt(w.place) == w {
 		return errors.Mark(errors.Mark(errors.New("connection is refused"), platform.ErrUnreached), platform.ErrNobodyListens)
@@ -229,8 +230,8 @@
 	return platform.ErrIncarnation
 }
 
-// callWorker finds the worker that a call is meant for and applies its faults. The order is
-// carried out by perform, now or later, or twice.
+// callWorker finds the worker that a call is addressed to and applies its faults, which decide whether perform is
+// carried out now, later, twice or never, and whether the answer arrives.
 func (g *Grid) callWorker(ctx context.Context, worker jobs.Worker, perform operation) (answer, error) {
 	g.mu.Lock()
 	w := g.workers[worker.ID]
@@ -264,14 +265,14 @@
 	return a, err
 }
 
-// What becomes of an order that is carried out later when its worker has ended meanwhile: the next
-// incarnation with its id carries it out, as it may one that had no answer, or it ends with the worker.
+// What happens to a delayed call whose worker has ended by then: the next incarnation with the same id carries it
+// out, which is possible for a call that was not answered, or it is dropped.
 const (
 	deliverToSuccessor  = true
 	dropWithIncarnation = false
 )
 
-// performLater carries an order out after some time; 0: never. Nobody hears what comes of it.
+// performLater carries out a call after some time, or never if after is 0. Its result is discarded.
 func (g *Grid) performLater(w *incarnation, after time.Duration, perform operation, atNext bool) {
 	if after == 0 {
 		return
@@ -285,20 +286,20 @@
 	})
 }
 
-// latenesses is how many different times answers are late by. Each call's number takes it
-// delayStride further, so that one may come after several later ones.
+// delaySteps is the number of different delays of answers. The delay advances by delayStride steps with each call,
+// so that an answer may arrive after those of several later calls.
 const (
 	delaySteps  = 7
 	delayStride = 4
 )
 
-// answerDelay is by how much the answer of the next call is late.
+// answerDelay returns the delay of the next call's answer.
 func (g *Grid) answerDelay(faults Faults) time.Duration {
 	g.calls++
 	return faults.LateAnswers * time.Duration(g.calls*delayStride%delaySteps) / (delaySteps - 1)
 }
 
-// sleep waits for some time; false: the caller has left before.
+// sleep waits for some time; it returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d == 0 {
 		return true
--- a/services/standin/grid/grid.go
+++ b/services/standin/grid/grid.go
@@ -1,16 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package grid is a stand-in for the workers that run tasks of jobs, for tests and trials
-// only: it keeps leases on the workers' own clocks, refuses what is stale, keeps ends
-// until they are acknowledged, shows tails that follow what runs beside them, and loses
-// or delays calls when told to. It watches what really runs and lists every breach of a
-// promise.
+// Package grid simulates the workers that run tasks of jobs, for tests and trials only. The simulated
+// workers keep leases on their own clocks, refuse stale orders, report ended runs until they are
+// acknowledged, report tail latencies that depend on the tasks beside a run, and lose or delay calls
+// when a test asks for it. An audit follows the actual runs and lists every violated guarantee.
 //
 // # Usage
 //
 //	g := grid.New(grid.Config{Workers: 8, PerRack: 4, Capacity: capacity, LongestLease: 6 * time.Second})
-//	g.Expect(spec, 3)             // what the audit knows of a job
+//	g.Expect(spec, 3)             // tells the audit that the job was accepted
 //	report, err := g.ProlongLease(ctx, worker, call)
 //	breaches := g.Breaches()
 package grid
@@ -26,7 +25,7 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Config says what the grid is made of.
+// Config configures a grid.
 type Config struct {
 	Workers      int
 	PerRack      int
@@ -34,65 +33,65 @@
 	Capacity     models.Resources
 	LongestLease time.Duration
 	StopTime     time.Duration
-	// Slow is by how much the workers' clocks run slow, for instance 0.02.
+	// Slow is the fraction by which the workers' clocks run slow, for instance 0.02.
 	Slow float64
-	// Work tells how long a task works at full pace, and how it ends; by default the
-	// estimate, and well.
+	// Work returns how long a run works at full pace and how it ends. By default, a run works for the
+	// step's estimate and succeeds.
 	Work func(task jobs.TaskID, run jobs.RunID) (time.Duration, jobs.End)
-	// Services is how serving tasks behave; by default as on the users' sites.
+	// Services is the load model of serving tasks; by default the one fitted to the users' sites.
 	Services Services
-	// Crash tells how long after its start a run ends its worker, and whether it does; nil:
-	// none does. After no time at all, the start isn't answered.
+	// Crash returns whether a run crashes its worker, and how long after its start. With an after of 0,
+	// the worker crashes before it answers the start. If nil, no run crashes its worker.
 	Crash func(task jobs.TaskID, run jobs.RunID) (after time.Duration, crashes bool)
-	// Down is how long it takes until another incarnation is at the address of a worker that
-	// crashed.
+	// Down is the time from a worker's crash until another incarnation listens at its address.
 	Down time.Duration
-	// Naming is how incarnations in one place are told apart.
+	// Naming determines how the incarnations in one place are told apart.
 	Naming Naming
-	// ForgetsAhead lets an acknowledgement hold also for ends that are yet to come; otherwise only
-	// those that the worker has are forgotten.
+	// ForgetsAhead lets an acknowledgement also cover ends that the worker has not recorded yet. Otherwise,
+	// an acknowledgement removes only ends that the worker has already recorded.
 	ForgetsAhead bool
-	// Save is with how much more work a run saves again whose step has checkpoints; 0: none
-	// ever does, not even when it is stopped.
+	// Save is the work between two checkpoints of a run whose step has checkpoints. With 0, runs
+	// make no checkpoints at all, not even when they are stopped.
 	Save time.Duration
-	// Restore is how long a run that brings a checkpoint takes until it goes on.
+	// Restore is how long a run that starts from a checkpoint takes before it continues the work.
 	Restore time.Duration
-	// ShowsOwn lets a run show only what it has saved itself; otherwise it shows the checkpoint
-	// that it has brought until then.
+	// ShowsOwn makes a run report only checkpoints that it has made itself. Otherwise, it reports the
+	// checkpoint that it started from until it makes its first one.
 	ShowsOwn bool
-	// Text makes the text of a checkpoint, another one each time; nil: a short one that tells
-	// what it is.
+	// Text returns the text of a checkpoint, a different one for each call. If nil, the text is a short
+	// description of the checkpoint.
 	Text func(saved Saved) jobs.Text
 }
 
-// Naming is how workers name their incarnations.
+// Naming is the way in which workers identify their incarnations.
 type Naming int
 
-// The ways of naming.
+// The values of Naming.
 const (
-	// NewIDs: each incarnation has an id of its own, and doesn't say when it started.
+	// NewIDs gives each incarnation an id of its own; incarnations don't report their start time.
 	NewIDs Naming = iota
-	// SameID: all incarnations in a place have one id, and say when they started.
+	// SameID gives all incarnations in a place the same id; they report their start time.
 	SameID
-	// NewIDsAndBorn: each has an id of its own, and says when it started.
+	// NewIDsAndBorn gives each incarnation an id of its own; incarnations report their start time.
 	NewIDsAndBorn
 )
 
-// Grid is the stand-in.
+// Grid simulates the workers. A place is an index from 0 to Config.Workers - 1 with an address of its own, at
+// which one incarnation follows another.
 type Grid struct {
 	config       Config
 	mu           sync.Mutex
 	workers      map[jobs.WorkerID]*incarnation
-	slots        []jobs.WorkerID // of the incarnation in each place
-	incarnations int
+	slots        []jobs.WorkerID // the incarnation in each place
+	incarnations int             // started so far
 	begin        time.Time
 	audit        *audit
 	unlisted     map[jobs.WorkerID]bool
-	draining     map[jobs.WorkerID]time.Time // when the worker leaves
-	staleEntries map[jobs.WorkerID]bool      // entries of workers that are not there any more, by ids that don't come again
-	calls        int                         // that workers were reached by
-	changes      []jobs.WorkerID             // of the list, in their order
-	changed      chan struct{}               // closed and renewed with each of them
+	draining     map[jobs.WorkerID]time.Time // the time at which the worker leaves
+	staleEntries map[jobs.WorkerID]bool      // listed entries of crashed workers, whose ids are not used again
+	calls        int                         // calls that reached a worker
+	changes      []jobs.WorkerID             // workers whose list entry changed, in order
+	changed      chan struct{}               // closed and replaced with each change
 }
 
 var (
@@ -100,27 +99,27 @@
 	_ platform.WorkerList = (*Grid)(nil)
 )
 
-// incarnation is one incarnation of a worker, with what it knows.
+// incarnation is one incarnation of a worker, with its state.
 type incarnation struct {
 	info            jobs.Worker
 	capacityChange  capacityChange
 	place           int
 	faults          Faults
 	up              bool
-	crashedSilently bool      // calls under way when it ended get no answer, and no connection breaks
-	startedAt       time.Time // when its clock showed nothing
+	crashedSilently bool      // pending calls hang: they get no answer and their connections stay open
+	startedAt       time.Time // when its clock showed 0
 	fence           jobs.Fence
 	runs            map[jobs.TaskID]*run
 	barred          map[jobs.TaskID]jobs.RunID
 	ends            []jobs.Ended
 	lastEndNumber   uint64
-	ackedUpTo       uint64 // ends up to this number when they come, with ForgetsAhead
+	ackedUpTo       uint64 // with ForgetsAhead: later ends up to this number are dropped as acknowledged
 	leaseTimer      *time.Timer
 	leaseEnd        time.Time
-	changed         chan struct{} // closed and renewed with each end
+	changed         chan struct{} // closed and replaced with each end
 }
 
-// New makes a grid whose workers are up.
+// New returns a grid whose workers are up.
 func New(config Config) *Grid {
 	if config.Services == (Services{}) {
 		config.Services = defaultServices
@@ -161,58 +160,58 @@
 	return w.info.ID
 }
 
-// startTimeOffsets are by how much the time of day of incarnations is off, in turn: that of a later one may be
-// the earlier.
+// startTimeOffsets are the errors of the incarnations' wall clocks, used in turn: a later incarnation may report
+// an earlier start time.
 var startTimeOffsets = [...]time.Duration{0, -time.Hour, time.Minute}
 
-// reportedStartTime is what an incarnation that begins now says of its start, another time for each.
+// reportedStartTime returns the start time that an incarnation which starts now reports; no two are equal.
 func (g *Grid) reportedStartTime(now time.Time) models.UnixMilli {
 	step := startTimeOffsets[g.incarnations%len(startTimeOffsets)]
 	return models.UnixMilliOf(now.Add(step)) + models.UnixMilli(g.incarnations)
 }
 
-// incarnationAt is the incarnation in a place, whether it is up or has ended.
+// incarnationAt returns the incarnation in a place, whether it is up or has ended.
 func (g *Grid) incarnationAt(place int) *incarnation { return g.workers[g.slots[place]] }
 
-// IDs are the workers that are up, by place.
+// IDs returns the ids of the workers that are up, by place.
 func (g *Grid) IDs() []jobs.WorkerID {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.slots)
 }
 
-// Worker is what the incarnation in a place says of itself, whether it is up or has ended.
+// Worker returns the description of the incarnation in a place, whether it is up or has ended.
 func (g *Grid) Worker(place int) jobs.Worker {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.incarnationAt(place).info
 }
 
-// clock is the worker's own.
+// clock returns what the worker's own clock shows at a time.
 func (g *Grid) clock(w *incarnation, now time.Time) models.Milli {
 	return models.MilliOf(time.Duration(float64(now.Sub(w.startedAt)) * (1 - g.config.Slow)))
 }
 
-// timeOf gives the time at which the worker's clock shows a value.
+// timeOf returns the time at which the worker's clock shows a value.
 func (g *Grid) timeOf(w *incarnation, clock models.Milli) time.Time {
 	return w.startedAt.Add(time.Duration(float64(clock.Duration()) / (1 - g.config.Slow)))
 }
 
-// Expect tells the audit of a job that was accepted.
+// Expect tells the audit that a job was accepted.
 func (g *Grid) Expect(spec jobs.Spec, attempts int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.audit.expect(spec, attempts)
 }
 
-// Breaches are the promises that were broken so far.
+// Breaches returns a message for each guarantee that was violated so far.
 func (g *Grid) Breaches() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.audit.breaches)
 }
 
-// Running counts the runs of a job that are under way.
+// Running returns the number of a job's runs in progress.
 func (g *Grid) Running(id jobs.ID) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -227,7 +226,7 @@
 	return n
 }
 
-// RunningOn counts the runs on the worker in a place.
+// RunningOn returns the number of runs on the worker in a place.
 func (g *Grid) RunningOn(place int) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/services/standin/grid/lease.go
+++ b/services/standin/grid/lease.go
@@ -13,7 +13,7 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// extendLease sets the end of the worker's lease; it never shortens.
+// extendLease moves the end of the worker's lease; it never shortens the lease.
 func (g *Grid) extendLease(w *incarnation, until models.Milli) {
 	if until == 0 {
 		return
@@ -39,13 +39,13 @@
 // ProlongLease implements platform.JobWorkers.
 func (g *Grid) ProlongLease(ctx context.Context, worker jobs.Worker, call jobs.LeaseCall) (jobs.Report, error) {
 	deadline := time.Now().Add(call.Wait)
-	arrived := false // it has taken effect, and only its answer waits
+	applied := false // the call has taken effect, and only its answer waits for an end
 	for {
 		answer, err := g.callWorker(ctx, worker, func(w *incarnation, a *answer) error {
 			if err := g.checkFence(w, call.Fence); err != nil {
 				return err
 			}
-			if !arrived {
+			if !applied {
 				g.extendLease(w, call.Until)
 				g.acknowledge(w, call.Acknowledged)
 			}
@@ -55,7 +55,7 @@
 		if err != nil {
 			return jobs.Report{}, err
 		}
-		arrived = true
+		applied = true
 		if len(answer.report.Ended) > 0 || !time.Now().Before(deadline) {
 			g.noteReported(answer.report)
 			return answer.report, nil
@@ -71,26 +71,26 @@
 			<-ctx.Done()
 		}
 		if ctx.Err() != nil || !g.isUp(answer.worker) {
-			return jobs.Report{}, platform.ErrUnknown // the connection ends with the worker
+			return jobs.Report{}, platform.ErrUnknown // the connection breaks when the worker ends
 		}
 	}
 }
 
-// hangs tells whether calls to a worker that were under way when it ended hang.
+// hangs reports whether the worker has crashed silently, so that pending calls hang.
 func (g *Grid) hangs(w *incarnation) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return !w.up && w.crashedSilently
 }
 
-// isUp tells whether a worker is still there.
+// isUp reports whether the incarnation is still up.
 func (g *Grid) isUp(w *incarnation) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return w.up
 }
 
-// acknowledge forgets the ends up to a number.
+// acknowledge drops the ends up to a number.
 func (g *Grid) acknowledge(w *incarnation, number uint64) {
 	if g.config.ForgetsAhead {
 		w.ackedUpTo = max(w.ackedUpTo, number)
@@ -101,10 +101,10 @@
 	}
 }
 
-// maxEndsPerReport is how many ends a report lists at once, as on the users' platform.
+// maxEndsPerReport bounds the ends that a report lists, as on the users' platform.
 const maxEndsPerReport = 500
 
-// reportOf is what a worker reports now.
+// reportOf returns the worker's current report.
 func (g *Grid) reportOf(w *incarnation) jobs.Report {
 	now := time.Now()
 	report := jobs.Report{Clock: g.clock(w, now), Born: w.info.Born, Ended: slices.Clone(w.ends[:min(len(w.ends), maxEndsPerReport)])}
--- a/services/standin/grid/list.go
+++ b/services/standin/grid/list.go
@@ -12,10 +12,10 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// listWait is how long the list waits for a change when nobody looks at its clock.
+// listWait bounds how long WorkerChanges waits for a change.
 const listWait = 500 * time.Millisecond
 
-// JobWorkers lists the workers. The version counts the changes of the list.
+// JobWorkers implements platform.WorkerList. The version is the number of changes of the list.
 func (g *Grid) JobWorkers(context.Context) ([]jobs.Worker, platform.Version, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -33,7 +33,7 @@
 	return list, platform.Version(len(g.changes)), nil
 }
 
-// WorkerChanges waits for changes of the list.
+// WorkerChanges implements platform.WorkerList: it waits for changes of the list.
 func (g *Grid) WorkerChanges(ctx context.Context, after platform.Version) ([]platform.WorkerChange, platform.Version, error) {
 	g.mu.Lock()
 	changed := g.changed
@@ -57,7 +57,7 @@
 	return changes, platform.Version(len(g.changes)), nil
 }
 
-// listed is what the list says of a worker now, and whether it names it.
+// listed returns the worker's entry, and whether the list contains it now.
 func (g *Grid) listed(id jobs.WorkerID) (jobs.Worker, bool) {
 	worker := g.workers[id].info
 	if leaves, ok := g.draining[id]; ok {
@@ -67,7 +67,7 @@
 	return worker, !g.unlisted[id] && (slices.Contains(g.slots, id) || g.staleEntries[id])
 }
 
-// noteChange says that the list says something new of a worker.
+// noteChange records a change of a worker's entry and wakes the calls that wait for one.
 func (g *Grid) noteChange(id jobs.WorkerID) {
 	g.changes = append(g.changes, id)
 	close(g.changed)
--- a/services/standin/grid/orders.go
+++ b/services/standin/grid/orders.go
@@ -12,18 +12,18 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// answer is what a call is answered with.
+// answer is the result of a call.
 type answer struct {
 	clock   models.Milli
 	report  jobs.Report
-	worker  *incarnation  // that was reached
-	changed chan struct{} // closed when the report has another end
+	worker  *incarnation  // the incarnation that carried out the call
+	changed chan struct{} // closed when the worker records another end
 }
 
-// operation carries out a call at a worker.
+// operation is the effect of a call on a worker; it fills in the answer.
 type operation func(w *incarnation, a *answer) error
 
-// checkFence checks the fence of an order.
+// checkFence refuses an order with an outdated fence and records the fence of any other.
 func (g *Grid) checkFence(w *incarnation, fence jobs.Fence) error {
 	g.audit.noteFence(w, fence)
 	if fence < w.fence {
--- a/services/standin/grid/room.go
+++ b/services/standin/grid/room.go
@@ -9,18 +9,18 @@
 	"rillsail.example/rillsail/models"
 )
 
-// shrinkGrace is how long after a worker has said that it has less room a start over that counts as a
-// breach: the time that users allow a daemon to be out of touch, and one heartbeat.
+// shrinkGrace is how long after a worker has announced a smaller capacity the audit still accepts starts within the
+// previous one: the time for which users allow a daemon to be out of touch, plus one heartbeat.
 const shrinkGrace = 6 * time.Second
 
-// capacityChange is a worker's capacity, and the one before while owners may not have heard of the change.
+// capacityChange is the latest change of a worker's capacity, which owners may not have heard of yet.
 type capacityChange struct {
 	previous models.Resources
 	at       time.Time
 }
 
-// SetRoom lets the worker in a place have a part of its configured capacity from now on. What runs
-// over it runs on.
+// SetRoom sets the capacity of the worker in a place to a part of the configured one. Runs that exceed the
+// new capacity continue.
 func (g *Grid) SetRoom(place int, part float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -30,7 +30,7 @@
 	g.noteChange(w.info.ID)
 }
 
-// capacityLimit is what starts may commit the worker to now.
+// capacityLimit returns the most resources that the runs on the worker may hold now.
 func (w *incarnation) capacityLimit() models.Resources {
 	if time.Since(w.capacityChange.at) > shrinkGrace {
 		return w.info.Capacity
@@ -38,7 +38,7 @@
 	return maxResources(w.capacityChange.previous, w.info.Capacity)
 }
 
-// maxResources is the larger of each resource.
+// maxResources returns the larger amount of each resource.
 func maxResources(a, b models.Resources) models.Resources {
 	a.CPU = max(a.CPU, b.CPU)
 	a.Memory = max(a.Memory, b.Memory)
@@ -46,7 +46,7 @@
 	return a
 }
 
-// scaled is a part of the processor time and memory.
+// scaled returns a part of the processor time and memory, and all accelerators.
 func scaled(whole models.Resources, part float64) models.Resources {
 	whole.CPU = models.MilliCPU(part * float64(whole.CPU))
 	whole.Memory = models.MiB(part * float64(whole.Memory))
--- a/services/standin/grid/run.go
+++ b/services/standin/grid/run.go
@@ -10,30 +10,30 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// run is one run under way.
+// run is a run in progress.
 type run struct {
 	task      jobs.TaskID
 	id        jobs.RunID
 	size      models.Resources
-	remaining time.Duration // of the work, at full pace
+	remaining time.Duration // work left, as time at full pace
 	work      time.Duration
 	how       jobs.End
 	pace      jobs.Percent
-	since     time.Time // when left was right; after a checkpoint was brought, when it is restored
+	since     time.Time // the time at which remaining was valid; the end of the restore for a run that starts from a checkpoint
 	timer     *time.Timer
 	stopping  bool
-	stalled   bool // it makes no progress
+	stalled   bool // the run makes no progress
 
-	makesCheckpoints   bool          // it saves
-	startWork          time.Duration // the work that was done when it began
-	intervalsSaved     int           // that it has made, but for that of a stop
-	reportedCheckpoint jobs.Text     // the checkpoint that it shows; empty: none
+	makesCheckpoints   bool
+	startWork          time.Duration // work of the task that was done when the run began
+	intervalsSaved     int           // number of full checkpoint intervals for which a checkpoint was made
+	reportedCheckpoint jobs.Text     // empty: none
 }
 
-// longRunningWork is the work of a task that lasts: longer than any test.
+// longRunningWork is the work of a long-running task: longer than any test.
 const longRunningWork = 1000 * time.Hour
 
-// runParameters gives what a run takes of its worker, how long it works and how it ends.
+// runParameters returns the resources that a run holds on its worker, how long it works and how it ends.
 func (g *Grid) runParameters(call jobs.StartCall) (models.Resources, time.Duration, jobs.End) {
 	step := g.audit.step(call.Task)
 	if step == nil {
@@ -53,7 +53,7 @@
 	return size, work, how
 }
 
-// scheduleEnd sets the timer of a run's end by its pace.
+// scheduleEnd sets the timer for the end of a run according to its pace.
 func (g *Grid) scheduleEnd(w *incarnation, r *run) {
 	if r.timer != nil {
 		r.timer.Stop()
@@ -71,7 +71,7 @@
 	})
 }
 
-// endRun ends a run and tells those that wait for it.
+// endRun ends a run and wakes the lease calls that wait for an end.
 func (g *Grid) endRun(w *incarnation, r *run, how jobs.End) {
 	if r.timer != nil {
 		r.timer.Stop()
@@ -87,7 +87,7 @@
 	w.changed = make(chan struct{})
 }
 
-// remainingAt is the work that is left at a time.
+// remainingAt returns the work that is left at a time.
 func (r *run) remainingAt(now time.Time) time.Duration {
 	if r.stalled {
 		return r.remaining
@@ -96,7 +96,7 @@
 	return r.remaining - time.Duration(float64(worked)*float64(r.pace)/float64(jobs.FullSpeed))
 }
 
-// updateRemaining notes the work that is left, before something changes how fast it goes on.
+// updateRemaining records the work that is left before a change of the run's speed.
 func (r *run) updateRemaining(now time.Time) {
 	r.remaining = r.remainingAt(now)
 	if now.After(r.since) {
@@ -104,10 +104,10 @@
 	}
 }
 
-// workDone is the work that is done at a time, what the run was begun with included.
+// workDone returns the work that is done at a time, including the work that the run started with.
 func (r *run) workDone(now time.Time) time.Duration { return r.work - max(0, r.remainingAt(now)) }
 
-// progress is the part of the work that is done.
+// progress returns the part of the work that is done.
 func (r *run) progress(now time.Time) jobs.Percent {
 	return jobs.Percent(100 * float64(r.workDone(now)) / float64(max(1, r.work)))
 }
--- a/services/standin/grid/seen.go
+++ b/services/standin/grid/seen.go
@@ -10,17 +10,17 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Ran tells whether any task of the job was ever started.
+// Ran reports whether any task of the job was ever started.
 func (g *Grid) Ran(id jobs.ID) bool { return !g.LastStart(id).IsZero() }
 
-// LastStart is when a task of the job was started last; zero: none ever was.
+// LastStart returns the time of the latest start of any task of the job; the zero time if there was none.
 func (g *Grid) LastStart(id jobs.ID) time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.audit.lastStart[id]
 }
 
-// Succeeded tells whether all tasks of a job have succeeded.
+// Succeeded reports whether all tasks of a job have succeeded.
 func (g *Grid) Succeeded(id jobs.ID) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -34,21 +34,21 @@
 	return true
 }
 
-// Done counts the tasks that have succeeded.
+// Done returns the number of tasks that have succeeded.
 func (g *Grid) Done() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.audit.succeeded)
 }
 
-// Lapsed counts the runs that ended because nobody prolonged their lease, or with their worker.
+// Lapsed returns the number of runs that ended because their lease was not renewed or their worker ended.
 func (g *Grid) Lapsed() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.audit.lapsed
 }
 
-// MostFailures is how often the task of the job that failed most has failed.
+// MostFailures returns the highest number of failures of any one task of the job.
 func (g *Grid) MostFailures(id jobs.ID) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -61,7 +61,7 @@
 	return most
 }
 
-// WorstTail is the longest tail of a serving task now, as a part of its target.
+// WorstTail returns the highest current tail latency of any serving task, as a fraction of the task's target.
 func (g *Grid) WorstTail() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -76,8 +76,8 @@
 	return worst
 }
 
-// Harmed lists the serving tasks that are over their targets now and would not be without
-// what fills beside them.
+// Harmed returns the serving tasks whose tail latency is above the target now and would not be without the
+// filler tasks on their workers.
 func (g *Grid) Harmed() []jobs.TaskID {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -88,8 +88,8 @@
 			if step == nil || !step.Serves() {
 				continue
 			}
-			own, added := g.loads(w, r, step)
-			if services := g.config.Services; services.tail(own+added) > 1 && services.tail(own) <= 1 {
+			baseline, added := g.loads(w, r, step)
+			if services := g.config.Services; services.tail(baseline+added) > 1 && services.tail(baseline) <= 1 {
 				harmed = append(harmed, r.task)
 			}
 		}
@@ -97,7 +97,7 @@
 	return harmed
 }
 
-// FillingUse is the processor time that filling tasks use now.
+// FillingUse returns the processor time that filler tasks use now.
 func (g *Grid) FillingUse() models.MilliCPU {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -112,7 +112,7 @@
 	return use
 }
 
-// Crashes counts the workers that tasks of the job have ended.
+// Crashes returns the number of workers that tasks of the job have crashed.
 func (g *Grid) Crashes(id jobs.ID) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/services/standin/grid/tail.go
+++ b/services/standin/grid/tail.go
@@ -12,14 +12,14 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Services is how serving tasks behave: the load of a step's tasks swings around a mean,
-// filling tasks add to it by a factor of the pair of images, and the tail is that of a queue.
+// Services is the load model of serving tasks: the load of a step's tasks oscillates around a mean, filler tasks add
+// to it by a factor that depends on the pair of images, and the tail latency is that of a queue at the sum.
 type Services struct {
-	Idle   float64       // the tail without load, as a part of the target
-	Load   float64       // the mean load
-	Swing  float64       // by which the load swings to both sides, as a part of the mean
-	Period time.Duration // of the swing
-	Heavy  int           // one pair of images in so many is heavy
+	Idle   float64       // tail latency without load, as a fraction of the target
+	Load   float64       // mean load, 1 is saturation
+	Swing  float64       // amplitude of the load, as a fraction of the mean
+	Period time.Duration // of the oscillation
+	Heavy  int           // one in this many pairs of images has heavyFactor
 }
 
 // defaultServices are fitted to the users' sites.
@@ -31,14 +31,14 @@
 	maxLoad     = 0.98
 )
 
-// SetServices changes how serving tasks behave.
+// SetServices changes the load model of serving tasks.
 func (g *Grid) SetServices(services Services) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.config.Services = services
 }
 
-// interferenceFactor is what a filling image that uses a whole worker adds to a serving image's load.
+// interferenceFactor returns what a filler image that uses a whole worker adds to a serving image's load.
 func (s Services) interferenceFactor(serving, filling jobs.ImageName) float64 {
 	if xxhash.Sum64String(string(serving)+"/"+string(filling))%uint64(s.Heavy) == 0 {
 		return heavyFactor
@@ -46,18 +46,18 @@
 	return lightFactor
 }
 
-// baselineLoad is the load that a serving task has of its own.
+// baselineLoad returns the load of a serving task without filler tasks.
 func (s Services) baselineLoad(task jobs.TaskID, passed time.Duration) float64 {
-	task.Index = 0 // the tasks of a step serve the same users
+	task.Index = 0 // the tasks of a step serve the same users and have the same load
 	phase := float64(xxhash.Sum64String(task.String())%1000) / 1000
 	turn := 2 * math.Pi * (passed.Seconds()/s.Period.Seconds() + phase)
 	return s.Load * (1 + s.Swing*math.Sin(turn))
 }
 
-// tail is the tail at a load, as a part of the target.
+// tail returns the tail latency at a load, as a fraction of the target.
 func (s Services) tail(load float64) float64 { return s.Idle / (1 - min(load, maxLoad)) }
 
-// figure is what a report says of a run: the tail of a serving one in milliseconds, the
+// figure returns the figure that a report has for a run: the tail latency in milliseconds of a serving task, the
 // processor time in use of any other.
 func (g *Grid) figure(w *incarnation, r *run) int {
 	step := g.audit.step(r.task)
@@ -67,13 +67,13 @@
 	case !step.Lasts || step.Target == 0:
 		return int(float64(step.Size.CPU) * float64(r.pace) / float64(jobs.FullSpeed))
 	}
-	own, added := g.loads(w, r, step)
-	return int(g.config.Services.tail(own+added) * float64(step.Target))
+	baseline, added := g.loads(w, r, step)
+	return int(g.config.Services.tail(baseline+added) * float64(step.Target))
 }
 
-// loads are the load that a serving run has of its own, and what fills beside it adds.
-func (g *Grid) loads(w *incarnation, r *run, step *jobs.Step) (own, added float64) {
-	own = g.config.Services.baselineLoad(r.task, time.Since(g.begin))
+// loads returns the baseline load of a serving run and what the filler tasks on its worker add.
+func (g *Grid) loads(w *incarnation, r *run, step *jobs.Step) (baseline, added float64) {
+	baseline = g.config.Services.baselineLoad(r.task, time.Since(g.begin))
 	for _, other := range w.runs {
 		beside := g.audit.step(other.task)
 		if beside == nil || !beside.Fills {
@@ -82,5 +82,5 @@
 		share := float64(beside.Size.CPU) * float64(other.pace) / float64(jobs.FullSpeed) / float64(max(1, w.info.Capacity.CPU))
 		added += g.config.Services.interferenceFactor(step.Image, beside.Image) * share
 	}
-	return own, added
+	return baseline, added
 }
