--- a/services/daemon/daemon.go
+++ b/services/daemon/daemon.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package daemon puts a daemon together from its settings and runs it. It is the
-// one place that knows all parts, and the order in which a planned stop ends them.
+// Package daemon builds a daemon from its settings and runs it. It is the only package that knows all services and the
+// order in which a planned stop ends them.
 //
 // # Usage
 //
@@ -38,15 +38,15 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Config is what a daemon is made of.
+// Config configures a daemon.
 type Config struct {
 	Settings *setting.Settings
 	Logger   *zap.Logger
-	// Routers makes the handlers of the three listeners; package routers gives it.
+	// Routers returns the handlers of the three listeners; it is implemented by package routers.
 	Routers func(*Daemon) Handlers
 }
 
-// Daemon is one rillsaild.
+// Daemon is a rillsaild process.
 type Daemon struct {
 	Settings  *setting.Settings
 	Logger    *zap.Logger
@@ -65,7 +65,7 @@
 	listeners []*listen.Server
 }
 
-// idGenerator makes ids that no other process makes.
+// idGenerator generates ids that are unique across processes: a random prefix and a counter.
 type idGenerator struct {
 	prefix  string
 	counter atomic.Uint64
@@ -83,7 +83,7 @@
 	return m.prefix + "-" + strconv.FormatUint(m.counter.Add(1), 36)
 }
 
-// New makes a daemon and opens its listeners.
+// New returns a daemon with open listeners.
 func New(c Config) (*Daemon, error) {
 	ids, err := newIDGenerator()
 	if err != nil {
@@ -101,7 +101,7 @@
 	return d, nil
 }
 
-// buildServices makes the parts and connects them.
+// buildServices creates the services and connects them.
 func (d *Daemon) buildServices(ids *idGenerator) {
 	s := d.Settings
 	self := models.Member{
@@ -145,8 +145,8 @@
 	d.Members.AddSource(func(b *models.Heartbeat) { b.Revision = d.Config.View().Revision() })
 }
 
-// registerLoops sets the loops and the order of a planned stop: tell the peers, let the
-// balancer and the requests in flight end, pass on cells and claims.
+// registerLoops registers the loops and the steps of a planned stop, in order: announce it to the peers, wait for the
+// balancer and the requests in flight, hand over the cells and the claims.
 func (d *Daemon) registerLoops() {
 	d.manager.Loop("inventory", d.Inventory.Run)
 	d.manager.Loop("configuration", d.Config.Run)
@@ -162,13 +162,13 @@
 	d.manager.OnStop("carry the claims", d.Claims.Carry)
 }
 
-// Run runs the daemon until ctx ends and the planned stop is over.
+// Run runs the daemon until the context ends and the planned stop is complete.
 func (d *Daemon) Run(ctx context.Context) {
 	d.Logger.Info("daemon starts", zap.String("domain", d.Settings.Daemon.Domain),
 		zap.String("callers", d.Settings.Listen.Caller), zap.String("operators", d.Settings.Listen.Operator),
 		zap.String("peers", d.Settings.Listen.Peer))
 	d.manager.Run(ctx)
-	_ = d.Metrics.Close() // nothing to do about a reporter that can't close
+	_ = d.Metrics.Close() // a reporter that fails to close needs no action
 }
 
 func (d *Daemon) leave(ctx context.Context) error {
@@ -182,18 +182,18 @@
 	return d.Entry.Drain(ctx)
 }
 
-// releaseSilentPeriods is for how many silent periods a stop waits for peers to take its
-// cells.
+// releaseSilentPeriods bounds how long a planned stop waits for peers to take over its cells, as a multiple of the
+// setting SilentAfter.
 const releaseSilentPeriods = 3
 
 func (d *Daemon) release(ctx context.Context) error {
 	return d.Cells.Release(ctx, releaseSilentPeriods*d.Settings.Member.SilentAfter)
 }
 
-// Heard takes what a peer's heartbeat says beside membership.
+// Heard handles what a peer's heartbeat contains besides membership: the peer's configuration revision.
 func (d *Daemon) Heard(beat models.Heartbeat) { d.Config.Hint(beat.Revision) }
 
-// syncEntryLoop hands the entry what is known of upstreams and peers.
+// syncEntryLoop passes the known upstreams and peers to the entry periodically.
 func (d *Daemon) syncEntryLoop(ctx context.Context) {
 	ticker := time.NewTicker(d.Settings.Member.Heartbeat)
 	defer ticker.Stop()
@@ -221,12 +221,12 @@
 }
 
 func (d *Daemon) configAccepted(*config.View) {
-	d.Members.Nudge() // peers hear of the revision at once
+	d.Members.Nudge() // tell the peers the new revision at once
 	d.syncEntry()
 }
 
-// configFromPeers asks the peer that has told the highest revision, if that is newer
-// than the query's. It gives nothing when nobody has a newer one or the call fails.
+// configFromPeers fetches the configuration from the peer with the highest announced revision, if that is newer than the
+// query's. It returns an empty transfer if no peer has a newer revision or the call fails.
 func (d *Daemon) configFromPeers(ctx context.Context, query models.ConfigQuery) models.ConfigTransfer {
 	var best models.Heartbeat
 	for _, beat := range d.Members.Beats() {
--- a/services/daemon/listeners.go
+++ b/services/daemon/listeners.go
@@ -17,7 +17,7 @@
 	"rillsail.example/rillsail/services/peer"
 )
 
-// Handlers serve the three listeners.
+// Handlers are the handlers of the three listeners.
 type Handlers struct {
 	Caller   http.Handler
 	Operator http.Handler
@@ -32,7 +32,7 @@
 		handler http.Handler
 		body    time.Duration
 	}{
-		{s.Caller, h.Caller, 0}, // the entry bounds it, for watchers stand longer
+		{s.Caller, h.Caller, 0}, // the entry limits the time itself, because watch requests last longer
 		{s.Operator, listen.RequireToken(s.OperatorToken, listen.LimitBody(limit, h.Operator)), s.BodyTimeout},
 		{s.Peer, listen.RequireToken(s.PeerToken, listen.LimitBody(limit, h.Peer)), s.BodyTimeout},
 	} {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// Dump is the daemon's whole state.
+// Dump is the daemon's state for operators.
 type Dump struct {
 	Revision  models.Revision   `json:"revision"`
 	Members   member.Dump       `json:"members"`
@@ -61,7 +61,7 @@
 	PeerCalls peer.Counts       `json:"peer_calls"`
 }
 
-// Dump gives the whole state for operators.
+// Dump returns the daemon's state for operators.
 func (d *Daemon) Dump(ctx context.Context) any {
 	return Dump{
 		Revision: d.Config.View().Revision(), Members: d.Members.Dump(), Cells: d.Cells.Dump(ctx),
--- a/services/daemon/scheduler.go
+++ b/services/daemon/scheduler.go
@@ -23,26 +23,24 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// SchedulerConfig is what a scheduler is made of. Its parts of the platform come from an
-// adapter.
+// SchedulerConfig configures a scheduler. Its clients of the platform come from an adapter.
 type SchedulerConfig struct {
 	Settings *setting.Settings
 	Logger   *zap.Logger
 	Store    platform.TxnStore
 	Workers  platform.JobWorkers
-	// WorkerCalls is the time limit of the calls of Workers.
+	// WorkerCalls is the time limit of calls through Workers.
 	WorkerCalls *calltime.Limit
-	Connections func() idleconn.Counts // of the calls of Store, Workers, List and Feed, so far
+	Connections func() idleconn.Counts // counts the connections of Store, Workers, List and Feed so far
 	List        platform.WorkerList
 	Feed        platform.ConfigurationFeed
-	// Callers and Ready make the handlers that speak the platform's form.
+	// Callers and Ready return the handlers for the platform's form of the callers' interface and the readiness probe.
 	Callers func(platform.Callers) http.Handler
 	Ready   func(ready func() bool) http.Handler
 }
 
-// Scheduler is a rillsaild on a platform that gives workers for jobs of steps: it takes
-// jobs from callers and runs them, together with its peers. The path of requests to
-// upstreams and the journalled cells are not started there.
+// Scheduler is a rillsaild on a platform that provides workers for jobs of steps: together with its peers, it accepts
+// jobs from callers and runs them. A scheduler does not start the path of requests to upstreams or the journalled cells.
 type Scheduler struct {
 	settings *setting.Settings
 	logger   *zap.Logger
@@ -52,7 +50,7 @@
 	callers  *listen.Server
 }
 
-// NewScheduler makes a scheduler and opens its listeners.
+// NewScheduler returns a scheduler with open listeners.
 func NewScheduler(c SchedulerConfig) (*Scheduler, error) {
 	ids, err := newIDGenerator()
 	if err != nil {
@@ -79,7 +77,7 @@
 	return s, nil
 }
 
-// openListeners opens the listeners whose addresses are given.
+// openListeners opens the listeners whose addresses are set.
 func (s *Scheduler) openListeners(c SchedulerConfig) error {
 	l := c.Settings.Listen
 	for _, each := range []struct {
@@ -110,7 +108,7 @@
 	return nil
 }
 
-// metricsHandler serves the metrics and the state dump.
+// metricsHandler returns the handler for the metrics and the state dump.
 func (s *Scheduler) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", s.metrics.Handler)
@@ -120,24 +118,24 @@
 	return mux
 }
 
-// Shares of the time for a planned stop; cells are handed over while callers are drained, and
-// a fifth of the time is left over.
+// Shares of the time for a planned stop. Cells are handed over while callers are drained, and a fifth of the time stays
+// in reserve.
 const (
-	releaseShare  = 0.6  // for handing over the cells, which waits for the store in an outage
-	drainShare    = 0.45 // for callers that are connected, or come until the balancer has noticed
-	shutdownShare = 0.2  // for what is still in flight then
+	releaseShare  = 0.6  // for handing over the cells, which waits for the store during an outage
+	drainShare    = 0.45 // for connected callers, and those that connect until the balancer has noticed the stop
+	shutdownShare = 0.2  // for requests that are still in flight then
 )
 
-// shareOf is a part of the time for a planned stop.
+// shareOf returns a share of the time for a planned stop.
 func shareOf(whole time.Duration, share float64) time.Duration {
 	return time.Duration(share * float64(whole))
 }
 
-// release hands over the cells that this daemon owns, and drains the callers meanwhile.
+// release hands over the cells that this daemon owns and drains the callers at the same time.
 func (s *Scheduler) release(ctx context.Context) error {
 	var group conc.WaitGroup
 	group.Go(func() { s.drain(ctx) })
-	// A variable of its own: draining reads ctx at the same time.
+	// The new context needs its own variable, because the draining goroutine reads ctx concurrently.
 	limited, cancel := context.WithTimeout(ctx, shareOf(s.settings.Jobs.StopGrace, releaseShare))
 	defer cancel()
 	err := s.control.Cells.Release(limited)
@@ -145,7 +143,7 @@
 	return err
 }
 
-// drain lets the balancer notice that this daemon is not ready, and callers end.
+// drain waits for the balancer to notice that this daemon is not ready, and for callers to finish.
 func (s *Scheduler) drain(ctx context.Context) {
 	timer := time.NewTimer(shareOf(s.settings.Jobs.StopGrace, drainShare))
 	defer timer.Stop()
@@ -156,13 +154,13 @@
 	}
 }
 
-// Run runs the scheduler until ctx ends and the planned stop is over.
+// Run runs the scheduler until the context ends and the planned stop is complete.
 func (s *Scheduler) Run(ctx context.Context) {
 	s.logger.Info("daemon starts", zap.String("domain", s.settings.Daemon.Domain),
 		zap.String("callers", s.settings.Listen.Caller), zap.String("peers", s.settings.Listen.Peer),
 		zap.String("store", s.settings.Platform.Store))
 	s.manager.Run(ctx)
 	if err := s.metrics.Close(); err != nil {
-		s.logger.Warn("metrics are not closed", zap.Error(err))
+		s.logger.Warn("closing the metrics failed", zap.Error(err))
 	}
 }
--- a/services/daemon/scheduler_test.go
+++ b/services/daemon/scheduler_test.go
@@ -18,7 +18,7 @@
 	"rillsail.example/rillsail/services/control"
 )
 
-// newSchedulerWithoutCells makes a scheduler that owns no cells, with a listener for callers.
+// newSchedulerWithoutCells returns a scheduler that owns no cells, with a listener for callers.
 func newSchedulerWithoutCells(t *testing.T) *Scheduler {
 	t.Helper()
 	callers, err := listen.Open(listen.Config{Address: "127.0.0.1:0", MaxConnections: 1})
@@ -28,10 +28,10 @@
 	return &Scheduler{settings: settings, control: service, callers: callers}
 }
 
-// A daemon built with the race detector ended a planned stop with status 66. The detector named
-// release: it gave its context to the goroutine that drains callers, and then assigned another
-// one to the same variable. Callers see nothing of it, for draining ends before either context
-// does; so only the detector can fail this test (make race).
+// TestReleaseDrainsCallers guards against a data race: release passed its context to the goroutine that drains callers
+// and then assigned another context to the same variable, so that a daemon built with the race detector ended a planned
+// stop with status 66. Draining ends before either context does, so callers are not affected and only the race detector
+// fails this test for that fault (make race).
 func TestReleaseDrainsCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSchedulerWithoutCells(t)
@@ -43,7 +43,7 @@
 
 func TestReleaseEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const limit = time.Second // less than the drain takes
+		const limit = time.Second // less than draining takes
 		ctx, cancel := context.WithTimeout(t.Context(), limit)
 		defer cancel()
 		began := time.Now()
--- a/services/standin/demo/demo.go
+++ b/services/standin/demo/demo.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package demo runs the stand-in platform and three daemons in one process and
-// shows the main job: a request answered, a service and a batch job placed.
+// Package demo runs a simulated platform and three daemons in one process and shows their main functions: a request is
+// answered, a service and a batch job are placed.
 //
 // # Usage
 //
@@ -31,15 +31,15 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// Config says where to tell what happens.
+// Config configures a demonstration.
 type Config struct {
-	Out     io.Writer
-	Once    bool // end when the main job has been shown
-	Next    func(io.Writer, Running)
+	Out     io.Writer                // receives the progress
+	Once    bool                     // end after the demonstration instead of running on
+	Next    func(io.Writer, Running) // prints what the user can try next; not called with Once
 	Routers func(*daemon.Daemon) daemon.Handlers
 }
 
-// Running is where the parts listen.
+// Running contains the addresses of one of the daemons, the operators' token, and a task of the batch job.
 type Running struct {
 	Operator string
 	Token    string
@@ -53,7 +53,7 @@
 	peerToken     = "demo-peer"
 )
 
-// Run starts everything, shows the main job, and runs until ctx ends.
+// Run starts the platform and the daemons, runs the demonstration, and keeps them running until the context ends.
 func Run(ctx context.Context, c Config) error {
 	stop := &stopper{}
 	defer stop.stopAll()
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// stopper ends parts in the reverse order of their start.
+// stopper stops parts in the reverse order of their start.
 type stopper struct {
 	cancels []func()
 }
@@ -121,7 +121,7 @@
 	stop.start(func(ctx context.Context) {
 		end := context.AfterFunc(ctx, func() { _ = server.Close() })
 		defer end()
-		_ = server.Serve(listener) // ends with ctx
+		_ = server.Serve(listener) // returns when the server is closed
 	})
 	return listener.Addr().String(), nil
 }
--- a/services/standin/demo/show.go
+++ b/services/standin/demo/show.go
@@ -23,7 +23,7 @@
 	maxAnswerSize = 16 << 20
 )
 
-// show drives the main job and tells each step.
+// show runs the demonstration and prints each step.
 func show(ctx context.Context, out io.Writer, r *Running) error {
 	ctx, cancel := context.WithTimeout(ctx, showTimeout)
 	defer cancel()
@@ -122,8 +122,8 @@
 	})
 }
 
-// submit sends the job until it is accepted. That is safe whatever the answer is: a
-// job's id is taken only once.
+// submit sends the job until it is accepted. Repeating the call is safe whatever the answer was, because a job's id is
+// accepted only once.
 func submit(ctx context.Context, out io.Writer, op operatorClient, job models.JobSpec) error {
 	return op.waitUntil(ctx, func() (bool, error) {
 		results, err := ask[models.JobResults](ctx, op, http.MethodPost, "/v1/jobs", models.Submission{Jobs: []models.JobSpec{job}})
@@ -149,7 +149,7 @@
 	return running
 }
 
-// operatorClient calls a daemon as an operator.
+// operatorClient calls the operators' interface of a daemon.
 type operatorClient struct{ address string }
 
 func ask[T wire.Checker](ctx context.Context, op operatorClient, method, path string, body any) (T, error) {
@@ -158,7 +158,7 @@
 	}, body)
 }
 
-// waitUntil asks again and again until done says so or ctx ends.
+// waitUntil polls done until it returns true or an error, or the context ends.
 func (op operatorClient) waitUntil(ctx context.Context, done func() (bool, error)) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
--- a/services/standin/fleet/attempt.go
+++ b/services/standin/fleet/attempt.go
@@ -11,30 +11,30 @@
 	"rillsail.example/rillsail/models"
 )
 
-// attempt is one attempt of a task at a worker.
+// attempt is one attempt of a task on a worker.
 type attempt struct {
 	call      models.StartCall
 	status    models.AttemptStatus
 	progress  float64 // 0..1
-	cpuShare  float64 // of processor time, 1 when not throttled
+	cpuShare  float64 // share of the processor time, 1 when not throttled
 	leaseEnds time.Time
 	endReason string
-	// samples are the latencies of a service, oldest first; the report lags by
-	// reading an older one.
+	// samples are the latencies of a service, oldest first. Reports lag: they use the latest sample that
+	// is older than Config.ReportLag.
 	samples     []sample
 	sampleCount uint64
 }
 
-// sample is the latency of a service at one moment.
+// sample is the latency of a service at one time.
 type sample struct {
 	at  time.Time
 	p99 time.Duration
 }
 
-// checkpointPrefix stands before the progress in a checkpoint.
+// checkpointPrefix precedes the progress in a checkpoint.
 const checkpointPrefix = "progress="
 
-// report is what the worker tells of an attempt; the caller holds the lock.
+// report returns the worker's report of an attempt; the caller holds the lock.
 func (w *worker) report(a *attempt) models.AttemptReport {
 	report := models.AttemptReport{
 		AttemptRef: a.call.AttemptRef,
@@ -57,7 +57,7 @@
 	return report
 }
 
-// advance lets the worker's tasks run for a while.
+// advance simulates the worker's tasks for the time that has passed.
 func (w *worker) advance(now time.Time, passed time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -81,7 +81,7 @@
 	}
 }
 
-// advanceBatch lets a batch task go on; the caller holds the lock.
+// advanceBatch adds the progress of a batch task; the caller holds the lock.
 func (w *worker) advanceBatch(a *attempt, passed time.Duration) {
 	needed := a.call.Work.Duration().Seconds() * w.fleet.sizeFactor(a.call)
 	a.progress += passed.Seconds() * a.cpuShare / max(needed, 0.001)
@@ -91,10 +91,10 @@
 	}
 }
 
-// sampleLimit is how many latencies are kept for lagging reports.
+// sampleLimit bounds the samples that are kept for lagging reports.
 const sampleLimit = 256
 
-// sampleLatency takes the latency of a service; the caller holds the lock.
+// sampleLatency records the latency of a service, which batch tasks on the worker increase; the caller holds the lock.
 func (w *worker) sampleLatency(a *attempt, now time.Time) {
 	slowdown := 1.0
 	pairs := w.fleet.slowdowns()
@@ -112,7 +112,7 @@
 	w.fleet.audit.countSample(slowdown > 2)
 }
 
-// scale multiplies an amount by a factor.
+// scale multiplies processor time and memory by a factor.
 func scale(r models.Resources, factor float64) models.Resources {
 	return models.Resources{
 		CPU:          models.MilliCPU(float64(r.CPU) * factor),
@@ -121,7 +121,7 @@
 	}
 }
 
-// hashFraction gives a number in 0..1 that depends on the text alone.
+// hashFraction returns a number in [0, 1) that depends on the text alone.
 func hashFraction(text string) float64 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(text)) // never fails
--- a/services/standin/fleet/audit.go
+++ b/services/standin/fleet/audit.go
@@ -16,8 +16,8 @@
 	"rillsail.example/rillsail/models"
 )
 
-// Audit is what really happened at the workers and upstreams, as no daemon sees
-// it. Violations lists every breach of a promise.
+// Audit is what actually happened on the workers and upstreams, which no daemon sees. Violations lists the violated
+// guarantees.
 type Audit struct {
 	Starts       int64 `json:"starts"`
 	Finished     int64 `json:"finished"`
@@ -25,10 +25,10 @@
 	Failed       int64 `json:"failed"`
 	Running      int   `json:"running"`
 	Samples      int64 `json:"samples"`
-	SlowSamples  int64 `json:"slow_samples"` // services over their target
-	Requests     int64 `json:"requests"`     // run by upstreams
+	SlowSamples  int64 `json:"slow_samples"` // samples above the service's target
+	Requests     int64 `json:"requests"`     // requests that upstreams have run
 	SlotOverruns int64 `json:"slot_overruns"`
-	// StartP50 and StartP99 are the times from submission to start of TimedJob's tasks.
+	// StartP50 and StartP99 are quantiles of the time from submission to start, for tasks of jobs named by TimedJob.
 	StartP50 models.Milli `json:"start_p50_ms"`
 	StartP99 models.Milli `json:"start_p99_ms"`
 	// ByUpstream counts the requests that reached each upstream.
@@ -36,21 +36,21 @@
 	Violations []string              `json:"violations"`
 }
 
-// Check is there for the decoder.
+// Check implements wire.Checker; it accepts everything.
 func (a Audit) Check() error { return nil }
 
-// maxViolations bounds the list; the first ones tell the most.
+// maxViolations bounds the list. The first violations are kept, because they say the most about the cause.
 const maxViolations = 100
 
-// TimedJob is the id of a job whose tasks' start times are measured: it holds when the
-// job was submitted, by this machine's clock.
+// TimedJob returns the id of a job whose tasks' times to start are measured. The id contains the time of the
+// submission, on this machine's clock.
 func TimedJob(submitted time.Time, number int) models.JobID {
 	return models.JobID(fmt.Sprintf("%s%d-%d", timedPrefix, submitted.UnixMilli(), number))
 }
 
 const timedPrefix = "timed-"
 
-// submittedAt reads the time out of a task's id; ok is false for other jobs' tasks.
+// submittedAt returns the time of the submission in a task's id; ok is false for tasks of jobs not named by TimedJob.
 func submittedAt(task models.TaskID) (ms int64, ok bool) {
 	_, rest, ok := strings.Cut(string(task), "/"+timedPrefix)
 	if !ok {
@@ -61,18 +61,18 @@
 	return ms, err == nil
 }
 
-// maxStartTime bounds what the histogram of start times holds, in milliseconds.
+// maxStartTime bounds the histogram of times to start, in milliseconds.
 const maxStartTime = 3_600_000
 
-// auditor watches all tasks and requests of the fleet.
+// auditor records all attempts and requests of the fleet.
 type auditor struct {
 	mu            sync.Mutex
 	audit         Audit
 	running       map[models.TaskID]models.VMID
-	keptSuccesses map[models.TaskID]int // successes whose result is not lost
-	successes     map[models.TaskID]int // successes
+	keptSuccesses map[models.TaskID]int // successes whose result was not lost
+	successes     map[models.TaskID]int // all successes
 	starts        map[models.TaskID]int
-	requestRuns   map[string]int // runs of a request by its load id
+	requestRuns   map[string]int // runs of a request, by load id
 	startTimes    *hdrhistogram.Histogram
 	startedOn     map[string]models.VMID
 }
@@ -102,7 +102,7 @@
 	a.audit.Starts++
 	a.starts[call.Task]++
 	if submitted, ok := submittedAt(call.Task); ok && call.Attempt == 1 {
-		_ = a.startTimes.RecordValue(max(1, time.Now().UnixMilli()-submitted)) // beyond an hour isn't counted
+		_ = a.startTimes.RecordValue(max(1, time.Now().UnixMilli()-submitted)) // times above an hour are not counted
 	}
 	if other, ok := a.running[call.Task]; ok {
 		a.violation("task %s attempt %d started on %s while it runs on %s", call.Task, call.Attempt, vm, other)
@@ -136,8 +136,8 @@
 	}
 }
 
-// resultLost notes that a worker died with a result that nobody had taken: a task
-// that may be repeated has to run again.
+// resultLost records that a worker died with a result that no owner had acknowledged: a task that may be repeated
+// has to run again.
 func (a *auditor) resultLost(task models.TaskID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/services/standin/fleet/control.go
+++ b/services/standin/fleet/control.go
@@ -14,30 +14,30 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Paths by which tests and trials steer the fleet.
+// The HTTP paths by which tests and trials control the fleet.
 const (
 	PathControl = "/standin/control"
 	PathAudit   = "/standin/audit"
 	PathRuns    = "/standin/runs"
 )
 
-// Action is what to do to a VM.
+// Action is a fault or a change of state of a VM.
 type Action string
 
-// The actions. Cut and heal, leave and stay, faulty and sound undo each other.
+// The actions. ActionHeal undoes ActionCut, ActionStay undoes ActionLeave, and ActionSound undoes ActionFaulty.
 const (
-	ActionKill    Action = "kill"    // the VM dies; the list drops it after its lag
-	ActionRestart Action = "restart" // the worker's process begins a new incarnation
-	ActionCut     Action = "cut"     // it runs on but nobody reaches it
+	ActionKill    Action = "kill"    // the VM dies; the list drops it after the list's lag
+	ActionRestart Action = "restart" // workers only: the worker process starts a new incarnation
+	ActionCut     Action = "cut"     // the VM continues to run but can't be reached
 	ActionHeal    Action = "heal"
-	ActionLeave   Action = "leave" // the list says leaving after its lag
+	ActionLeave   Action = "leave" // the list shows the VM as leaving after the list's lag
 	ActionStay    Action = "stay"
-	ActionFaulty  Action = "faulty" // tasks fail, requests fail at once
+	ActionFaulty  Action = "faulty" // all tasks fail; requests fail at once
 	ActionSound   Action = "sound"
-	ActionSlow    Action = "slow"    // upstreams only: Factor times slower
-	ActionHalf    Action = "half"    // upstreams only: Count answers end in the middle
-	ActionHangUp  Action = "hang-up" // upstreams only: Count requests run and get no answer
-	ActionForeign Action = "foreign" // upstreams only: Count answers carry another request's id
+	ActionSlow    Action = "slow"    // upstreams only: requests take Factor times as long
+	ActionHalf    Action = "half"    // upstreams only: the next Count answers are truncated
+	ActionHangUp  Action = "hang-up" // upstreams only: the next Count requests run and get no answer
+	ActionForeign Action = "foreign" // upstreams only: the next Count answers belong to another request
 )
 
 // Control is one action on one VM.
@@ -48,12 +48,12 @@
 	Count  int         `json:"count,omitempty"`
 }
 
-// Check is there for the decoder; Apply says what is wrong.
+// Check implements wire.Checker. It accepts everything; Apply rejects invalid actions.
 func (c Control) Check() error { return nil }
 
 const maxControlSize = 1 << 16
 
-// Handler serves the VM list and the fleet's own paths.
+// Handler returns the handler for the VM list and the fleet's control paths.
 func (f *Fleet) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+platform.PathVMs, func(w http.ResponseWriter, _ *http.Request) { wire.Write(w, http.StatusOK, f.VMs()) })
@@ -77,7 +77,7 @@
 	wire.Write(w, http.StatusOK, control)
 }
 
-// Apply carries out one action.
+// Apply carries out an action.
 func (f *Fleet) Apply(control Control) error {
 	if w, ok := f.workers[control.VM]; ok {
 		return f.applyToWorker(w, control)
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// setListed changes what the list will say of a VM; an empty state drops it.
+// setListed changes the state of a VM in the list after the list's lag; an empty state removes the VM.
 func (f *Fleet) setListed(id models.VMID, state models.VMState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,8 +163,7 @@
 	change()
 }
 
-// handler serves the agent's interface. A worker that is down or cut ends every
-// call without an answer.
+// handler serves the worker agent's interface. A worker that is down or cut aborts every call without an answer.
 func (w *worker) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+platform.PathStart, serveAgent(w, w.start))
--- a/services/standin/fleet/fleet.go
+++ b/services/standin/fleet/fleet.go
@@ -1,10 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package fleet is a stand-in for the platform's VMs, for tests and trials only:
-// worker agents, upstreams that answer requests, and the lagging VM list, each VM
-// with an address of its own on the loopback. It watches what really runs and
-// lists every breach of a promise in its audit.
+// Package fleet simulates the platform's VMs, for tests and trials only: worker agents, upstreams that answer requests,
+// and the lagging VM list. Each VM has an address of its own on the loopback interface. An audit follows what actually
+// runs and lists violated guarantees.
 //
 // # Usage
 //
@@ -28,9 +27,9 @@
 	"rillsail.example/rillsail/models"
 )
 
-// Config says what the fleet is made of and how it behaves.
+// Config configures a fleet.
 type Config struct {
-	Run       string // names this run; part of incarnations
+	Run       string // name of this run of the fleet; part of the workers' incarnations
 	Workers   int
 	PerRack   int
 	Worker    models.Resources
@@ -38,28 +37,27 @@
 	Slots     int
 	Conns     int
 	Domains   []string
-	ListLag   time.Duration    // of the VM list
-	ReportLag time.Duration    // of latencies in worker reports
-	Guards    bool             // workers refuse what they have no room for
-	SizeError float64          // declared sizes and run times are off by 1/(1+e)..1+e
-	Pairs     func() PairTable // in force now; nil: nothing slows anything down
-	Service   ServiceTimes     // of upstreams
+	ListLag   time.Duration    // delay of changes in the VM list
+	ReportLag time.Duration    // delay of latencies in worker reports
+	Guards    bool             // workers refuse starts that exceed their free capacity
+	SizeError float64          // actual sizes and run times are 1/(1+e) to 1+e times the declared ones
+	Pairs     func() PairTable // the current table; nil: no slowdowns
+	Service   ServiceTimes     // time that upstreams take for a request
 	Tick      time.Duration
-	// Unserved opens no listeners: the workers are reached through Local only.
+	// Unserved makes the fleet open no listeners: workers are reachable through Local only.
 	Unserved bool
 }
 
-// PairTable says how much a service is slowed down by each batch task beside it;
-// the scheduler never sees it.
+// PairTable contains how much each batch task slows down a service on the same worker. The scheduler never sees it.
 type PairTable map[Pair]float64
 
-// Pair is a service and a batch task by their label "app".
+// Pair is a service and a batch task, each identified by its label "app".
 type Pair struct{ Service, Batch string }
 
-// Slowdown is what one batch task adds to the service's latency, as a factor.
+// Slowdown returns what one batch task adds to the service's latency, as a fraction of the latency without it.
 func (t PairTable) Slowdown(service, batch string) float64 { return t[Pair{service, batch}] }
 
-// slowdowns is the table in force now.
+// slowdowns returns the current table.
 func (f *Fleet) slowdowns() PairTable {
 	if f.config.Pairs == nil {
 		return nil
@@ -69,7 +67,7 @@
 
 const appLabel = "app"
 
-// Fleet is the stand-in.
+// Fleet simulates the VMs.
 type Fleet struct {
 	config    Config
 	audit     *auditor
@@ -79,11 +77,11 @@
 	listeners []net.Listener
 
 	mu        sync.Mutex
-	actualVMs []models.VM // what the list will say once it has caught up
+	actualVMs []models.VM // the VMs as the list shows them after its lag
 	published []listSnapshot
 }
 
-// listSnapshot is what the list says from a moment on.
+// listSnapshot is the content of the list from a time on.
 type listSnapshot struct {
 	from time.Time
 	vms  []models.VM
@@ -91,7 +89,7 @@
 
 const defaultTick = 20 * time.Millisecond
 
-// New makes the fleet and opens a listener for each VM.
+// New returns a fleet and opens a listener for each VM.
 func New(config Config) (*Fleet, error) {
 	if config.Tick == 0 {
 		config.Tick = defaultTick
@@ -147,7 +145,7 @@
 	return nil
 }
 
-// open listens on the loopback and enters the VM in the list.
+// open opens a listener on the loopback interface and adds the VM to the list.
 func (f *Fleet) open(vm *models.VM) (net.Listener, error) {
 	if f.config.Unserved {
 		vm.Address = fmt.Sprintf("127.0.0.1:%d", len(f.actualVMs)+1)
@@ -168,12 +166,12 @@
 	f.servers = append(f.servers, &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute})
 }
 
-// publish makes the list say the truth once the lag has passed.
+// publish makes the list show actualVMs after the lag.
 func (f *Fleet) publish(lag time.Duration) {
 	f.published = append(f.published, listSnapshot{from: time.Now().Add(lag), vms: slices.Clone(f.actualVMs)})
 }
 
-// VMs is what the list says now.
+// VMs returns the current content of the list.
 func (f *Fleet) VMs() models.VMList {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -184,13 +182,13 @@
 	return models.VMList{VMs: f.published[0].vms}
 }
 
-// Audit is what really happened so far.
+// Audit returns what has actually happened so far.
 func (f *Fleet) Audit() Audit { return f.audit.snapshot() }
 
-// RunsOf is how often upstreams ran the request with the load id.
+// RunsOf returns how often upstreams have run the request with a load id.
 func (f *Fleet) RunsOf(id string) int { return f.audit.runsOf(id) }
 
-// Run serves all VMs until ctx ends.
+// Run serves all VMs until the context ends.
 func (f *Fleet) Run(ctx context.Context) {
 	var group conc.WaitGroup
 	for i, server := range f.servers {
@@ -203,7 +201,7 @@
 	group.Wait()
 }
 
-// loop lets the tasks of all workers run.
+// loop advances the tasks of all workers with each tick.
 func (f *Fleet) loop(ctx context.Context) {
 	ticker := time.NewTicker(f.config.Tick)
 	defer ticker.Stop()
--- a/services/standin/fleet/local.go
+++ b/services/standin/fleet/local.go
@@ -12,10 +12,9 @@
 	"rillsail.example/rillsail/models"
 )
 
-// Local reaches the fleet's workers within the process as platform.Workers, for
-// tests that run many daemons in one. Fault is asked before and after each call,
-// and may block; Repeat tells that a call arrives twice; Late by how much later a
-// start arrives than its caller gives it up, 0 when it isn't late.
+// Local implements platform.Workers by direct calls to the fleet's workers, for tests that run many daemons in one
+// process. Fault is called before and after each call and may block. Repeat returns whether a call arrives twice. Late
+// returns how long after its caller has received an error a start arrives, or 0 if the start is not delayed.
 type Local struct {
 	Fleet  *Fleet
 	Fault  func(ctx context.Context, after bool, address string) error
@@ -23,7 +22,7 @@
 	Late   func() time.Duration
 }
 
-// errUnreachable is what a call to a VM that is cut or down meets.
+// errUnreachable is the error of a call to a VM that is cut or down.
 var errUnreachable = errors.New("worker can't be reached")
 
 // Start implements platform.Workers.
@@ -76,20 +75,20 @@
 	return nil, errUnreachable
 }
 
-// FinishedRuns is how often the task ended successfully at any worker, in all and
-// without those whose result died with the worker.
+// FinishedRuns returns how often a task has succeeded on any worker: all successes, and those whose result was not
+// lost with the worker.
 func (f *Fleet) FinishedRuns(task models.TaskID) (all, kept int) {
 	f.audit.mu.Lock()
 	defer f.audit.mu.Unlock()
 	return f.audit.successes[task], f.audit.keptSuccesses[task]
 }
 
-// StartsOf is how many attempts of the task began at any worker.
+// StartsOf returns the number of attempts of a task that were started on any worker.
 func (f *Fleet) StartsOf(task models.TaskID) int {
 	f.audit.mu.Lock()
 	defer f.audit.mu.Unlock()
 	return f.audit.starts[task]
 }
 
-// Advance lets all tasks run, without Run.
+// Advance advances all tasks until the context ends. It replaces Run for a fleet without listeners.
 func (f *Fleet) Advance(ctx context.Context) { f.loop(ctx) }
--- a/services/standin/fleet/upstream.go
+++ b/services/standin/fleet/upstream.go
@@ -16,29 +16,29 @@
 	"rillsail.example/rillsail/models"
 )
 
-// Headers by which the load tool tells an upstream what to do.
+// The headers by which the load generator controls an upstream.
 const (
-	HeaderLoadID       = "Load-Id"           // names the request for the audit
-	HeaderUnrepeatable = "Load-Unrepeatable" // running it twice is a violation
-	HeaderWork         = "Load-Work-Ms"      // service time instead of the drawn one
-	HeaderBytes        = "Load-Bytes"        // length of the answer's filling
-	HeaderWatch        = "Load-Watch-Ms"     // stream a line now and then for so long
+	HeaderLoadID       = "Load-Id"           // identifies the request in the audit
+	HeaderUnrepeatable = "Load-Unrepeatable" // running the request twice is a violation
+	HeaderWork         = "Load-Work-Ms"      // service time, instead of a random one
+	HeaderBytes        = "Load-Bytes"        // length of the answer's padding
+	HeaderWatch        = "Load-Watch-Ms"     // stream lines for this time
 )
 
-// ServiceTimes are log-normal service times: short with a long tail.
+// ServiceTimes is a log-normal distribution of service times, bounded by Most.
 type ServiceTimes struct {
 	Median time.Duration
 	Sigma  float64
 	Most   time.Duration
 }
 
-// Draw draws a service time.
+// Draw returns a random service time.
 func (s ServiceTimes) Draw() time.Duration {
 	d := time.Duration(float64(s.Median) * math.Exp(s.Sigma*rand.NormFloat64()))
 	return min(d, s.Most)
 }
 
-// upstream answers requests in a number of slots; more requests wait.
+// upstream serves as many requests at a time as it has slots; further requests wait.
 type upstream struct {
 	fleet *Fleet
 	vm    models.VM
@@ -65,13 +65,14 @@
 	change()
 }
 
-// requestFaults is what one request will meet.
+// requestFaults are the faults that apply to one request.
 type requestFaults struct {
 	leaving, faulty, truncate, hangUp, wrongID bool
 	factor                                     int
 }
 
-// nextFaults takes what the next request will meet; it aborts when the VM is cut.
+// nextFaults returns the faults of the next request and counts them down. If the VM is cut, nextFaults aborts the
+// request.
 func (u *upstream) nextFaults() requestFaults {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -93,7 +94,7 @@
 	return true
 }
 
-// ServeHTTP runs one request.
+// ServeHTTP implements http.Handler: it runs a request.
 func (u *upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	b := u.nextFaults()
 	u.fleet.audit.countUpstream(u.vm.ID)
@@ -111,7 +112,7 @@
 	overrun := u.acquireSlot(r)
 	u.fleet.audit.requestRun(r.Header.Get(HeaderLoadID), r.Header.Get(HeaderUnrepeatable) != "", overrun)
 	if watch, err := strconv.Atoi(r.Header.Get(HeaderWatch)); err == nil {
-		<-u.slots // a standing watcher takes a connection, not a slot
+		<-u.slots // a watch request occupies a connection, not a slot
 		u.stream(w, r, time.Duration(watch)*time.Millisecond)
 		return
 	}
@@ -120,7 +121,7 @@
 	u.answer(w, r, body, b)
 }
 
-// acquireSlot waits for a slot and tells whether none was free.
+// acquireSlot waits for a slot and returns whether the request had to wait.
 func (u *upstream) acquireSlot(r *http.Request) (overrun bool) {
 	select {
 	case u.slots <- struct{}{}:
@@ -142,21 +143,21 @@
 	return u.fleet.config.Service.Draw()
 }
 
-// AnswerFor is the whole answer to a request, so that a caller can check it.
-func AnswerFor(id string, body []byte, filling int) string {
-	return "answer to " + id + " " + string(body) + strings.Repeat(".", filling) + " end"
+// AnswerFor returns the whole answer to a request, with which a caller can check an answer.
+func AnswerFor(id string, body []byte, padding int) string {
+	return "answer to " + id + " " + string(body) + strings.Repeat(".", padding) + " end"
 }
 
 func (u *upstream) answer(w http.ResponseWriter, r *http.Request, body []byte, b requestFaults) {
 	if b.hangUp {
 		panic(http.ErrAbortHandler)
 	}
-	filling, _ := strconv.Atoi(r.Header.Get(HeaderBytes))
-	text := AnswerFor(r.Header.Get(HeaderLoadID), body, filling)
+	padding, _ := strconv.Atoi(r.Header.Get(HeaderBytes))
+	text := AnswerFor(r.Header.Get(HeaderLoadID), body, padding)
 	id := r.Header.Get(models.HeaderRequestID)
-	if b.wrongID { // the answer to somebody else
+	if b.wrongID { // the answer to another request
 		id += "-other"
-		text = AnswerFor(r.Header.Get(HeaderLoadID)+"-other", body, filling)
+		text = AnswerFor(r.Header.Get(HeaderLoadID)+"-other", body, padding)
 	}
 	w.Header().Set(models.HeaderRequestID, id)
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -170,7 +171,7 @@
 
 const watchLineInterval = 50 * time.Millisecond
 
-// stream sends a line now and then, and a last one, as a standing watcher gets them.
+// stream answers a watch request: it sends a line every watchLineInterval and a last one after the length.
 func (u *upstream) stream(w http.ResponseWriter, r *http.Request, length time.Duration) {
 	controller := http.NewResponseController(w)
 	end := time.NewTimer(length)
--- a/services/standin/fleet/worker.go
+++ b/services/standin/fleet/worker.go
@@ -13,7 +13,7 @@
 	"rillsail.example/rillsail/models"
 )
 
-// worker is the agent of one worker VM.
+// worker is the agent on a worker VM.
 type worker struct {
 	mu           sync.Mutex
 	fleet        *Fleet
@@ -34,7 +34,7 @@
 	return w
 }
 
-// startIncarnation starts a new incarnation, which remembers nothing.
+// startIncarnation starts a new incarnation, which has no state of the previous one.
 func (w *worker) startIncarnation() {
 	w.incarnations++
 	w.incarnation = models.Incarnation(fmt.Sprintf("%s-%s-%d", w.vm.ID, w.fleet.config.Run, w.incarnations))
@@ -43,7 +43,7 @@
 	w.barred = map[models.TaskID]models.Attempt{}
 }
 
-// checkFencing checks a call's epoch and incarnation; the caller holds the lock.
+// checkFencing checks the incarnation and epoch of a call and records the epoch; the caller holds the lock.
 func (w *worker) checkFencing(g models.Guard, needIncarnation bool) models.Refusal {
 	if g.Incarnation != w.incarnation && (g.Incarnation != "" || needIncarnation) {
 		return models.RefusedIncarnation
@@ -66,7 +66,7 @@
 		if known.call.Attempt > call.Attempt {
 			answer.Refused = models.RefusedAttempt
 		}
-		return answer // a repeated start
+		return answer // a repeated start succeeds without effect
 	}
 	if w.barred[call.Task] >= call.Attempt {
 		answer.Refused = models.RefusedBarred
@@ -163,7 +163,8 @@
 	return answer
 }
 
-// kill ends everything that runs, as when the VM dies; restart begins anew.
+// kill ends everything that runs on the worker. With restart, the worker continues with a new incarnation; otherwise
+// the VM is dead.
 func (w *worker) kill(restart bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/services/standin/grid/audit.go
+++ b/services/standin/grid/audit.go
@@ -62,14 +62,14 @@
 	a.lastStart[r.task.Job] = time.Now()
 	step := a.step(r.task)
 	if step == nil {
-		a.breach("%s was never accepted and runs on %s", r.task, w.info.ID)
+		a.breach("%s runs on %s although its job was never accepted", r.task, w.info.ID)
 		return
 	}
 	if call.Payload != a.specs[r.task.Job].Payload {
-		a.breach("%s runs with another payload", r.task)
+		a.breach("%s runs with a payload that is not its job's", r.task)
 	}
 	for other := range a.running[r.task] {
-		a.breach("%s runs on %s and on %s", r.task, other.info.ID, w.info.ID)
+		a.breach("%s runs on %s and on %s at the same time", r.task, other.info.ID, w.info.ID)
 	}
 	if a.acknowledgedSuccesses[r.task] {
 		a.breach("%s runs again although its success was acknowledged", r.task)
@@ -103,7 +103,7 @@
 	}
 	a.startsAfterCrashes[task]++
 	if a.startsAfterCrashes[task] >= breachStarts {
-		a.breach("%s is started %d times more after it has ended %d workers", task, a.startsAfterCrashes[task], a.crashes[task])
+		a.breach("%s has been started %d more times after it had crashed %d workers", task, a.startsAfterCrashes[task], a.crashes[task])
 	}
 }
 
@@ -131,7 +131,7 @@
 		used = used.Add(r.size)
 	}
 	if limit := w.capacityLimit(); !used.Fits(limit) {
-		a.breach("%s is committed to %+v of %+v", w.info.ID, used, limit)
+		a.breach("runs on %s hold %+v, its capacity is %+v", w.info.ID, used, limit)
 	}
 }
 
--- a/services/standin/grid/audit_checkpoints.go
+++ b/services/standin/grid/audit_checkpoints.go
@@ -83,7 +83,7 @@
 		a.breach("%s runs on %s with the checkpoint %q of %s", r.task, w.info.ID, text, saved.Task)
 		return
 	default:
-		a.breach("%s runs on %s with the checkpoint %q, which nobody has made", r.task, w.info.ID, text)
+		a.breach("%s runs on %s with the checkpoint %q, which no run has made", r.task, w.info.ID, text)
 		return
 	}
 	if best := a.reportedWork[r.task]; best > saved.Work {
--- a/services/standin/kv/handler.go
+++ b/services/standin/kv/handler.go
@@ -16,16 +16,16 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Paths by which tests and trials steer the stand-in.
+// The HTTP paths by which tests and trials control the service.
 const (
 	PathFaults = "/standin/faults"
 	PathStats  = "/standin/stats"
 )
 
-// maxCallSize bounds a call's body: a value in base64 with room for the rest.
+// maxCallSize bounds the body of a call: a value in base64 and space for the other fields.
 const maxCallSize = 2 * platform.MaxValue
 
-// Handler serves the store's interface and the stand-in's own.
+// Handler returns the handler for the store's interface and the control paths.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	for path, write := range map[string]bool{
@@ -70,7 +70,7 @@
 	}
 	answer, err := s.perform(r.Context(), path, call)
 	if s.countAnswer(write, err, call.Key, answer) {
-		panic(http.ErrAbortHandler) // took effect, no answer
+		panic(http.ErrAbortHandler) // the call has taken effect and gets no answer
 	}
 	if err != nil {
 		wire.Write(w, statusOf(err), wire.Problem{Error: err.Error()})
@@ -98,7 +98,7 @@
 	}
 }
 
-// countCall counts a call and tells whether the rates allow it.
+// countCall counts a call and returns whether the rate limits allow it.
 func (s *Service) countCall(path string, write bool, bytes int64) bool {
 	limit := s.reads
 	if write {
@@ -122,7 +122,7 @@
 	return allowed
 }
 
-// countAnswer counts the answer and tells whether it shall be lost.
+// countAnswer counts the bytes of an answer and returns whether the answer is to be lost.
 func (s *Service) countAnswer(write bool, err error, key string, answer platform.StoreAnswer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +130,7 @@
 		s.stats.BytesOut += int64(len(record.Value))
 	}
 	if s.faults.Outage {
-		return true // a watch that waited when the outage began
+		return true // a watch that was waiting when the outage began
 	}
 	if !write || err != nil || s.faults.LoseAnswers == 0 || !strings.HasPrefix(key, s.faults.LosePrefix) {
 		return false
--- a/services/standin/kv/kv.go
+++ b/services/standin/kv/kv.go
@@ -1,10 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package kv is a stand-in for the platform's key-value service, for tests and
-// trials only: it keeps everything in memory. It offers compare-and-swap, leases
-// and watches, enforces the platform's rates, counts calls, and brings about
-// outages, slowness and lost answers when told to.
+// Package kv is an in-memory implementation of the platform's key-value service, for tests and trials only. It offers
+// compare-and-swap, leases and watches, enforces the platform's rate limits, counts calls, and simulates outages, delays
+// and lost answers when a test asks for them.
 //
 // # Usage
 //
@@ -24,22 +23,22 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Config says what the service allows. Rates of 0 are not limited.
+// Config contains the rate limits of a service; 0 is unlimited.
 type Config struct {
 	WritesPerSecond int
 	ReadsPerSecond  int
 }
 
-// Faults are what the service does wrong until told otherwise.
+// Faults are the faults of the service until they are replaced.
 type Faults struct {
-	Outage bool `json:"outage"`   // every call ends without an answer and without effect
-	Delay  int  `json:"delay_ms"` // before each call takes effect
-	// LoseAnswers lets so many writes take effect and then ends them without an answer.
+	Outage bool `json:"outage"`   // calls have no effect and get no answer
+	Delay  int  `json:"delay_ms"` // delay before a call takes effect
+	// LoseAnswers is the number of coming writes that take effect and get no answer.
 	LoseAnswers int    `json:"lose_answers"`
-	LosePrefix  string `json:"lose_prefix"` // only of keys with this prefix
+	LosePrefix  string `json:"lose_prefix"` // LoseAnswers affects only keys with this prefix
 }
 
-// Check is there for the decoder.
+// Check implements wire.Checker; it accepts everything.
 func (f Faults) Check() error { return nil }
 
 // Stats counts calls.
@@ -54,10 +53,10 @@
 	WritesByKind map[string]int64 `json:"writes_by_kind"`
 }
 
-// Check is there for the decoder.
+// Check implements wire.Checker; it accepts everything.
 func (s Stats) Check() error { return nil }
 
-// historyLength is how many changes watches can look back.
+// historyLength is the least number of changes that are kept for watches.
 const historyLength = 4096
 
 type entry struct {
@@ -72,22 +71,22 @@
 	keys  map[string]bool
 }
 
-// Service is the stand-in.
+// Service is the key-value service.
 type Service struct {
 	mu          sync.Mutex
 	revision    platform.Version
 	keys        map[string]entry
 	leases      map[platform.LeaseID]*lease
 	history     []platform.Record
-	compactedTo platform.Version // changes up to here are not kept
-	changed     chan struct{}    // closed and renewed with each change
+	compactedTo platform.Version // changes up to this revision are not available to watches
+	changed     chan struct{}    // closed and replaced with each change
 	faults      Faults
 	stats       Stats
 	writes      *rate.Limiter
 	reads       *rate.Limiter
 }
 
-// New makes an empty service.
+// New returns an empty service.
 func New(config Config) *Service {
 	return &Service{
 		keys:    map[string]entry{},
@@ -113,7 +112,7 @@
 	s.faults = faults
 }
 
-// Stats gives the counts so far.
+// Stats returns the counts so far.
 func (s *Service) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,7 +156,7 @@
 	})
 }
 
-// commit carries out a transaction, all of it under one revision, or none.
+// commit applies a transaction atomically, under one revision.
 func (s *Service) commit(txn platform.Txn) (platform.StoreAnswer, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,7 +183,7 @@
 	return platform.StoreAnswer{Version: s.revision}, nil
 }
 
-// put writes a key at the current revision; the caller holds the lock.
+// put writes a key under the current revision; the caller holds the lock.
 func (s *Service) put(w platform.Write) {
 	if w.Lease != 0 {
 		s.leases[w.Lease].keys[w.Key] = true
@@ -206,14 +205,14 @@
 	return nil
 }
 
-// dropKey removes a key; the caller holds the lock.
+// dropKey removes a key under a new revision; the caller holds the lock.
 func (s *Service) dropKey(key string) {
 	delete(s.keys, key)
 	s.revision++
 	s.recordChange(platform.Record{Key: key, Version: s.revision, Deleted: true})
 }
 
-// recordChange keeps a change for watches and wakes them; the caller holds the lock.
+// recordChange adds a change to the history and wakes waiting watches; the caller holds the lock.
 func (s *Service) recordChange(record platform.Record) {
 	s.history = append(s.history, record)
 	if len(s.history) > 2*historyLength {
@@ -276,7 +275,7 @@
 	return nil
 }
 
-// Forget drops the history: watches of former revisions are told so.
+// Forget drops the history: watches from earlier revisions fail with ErrCompacted.
 func (s *Service) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/services/standin/kv/local.go
+++ b/services/standin/kv/local.go
@@ -13,16 +13,15 @@
 
 var _ platform.TxnStore = (*Local)(nil)
 
-// Local is the stand-in as a platform.TxnStore within the process, for tests that run
-// many daemons in one.
+// Local implements platform.TxnStore by direct calls to a Service, for tests that run many daemons in one process.
 type Local struct {
 	Service *Service
 	Fault   Fault
-	Wait    time.Duration // of a watch
+	Wait    time.Duration // how long a watch waits for changes
 }
 
-// Fault is asked before and after each call: an error before keeps the call from taking
-// effect, one after loses its answer. It may also block.
+// Fault is called before and after each call. An error before the call prevents its effect, an error after the call
+// loses its answer. A Fault may also block.
 type Fault func(ctx context.Context, write, after bool, key string) error
 
 func (l *Local) callWithFaults(ctx context.Context, write bool, key string, perform func() (platform.StoreAnswer, error)) (platform.StoreAnswer, error) {
@@ -61,7 +60,7 @@
 	return answer.Version, err
 }
 
-// Commit implements platform.TxnStore. Faults see the first key that is written.
+// Commit implements platform.TxnStore. The Fault is called with the first key that is written.
 func (l *Local) Commit(ctx context.Context, txn platform.Txn) (platform.Version, error) {
 	key := ""
 	if len(txn.Put) > 0 {
@@ -123,7 +122,7 @@
 // NoFault is a Fault that never fails.
 func NoFault(context.Context, bool, bool, string) error { return nil }
 
-// KeysWith lists the keys with a prefix, for checks of what is left behind.
+// KeysWith returns the keys with a prefix, in no particular order, for checks of what remains stored.
 func (s *Service) KeysWith(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/services/standin/link/link.go
+++ b/services/standin/link/link.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package link is a stand-in for the network link of a VM, for tests only: connections
-// in memory that share a bandwidth. It waits on the clock alone, so that in a bubble of
-// testing/synctest a transfer takes exactly its size over what the link has left.
+// Package link simulates the network link of a VM, for tests only: in-memory connections that share a bandwidth. All
+// delays come from the clock, so that in a testing/synctest bubble a transfer takes exactly its size divided by the
+// bandwidth that is left.
 //
 // # Usage
 //
@@ -20,46 +20,46 @@
 	"time"
 )
 
-// Config says what a link carries.
+// Config configures a link.
 type Config struct {
 	Rate int // bytes per second, in each direction
 }
 
 const (
-	// burstSize is how much of one connection is sent before another gets its turn, in bytes:
-	// sixteen packets of an Ethernet.
+	// burstSize is the number of bytes of one connection that are sent before another connection gets its turn:
+	// sixteen Ethernet packets.
 	burstSize = 16 * 1500
-	// handshakeSize is what it takes each way to open a connection, in bytes: three packets
-	// without data and their acknowledgements.
+	// handshakeSize is the number of bytes in each direction to open a connection: three packets without data and
+	// their acknowledgements.
 	handshakeSize = 200
 )
 
-// Link is a VM's link with everything that its connections lead to behind it.
+// Link is the link of a VM together with the listeners that the VM can connect to.
 type Link struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
 	up, down  direction
-	// dialed counts the connections; those up to silenced are silent for good.
+	// dialed counts the connections. Connections with a number up to silencedUpTo lose all data for good.
 	dialed, silencedUpTo atomic.Int64
 }
 
-// New makes a link.
+// New returns a link without listeners.
 func New(config Config) *Link {
 	return &Link{
 		listeners: map[string]*listener{}, up: direction{rate: config.Rate}, down: direction{rate: config.Rate},
 	}
 }
 
-// direction is one of the two ways through a link.
+// direction is one of the two directions of a link.
 type direction struct {
 	rate      int
 	mu        sync.Mutex
-	busyUntil time.Time // when what was given to it before has been carried
+	busyUntil time.Time // the time at which all earlier data has been carried
 	silent    bool
 	carried   int64
 }
 
-// carry waits until so many bytes have been carried; false when they never will be.
+// carry waits until n bytes have been carried. It returns false if they are lost, because the direction is silent.
 func (d *direction) carry(n int) bool {
 	d.mu.Lock()
 	if d.silent {
@@ -78,14 +78,14 @@
 	return true
 }
 
-// Carried is how many bytes the link has carried to the VM so far.
+// Carried returns the number of bytes that the link has carried to the VM so far.
 func (l *Link) Carried() int64 {
 	l.down.mu.Lock()
 	defer l.down.mu.Unlock()
 	return l.down.carried
 }
 
-// Press carries other traffic to the VM, so many bytes per second, until ctx ends.
+// Press generates other traffic to the VM at a rate in bytes per second, until the context ends.
 func (l *Link) Press(ctx context.Context, rate int) {
 	for ctx.Err() == nil {
 		began := time.Now()
@@ -94,18 +94,17 @@
 	}
 }
 
-// Silence lets everything that is sent to the VM from now on get lost, or no more.
+// Silence sets whether all data that is sent to the VM from now on is lost.
 func (l *Link) Silence(silent bool) {
 	l.down.mu.Lock()
 	defer l.down.mu.Unlock()
 	l.down.silent = silent
 }
 
-// SilenceOpen lets the connections that there are go silent for good, without a reset; later
-// ones work.
+// SilenceOpen makes the existing connections lose all data for good, without a reset. Later connections work.
 func (l *Link) SilenceOpen() { l.silencedUpTo.Store(l.dialed.Load()) }
 
-// Dial connects the VM with a listener; it fits http.Transport.
+// Dial connects the VM to a listener; its signature is that of http.Transport.DialContext.
 func (l *Link) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	l.mu.Lock()
 	to, ok := l.listeners[address]
@@ -129,7 +128,7 @@
 	}
 }
 
-// conn is one end of a connection; what is written to it goes one way.
+// conn is one end of a connection; outbound is the direction of the data that is written to it.
 type conn struct {
 	net.Conn
 	outbound *direction
@@ -137,7 +136,7 @@
 	number   int64
 }
 
-// Write implements net.Conn. What a silent link loses counts as written.
+// Write implements net.Conn. Data that a silent link loses counts as written.
 func (c *conn) Write(data []byte) (int, error) {
 	written := 0
 	for written < len(data) {
@@ -157,7 +156,7 @@
 	return written, nil
 }
 
-// Listen gives what accepts the connections to an address.
+// Listen returns a listener for connections to an address.
 func (l *Link) Listen(at string) net.Listener {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -192,7 +191,7 @@
 // Addr implements net.Listener.
 func (a *listener) Addr() net.Addr { return a.address }
 
-// address is one behind a link.
+// address is the address of a listener.
 type address string
 
 // Network implements net.Addr.
--- a/services/standin/link/link_test.go
+++ b/services/standin/link/link_test.go
@@ -17,7 +17,7 @@
 
 const testRate = 1000_000 // bytes per second
 
-// connect gives the two ends of a connection over the link.
+// connect returns the two ends of a connection over the link.
 func connect(t *testing.T, l *link.Link) (near, far net.Conn) {
 	t.Helper()
 	accepted := make(chan net.Conn, 1)
@@ -35,8 +35,8 @@
 	return near, far
 }
 
-// TestTransferTakesItsSizeOverTheRate sends half a second's bytes on each of two
-// connections: the link carries them in one second.
+// TestTransferTakesItsSizeOverTheRate sends the bytes of half a second on each of two connections: the link carries
+// them in one second.
 func TestTransferTakesItsSizeOverTheRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := link.New(link.Config{Rate: testRate})
@@ -44,7 +44,7 @@
 		for range 2 {
 			near, far := connect(t, l)
 			go func() {
-				_, _ = far.Write(make([]byte, testRate/2)) // the reader counts them
+				_, _ = far.Write(make([]byte, testRate/2)) // Carried counts the bytes
 				_ = far.Close()
 			}()
 			go func() { _, _ = io.Copy(io.Discard, near) }()
--- a/services/standin/load/load.go
+++ b/services/standin/load/load.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package load sends requests at a fixed rate, whether answers come or not, checks
-// each answer and measures latency from the moment a request was meant to be sent.
+// Package load is an open-loop load generator: it sends requests at a fixed mean rate, whether answers arrive or not,
+// checks each answer and measures latency from the time at which a request was due.
 //
 // # Usage
 //
@@ -27,27 +27,27 @@
 	"rillsail.example/rillsail/services/standin/fleet"
 )
 
-// Kind is one kind of request in the mix.
+// Kind is a kind of request in the mix.
 type Kind struct {
 	Name         string
 	Weight       int
 	Labels       string
 	Deadline     time.Duration
 	Unrepeatable bool
-	Watch        time.Duration // a standing watcher of this length
-	Work         time.Duration // service time; 0: drawn by the upstream
-	Bytes        int           // filling of the answer
+	Watch        time.Duration // duration of a watch request; 0: no watch
+	Work         time.Duration // service time; 0: chosen by the upstream
+	Bytes        int           // padding of the answer
 }
 
-// Config says what to send where.
+// Config configures a run.
 type Config struct {
-	Targets []string // callers' listeners; each gets the same share
-	Rate    float64  // requests a second
+	Targets []string // addresses of the daemons' listeners for callers; each gets the same share
+	Rate    float64  // requests per second
 	For     time.Duration
 	Mix     []Kind
 	Seed    uint64
-	Run     string // part of the requests' ids
-	// Retries is how often a refused request is sent again at once, as in a storm.
+	Run     string // prefix of the requests' ids
+	// Retries is how often a refused request is sent again at once, to simulate a retry storm.
 	Retries int
 }
 
@@ -59,13 +59,13 @@
 	started int
 }
 
-// idleConnsPerTarget are kept to each target.
+// idleConnsPerTarget bounds the idle connections that are kept to each target.
 const idleConnsPerTarget = 512
 
-// Run sends until the time is over and waits for the last answer.
+// Run sends requests until the configured time is over and waits for the last answer.
 func Run(ctx context.Context, config Config) (Report, error) {
 	if len(config.Targets) == 0 || config.Rate <= 0 || len(config.Mix) == 0 {
-		return Report{}, errors.New("load: targets, rate and mix are needed")
+		return Report{}, errors.New("load: Targets, Rate and Mix are required")
 	}
 	r := &runner{
 		config: config, report: Report{Kinds: map[string]*KindReport{}},
@@ -82,7 +82,7 @@
 	return r.report, nil
 }
 
-// loop sends each request at its time, late ones at once.
+// loop sends each request when it is due, and overdue requests at once.
 func (r *runner) loop(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.config.Seed, 1))
 	var group conc.WaitGroup
@@ -105,12 +105,12 @@
 	}
 }
 
-// nextGap is the time to the next request: exponential, as of independent callers.
+// nextGap returns the time to the next request, exponentially distributed as with independent callers.
 func (r *runner) nextGap(random *rand.Rand) time.Duration {
 	return time.Duration(random.ExpFloat64() / r.config.Rate * float64(time.Second))
 }
 
-// draw chooses the kind of the next request, each as often as its weight says.
+// draw chooses the kind of the next request at random, with probabilities proportional to the weights.
 func (r *runner) draw(random *rand.Rand) Kind {
 	total := 0
 	for _, kind := range r.config.Mix {
@@ -125,12 +125,12 @@
 	return r.config.Mix[0]
 }
 
-// target chooses the listener that the next request is sent to.
+// target chooses the target of the next request at random.
 func (r *runner) target(random *rand.Rand) string {
 	return r.config.Targets[random.IntN(len(r.config.Targets))]
 }
 
-// run sends one request, again while it is refused, and counts it.
+// run sends a request, retries it while it is refused, and counts the result.
 func (r *runner) run(ctx context.Context, kind Kind, target, id string, meant time.Time) {
 	var got result
 	resent := int64(0)
@@ -183,7 +183,7 @@
 	}
 }
 
-// classify tells what became of a request by its answer.
+// classify returns the result of a request according to its answer.
 func classify(response *http.Response, text string, err error, kind Kind, id, body string, meant time.Time) result {
 	switch {
 	case err != nil:
--- a/services/standin/load/report.go
+++ b/services/standin/load/report.go
@@ -13,31 +13,30 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is the result, by kind.
+// Report is the result of a run, by kind of request.
 type Report struct {
 	Kinds map[string]*KindReport `json:"kinds"`
 }
 
-// KindReport counts what became of the requests of one kind. Times are in
-// milliseconds.
+// KindReport counts the results of the requests of one kind. Times are in milliseconds.
 type KindReport struct {
 	Sent    int64   `json:"sent"`
-	Right   int64   `json:"right"`   // whole, own and in time
-	Late    int64   `json:"late"`    // right but after the deadline
-	Wrong   int64   `json:"wrong"`   // not whole or not its own: must never be
-	NotRun  int64   `json:"not_run"` // refused, not run
-	Unknown int64   `json:"unknown"` // refused, may have run
-	Broken  int64   `json:"broken"`  // the connection ended
+	Right   int64   `json:"right"`   // complete, own answer, within the deadline
+	Late    int64   `json:"late"`    // complete, own answer, after the deadline
+	Wrong   int64   `json:"wrong"`   // truncated or another request's answer: must never happen
+	NotRun  int64   `json:"not_run"` // refused without having run
+	Unknown int64   `json:"unknown"` // failed, may have run
+	Broken  int64   `json:"broken"`  // the connection failed
 	Resent  int64   `json:"resent"`
 	P50     float64 `json:"p50_ms"`
 	P99     float64 `json:"p99_ms"`
 	P999    float64 `json:"p999_ms"`
-	Goodput float64 `json:"goodput"` // right / sent
+	Goodput float64 `json:"goodput"` // Right / Sent
 
 	histogram *hdrhistogram.Histogram
 }
 
-// String is a table of the report.
+// String returns the report as a table.
 func (r Report) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-12s %7s %7s %6s %6s %7s %7s %6s %9s %9s %9s %8s\n",
@@ -50,7 +49,7 @@
 	return b.String()
 }
 
-// result is what became of one request.
+// result is the result of one request.
 type result int
 
 const (
@@ -62,7 +61,7 @@
 	broken
 )
 
-// Latencies are kept from 10 microseconds to 10 minutes in three digits.
+// The range of the histograms, from 10 microseconds to 10 minutes, and the number of significant digits.
 const (
 	minLatency    = 10
 	maxLatency    = 600_000_000
@@ -73,7 +72,7 @@
 	return &KindReport{histogram: hdrhistogram.New(minLatency, maxLatency, latencyDigits)}
 }
 
-// count takes the result of a request and the time that it took.
+// count adds the result of a request and its latency.
 func (k *KindReport) count(got result, resent int64, took time.Duration) {
 	k.Sent++
 	k.Resent += resent
@@ -96,10 +95,10 @@
 }
 
 func (k *KindReport) recordLatency(took time.Duration) {
-	_ = k.histogram.RecordValue(max(minLatency, took.Microseconds())) // out of range is beyond 10 minutes
+	_ = k.histogram.RecordValue(max(minLatency, took.Microseconds())) // fails only above 10 minutes
 }
 
-// summarize fills in the quantiles and the goodput.
+// summarize computes the quantiles and the goodput.
 func (k *KindReport) summarize() {
 	k.P50, k.P99, k.P999 = k.quantile(50), k.quantile(99), k.quantile(99.9)
 	k.Goodput = float64(k.Right) / float64(max(k.Sent, 1))
