--- a/services/daemon/listeners.go
+++ b/services/daemon/listeners.go
@@ -30,7 +30,7 @@
 	for _, l := range []struct {
 		address string
 		handler http.Handler
-		body    time.Duration
+		timeout time.Duration
 	}{
 		{s.Caller, h.Caller, 0}, // the entry limits the time itself, because watch requests last longer
 		{s.Operator, listen.RequireToken(s.OperatorToken, listen.LimitBody(limit, h.Operator)), s.BodyTimeout},
@@ -38,7 +38,7 @@
 	} {
 		server, err := listen.Open(listen.Config{
 			Address: l.address, Handler: l.handler, MaxHeader: s.MaxHeader, MaxConnections: s.MaxConnections,
-			HeaderTimeout: s.HeaderTimeout, BodyTimeout: l.body, IdleTimeout: s.IdleTimeout,
+			HeaderTimeout: s.HeaderTimeout, BodyTimeout: l.timeout, IdleTimeout: s.IdleTimeout,
 		})
 		if err != nil {
 			return err
--- a/services/standin/fleet/control.go
+++ b/services/standin/fleet/control.go
@@ -131,7 +131,7 @@
 	case ActionHangUp:
 		u.update(func() { u.hangUp = control.Count })
 	case ActionForeign:
-		u.update(func() { u.wrongID = control.Count })
+		u.update(func() { u.wrongAnswer = control.Count })
 	default:
 		return errors.Newf("action %q is not for upstreams", control.Action)
 	}
--- a/services/standin/fleet/local.go
+++ b/services/standin/fleet/local.go
@@ -13,13 +13,15 @@
 )
 
 // Local implements platform.Workers by direct calls to the fleet's workers, for tests that run many daemons in one
-// process. Fault is called before and after each call and may block. Repeat returns whether a call arrives twice. Late
-// returns how long after its caller has received an error a start arrives, or 0 if the start is not delayed.
+// process.
 type Local struct {
-	Fleet  *Fleet
-	Fault  func(ctx context.Context, after bool, address string) error
+	Fleet *Fleet
+	// Fault is called before and after each call and may block.
+	Fault func(ctx context.Context, after bool, address string) error
+	// Repeat returns whether a call arrives twice.
 	Repeat func() bool
-	Late   func() time.Duration
+	// Late returns how long after its caller has received an error a start arrives, or 0 if the start is not delayed.
+	Late func() time.Duration
 }
 
 // errUnreachable is the error of a call to a VM that is cut or down.
--- a/services/standin/fleet/upstream.go
+++ b/services/standin/fleet/upstream.go
@@ -25,7 +25,7 @@
 	HeaderWatch        = "Load-Watch-Ms"     // stream lines for this time
 )
 
-// ServiceTimes is a log-normal distribution of service times, bounded by Most.
+// ServiceTimes is a log-normal distribution of service times with an upper bound.
 type ServiceTimes struct {
 	Median time.Duration
 	Sigma  float64
@@ -44,15 +44,15 @@
 	vm    models.VM
 	slots chan struct{}
 
-	mu       sync.Mutex
-	cut      bool
-	leaving  bool
-	faulty   bool
-	factor   int
-	truncate int
-	hangUp   int
-	wrongID  int
-	conns    int
+	mu          sync.Mutex
+	cut         bool
+	leaving     bool
+	faulty      bool
+	factor      int
+	truncate    int
+	hangUp      int
+	wrongAnswer int
+	conns       int
 }
 
 func newUpstream(f *Fleet, vm models.VM) *upstream {
@@ -67,8 +67,8 @@
 
 // requestFaults are the faults that apply to one request.
 type requestFaults struct {
-	leaving, faulty, truncate, hangUp, wrongID bool
-	factor                                     int
+	leaving, faulty, truncate, hangUp, wrongAnswer bool
+	factor                                         int
 }
 
 // nextFaults returns the faults of the next request and counts them down. If the VM is cut, nextFaults aborts the
@@ -82,7 +82,7 @@
 	b := requestFaults{leaving: u.leaving, faulty: u.faulty, factor: u.factor}
 	b.truncate = takeOne(&u.truncate)
 	b.hangUp = takeOne(&u.hangUp)
-	b.wrongID = takeOne(&u.wrongID)
+	b.wrongAnswer = takeOne(&u.wrongAnswer)
 	return b
 }
 
@@ -155,7 +155,7 @@
 	padding, _ := strconv.Atoi(r.Header.Get(HeaderBytes))
 	text := AnswerFor(r.Header.Get(HeaderLoadID), body, padding)
 	id := r.Header.Get(models.HeaderRequestID)
-	if b.wrongID { // the answer to another request
+	if b.wrongAnswer { // the answer to another request
 		id += "-other"
 		text = AnswerFor(r.Header.Get(HeaderLoadID)+"-other", body, padding)
 	}
--- a/services/standin/grid/audit_checkpoints.go
+++ b/services/standin/grid/audit_checkpoints.go
@@ -12,16 +12,16 @@
 
 // checkpointAudit records all checkpoints that runs have made and reported.
 type checkpointAudit struct {
-	checkpoints          map[jobs.Text]Saved
-	order                []jobs.Text                   // in the order in which they were made
-	reportedWork         map[jobs.TaskID]time.Duration // the most work that an answered call has reported
-	startsFromCheckpoint int                           // number of starts with a checkpoint
-	staleStarts          []StaleStart
+	checkpoints           map[jobs.Text]Saved
+	order                 []jobs.Text                   // in the order in which they were made
+	reportedWork          map[jobs.TaskID]time.Duration // the most work that an answered call has reported
+	startsFromCheckpoint  int                           // number of starts with a checkpoint
+	staleCheckpointStarts []StaleCheckpointStart
 }
 
-// StaleStart is a run that began with less work than had been reported for its task. That is not a breach, because
-// another owner may have received the report.
-type StaleStart struct {
+// StaleCheckpointStart is a run that began with less work than had been reported for its task. That is not a breach,
+// because another owner may have received the report.
+type StaleCheckpointStart struct {
 	Task           jobs.TaskID
 	Run            jobs.RunID
 	Worker         jobs.WorkerID
@@ -70,8 +70,8 @@
 	return ""
 }
 
-// checkCheckpoint checks that a run begins without a checkpoint or with one of its own task, and records a stale
-// start.
+// checkCheckpoint checks that a run begins without a checkpoint or with one of its own task, and records the
+// run if less work comes with the checkpoint than had been reported.
 func (a *audit) checkCheckpoint(w *incarnation, r *run, text jobs.Text, since time.Duration) {
 	if text != "" {
 		a.startsFromCheckpoint++
@@ -87,7 +87,7 @@
 		return
 	}
 	if best := a.reportedWork[r.task]; best > saved.Work {
-		a.staleStarts = append(a.staleStarts, StaleStart{
+		a.staleCheckpointStarts = append(a.staleCheckpointStarts, StaleCheckpointStart{
 			Task: r.task, Run: r.id, Worker: w.info.ID, Checkpoint: text, StartWork: saved.Work, ReportedWork: best, SinceGridStart: since,
 		})
 	}
--- a/services/standin/grid/checkpoints.go
+++ b/services/standin/grid/checkpoints.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// noteReported tells the audit which checkpoints an answered call has reported.
-func (g *Grid) noteReported(report jobs.Report) {
+// noteReport tells the audit which checkpoints an answered call has reported.
+func (g *Grid) noteReport(report jobs.Report) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, r := range report.Running {
@@ -107,15 +107,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	sum := time.Duration(0)
-	for _, s := range g.audit.staleStarts {
+	for _, s := range g.audit.staleCheckpointStarts {
 		sum += s.ReportedWork - s.StartWork
 	}
 	return sum
 }
 
 // StartsBehind returns the runs that began with less work than had been reported for their task.
-func (g *Grid) StartsBehind() []StaleStart {
+func (g *Grid) StartsBehind() []StaleCheckpointStart {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return slices.Clone(g.audit.staleStarts)
+	return slices.Clone(g.audit.staleCheckpointStarts)
 }
--- a/services/standin/grid/faults.go
+++ b/services/standin/grid/faults.go
@@ -273,15 +273,15 @@
 )
 
 // performLater carries out a call after some time, or never if after is 0. Its result is discarded.
-func (g *Grid) performLater(w *incarnation, after time.Duration, perform operation, atNext bool) {
+func (g *Grid) performLater(w *incarnation, after time.Duration, perform operation, toSuccessor bool) {
 	if after == 0 {
 		return
 	}
 	time.AfterFunc(after, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if now := g.workers[w.info.ID]; now.up && (atNext || now == w) {
-			_ = perform(now, &answer{})
+		if current := g.workers[w.info.ID]; current.up && (toSuccessor || current == w) {
+			_ = perform(current, &answer{})
 		}
 	})
 }
--- a/services/standin/grid/lease.go
+++ b/services/standin/grid/lease.go
@@ -57,7 +57,7 @@
 		}
 		applied = true
 		if len(answer.report.Ended) > 0 || !time.Now().Before(deadline) {
-			g.noteReported(answer.report)
+			g.noteReport(answer.report)
 			return answer.report, nil
 		}
 		timer := time.NewTimer(time.Until(deadline))
--- a/services/standin/grid/tail.go
+++ b/services/standin/grid/tail.go
@@ -75,12 +75,12 @@
 func (g *Grid) loads(w *incarnation, r *run, step *jobs.Step) (baseline, added float64) {
 	baseline = g.config.Services.baselineLoad(r.task, time.Since(g.begin))
 	for _, other := range w.runs {
-		beside := g.audit.step(other.task)
-		if beside == nil || !beside.Fills {
+		filler := g.audit.step(other.task)
+		if filler == nil || !filler.Fills {
 			continue
 		}
-		share := float64(beside.Size.CPU) * float64(other.pace) / float64(jobs.FullSpeed) / float64(max(1, w.info.Capacity.CPU))
-		added += g.config.Services.interferenceFactor(step.Image, beside.Image) * share
+		share := float64(filler.Size.CPU) * float64(other.pace) / float64(jobs.FullSpeed) / float64(max(1, w.info.Capacity.CPU))
+		added += g.config.Services.interferenceFactor(step.Image, filler.Image) * share
 	}
 	return baseline, added
 }
--- a/services/standin/load/load.go
+++ b/services/standin/load/load.go
@@ -131,11 +131,11 @@
 }
 
 // run sends a request, retries it while it is refused, and counts the result.
-func (r *runner) run(ctx context.Context, kind Kind, target, id string, meant time.Time) {
+func (r *runner) run(ctx context.Context, kind Kind, target, id string, due time.Time) {
 	var got result
 	resent := int64(0)
 	for try := 0; ; try++ {
-		got = r.send(ctx, kind, target, id, meant)
+		got = r.send(ctx, kind, target, id, due)
 		if got != notRun || try >= r.config.Retries {
 			break
 		}
@@ -143,10 +143,10 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.report.Kinds[kind.Name].count(got, resent, time.Since(meant))
+	r.report.Kinds[kind.Name].count(got, resent, time.Since(due))
 }
 
-func (r *runner) send(ctx context.Context, kind Kind, target, id string, meant time.Time) result {
+func (r *runner) send(ctx context.Context, kind Kind, target, id string, due time.Time) result {
 	body := "body of " + id
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target+"/"+kind.Name, strings.NewReader(body))
 	if err != nil {
@@ -159,7 +159,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(response.Body)
-	return classify(response, string(text), err, kind, id, body, meant)
+	return classify(response, string(text), err, kind, id, body, due)
 }
 
 func setHeaders(h http.Header, kind Kind, id string) {
@@ -184,7 +184,7 @@
 }
 
 // classify returns the result of a request according to its answer.
-func classify(response *http.Response, text string, err error, kind Kind, id, body string, meant time.Time) result {
+func classify(response *http.Response, text string, err error, kind Kind, id, body string, due time.Time) result {
 	switch {
 	case err != nil:
 		return broken
@@ -196,7 +196,7 @@
 		return right
 	case kind.Watch > 0 || text != fleet.AnswerFor(id, []byte(body), kind.Bytes):
 		return wrong
-	case kind.Deadline > 0 && time.Since(meant) > kind.Deadline:
+	case kind.Deadline > 0 && time.Since(due) > kind.Deadline:
 		return late
 	default:
 		return right
--- a/services/standin/load/report.go
+++ b/services/standin/load/report.go
@@ -73,16 +73,16 @@
 }
 
 // count adds the result of a request and its latency.
-func (k *KindReport) count(got result, resent int64, took time.Duration) {
+func (k *KindReport) count(got result, resent int64, latency time.Duration) {
 	k.Sent++
 	k.Resent += resent
 	switch got {
 	case right:
 		k.Right++
-		k.recordLatency(took)
+		k.recordLatency(latency)
 	case late:
 		k.Late++
-		k.recordLatency(took)
+		k.recordLatency(latency)
 	case wrong:
 		k.Wrong++
 	case notRun:
@@ -94,8 +94,8 @@
 	}
 }
 
-func (k *KindReport) recordLatency(took time.Duration) {
-	_ = k.histogram.RecordValue(max(minLatency, took.Microseconds())) // fails only above 10 minutes
+func (k *KindReport) recordLatency(latency time.Duration) {
+	_ = k.histogram.RecordValue(max(minLatency, latency.Microseconds())) // fails only above 10 minutes
 }
 
 // summarize computes the quantiles and the goodput.
