--- a/services/daemon/daemon.go
+++ b/services/daemon/daemon.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package daemon puts a daemon together from its settings and runs it. It is the
-// one place that knows all parts, and the order in which a planned stop ends them.
+// Package daemon builds a daemon from its settings and runs it. It is the only package that knows all services and the
+// order in which a planned stop ends them.
 //
 // # Usage
 //
@@ -38,15 +38,15 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Config is what a daemon is made of.
+// Config configures a daemon.
 type Config struct {
 	Settings *setting.Settings
 	Logger   *zap.Logger
-	// Routers makes the handlers of the three listeners; package routers gives it.
+	// Routers returns the handlers of the three listeners; it is implemented by package routers.
 	Routers func(*Daemon) Handlers
 }
 
-// Daemon is one rillsaild.
+// Daemon is a rillsaild process.
 type Daemon struct {
 	Settings  *setting.Settings
 	Logger    *zap.Logger
@@ -65,25 +65,27 @@
 	listeners []*listen.Server
 }
 
-// idMaker makes ids that no other process makes.
-type idMaker struct {
-	prefix string
-	next   atomic.Uint64
+// idGenerator generates ids that are unique across processes: a random prefix and a counter.
+type idGenerator struct {
+	prefix  string
+	counter atomic.Uint64
 }
 
-func newIDMaker() (*idMaker, error) {
+func newIDGenerator() (*idGenerator, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
 		return nil, errors.Wrap(err, "draw random id")
 	}
-	return &idMaker{prefix: hex.EncodeToString(random[:])}, nil
+	return &idGenerator{prefix: hex.EncodeToString(random[:])}, nil
 }
 
-func (m *idMaker) make() string { return m.prefix + "-" + strconv.FormatUint(m.next.Add(1), 36) }
+func (m *idGenerator) newID() string {
+	return m.prefix + "-" + strconv.FormatUint(m.counter.Add(1), 36)
+}
 
-// New makes a daemon and opens its listeners.
+// New returns a daemon with open listeners.
 func New(c Config) (*Daemon, error) {
-	ids, err := newIDMaker()
+	ids, err := newIDGenerator()
 	if err != nil {
 		return nil, err
 	}
@@ -91,16 +93,16 @@
 		Settings: c.Settings, Logger: c.Logger, Metrics: metrics.New(metrics.Config{Process: "rillsail"}),
 		manager: graceful.New(graceful.Config{Logger: c.Logger}), Learner: interference.New(interference.Config{}),
 	}
-	d.assemble(ids)
-	if err := d.open(c.Routers(d)); err != nil {
+	d.buildServices(ids)
+	if err := d.openListeners(c.Routers(d)); err != nil {
 		return nil, err
 	}
-	d.arrange()
+	d.registerLoops()
 	return d, nil
 }
 
-// assemble makes the parts and connects them.
-func (d *Daemon) assemble(ids *idMaker) {
+// buildServices creates the services and connects them.
+func (d *Daemon) buildServices(ids *idGenerator) {
 	s := d.Settings
 	self := models.Member{
 		ID: models.MemberID(s.Daemon.ID), Incarnation: models.Incarnation(ids.prefix),
@@ -122,18 +124,18 @@
 	})
 	d.Config = config.New(config.Config{
 		Store: store, Logger: d.Logger, Scope: scope.SubScope("config"), Sync: s.Member.Heartbeat,
-		FromPeers: d.configFromPeers, Accepted: d.configAccepted, VMs: d.Inventory.VMs, NewID: ids.make,
+		FromPeers: d.configFromPeers, Accepted: d.configAccepted, VMs: d.Inventory.VMs, NewID: ids.newID,
 	})
 	d.Cells = cell.NewManager(cell.ManagerConfig{
 		Self: self.ID, Settings: s.Cell, Every: s.Member.Heartbeat, HoldOff: s.Member.SilentAfter, Store: store,
 		Workers:   platform.NewHTTPWorkers(platform.HTTPConfig{CallTimeout: s.Platform.CallTimeout}),
 		Inventory: d.Inventory, View: d.Config.View, Members: d.Members, Client: d.client, Learner: d.Learner,
-		Logger: d.Logger, Scope: scope.SubScope("cell"), NewID: ids.make,
+		Logger: d.Logger, Scope: scope.SubScope("cell"), NewID: ids.newID,
 	})
 	d.Claims = claim.New(claim.Config{Self: self.ID, Members: d.Members, Client: d.client, Keep: s.Entry.ClaimKeepDone})
 	d.Entry = entry.New(entry.Config{
 		Self: self.ID, Settings: s.Entry, MaxBody: int64(s.Listen.MaxBody), BodyTimeout: s.Listen.BodyTimeout, View: d.Config.View, Claims: d.Claims,
-		Logger: d.Logger, Scope: scope.SubScope("entry"), NewID: ids.make,
+		Logger: d.Logger, Scope: scope.SubScope("entry"), NewID: ids.newID,
 	})
 	d.Operate = operate.New(operate.Config{
 		Cells: d.Cells, Inventory: d.Inventory, Members: d.Members, View: d.Config.View, Entry: d.Entry,
@@ -143,14 +145,14 @@
 	d.Members.AddSource(func(b *models.Heartbeat) { b.Revision = d.Config.View().Revision() })
 }
 
-// arrange sets the loops and the order of a planned stop: tell the peers, let the
-// balancer and the requests in flight end, pass on cells and claims.
-func (d *Daemon) arrange() {
+// registerLoops registers the loops and the steps of a planned stop, in order: announce it to the peers, wait for the
+// balancer and the requests in flight, hand over the cells and the claims.
+func (d *Daemon) registerLoops() {
 	d.manager.Loop("inventory", d.Inventory.Run)
 	d.manager.Loop("configuration", d.Config.Run)
 	d.manager.Loop("members", d.Members.Run)
 	d.manager.Loop("cells", d.Cells.Run)
-	d.manager.Loop("sync", d.syncLoop)
+	d.manager.Loop("sync", d.syncEntryLoop)
 	for _, l := range d.listeners {
 		d.manager.Loop("listener "+l.Address(), l.Run)
 	}
@@ -160,13 +162,13 @@
 	d.manager.OnStop("carry the claims", d.Claims.Carry)
 }
 
-// Run runs the daemon until ctx ends and the planned stop is over.
+// Run runs the daemon until the context ends and the planned stop is complete.
 func (d *Daemon) Run(ctx context.Context) {
 	d.Logger.Info("daemon starts", zap.String("domain", d.Settings.Daemon.Domain),
 		zap.String("callers", d.Settings.Listen.Caller), zap.String("operators", d.Settings.Listen.Operator),
 		zap.String("peers", d.Settings.Listen.Peer))
 	d.manager.Run(ctx)
-	_ = d.Metrics.Close() // nothing to do about a reporter that can't close
+	_ = d.Metrics.Close() // a reporter that fails to close needs no action
 }
 
 func (d *Daemon) leave(ctx context.Context) error {
@@ -180,23 +182,23 @@
 	return d.Entry.Drain(ctx)
 }
 
-// releaseSilences is for how many silent periods a stop waits for peers to take its
-// cells.
-const releaseSilences = 3
+// releaseSilentPeriods bounds how long a planned stop waits for peers to take over its cells, as a multiple of the
+// setting SilentAfter.
+const releaseSilentPeriods = 3
 
 func (d *Daemon) release(ctx context.Context) error {
-	return d.Cells.Release(ctx, releaseSilences*d.Settings.Member.SilentAfter)
+	return d.Cells.Release(ctx, releaseSilentPeriods*d.Settings.Member.SilentAfter)
 }
 
-// Heard takes what a peer's heartbeat says beside membership.
+// Heard handles what a peer's heartbeat contains besides membership: the peer's configuration revision.
 func (d *Daemon) Heard(beat models.Heartbeat) { d.Config.Hint(beat.Revision) }
 
-// syncLoop hands the entry what is known of upstreams and peers.
-func (d *Daemon) syncLoop(ctx context.Context) {
+// syncEntryLoop passes the known upstreams and peers to the entry periodically.
+func (d *Daemon) syncEntryLoop(ctx context.Context) {
 	ticker := time.NewTicker(d.Settings.Member.Heartbeat)
 	defer ticker.Stop()
 	for {
-		d.sync()
+		d.syncEntry()
 		select {
 		case <-ctx.Done():
 			return
@@ -205,7 +207,7 @@
 	}
 }
 
-func (d *Daemon) sync() {
+func (d *Daemon) syncEntry() {
 	beats := d.Members.Beats()
 	for _, beat := range beats {
 		d.Config.Hint(beat.Revision)
@@ -214,17 +216,17 @@
 }
 
 func (d *Daemon) inventoryChanged() {
-	d.sync()
+	d.syncEntry()
 	d.Cells.Nudge()
 }
 
 func (d *Daemon) configAccepted(*config.View) {
-	d.Members.Nudge() // peers hear of the revision at once
-	d.sync()
+	d.Members.Nudge() // tell the peers the new revision at once
+	d.syncEntry()
 }
 
-// configFromPeers asks the peer that has told the highest revision, if that is newer
-// than the query's. It gives nothing when nobody has a newer one or the call fails.
+// configFromPeers fetches the configuration from the peer with the highest announced revision, if that is newer than the
+// query's. It returns an empty transfer if no peer has a newer revision or the call fails.
 func (d *Daemon) configFromPeers(ctx context.Context, query models.ConfigQuery) models.ConfigTransfer {
 	var best models.Heartbeat
 	for _, beat := range d.Members.Beats() {
--- a/services/standin/demo/demo.go
+++ b/services/standin/demo/demo.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package demo runs the stand-in platform and three daemons in one process and
-// shows the main job: a request answered, a service and a batch job placed.
+// Package demo runs a simulated platform and three daemons in one process and shows their main functions: a request is
+// answered, a service and a batch job are placed.
 //
 // # Usage
 //
@@ -31,15 +31,15 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// Config says where to tell what happens.
+// Config configures a demonstration.
 type Config struct {
-	Out     io.Writer
-	Once    bool // end when the main job has been shown
-	Next    func(io.Writer, Running)
+	Out     io.Writer                // receives the progress
+	Once    bool                     // end after the demonstration instead of running on
+	Next    func(io.Writer, Running) // prints what the user can try next; not called with Once
 	Routers func(*daemon.Daemon) daemon.Handlers
 }
 
-// Running is where the parts listen.
+// Running contains the addresses of one of the daemons, the operators' token, and a task of the batch job.
 type Running struct {
 	Operator string
 	Token    string
@@ -48,15 +48,15 @@
 }
 
 const (
-	daemons       = 3
+	daemonCount   = 3
 	operatorToken = "demo-operator"
 	peerToken     = "demo-peer"
 )
 
-// Run starts everything, shows the main job, and runs until ctx ends.
+// Run starts the platform and the daemons, runs the demonstration, and keeps them running until the context ends.
 func Run(ctx context.Context, c Config) error {
 	stop := &stopper{}
-	defer stop.all()
+	defer stop.stopAll()
 	store, vms, err := startPlatform(stop)
 	if err != nil {
 		return err
@@ -76,19 +76,19 @@
 	return nil
 }
 
-// stopper ends parts in the reverse order of their start.
+// stopper stops parts in the reverse order of their start.
 type stopper struct {
 	cancels []func()
 }
 
-func (s *stopper) add(run func(context.Context)) {
+func (s *stopper) start(run func(context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var group conc.WaitGroup
 	group.Go(func() { run(ctx) })
 	s.cancels = append(s.cancels, func() { cancel(); group.Wait() })
 }
 
-func (s *stopper) all() {
+func (s *stopper) stopAll() {
 	for i := len(s.cancels) - 1; i >= 0; i-- {
 		s.cancels[i]()
 	}
@@ -104,7 +104,7 @@
 	if err != nil {
 		return "", "", err
 	}
-	stop.add(f.Run)
+	stop.start(f.Run)
 	if vms, err = listenAndServe(stop, f.Handler()); err != nil {
 		return "", "", err
 	}
@@ -118,10 +118,10 @@
 		return "", errors.Wrap(err, "listen")
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
-	stop.add(func(ctx context.Context) {
+	stop.start(func(ctx context.Context) {
 		end := context.AfterFunc(ctx, func() { _ = server.Close() })
 		defer end()
-		_ = server.Serve(listener) // ends with ctx
+		_ = server.Serve(listener) // returns when the server is closed
 	})
 	return listener.Addr().String(), nil
 }
@@ -129,7 +129,7 @@
 func startDaemons(c Config, stop *stopper, store, vms string) (Running, error) {
 	var running Running
 	var ports portblock.Block
-	for i := range daemons {
+	for i := range daemonCount {
 		settings, err := settingsFor(i, store, vms, &ports)
 		if err != nil {
 			return running, err
@@ -142,7 +142,7 @@
 		if err != nil {
 			return running, err
 		}
-		stop.add(d.Run)
+		stop.start(d.Run)
 		running = Running{Operator: settings.Listen.Operator, Token: operatorToken, Caller: settings.Listen.Caller}
 		logger.Debug("daemon runs", zap.String("operator", running.Operator))
 	}
--- a/services/standin/fleet/control.go
+++ b/services/standin/fleet/control.go
@@ -14,30 +14,30 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Paths by which tests and trials steer the fleet.
+// The HTTP paths by which tests and trials control the fleet.
 const (
 	PathControl = "/standin/control"
 	PathAudit   = "/standin/audit"
 	PathRuns    = "/standin/runs"
 )
 
-// Action is what to do to a VM.
+// Action is a fault or a change of state of a VM.
 type Action string
 
-// The actions. Cut and heal, leave and stay, faulty and sound undo each other.
+// The actions. ActionHeal undoes ActionCut, ActionStay undoes ActionLeave, and ActionSound undoes ActionFaulty.
 const (
-	ActionKill    Action = "kill"    // the VM dies; the list drops it after its lag
-	ActionRestart Action = "restart" // the worker's process begins a new incarnation
-	ActionCut     Action = "cut"     // it runs on but nobody reaches it
+	ActionKill    Action = "kill"    // the VM dies; the list drops it after the list's lag
+	ActionRestart Action = "restart" // workers only: the worker process starts a new incarnation
+	ActionCut     Action = "cut"     // the VM continues to run but can't be reached
 	ActionHeal    Action = "heal"
-	ActionLeave   Action = "leave" // the list says leaving after its lag
+	ActionLeave   Action = "leave" // the list shows the VM as leaving after the list's lag
 	ActionStay    Action = "stay"
-	ActionFaulty  Action = "faulty" // tasks fail, requests fail at once
+	ActionFaulty  Action = "faulty" // all tasks fail; requests fail at once
 	ActionSound   Action = "sound"
-	ActionSlow    Action = "slow"    // upstreams only: Factor times slower
-	ActionHalf    Action = "half"    // upstreams only: Count answers end in the middle
-	ActionHangUp  Action = "hang-up" // upstreams only: Count requests run and get no answer
-	ActionForeign Action = "foreign" // upstreams only: Count answers carry another request's id
+	ActionSlow    Action = "slow"    // upstreams only: requests take Factor times as long
+	ActionHalf    Action = "half"    // upstreams only: the next Count answers are truncated
+	ActionHangUp  Action = "hang-up" // upstreams only: the next Count requests run and get no answer
+	ActionForeign Action = "foreign" // upstreams only: the next Count answers belong to another request
 )
 
 // Control is one action on one VM.
@@ -48,12 +48,12 @@
 	Count  int         `json:"count,omitempty"`
 }
 
-// Check is there for the decoder; Apply says what is wrong.
+// Check implements wire.Checker. It accepts everything; Apply rejects invalid actions.
 func (c Control) Check() error { return nil }
 
-const maxControl = 1 << 16
+const maxControlSize = 1 << 16
 
-// Handler serves the VM list and the fleet's own paths.
+// Handler returns the handler for the VM list and the fleet's control paths.
 func (f *Fleet) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+platform.PathVMs, func(w http.ResponseWriter, _ *http.Request) { wire.Write(w, http.StatusOK, f.VMs()) })
@@ -66,7 +66,7 @@
 }
 
 func (f *Fleet) serveControl(w http.ResponseWriter, r *http.Request) {
-	control, err := wire.Decode[Control](r.Body, maxControl)
+	control, err := wire.Decode[Control](r.Body, maxControlSize)
 	if err == nil {
 		err = f.Apply(control)
 	}
@@ -77,7 +77,7 @@
 	wire.Write(w, http.StatusOK, control)
 }
 
-// Apply carries out one action.
+// Apply carries out an action.
 func (f *Fleet) Apply(control Control) error {
 	if w, ok := f.workers[control.VM]; ok {
 		return f.applyToWorker(w, control)
@@ -92,17 +92,17 @@
 	switch control.Action {
 	case ActionKill:
 		w.kill(false)
-		f.list(control.VM, "")
+		f.setListed(control.VM, "")
 	case ActionRestart:
 		w.kill(true)
 	case ActionCut, ActionHeal:
-		w.set(func() { w.cut = control.Action == ActionCut })
+		w.update(func() { w.cut = control.Action == ActionCut })
 	case ActionLeave:
-		f.list(control.VM, models.VMLeaving)
+		f.setListed(control.VM, models.VMLeaving)
 	case ActionStay:
-		f.list(control.VM, models.VMLive)
+		f.setListed(control.VM, models.VMLive)
 	case ActionFaulty, ActionSound:
-		w.set(func() { w.faulty = control.Action == ActionFaulty })
+		w.update(func() { w.faulty = control.Action == ActionFaulty })
 	default:
 		return errors.Newf("action %q is not for workers", control.Action)
 	}
@@ -112,59 +112,58 @@
 func (f *Fleet) applyToUpstream(u *upstream, control Control) error {
 	switch control.Action {
 	case ActionKill:
-		u.set(func() { u.cut = true })
-		f.list(control.VM, "")
+		u.update(func() { u.cut = true })
+		f.setListed(control.VM, "")
 	case ActionCut, ActionHeal:
-		u.set(func() { u.cut = control.Action == ActionCut })
+		u.update(func() { u.cut = control.Action == ActionCut })
 	case ActionLeave:
-		u.set(func() { u.leaving = true })
-		f.list(control.VM, models.VMLeaving)
+		u.update(func() { u.leaving = true })
+		f.setListed(control.VM, models.VMLeaving)
 	case ActionStay:
-		u.set(func() { u.leaving = false })
-		f.list(control.VM, models.VMLive)
+		u.update(func() { u.leaving = false })
+		f.setListed(control.VM, models.VMLive)
 	case ActionFaulty, ActionSound:
-		u.set(func() { u.faulty = control.Action == ActionFaulty })
+		u.update(func() { u.faulty = control.Action == ActionFaulty })
 	case ActionSlow:
-		u.set(func() { u.factor = max(control.Factor, 1) })
+		u.update(func() { u.factor = max(control.Factor, 1) })
 	case ActionHalf:
-		u.set(func() { u.half = control.Count })
+		u.update(func() { u.truncate = control.Count })
 	case ActionHangUp:
-		u.set(func() { u.hangUp = control.Count })
+		u.update(func() { u.hangUp = control.Count })
 	case ActionForeign:
-		u.set(func() { u.foreign = control.Count })
+		u.update(func() { u.wrongAnswer = control.Count })
 	default:
 		return errors.Newf("action %q is not for upstreams", control.Action)
 	}
 	return nil
 }
 
-// list changes what the list will say of a VM; an empty state drops it.
-func (f *Fleet) list(id models.VMID, state models.VMState) {
+// setListed changes the state of a VM in the list after the list's lag; an empty state removes the VM.
+func (f *Fleet) setListed(id models.VMID, state models.VMState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.truth = slices.Clone(f.truth)
-	for i, vm := range f.truth {
+	f.actualVMs = slices.Clone(f.actualVMs)
+	for i, vm := range f.actualVMs {
 		if vm.ID != id {
 			continue
 		}
 		if state == "" {
-			f.truth = slices.Delete(f.truth, i, i+1)
+			f.actualVMs = slices.Delete(f.actualVMs, i, i+1)
 		} else {
-			f.truth[i].State = state
+			f.actualVMs[i].State = state
 		}
 		break
 	}
 	f.publish(f.config.ListLag)
 }
 
-func (w *worker) set(change func()) {
+func (w *worker) update(change func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change()
 }
 
-// handler serves the agent's interface. A worker that is down or cut ends every
-// call without an answer.
+// handler serves the worker agent's interface. A worker that is down or cut aborts every call without an answer.
 func (w *worker) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+platform.PathStart, serveAgent(w, w.start))
@@ -173,7 +172,7 @@
 	return mux
 }
 
-const maxAgentCall = 4 << 20
+const maxAgentCallSize = 4 << 20
 
 func serveAgent[C wire.Checker, A any](w *worker, perform func(C) A) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
@@ -183,7 +182,7 @@
 		if unreachable {
 			panic(http.ErrAbortHandler)
 		}
-		call, err := wire.Decode[C](r.Body, maxAgentCall)
+		call, err := wire.Decode[C](r.Body, maxAgentCallSize)
 		if err != nil {
 			wire.WriteError(rw, err)
 			return
--- a/services/standin/grid/audit_checkpoints.go
+++ b/services/standin/grid/audit_checkpoints.go
@@ -10,85 +10,85 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// checkpointAudit knows all checkpoints that workers have made.
+// checkpointAudit records all checkpoints that runs have made and reported.
 type checkpointAudit struct {
-	texts   map[jobs.Text]Saved
-	made    []jobs.Text                   // in their order
-	best    map[jobs.TaskID]time.Duration // the most work that an answered report has shown
-	brought int                           // starts with a checkpoint
-	behind  []StartBehind
+	checkpoints           map[jobs.Text]Saved
+	order                 []jobs.Text                   // in the order in which they were made
+	reportedWork          map[jobs.TaskID]time.Duration // the most work that an answered call has reported
+	startsFromCheckpoint  int                           // number of starts with a checkpoint
+	staleCheckpointStarts []StaleCheckpointStart
 }
 
-// StartBehind is a run that began with less work than had been reported of its task. That is
-// no breach: another owner may have heard the report.
-type StartBehind struct {
-	Task    jobs.TaskID
-	Run     jobs.RunID
-	Worker  jobs.WorkerID
-	Brought jobs.Text // empty: nothing
-	From    time.Duration
-	Best    time.Duration // of an answered report before it
-	After   time.Duration // since the grid began
+// StaleCheckpointStart is a run that began with less work than had been reported for its task. That is not a breach,
+// because another owner may have received the report.
+type StaleCheckpointStart struct {
+	Task           jobs.TaskID
+	Run            jobs.RunID
+	Worker         jobs.WorkerID
+	Checkpoint     jobs.Text // empty: none
+	StartWork      time.Duration
+	ReportedWork   time.Duration // the most work that an answered call reported before the start
+	SinceGridStart time.Duration // the time of the start, since the grid began
 }
 
 func newCheckpointAudit() checkpointAudit {
-	return checkpointAudit{texts: map[jobs.Text]Saved{}, best: map[jobs.TaskID]time.Duration{}}
+	return checkpointAudit{checkpoints: map[jobs.Text]Saved{}, reportedWork: map[jobs.TaskID]time.Duration{}}
 }
 
-// saves counts the checkpoints made.
-func (a *checkpointAudit) saves() int { return len(a.made) }
+// checkpointCount returns the number of checkpoints made.
+func (a *checkpointAudit) checkpointCount() int { return len(a.order) }
 
-// checkpointOf finds a checkpoint of a task.
+// checkpointOf returns the checkpoint with a text, and whether it is one of the task.
 func (a *checkpointAudit) checkpointOf(task jobs.TaskID, text jobs.Text) (Saved, bool) {
-	saved, ok := a.texts[text]
+	saved, ok := a.checkpoints[text]
 	return saved, ok && saved.Task == task
 }
 
-// heard notes a checkpoint that somebody was told of.
-func (a *checkpointAudit) heard(text jobs.Text) {
-	if saved, ok := a.texts[text]; ok {
-		a.best[saved.Task] = max(a.best[saved.Task], saved.Work)
+// noteReported records that a checkpoint was reported in an answered call.
+func (a *checkpointAudit) noteReported(text jobs.Text) {
+	if saved, ok := a.checkpoints[text]; ok {
+		a.reportedWork[saved.Task] = max(a.reportedWork[saved.Task], saved.Work)
 	}
 }
 
-// saved notes a checkpoint that a run makes.
-func (a *audit) saved(text jobs.Text, saved Saved) {
-	if former, ok := a.texts[text]; ok || text == "" {
-		a.breach("the stand-in makes the checkpoint %q for %s and for %s", text, former.Task, saved.Task)
+// noteCheckpoint records a checkpoint that a run makes. Its text must be neither empty nor in use.
+func (a *audit) noteCheckpoint(text jobs.Text, saved Saved) {
+	if previous, ok := a.checkpoints[text]; ok || text == "" {
+		a.breach("the stand-in makes the checkpoint %q for %s and for %s", text, previous.Task, saved.Task)
 	}
-	a.texts[text] = saved
-	a.made = append(a.made, text)
+	a.checkpoints[text] = saved
+	a.order = append(a.order, text)
 }
 
-// latestOfOthers is the latest checkpoint of another task; empty: there is none.
+// latestOfOthers returns the latest checkpoint of any other task, or an empty one if there is none.
 func (a *checkpointAudit) latestOfOthers(task jobs.TaskID) jobs.Text {
-	for _, text := range slices.Backward(a.made) {
-		if a.texts[text].Task != task {
+	for _, text := range slices.Backward(a.order) {
+		if a.checkpoints[text].Task != task {
 			return text
 		}
 	}
 	return ""
 }
 
-// checkCheckpoint checks that a run begins with nothing or with a checkpoint of its task, and
-// notes what it lacks.
+// checkCheckpoint checks that a run begins without a checkpoint or with one of its own task, and records the
+// run if less work comes with the checkpoint than had been reported.
 func (a *audit) checkCheckpoint(w *incarnation, r *run, text jobs.Text, since time.Duration) {
 	if text != "" {
-		a.brought++
+		a.startsFromCheckpoint++
 	}
-	saved, known := a.texts[text]
+	saved, known := a.checkpoints[text]
 	switch {
 	case text == "" || known && saved.Task == r.task:
 	case known:
 		a.breach("%s runs on %s with the checkpoint %q of %s", r.task, w.info.ID, text, saved.Task)
 		return
 	default:
-		a.breach("%s runs on %s with the checkpoint %q, which nobody has made", r.task, w.info.ID, text)
+		a.breach("%s runs on %s with the checkpoint %q, which no run has made", r.task, w.info.ID, text)
 		return
 	}
-	if best := a.best[r.task]; best > saved.Work {
-		a.behind = append(a.behind, StartBehind{
-			Task: r.task, Run: r.id, Worker: w.info.ID, Brought: text, From: saved.Work, Best: best, After: since,
+	if best := a.reportedWork[r.task]; best > saved.Work {
+		a.staleCheckpointStarts = append(a.staleCheckpointStarts, StaleCheckpointStart{
+			Task: r.task, Run: r.id, Worker: w.info.ID, Checkpoint: text, StartWork: saved.Work, ReportedWork: best, SinceGridStart: since,
 		})
 	}
 }
--- a/services/standin/kv/handler.go
+++ b/services/standin/kv/handler.go
@@ -16,16 +16,16 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Paths by which tests and trials steer the stand-in.
+// The HTTP paths by which tests and trials control the service.
 const (
 	PathFaults = "/standin/faults"
 	PathStats  = "/standin/stats"
 )
 
-// maxCall bounds a call's body: a value in base64 with room for the rest.
-const maxCall = 2 * platform.MaxValue
+// maxCallSize bounds the body of a call: a value in base64 and space for the other fields.
+const maxCallSize = 2 * platform.MaxValue
 
-// Handler serves the store's interface and the stand-in's own.
+// Handler returns the handler for the store's interface and the control paths.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	for path, write := range map[string]bool{
@@ -40,7 +40,7 @@
 }
 
 func (s *Service) serveFaults(w http.ResponseWriter, r *http.Request) {
-	faults, err := wire.Decode[Faults](r.Body, maxCall)
+	faults, err := wire.Decode[Faults](r.Body, maxCallSize)
 	if err != nil {
 		wire.WriteError(w, err)
 		return
@@ -50,7 +50,7 @@
 }
 
 func (s *Service) serve(w http.ResponseWriter, r *http.Request, path string, write bool) {
-	call, err := wire.Decode[platform.StoreCall](r.Body, maxCall)
+	call, err := wire.Decode[platform.StoreCall](r.Body, maxCallSize)
 	if err != nil {
 		wire.WriteError(w, err)
 		return
@@ -64,13 +64,13 @@
 	if faults.Delay > 0 && !clock.Sleep(r.Context(), time.Duration(faults.Delay)*time.Millisecond) {
 		return
 	}
-	if !s.count(path, write, r.ContentLength) {
+	if !s.countCall(path, write, r.ContentLength) {
 		wire.Write(w, http.StatusTooManyRequests, wire.Problem{Error: "rate limit reached"})
 		return
 	}
 	answer, err := s.perform(r.Context(), path, call)
-	if s.afterwards(write, err, call.Key, answer) {
-		panic(http.ErrAbortHandler) // took effect, no answer
+	if s.countAnswer(write, err, call.Key, answer) {
+		panic(http.ErrAbortHandler) // the call has taken effect and gets no answer
 	}
 	if err != nil {
 		wire.Write(w, statusOf(err), wire.Problem{Error: err.Error()})
@@ -94,12 +94,12 @@
 	case platform.PathGrant:
 		return s.grant(call.TTL.Duration()), nil
 	default:
-		return platform.StoreAnswer{}, s.keep(call.Lease)
+		return platform.StoreAnswer{}, s.keepAlive(call.Lease)
 	}
 }
 
-// count counts a call and tells whether the rates allow it.
-func (s *Service) count(path string, write bool, bytes int64) bool {
+// countCall counts a call and returns whether the rate limits allow it.
+func (s *Service) countCall(path string, write bool, bytes int64) bool {
 	limit := s.reads
 	if write {
 		limit = s.writes
@@ -122,15 +122,15 @@
 	return allowed
 }
 
-// afterwards counts the answer and tells whether it shall be lost.
-func (s *Service) afterwards(write bool, err error, key string, answer platform.StoreAnswer) bool {
+// countAnswer counts the bytes of an answer and returns whether the answer is to be lost.
+func (s *Service) countAnswer(write bool, err error, key string, answer platform.StoreAnswer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, record := range answer.Records {
 		s.stats.BytesOut += int64(len(record.Value))
 	}
 	if s.faults.Outage {
-		return true // a watch that waited when the outage began
+		return true // a watch that was waiting when the outage began
 	}
 	if !write || err != nil || s.faults.LoseAnswers == 0 || !strings.HasPrefix(key, s.faults.LosePrefix) {
 		return false
