--- a/contrib/kept.sh
+++ b/contrib/kept.sh
@@ -1,18 +1,18 @@
 #!/bin/sh
 # SPDX-License-Identifier: Apache-2.0
 # Copyright The Rillsail Authors
-# What checks there are: tests, their case files, the seeds and numbers of random tests, and the entries of
-# KNOWN-RED.txt. docs/tests/kept.txt lists them; one that is there no more, or whose number has changed, must be named in
-# docs/tests/gone.md, which says why.
+# Guards against checks that are removed or weakened unnoticed. Checks are the tests, their case files in testdata, the
+# seeds and counts of random tests, and the entries of KNOWN-RED.txt. docs/tests/kept.txt lists them all. A check that
+# was removed, or whose seed or count was changed, must be named with the reason in docs/tests/gone.md.
 #
-#     sh contrib/kept.sh check      compares, by files alone
-#     sh contrib/kept.sh update     writes the list anew
+#     sh contrib/kept.sh check      compares the repository with the list; reads files only, runs no tests
+#     sh contrib/kept.sh update     writes the list again, if every removed entry is explained
 set -eu
 cd "$(dirname "$0")/.."
 kept=docs/tests/kept.txt
 gone=docs/tests/gone.md
 
-# present lists what there is, a line each: a kind, a place, a name or number.
+# present prints the checks of the repository, one per line: its kind, its folder or file, and its name or number.
 present() {
 	{
 		git grep -o '^func \(Test\|Fuzz\)[A-Za-z0-9_]*(' -- '*_test.go' |
@@ -28,7 +28,8 @@
 trap 'rm -f "$now"' EXIT
 present >"$now"
 
-# explained complains about what the list has, is there no more, and is not named in the other page.
+# explained prints each entry of the list that is missing in the repository and not named in gone.md, and fails if there
+# is any.
 explained() {
 	bad=0
 	LC_ALL=C comm -23 "$kept" "$now" | {
--- a/contrib/measure.sh
+++ b/contrib/measure.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
 # SPDX-License-Identifier: Apache-2.0
 # Copyright The Rillsail Authors
-# Takes the figures anew and keeps them in docs/measurements with commit, machine
-# and seeds. With an argument, only that one: routing, interference or capacity.
+# Runs the measurements and writes their results to docs/measurements, with commit, machine
+# and seeds. An argument selects a single measurement: routing, interference or capacity.
 set -eu
 cd "$(dirname "$0")/.."
 out=$PWD/docs/measurements
--- a/contrib/mutations.sh
+++ b/contrib/mutations.sh
@@ -1,10 +1,11 @@
 #!/bin/sh
 # SPDX-License-Identifier: Apache-2.0
 # Copyright The Rillsail Authors
-# Plants each fault of contrib/mutations/*.patch in a copy of what is committed, and tells which tests
-# find it; a fault that none finds makes the script fail. The first line of a patch says what it is.
+# Mutation tests. Applies each patch of contrib/mutations/*.patch, which contains a deliberate fault, to a clone of
+# the committed code, runs tests there, and prints which of them fail. Exits with status 1 if a fault makes no test
+# fail. The first line of a patch describes its fault.
 #
-#     sh contrib/mutations.sh [NAME…]
+#     sh contrib/mutations.sh [NAME…]     NAME is a patch without its folder and ".patch"; by default all
 set -eu
 cd "$(dirname "$0")/.."
 repository=$(pwd)
@@ -13,7 +14,8 @@
 git clone -q "$repository" "$copy"
 cd "$copy"
 
-# The tests that are about incarnations, and all of dispatch but what is red without a fault planted.
+# tests runs all tests of services/dispatch but those known to fail, which fail without a fault as well, and the tests
+# about incarnations of the other packages.
 red=$(sed -n 's/^\(Test[A-Za-z0-9_]*\):.*/\1/p' KNOWN-RED.txt | paste -sd'|' -)
 tests() {
 	go test -skip "^($red)\$" ./services/dispatch
