--- a/modules/calltime/calltime.go
+++ b/modules/calltime/calltime.go
@@ -32,10 +32,10 @@
 type Limit struct {
 	config Config
 
-	mu      sync.Mutex
-	current time.Duration
-	looked  time.Time // when the current limit was last judged
-	seen    counts    // since then
+	mu         sync.Mutex
+	current    time.Duration
+	adjustedAt time.Time // when the current limit was last judged
+	outcomes   counts    // since then
 }
 
 // Call is what became of a call that was sent.
@@ -54,7 +54,7 @@
 
 // New makes a limit.
 func New(config Config) *Limit {
-	return &Limit{config: config, current: config.Least, looked: time.Now()}
+	return &Limit{config: config, current: config.Least, adjustedAt: time.Now()}
 }
 
 // Least is the limit as long as all is well.
@@ -67,24 +67,24 @@
 	return l.current
 }
 
-// The limit is judged when lookEvery has passed and leastCalls have ended: often enough to
+// The limit is judged when adjustInterval has passed and minCalls have ended: often enough to
 // get from 0.4 s to 2 s within a second, and not by chance of a few calls.
 const (
-	lookEvery  = 250 * time.Millisecond
-	leastCalls = 20
+	adjustInterval = 250 * time.Millisecond
+	minCalls       = 20
 )
 
 // Note takes what became of a call.
 func (l *Limit) Note(call Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.seen.add(call, l.current)
+	l.outcomes.add(call, l.current)
 	now := time.Now()
-	if now.Sub(l.looked) < lookEvery || l.seen.all < leastCalls {
+	if now.Sub(l.adjustedAt) < adjustInterval || l.outcomes.all < minCalls {
 		return
 	}
-	l.current = l.judge()
-	l.looked, l.seen = now, counts{}
+	l.current = l.next()
+	l.adjustedAt, l.outcomes = now, counts{}
 }
 
 func (c *counts) add(call Call, limit time.Duration) {
@@ -109,18 +109,18 @@
 
 // By how much the limit changes at a time.
 const (
-	growth = 2
-	shrink = 1.5
+	growFactor   = 2
+	shrinkFactor = 1.5
 )
 
-// judge gives the limit that fits the calls seen.
-func (l *Limit) judge() time.Duration {
-	answered := float64(l.seen.all - l.seen.lost)
+// next gives the limit that fits the calls seen.
+func (l *Limit) next() time.Duration {
+	answered := float64(l.outcomes.all - l.outcomes.lost)
 	switch {
-	case float64(l.seen.lost) >= lostShare*float64(l.seen.all), float64(l.seen.late) > lateShare*answered:
-		return min(growth*l.current, l.config.Most)
-	case float64(l.seen.quick) >= quickShare*answered:
-		return max(time.Duration(float64(l.current)/shrink), l.config.Least)
+	case float64(l.outcomes.lost) >= lostShare*float64(l.outcomes.all), float64(l.outcomes.late) > lateShare*answered:
+		return min(growFactor*l.current, l.config.Most)
+	case float64(l.outcomes.quick) >= quickShare*answered:
+		return max(time.Duration(float64(l.current)/shrinkFactor), l.config.Least)
 	default:
 		return l.current
 	}
--- a/modules/calltime/calltime_test.go
+++ b/modules/calltime/calltime_test.go
@@ -32,19 +32,19 @@
 // its call was answered or given up.
 func TestLimits(t *testing.T) {
 	for _, c := range casefile.Read[[]limitCase](t, "testdata/limits.json") {
-		t.Run(c.Name, func(t *testing.T) { synctest.Test(t, c.play) })
+		t.Run(c.Name, func(t *testing.T) { synctest.Test(t, c.run) })
 	}
 }
 
-func (c limitCase) play(t *testing.T) {
+func (c limitCase) run(t *testing.T) {
 	limit := calltime.New(calltime.Config{Least: 400 * time.Millisecond, Most: 2 * time.Second})
 	for _, p := range c.Phases {
-		p.play(limit)
+		p.run(limit)
 		require.Equal(t, time.Duration(p.Limit)*time.Millisecond, limit.Current())
 	}
 }
 
-func (p phase) play(limit *calltime.Limit) {
+func (p phase) run(limit *calltime.Limit) {
 	const callers = 100
 	deadline := time.Now().Add(time.Duration(p.For) * time.Millisecond)
 	done := make(chan struct{})
--- a/modules/clock/suspension.go
+++ b/modules/clock/suspension.go
@@ -37,8 +37,8 @@
 // Its times have meaning only among themselves: the time of day that they show is ahead by what
 // was counted, see TimeOfDay.
 type Clock struct {
-	config  Config
-	counted atomic.Int64 // nanoseconds of suspension, when last read
+	config    Config
+	suspended atomic.Int64 // nanoseconds of suspension, when last read
 }
 
 // New makes a clock.
@@ -59,7 +59,7 @@
 }
 
 // Now is the time, with the suspensions that Read has seen.
-func (c *Clock) Now() time.Time { return c.config.Steady().Add(c.Counted()) }
+func (c *Clock) Now() time.Time { return c.config.Steady().Add(c.Suspended()) }
 
 // Read is the time now, with every suspension so far. It costs two calls to the system, and
 // comes right before what it permits; elsewhere Now does.
@@ -67,19 +67,19 @@
 	suspended, err := c.config.Meter.Suspended()
 	c.config.Note(err)
 	if err == nil {
-		c.count(suspended)
+		c.addSuspension(suspended)
 	}
 	return c.Now()
 }
 
-// count takes a newer reading; of several at once the highest stays.
-func (c *Clock) count(suspended time.Duration) {
+// addSuspension takes a newer reading; of several at once the highest stays.
+func (c *Clock) addSuspension(suspended time.Duration) {
 	for {
-		before := c.counted.Load()
+		before := c.suspended.Load()
 		if int64(suspended) <= before {
 			return
 		}
-		if c.counted.CompareAndSwap(before, int64(suspended)) {
+		if c.suspended.CompareAndSwap(before, int64(suspended)) {
 			c.config.Seen(suspended - time.Duration(before))
 			return
 		}
@@ -89,31 +89,31 @@
 // Since is the time since t.
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
-// Counted is for how long the VM has been suspended, as read last.
-func (c *Clock) Counted() time.Duration { return time.Duration(c.counted.Load()) }
+// Suspended is for how long the VM has been suspended, as read last.
+func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
 
 // TimeOfDay is the time of day at a time of this clock.
-func (c *Clock) TimeOfDay(t time.Time) time.Time { return t.Add(-c.Counted()) }
+func (c *Clock) TimeOfDay(t time.Time) time.Time { return t.Add(-c.Suspended()) }
 
-// leastSuspension tells suspensions from the time between two readings: a thread that gets no
+// minSuspension tells suspensions from the time between two readings: a thread that gets no
 // processor between them makes the difference larger, and later readings without it smaller.
-const leastSuspension = 20 * time.Millisecond
+const minSuspension = 20 * time.Millisecond
 
 // vmMeter compares the clock that counts suspensions with the one that does not.
 type vmMeter struct {
-	ahead time.Duration // of the first reading
-	err   error         // of the first reading
+	baseline time.Duration // of the first reading
+	err      error         // of the first reading
 }
 
-// firstReadings are compared for the first one: a pause within one of them makes it smaller, and
+// baselineReadings are compared for the first one: a pause within one of them makes it smaller, and
 // every later one would show it as a suspension.
-const firstReadings = 5
+const baselineReadings = 5
 
 func newVMMeter() *vmMeter {
 	m := &vmMeter{}
-	for range firstReadings {
-		ahead, err := readAhead()
-		m.ahead, m.err = max(m.ahead, ahead), errors.CombineErrors(m.err, err)
+	for range baselineReadings {
+		ahead, err := readOffset()
+		m.baseline, m.err = max(m.baseline, ahead), errors.CombineErrors(m.err, err)
 	}
 	return m
 }
@@ -123,24 +123,24 @@
 	if m.err != nil {
 		return 0, m.err
 	}
-	ahead, err := readAhead()
+	ahead, err := readOffset()
 	if err != nil {
 		return 0, err
 	}
-	return atLeast(leastSuspension, ahead-m.ahead), nil
+	return zeroBelow(minSuspension, ahead-m.baseline), nil
 }
 
-// atLeast leaves out what is below a threshold.
-func atLeast(least, d time.Duration) time.Duration {
+// zeroBelow leaves out what is below a threshold.
+func zeroBelow(least, d time.Duration) time.Duration {
 	if d < least {
 		return 0
 	}
 	return d
 }
 
-// readAhead is by how much the clock that counts suspensions is ahead of the steady one. It is
+// readOffset is by how much the clock that counts suspensions is ahead of the steady one. It is
 // read first, so that a pause between the readings makes the difference smaller, never larger.
-func readAhead() (time.Duration, error) {
+func readOffset() (time.Duration, error) {
 	var boot, steady unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
 		return 0, errors.Wrap(err, "read clock that counts suspensions")
--- a/modules/clock/suspension_test.go
+++ b/modules/clock/suspension_test.go
@@ -11,17 +11,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// setMeter is a meter that tests set.
-type setMeter struct {
+// fakeMeter is a meter that tests set.
+type fakeMeter struct {
 	suspended time.Duration
 	err       error
 }
 
-func (m *setMeter) Suspended() (time.Duration, error) { return m.suspended, m.err }
+func (m *fakeMeter) Suspended() (time.Duration, error) { return m.suspended, m.err }
 
 func TestClockCountsSuspensions(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
-	meter := &setMeter{}
+	meter := &fakeMeter{}
 	var seen []time.Duration
 	c := New(Config{Steady: func() time.Time { return start }, Meter: meter, Seen: func(d time.Duration) { seen = append(seen, d) }})
 	before := c.Read()
@@ -34,7 +34,7 @@
 }
 
 func TestClockNeverGoesBack(t *testing.T) {
-	meter := &setMeter{suspended: time.Second}
+	meter := &fakeMeter{suspended: time.Second}
 	c := New(Config{Steady: func() time.Time { return time.Unix(7, 0) }, Meter: meter})
 	first := c.Read()
 	meter.suspended = time.Second - 3*time.Millisecond // the readings of two threads, in another order
@@ -44,7 +44,7 @@
 func TestClockWithoutMeterGoesOn(t *testing.T) {
 	heard := 0
 	c := New(Config{
-		Steady: func() time.Time { return time.Unix(7, 0) }, Meter: &setMeter{err: errors.New("not told")},
+		Steady: func() time.Time { return time.Unix(7, 0) }, Meter: &fakeMeter{err: errors.New("not told")},
 		Note: func(error) { heard++ },
 	})
 	require.Equal(t, time.Unix(7, 0), c.Read())
@@ -63,7 +63,7 @@
 
 // TestShortPausesAreNoSuspensions: what lies between two readings is left out.
 func TestShortPausesAreNoSuspensions(t *testing.T) {
-	require.Zero(t, atLeast(leastSuspension, leastSuspension-1))
-	require.Zero(t, atLeast(leastSuspension, -time.Second))
-	require.Equal(t, time.Minute, atLeast(leastSuspension, time.Minute))
+	require.Zero(t, zeroBelow(minSuspension, minSuspension-1))
+	require.Zero(t, zeroBelow(minSuspension, -time.Second))
+	require.Equal(t, time.Minute, zeroBelow(minSuspension, time.Minute))
 }
--- a/modules/codeunits/codeunits.go
+++ b/modules/codeunits/codeunits.go
@@ -21,8 +21,8 @@
 // firstPrintable is the first character that may stand in a string without escape.
 const firstPrintable = 0x20
 
-// short are the escapes of one letter.
-var short = map[byte]uint16{
+// shortEscapes are the escapes of one letter.
+var shortEscapes = map[byte]uint16{
 	'"': '"', '\\': '\\', '/': '/', 'b': '\b', 'f': '\f', 'n': '\n', 'r': '\r', 't': '\t',
 }
 
@@ -65,7 +65,7 @@
 	if len(rest) == 0 {
 		return nil, 0, errors.New("backslash at the end")
 	}
-	if unit, ok := short[rest[0]]; ok {
+	if unit, ok := shortEscapes[rest[0]]; ok {
 		return []uint16{unit}, 2, nil
 	}
 	var unit [2]byte
--- a/modules/idleconn/idleconn.go
+++ b/modules/idleconn/idleconn.go
@@ -40,9 +40,9 @@
 
 // Set is the open connections of a transport. It may be used by several goroutines.
 type Set struct {
-	config Config
-	tried  atomic.Int64 // connections
-	given  atomic.Int64 // up
+	config       Config
+	dialed       atomic.Int64 // connections
+	closedSilent atomic.Int64 // up
 
 	mu    sync.Mutex
 	peers map[string]map[*conn]struct{} // by address
@@ -55,7 +55,7 @@
 
 // Dial opens a connection; it fits http.Transport.
 func (s *Set) Dial(ctx context.Context, network, address string) (net.Conn, error) {
-	s.tried.Add(1)
+	s.dialed.Add(1)
 	opened, err := s.config.Dial(ctx, network, address)
 	if err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 }
 
 // Counts are those of all connections so far.
-func (s *Set) Counts() Counts { return Counts{Opened: s.tried.Load(), GivenUp: s.given.Load()} }
+func (s *Set) Counts() Counts { return Counts{Opened: s.dialed.Load(), GivenUp: s.closedSilent.Load()} }
 
 // Stalled says that a call to an address that was sent then has had no answer in time. It
 // closes the idle connections that are probably silent as well. A call that the transport gives
@@ -85,7 +85,7 @@
 func (s *Set) Stalled(address string, sent time.Time) {
 	for _, c := range s.suspects(address, sent) {
 		if c.state.CompareAndSwap(idle, closed) {
-			s.given.Add(1)
+			s.closedSilent.Add(1)
 			_ = c.Close()
 		}
 	}
@@ -97,7 +97,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.peers[address] {
-		if !c.opened.Before(since) && c.heard.Load() > 0 {
+		if !c.opened.Before(since) && c.lastHeard.Load() > 0 {
 			return true
 		}
 	}
@@ -111,7 +111,7 @@
 	defer s.mu.Unlock()
 	oldest := sent // connection that is heard of, or the call
 	for c := range s.peers[address] {
-		if c.opened.Before(oldest) && !c.heardAt().Before(sent) {
+		if c.opened.Before(oldest) && !c.lastHeardAt().Before(sent) {
 			oldest = c.opened
 		}
 	}
@@ -136,36 +136,36 @@
 
 // The states of a connection.
 const (
-	idle   int32 = iota
-	waits        // for the answer to what was written
-	closed       // or about to be; nothing is written any more
+	idle           int32 = iota
+	awaitingAnswer       // for the answer to what was written
+	closed               // or about to be; nothing is written any more
 )
 
 // conn is a connection that knows when it was heard of last.
 type conn struct {
 	net.Conn
-	set     *Set
-	address string
-	opened  time.Time
-	heard   atomic.Int64 // after opened, in nanoseconds
-	state   atomic.Int32
+	set       *Set
+	address   string
+	opened    time.Time
+	lastHeard atomic.Int64 // after opened, in nanoseconds
+	state     atomic.Int32
 }
 
-func (c *conn) heardAt() time.Time { return c.opened.Add(time.Duration(c.heard.Load())) }
+func (c *conn) lastHeardAt() time.Time { return c.opened.Add(time.Duration(c.lastHeard.Load())) }
 
 // Read implements net.Conn.
 func (c *conn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	if n > 0 {
-		c.heard.Store(int64(time.Since(c.opened)))
-		c.state.CompareAndSwap(waits, idle)
+		c.lastHeard.Store(int64(time.Since(c.opened)))
+		c.state.CompareAndSwap(awaitingAnswer, idle)
 	}
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *conn) Write(data []byte) (int, error) {
-	if !c.state.CompareAndSwap(idle, waits) && c.state.Load() == closed {
+	if !c.state.CompareAndSwap(idle, awaitingAnswer) && c.state.Load() == closed {
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(data)
--- a/modules/idleconn/idleconn_test.go
+++ b/modules/idleconn/idleconn_test.go
@@ -44,11 +44,11 @@
 // TestSilences plays the cases of testdata/silences.json.
 func TestSilences(t *testing.T) {
 	for _, c := range casefile.Read[[]silenceCase](t, "testdata/silences.json") {
-		t.Run(c.Name, func(t *testing.T) { synctest.Test(t, c.play) })
+		t.Run(c.Name, func(t *testing.T) { synctest.Test(t, c.run) })
 	}
 }
 
-func (c silenceCase) play(t *testing.T) {
+func (c silenceCase) run(t *testing.T) {
 	began := time.Now()
 	far := make(chan net.Conn, 1)
 	set := idleconn.New(idleconn.Config{Dial: func(context.Context, string, string) (net.Conn, error) {
@@ -59,7 +59,7 @@
 	conns := make([]net.Conn, len(c.Conns))
 	var group conc.WaitGroup
 	for i, each := range c.Conns {
-		group.Go(func() { conns[i] = each.play(t, set, far, began) })
+		group.Go(func() { conns[i] = each.run(t, set, far, began) })
 	}
 	sleepUntil(began, c.Stalled)
 	sent := began.Add(milliseconds(c.Sent))
@@ -76,8 +76,8 @@
 	require.Equal(t, idleconn.Counts{Opened: int64(len(c.Conns)), GivenUp: closed}, set.Counts())
 }
 
-// play opens a connection and lets happen to it what the case says.
-func (c connCase) play(t *testing.T, set *idleconn.Set, far <-chan net.Conn, began time.Time) net.Conn {
+// run opens a connection and lets happen to it what the case says.
+func (c connCase) run(t *testing.T, set *idleconn.Set, far <-chan net.Conn, began time.Time) net.Conn {
 	address := testPeer
 	if c.Other {
 		address = otherPeer
--- a/modules/inflight/inflight.go
+++ b/modules/inflight/inflight.go
@@ -45,31 +45,31 @@
 type Limit struct {
 	config Config
 
-	mu      sync.Mutex
-	current int
-	under   int       // calls under way
-	reached bool      // the limit was, since it was judged last
-	looked  time.Time // when it was judged last
-	seen    counts    // since then
-	typical time.Duration
+	mu          sync.Mutex
+	current     int
+	inFlight    int       // calls under way
+	reached     bool      // the limit was, since it was judged last
+	adjustedAt  time.Time // when it was judged last
+	outcomes    counts    // since then
+	meanLatency time.Duration
 }
 
 // counts of calls that have ended.
 type counts struct {
 	all, lost, late, quick int
-	took                   time.Duration // of those that were answered, together
+	totalLatency           time.Duration // of those that were answered, together
 }
 
 // New makes a limit.
 func New(config Config) *Limit {
-	return &Limit{config: config, current: config.First, looked: time.Now()}
+	return &Limit{config: config, current: config.First, adjustedAt: time.Now()}
 }
 
 // Free is how many calls may begin now.
 func (l *Limit) Free() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(0, l.current-l.under)
+	return max(0, l.current-l.inFlight)
 }
 
 // Current is the limit now.
@@ -79,17 +79,17 @@
 	return l.current
 }
 
-// recent is for how long what was seen of answers says how they are now.
-const recent = time.Second
+// latencyMaxAge is for how long what was seen of answers says how they are now.
+const latencyMaxAge = time.Second
 
 // Typical is how long answers have taken lately, on average; 0 when there were hardly any.
 func (l *Limit) Typical() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if time.Since(l.looked) > recent {
+	if time.Since(l.adjustedAt) > latencyMaxAge {
 		return 0
 	}
-	return l.typical
+	return l.meanLatency
 }
 
 // Begin counts a call that begins. It may go past the limit: calls that must not wait are
@@ -97,17 +97,17 @@
 func (l *Limit) Begin() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.under++
-	l.reached = l.reached || l.under >= l.current
+	l.inFlight++
+	l.reached = l.reached || l.inFlight >= l.current
 }
 
 // End takes what became of a call.
 func (l *Limit) End(call Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.under--
-	l.seen.add(call, l.config)
-	l.judge(time.Now())
+	l.inFlight--
+	l.outcomes.add(call, l.config)
+	l.adjust(time.Now())
 }
 
 func (c *counts) add(call Call, config Config) {
@@ -121,14 +121,14 @@
 	case call.Took <= config.Quick:
 		c.quick++
 	}
-	c.took += call.Took
+	c.totalLatency += call.Took
 }
 
-// The limit is judged when judgeEvery has passed and leastCalls have ended: often enough to
+// The limit is judged when adjustInterval has passed and minCalls have ended: often enough to
 // get from 64 to 8 calls within half a second, and not by chance of a few.
 const (
-	judgeEvery = 100 * time.Millisecond
-	leastCalls = 8
+	adjustInterval = 100 * time.Millisecond
+	minCalls       = 8
 )
 
 // Shares of the calls that change the limit.
@@ -141,24 +141,24 @@
 // By how much the limit changes at a time: it must fall faster than a queue grows, and rise
 // by less than a link carries within Late.
 const (
-	decrease = 0.6
-	increase = 8
+	decreaseFactor = 0.6
+	increaseStep   = 8
 )
 
-// judge moves the limit by what was seen since the last time.
-func (l *Limit) judge(now time.Time) {
-	if now.Sub(l.looked) < judgeEvery || l.seen.all < leastCalls {
+// adjust moves the limit by what was seen since the last time.
+func (l *Limit) adjust(now time.Time) {
+	if now.Sub(l.adjustedAt) < adjustInterval || l.outcomes.all < minCalls {
 		return
 	}
-	seen, answered := l.seen, l.seen.all-l.seen.lost
+	seen, answered := l.outcomes, l.outcomes.all-l.outcomes.lost
 	if answered > 0 {
-		l.typical = seen.took / time.Duration(answered)
+		l.meanLatency = seen.totalLatency / time.Duration(answered)
 	}
 	switch {
 	case float64(seen.lost) >= lostShare*float64(seen.all), float64(seen.late) > lateShare*float64(answered):
-		l.current = max(l.config.Least, int(decrease*float64(l.current)))
+		l.current = max(l.config.Least, int(decreaseFactor*float64(l.current)))
 	case l.reached && float64(seen.quick) >= quickShare*float64(answered):
-		l.current = min(l.config.Most, l.current+increase)
+		l.current = min(l.config.Most, l.current+increaseStep)
 	}
-	l.looked, l.seen, l.reached = now, counts{}, l.under >= l.current
+	l.adjustedAt, l.outcomes, l.reached = now, counts{}, l.inFlight >= l.current
 }
--- a/modules/log/log.go
+++ b/modules/log/log.go
@@ -37,7 +37,7 @@
 	}
 	encoding := zap.NewProductionEncoderConfig()
 	encoding.EncodeTime = zapcore.ISO8601TimeEncoder
-	writer := newWriter(os.Stdout, writerSize)
+	writer := newWriter(os.Stdout, bufferSize)
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoding), writer, level)
 	return zap.New(core).Named(config.Process).With(zap.String("id", config.ID)), nil
 }
--- a/modules/log/writer.go
+++ b/modules/log/writer.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// writerSize bounds the bytes that wait to be written: some seconds of lines at the
+	// bufferSize bounds the bytes that wait to be written: some seconds of lines at the
 	// users' load.
-	writerSize = 1 << 20
-	// flushEvery gathers lines, for each write costs a system call.
-	flushEvery = 50 * time.Millisecond
-	// syncTime bounds the wait of Sync for a reader that doesn't read.
-	syncTime = 200 * time.Millisecond
+	bufferSize = 1 << 20
+	// flushInterval gathers lines, for each write costs a system call.
+	flushInterval = 50 * time.Millisecond
+	// syncTimeout bounds the wait of Sync for a reader that doesn't read.
+	syncTimeout = 200 * time.Millisecond
 )
 
 // droppedLines counts the lines that this process has dropped.
@@ -30,23 +30,23 @@
 // writer hands lines on without ever blocking. When its reader is too slow it drops
 // lines and says how many with the next one that fits.
 type writer struct {
-	out     io.Writer
-	mu      sync.Mutex
-	pending []byte
-	size    int
-	dropped int
-	busy    bool // a loop is running
+	out        io.Writer
+	mu         sync.Mutex
+	pending    []byte
+	maxPending int
+	dropped    int
+	flushing   bool // a loop is running
 }
 
 func newWriter(out io.Writer, size int) *writer {
-	return &writer{out: out, size: size}
+	return &writer{out: out, maxPending: size}
 }
 
 // Write takes a line.
 func (w *writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.pending)+len(line) > w.size {
+	if len(w.pending)+len(line) > w.maxPending {
 		w.dropped++
 		droppedLines.Add(1)
 		return len(line), nil
@@ -56,22 +56,22 @@
 		w.dropped = 0
 	}
 	w.pending = append(w.pending, line...)
-	if !w.busy {
-		w.busy = true
-		go w.loop()
+	if !w.flushing {
+		w.flushing = true
+		go w.flush()
 	}
 	return len(line), nil
 }
 
-// loop writes what has gathered, until nothing is left.
-func (w *writer) loop() {
+// flush writes what has gathered, until nothing is left.
+func (w *writer) flush() {
 	for {
-		time.Sleep(flushEvery)
+		time.Sleep(flushInterval)
 		w.mu.Lock()
 		lines := w.pending
 		w.pending = nil
 		if len(lines) == 0 {
-			w.busy = false
+			w.flushing = false
 			w.mu.Unlock()
 			return
 		}
@@ -82,15 +82,15 @@
 
 // Sync waits until the lines are written, for a short while at most.
 func (w *writer) Sync() error {
-	deadline := time.Now().Add(syncTime)
+	deadline := time.Now().Add(syncTimeout)
 	for time.Now().Before(deadline) {
 		w.mu.Lock()
-		busy := w.busy
+		busy := w.flushing
 		w.mu.Unlock()
 		if !busy {
 			return nil
 		}
-		time.Sleep(flushEvery / 5)
+		time.Sleep(flushInterval / 5)
 	}
 	return nil
 }
--- a/modules/log/writer_test.go
+++ b/modules/log/writer_test.go
@@ -14,28 +14,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slowReader is an output that takes nothing until it is let.
-type slowReader struct {
-	let chan struct{}
-	mu  sync.Mutex
-	got bytes.Buffer
+// blockedOutput is an output that takes nothing until it is let.
+type blockedOutput struct {
+	unblock chan struct{}
+	mu      sync.Mutex
+	got     bytes.Buffer
 }
 
-func (s *slowReader) Write(p []byte) (int, error) {
-	<-s.let
+func (s *blockedOutput) Write(p []byte) (int, error) {
+	<-s.unblock
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.got.Write(p)
 }
 
-func (s *slowReader) String() string {
+func (s *blockedOutput) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.got.String()
 }
 
 func TestReaderThatDoesNotReadNeverBlocks(t *testing.T) {
-	out := &slowReader{let: make(chan struct{})}
+	out := &blockedOutput{unblock: make(chan struct{})}
 	w := newWriter(out, 1000)
 	before := Dropped()
 	line := []byte(strings.Repeat("x", 99) + "\n")
@@ -46,7 +46,7 @@
 	}
 	require.Less(t, time.Since(began), time.Second)
 	require.Greater(t, Dropped(), before+900, "what is dropped is counted for the metrics")
-	close(out.let)
+	close(out.unblock)
 	require.Eventually(t, func() bool { return strings.Count(out.String(), "\n") >= 10 }, 10*time.Second, time.Millisecond)
 	_, err := w.Write(line)
 	require.NoError(t, err)
--- a/modules/logtrace/logtrace.go
+++ b/modules/logtrace/logtrace.go
@@ -29,23 +29,23 @@
 
 // Line is one line of a log.
 type Line struct {
-	At     time.Time
-	Daemon string
-	What   string
-	// About: the line names what is looked for. Others are changes of state.
-	About  bool
-	Fields map[string]any
+	At      time.Time
+	Daemon  string
+	Message string
+	// Matched: the line names what is looked for. Others are changes of state.
+	Matched bool
+	Fields  map[string]any
 }
 
 // maxLine bounds a line of a log, in bytes.
 const maxLine = 1 << 20
 
-// around is how long before and after the lines that name what is looked for changes of
+// contextWindow is how long before and after the lines that name what is looked for changes of
 // state are shown: a takeover or an outage shows seconds later.
-const around = 5 * time.Second
+const contextWindow = 5 * time.Second
 
-// changesOfState are what may explain a job's fate without naming it.
-var changesOfState = map[string]bool{
+// stateChanges are what may explain a job's fate without naming it.
+var stateChanges = map[string]bool{
 	"daemon starts": true, "planned stop begins": true, "cell is taken": true, "cell is lost": true, "cell is loaded": true,
 	"cell is recovered": true, "cell can't be loaded yet": true, "store does not answer": true, "store answers again": true,
 	"lease in the store is over": true, "configuration is in force": true, "log lines are dropped": true,
@@ -55,8 +55,8 @@
 	"progress is not stored": true,
 }
 
-// changesOfWorkers explain the fate of tasks that ran there.
-var changesOfWorkers = map[string]bool{
+// workerChanges explain the fate of tasks that ran there.
+var workerChanges = map[string]bool{
 	"worker is gone": true, "worker drains": true, "silent worker's tasks have lapsed": true,
 	"worker stands still and is left alone": true, "worker has started again under its id": true,
 }
@@ -64,38 +64,38 @@
 // Find reads logs and gives the lines about an id, oldest first, with the changes of
 // state around them.
 func Find(logs io.Reader, id string) ([]Line, error) {
-	all, err := read(logs)
+	all, err := parseLines(logs)
 	if err != nil {
 		return nil, err
 	}
-	f, found := mark(all, id)
+	f, found := markMatches(all, id)
 	if !found {
 		return nil, errors.Newf("no line names %q", id)
 	}
-	return slices.DeleteFunc(all, func(l Line) bool { return !l.About && !f.explainedBy(l) }), nil
+	return slices.DeleteFunc(all, func(l Line) bool { return !l.Matched && !f.includes(l) }), nil
 }
 
-// fate is when and where something happened to what is looked for.
-type fate struct {
+// matchScope is when and where something happened to what is looked for.
+type matchScope struct {
 	first, last time.Time
 	workers     map[string]bool
 }
 
-// mark marks the lines that name an id and gathers its fate from them.
-func mark(lines []Line, id string) (f fate, found bool) {
+// markMatches marks the lines that name an id and gathers its fate from them.
+func markMatches(lines []Line, id string) (f matchScope, found bool) {
 	f.workers = map[string]bool{}
 	for i := range lines {
 		l := &lines[i]
-		if !l.names(id) {
+		if !l.mentions(id) {
 			continue
 		}
-		l.About = true
+		l.Matched = true
 		if !found {
 			f.first, found = l.At, true
 		}
 		f.last = l.At
 		for _, field := range workerFields {
-			if worker := l.text(field); worker != "" {
+			if worker := l.stringField(field); worker != "" {
 				f.workers[worker] = true
 			}
 		}
@@ -103,12 +103,12 @@
 	return f, found
 }
 
-// explainedBy tells whether a line is a change of state that may explain the fate.
-func (f fate) explainedBy(l Line) bool {
-	if l.At.Before(f.first.Add(-around)) || l.At.After(f.last.Add(around)) {
+// includes tells whether a line is a change of state that may explain the fate.
+func (f matchScope) includes(l Line) bool {
+	if l.At.Before(f.first.Add(-contextWindow)) || l.At.After(f.last.Add(contextWindow)) {
 		return false
 	}
-	return changesOfState[l.What] || changesOfWorkers[l.What] && f.workers[l.worker()]
+	return stateChanges[l.Message] || workerChanges[l.Message] && f.workers[l.worker()]
 }
 
 // workerFields name workers whose fate matters to what a line is about: where a run is, and where
@@ -116,16 +116,16 @@
 var workerFields = []string{"worker", "saved_worker"}
 
 // worker is the worker that the line is about; empty: none.
-func (l Line) worker() string { return l.text("worker") }
+func (l Line) worker() string { return l.stringField("worker") }
 
-// text is a field of the line that is a text; empty: there is none.
-func (l Line) text(field string) string {
+// stringField is a field of the line that is a text; empty: there is none.
+func (l Line) stringField(field string) string {
 	text, _ := l.Fields[field].(string)
 	return text
 }
 
-// read reads all lines that are JSON, whatever stands before it, in the order of time.
-func read(logs io.Reader) ([]Line, error) {
+// parseLines reads all lines that are JSON, whatever stands before it, in the order of time.
+func parseLines(logs io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(logs)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
@@ -138,8 +138,8 @@
 	return lines, errors.Wrap(scanner.Err(), "read logs")
 }
 
-// layout of the time in a line, as package log writes it.
-const layout = "2006-01-02T15:04:05.000Z0700"
+// timeLayout of the time in a line, as package log writes it.
+const timeLayout = "2006-01-02T15:04:05.000Z0700"
 
 func parse(text string) (Line, bool) {
 	start := strings.IndexByte(text, '{')
@@ -153,19 +153,19 @@
 		return Line{}, false // another program's line, or one that was cut
 	}
 	line := Line{Fields: fields}
-	line.What, _ = fields["msg"].(string)
+	line.Message, _ = fields["msg"].(string)
 	line.Daemon, _ = fields["id"].(string)
 	at, _ := fields["ts"].(string)
 	var err error
-	line.At, err = time.Parse(layout, at)
+	line.At, err = time.Parse(timeLayout, at)
 	for _, shown := range []string{"msg", "id", "ts", "logger", "level"} {
 		delete(fields, shown)
 	}
-	return line, err == nil && line.What != ""
+	return line, err == nil && line.Message != ""
 }
 
-// names tells whether the line is about a job, or about a task or any task of a job.
-func (l Line) names(id string) bool {
+// mentions tells whether the line is about a job, or about a task or any task of a job.
+func (l Line) mentions(id string) bool {
 	for _, key := range []string{"job", "task"} {
 		value, _ := l.Fields[key].(string)
 		if value == id || strings.HasPrefix(value, id+".") {
@@ -182,11 +182,11 @@
 // happened and the rest in the order of names.
 func (l Line) String() string {
 	mark := " "
-	if l.About {
+	if l.Matched {
 		mark = "*"
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s %-18s %s", mark, l.At.Format("15:04:05.000"), l.Daemon, l.What)
+	fmt.Fprintf(&b, "%s %s %-18s %s", mark, l.At.Format("15:04:05.000"), l.Daemon, l.Message)
 	for _, key := range slices.SortedFunc(maps.Keys(l.Fields), cmp.Compare[string]) {
 		fmt.Fprintf(&b, " %s=%v", key, l.Fields[key])
 	}
--- a/modules/logtrace/logtrace_test.go
+++ b/modules/logtrace/logtrace_test.go
@@ -22,10 +22,10 @@
 not json
 `
 
-func whats(lines []Line) []string {
+func messages(lines []Line) []string {
 	var list []string
 	for _, l := range lines {
-		list = append(list, l.What)
+		list = append(list, l.Message)
 	}
 	return list
 }
@@ -33,16 +33,16 @@
 func TestFindOrdersAndAddsWhatExplains(t *testing.T) {
 	lines, err := Find(strings.NewReader(logs), "aa00000000000001")
 	require.NoError(t, err)
-	require.Equal(t, []string{"job is accepted", "run starts", "worker is gone", "cell is taken"}, whats(lines))
-	require.True(t, lines[1].About)
-	require.False(t, lines[3].About)
+	require.Equal(t, []string{"job is accepted", "run starts", "worker is gone", "cell is taken"}, messages(lines))
+	require.True(t, lines[1].Matched)
+	require.False(t, lines[3].Matched)
 	require.Contains(t, lines[1].String(), "run=2 task=aa00000000000001.0.0.0 worker=w1")
 }
 
 func TestFindTakesTasksAndUnknownIDs(t *testing.T) {
 	lines, err := Find(strings.NewReader(logs), "aa00000000000001.0.0.0")
 	require.NoError(t, err)
-	require.Equal(t, []string{"job is accepted", "run starts", "worker is gone", "cell is taken"}, whats(lines))
+	require.Equal(t, []string{"job is accepted", "run starts", "worker is gone", "cell is taken"}, messages(lines))
 	_, err = Find(strings.NewReader(logs), "ff")
 	require.Error(t, err)
 }
@@ -55,7 +55,7 @@
 	require.NoError(t, err)
 	var gone []string
 	for _, l := range lines {
-		if l.What == "worker is gone" {
+		if l.Message == "worker is gone" {
 			gone = append(gone, l.worker())
 		}
 	}
--- a/modules/metrics/metrics.go
+++ b/modules/metrics/metrics.go
@@ -37,8 +37,8 @@
 
 // Config names the process.
 type Config struct {
-	Process string
-	Report  time.Duration // how often counters are handed to the endpoint; 1 s when 0
+	Process        string
+	ReportInterval time.Duration // how often counters are handed to the endpoint; 1 s when 0
 }
 
 // Registry is a process's metrics.
@@ -48,7 +48,7 @@
 	closer  io.Closer
 }
 
-const defaultReport = time.Second
+const defaultReportInterval = time.Second
 
 // New makes a registry.
 func New(config Config) *Registry {
@@ -57,15 +57,15 @@
 		Registerer: registry, Gatherer: registry,
 		OnRegisterError: func(error) {}, // a metric that can't be shown must not end the daemon
 	})
-	if config.Report == 0 {
-		config.Report = defaultReport
+	if config.ReportInterval == 0 {
+		config.ReportInterval = defaultReportInterval
 	}
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix:                 config.Process,
 		CachedReporter:         reporter,
 		Separator:              prometheus.DefaultSeparator,
 		OmitCardinalityMetrics: true,
-	}, config.Report)
+	}, config.ReportInterval)
 	return &Registry{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer}
 }
 
--- a/modules/portblock/portblock.go
+++ b/modules/portblock/portblock.go
@@ -31,9 +31,9 @@
 // Block is a range of ports that no other process takes from; it grows when all are given.
 // The zero value is ready.
 type Block struct {
-	mu    sync.Mutex
-	held  []net.Listener // on the first port of each part, for as long as the process lives
-	given int            // of the last part
+	mu   sync.Mutex
+	held []net.Listener // on the first port of each part, for as long as the process lives
+	used int            // of the last part
 }
 
 // Take gives the next address of the block that nobody listens on.
@@ -41,14 +41,14 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for {
-		if len(b.held) == 0 || b.given == blockSize-1 {
+		if len(b.held) == 0 || b.used == blockSize-1 {
 			if err := b.claim(); err != nil {
 				return "", err
 			}
 		}
-		b.given++
+		b.used++
 		first := b.held[len(b.held)-1].Addr().(*net.TCPAddr).Port
-		if listener, err := listenOn(first + b.given); err == nil {
+		if listener, err := listenOn(first + b.used); err == nil {
 			return listener.Addr().String(), errors.Wrap(listener.Close(), "free the port")
 		}
 	}
@@ -58,7 +58,7 @@
 func (b *Block) claim() error {
 	for first := firstPort; first < endPort; first += blockSize {
 		if listener, err := listenOn(first); err == nil {
-			b.held, b.given = append(b.held, listener), 0
+			b.held, b.used = append(b.held, listener), 0
 			return nil
 		}
 	}
--- a/modules/setting/listen.go
+++ b/modules/setting/listen.go
@@ -58,7 +58,7 @@
 		return checkUsersListen(s.Listen)
 	}
 	l := s.Listen
-	if err := checkGiven("listen", []given{
+	if err := checkRequired("listen", []requiredKey{
 		{"caller", l.Caller},
 		{"operator", l.Operator},
 		{"peer", l.Peer},
@@ -82,7 +82,7 @@
 // checkUsersListen checks the listeners of a daemon on the users' platform: its network
 // is closed, its operators write to the store, so there are no tokens.
 func checkUsersListen(l Listen) *Error {
-	if err := checkGiven("listen", []given{
+	if err := checkRequired("listen", []requiredKey{
 		{"caller", l.Caller},
 		{"peer", l.Peer},
 		{"ready", l.Ready},
--- a/modules/setting/platform.go
+++ b/modules/setting/platform.go
@@ -47,9 +47,9 @@
 }
 
 func checkPlatform(s *Settings) *Error {
-	keys := []given{{"store", s.Platform.Store}}
+	keys := []requiredKey{{"store", s.Platform.Store}}
 	if s.Platform.Adapter == AdapterOwn {
-		keys = append(keys, given{"list", s.Platform.List})
+		keys = append(keys, requiredKey{"list", s.Platform.List})
 	}
-	return checkGiven("platform", keys)
+	return checkRequired("platform", keys)
 }
--- a/modules/setting/registry.go
+++ b/modules/setting/registry.go
@@ -40,12 +40,12 @@
 // registry turns keys into flags that check their values. The first bad value is
 // kept, because package flag hands on only its text.
 type registry struct {
-	flags   *flag.FlagSet
-	section string
-	bad     *Error
+	flags      *flag.FlagSet
+	section    string
+	firstError *Error
 }
 
-func (r *registry) in(section string) *registry {
+func (r *registry) inSection(section string) *registry {
 	r.section = section
 	return r
 }
@@ -57,8 +57,8 @@
 	value.set = func(text string) error {
 		if allowed := set(text); allowed != "" {
 			err := &Error{Section: section, Key: key, Value: text, Allowed: allowed}
-			if r.bad == nil {
-				r.bad = err
+			if r.firstError == nil {
+				r.firstError = err
 			}
 			return err
 		}
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -51,8 +51,8 @@
 		ff.WithConfigFileParser(r.parseINI),
 	)
 	switch {
-	case r.bad != nil:
-		return nil, r.bad
+	case r.firstError != nil:
+		return nil, r.firstError
 	case err != nil:
 		return nil, errors.Wrap(err, "settings")
 	}
@@ -78,13 +78,13 @@
 
 func (s *Settings) register() *registry {
 	r := &registry{flags: flag.NewFlagSet("rillsaild", flag.ContinueOnError)}
-	s.Daemon.register(r.in("daemon"))
-	s.Listen.register(r.in("listen"))
-	s.Platform.register(r.in("platform"))
-	s.Member.register(r.in("member"))
-	s.Cell.register(r.in("cell"))
-	s.Entry.register(r.in("entry"))
-	s.Jobs.register(r.in("jobs"))
+	s.Daemon.register(r.inSection("daemon"))
+	s.Listen.register(r.inSection("listen"))
+	s.Platform.register(r.inSection("platform"))
+	s.Member.register(r.inSection("member"))
+	s.Cell.register(r.inSection("cell"))
+	s.Entry.register(r.inSection("entry"))
+	s.Jobs.register(r.inSection("jobs"))
 	return r
 }
 
@@ -97,11 +97,11 @@
 	return nil
 }
 
-// given is a key that has no default, with its value.
-type given struct{ key, value string }
+// requiredKey is a key that has no default, with its value.
+type requiredKey struct{ key, value string }
 
-// checkGiven refuses the first key of a section that has no value.
-func checkGiven(section string, keys []given) *Error {
+// checkRequired refuses the first key of a section that has no value.
+func checkRequired(section string, keys []requiredKey) *Error {
 	for _, g := range keys {
 		if g.value == "" {
 			return &Error{Section: section, Key: g.key, Allowed: "must be given"}
@@ -141,7 +141,7 @@
 	default:
 		return set(name, key.Value())
 	}
-	r.bad = bad
+	r.firstError = bad
 	return bad
 }
 
--- a/modules/stall/stall.go
+++ b/modules/stall/stall.go
@@ -46,9 +46,9 @@
 // Evenly are limits that allow the same time for each part of a call.
 func Evenly(limit time.Duration) Limits { return Limits{Answer: limit, Silence: limit} }
 
-// longest bounds a whole call, however steadily it moves: 8 MB, the largest answer that any
+// maxCallTime bounds a whole call, however steadily it moves: 8 MB, the largest answer that any
 // caller reads, take 30 s at 2 Mbit/s, a fifth of the narrowest link in use.
-const longest = 30 * time.Second
+const maxCallTime = 30 * time.Second
 
 // Client makes calls that all have the same limits.
 type Client struct {
@@ -73,27 +73,27 @@
 	}
 	ctx, cancel := context.WithCancelCause(request.Context())
 	now := time.Now()
-	w := &watchdog{cancel: cancel, ctx: ctx, sent: now, end: now.Add(longest), host: request.URL.Host, conns: c.Conns}
+	w := &watchdog{cancel: cancel, ctx: ctx, sent: now, deadline: now.Add(maxCallTime), host: request.URL.Host, conns: c.Conns}
 	w.timer = time.AfterFunc(limits.Answer, w.expire)
-	response, err := c.HTTP.Do(w.guard(request, limits.Answer))
+	response, err := c.HTTP.Do(w.watchBody(request, limits.Answer))
 	if err != nil {
 		w.stop()
-		return nil, w.explain(err)
+		return nil, w.markStalled(err)
 	}
-	w.moved(limits.Silence)
+	w.progressed(limits.Silence)
 	response.Body = &body{ReadCloser: response.Body, watchdog: w, limit: limits.Silence}
 	return response, nil
 }
 
 // watchdog ends a call that does not move.
 type watchdog struct {
-	ctx    context.Context // of the call
-	cancel context.CancelCauseFunc
-	timer  *time.Timer
-	sent   time.Time // when the call began
-	end    time.Time // of the call, also when it moves
-	host   string
-	conns  *idleconn.Set // nil: nobody is told
+	ctx      context.Context // of the call
+	cancel   context.CancelCauseFunc
+	timer    *time.Timer
+	sent     time.Time // when the call began
+	deadline time.Time // of the call, also when it moves
+	host     string
+	conns    *idleconn.Set // nil: nobody is told
 }
 
 // expire ends the call. The connections are told first, for the next call comes at once.
@@ -104,9 +104,9 @@
 	w.cancel(ErrStalled)
 }
 
-// moved leaves the call as much time again.
-func (w *watchdog) moved(limit time.Duration) {
-	w.timer.Reset(min(limit, time.Until(w.end)))
+// progressed leaves the call as much time again.
+func (w *watchdog) progressed(limit time.Duration) {
+	w.timer.Reset(min(limit, time.Until(w.deadline)))
 }
 
 func (w *watchdog) stop() {
@@ -114,25 +114,25 @@
 	w.cancel(nil)
 }
 
-// explain says of an error whether it came about because the call had stalled.
-func (w *watchdog) explain(err error) error {
+// markStalled says of an error whether it came about because the call had stalled.
+func (w *watchdog) markStalled(err error) error {
 	if errors.Is(context.Cause(w.ctx), ErrStalled) {
 		return errors.Mark(errors.Wrap(err, ErrStalled.Error()), ErrStalled)
 	}
 	return err
 }
 
-// guard lets the watchdog see the parts of the call's own body that are sent.
-func (w *watchdog) guard(request *http.Request, limit time.Duration) *http.Request {
+// watchBody lets the watchdog see the parts of the call's own body that are sent.
+func (w *watchdog) watchBody(request *http.Request, limit time.Duration) *http.Request {
 	request = request.WithContext(w.ctx)
 	if request.Body == nil || request.Body == http.NoBody {
 		return request
 	}
-	request.Body = &body{ReadCloser: request.Body, watchdog: w, limit: limit, ours: true}
+	request.Body = &body{ReadCloser: request.Body, watchdog: w, limit: limit, isRequest: true}
 	if again := request.GetBody; again != nil {
 		request.GetBody = func() (io.ReadCloser, error) {
 			reader, err := again()
-			return &body{ReadCloser: reader, watchdog: w, limit: limit, ours: true}, err
+			return &body{ReadCloser: reader, watchdog: w, limit: limit, isRequest: true}, err
 		}
 	}
 	return request
@@ -141,26 +141,26 @@
 // body is a body whose reading shows that the call moves.
 type body struct {
 	io.ReadCloser
-	watchdog *watchdog
-	limit    time.Duration
-	ours     bool // the call's, not the answer's
+	watchdog  *watchdog
+	limit     time.Duration
+	isRequest bool // the call's, not the answer's
 }
 
 // Read implements io.Reader.
 func (b *body) Read(data []byte) (int, error) {
 	n, err := b.ReadCloser.Read(data)
 	if n > 0 {
-		b.watchdog.moved(b.limit)
+		b.watchdog.progressed(b.limit)
 	}
 	if err == nil || err == io.EOF { // readers give the bare value at their end
 		return n, err
 	}
-	return n, b.watchdog.explain(err)
+	return n, b.watchdog.markStalled(err)
 }
 
 // Close implements io.Closer. Closing the answer's body ends the call.
 func (b *body) Close() error {
-	if !b.ours {
+	if !b.isRequest {
 		defer b.watchdog.stop()
 	}
 	return b.ReadCloser.Close()
--- a/modules/stall/stall_test.go
+++ b/modules/stall/stall_test.go
@@ -32,11 +32,11 @@
 // TestCalls plays the calls of testdata/calls.json with limits of one second.
 func TestCalls(t *testing.T) {
 	for _, c := range casefile.Read[[]callCase](t, "testdata/calls.json") {
-		t.Run(c.Name, func(t *testing.T) { synctest.Test(t, c.play) })
+		t.Run(c.Name, func(t *testing.T) { synctest.Test(t, c.run) })
 	}
 }
 
-func (c callCase) play(t *testing.T) {
+func (c callCase) run(t *testing.T) {
 	client := &stall.Client{
 		HTTP:   &http.Client{Transport: c},
 		Limits: stall.Limits{Answer: testLimit, Silence: testLimit},
