--- a/modules/calltime/calltime.go
+++ b/modules/calltime/calltime.go
@@ -1,12 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package calltime learns how long to wait for answers of peers that are all called alike.
-// A call that is given up and made again costs a connection and the work of both sides; a
-// caller that is slow itself gives up calls whose answers were on their way, becomes
-// slower by it, and never recovers. So the limit grows when answers come late or hardly any
-// come in time, which calls that get lost one by one don't cause, and shrinks again when
-// answers are quick.
+// Package calltime adapts the time limit of calls to how quickly a group of similar peers answers. A call
+// that times out and is retried costs a connection and work on both sides. A slow caller times out calls
+// whose answers are already on their way, which makes it slower still, so that it never recovers. The limit
+// therefore grows when answers come late or nearly all calls time out, and shrinks again when answers are
+// quick. Calls that get lost one by one don't change it.
 //
 // # Usage
 //
@@ -23,58 +22,58 @@
 
 // Config bounds the limit.
 type Config struct {
-	Least time.Duration // where it begins
-	Most  time.Duration
+	Least time.Duration // lower bound and initial limit
+	Most  time.Duration // upper bound
 }
 
-// Limit is a time limit of calls, learned from what became of others. It may be used by
-// several goroutines.
+// Limit is an adaptive time limit of calls. It is safe for concurrent use.
 type Limit struct {
 	config Config
 
 	mu         sync.Mutex
 	current    time.Duration
-	adjustedAt time.Time // when the current limit was last judged
-	outcomes   counts    // since then
+	adjustedAt time.Time // time of the last adjustment
+	outcomes   counts    // of the calls that ended since adjustedAt
 }
 
-// Call is what became of a call that was sent.
+// Call is the outcome of a call that was sent.
 type Call struct {
-	Took     time.Duration // without the time that the answer was asked to wait
-	Answered bool          // in time
+	Took     time.Duration // excludes the time that the peer was asked to hold its answer back
+	Answered bool          // whether the answer came in time
 }
 
-// counts of calls.
+// counts are numbers of calls by outcome.
 type counts struct {
 	lost  int // not answered in time
 	late  int // answered after more than half of the limit
-	quick int // answered within a quarter of it
+	quick int // answered within a quarter of the limit
 	all   int
 }
 
-// New makes a limit.
+// New returns a limit that starts at its lower bound.
 func New(config Config) *Limit {
 	return &Limit{config: config, current: config.Least, adjustedAt: time.Now()}
 }
 
-// Least is the limit as long as all is well.
+// Least returns the lower bound, which is the limit while peers answer quickly.
 func (l *Limit) Least() time.Duration { return l.config.Least }
 
-// Current is the limit now.
+// Current returns the present limit.
 func (l *Limit) Current() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current
 }
 
-// The limit is judged when adjustInterval has passed and minCalls have ended: often enough to
-// get from 0.4 s to 2 s within a second, and not by chance of a few calls.
+// The limit is adjusted at most once per adjustInterval, and only after minCalls calls have ended. The interval
+// is short enough for the limit to grow from 0.4 s to 2 s within a second; the number of calls keeps a few
+// chance results from changing it.
 const (
 	adjustInterval = 250 * time.Millisecond
 	minCalls       = 20
 )
 
-// Note takes what became of a call.
+// Note adds the outcome of a call and adjusts the limit when that is due.
 func (l *Limit) Note(call Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,21 +98,21 @@
 	}
 }
 
-// Shares of the calls that change the limit. Calls that get lost one by one are half of all at most; a
-// limit that is too short for a slow caller loses nearly all.
+// Shares of the calls at which the limit changes. Calls that get lost one by one are at most half of all calls,
+// whereas a limit that is too short for a slow caller makes nearly all calls time out.
 const (
 	lostShare  = 0.8
-	lateShare  = 0.5 // of those that were answered
-	quickShare = 0.9 // of the same
+	lateShare  = 0.5 // of the answered calls
+	quickShare = 0.9 // of the answered calls
 )
 
-// By how much the limit changes at a time.
+// Factors by which the limit grows and shrinks in each adjustment.
 const (
 	growFactor   = 2
 	shrinkFactor = 1.5
 )
 
-// next gives the limit that fits the calls seen.
+// next computes the limit from the outcomes since the last adjustment.
 func (l *Limit) next() time.Duration {
 	answered := float64(l.outcomes.all - l.outcomes.lost)
 	switch {
--- a/modules/calltime/calltime_test.go
+++ b/modules/calltime/calltime_test.go
@@ -20,16 +20,16 @@
 	Phases []phase `json:"phases"`
 }
 
-// phase is a time in which peers answer alike.
+// phase is a period in which all peers answer after the same time.
 type phase struct {
 	For    int64   `json:"for_ms"`
 	Answer int64   `json:"answer_ms"`
-	Lost   float64 `json:"lost"`     // share of the calls
-	Limit  int64   `json:"limit_ms"` // at the end
+	Lost   float64 `json:"lost"`     // share of the calls that get no answer
+	Limit  int64   `json:"limit_ms"` // expected at the end of the phase
 }
 
-// TestLimits plays testdata/limits.json: a hundred callers, each of which calls again when
-// its call was answered or given up.
+// TestLimits runs the cases of testdata/limits.json with a hundred concurrent callers. Each of them makes its
+// next call as soon as the previous call was answered or timed out.
 func TestLimits(t *testing.T) {
 	for _, c := range casefile.Read[[]limitCase](t, "testdata/limits.json") {
 		t.Run(c.Name, func(t *testing.T) { synctest.Test(t, c.run) })
@@ -61,14 +61,14 @@
 	}
 }
 
-// call makes one call, which may get lost.
+// call simulates one call, which gets no answer if it is lost or takes longer than the limit.
 func (p phase) call(limit *calltime.Limit, lost bool) {
-	takes := time.Duration(p.Answer) * time.Millisecond
-	patience := limit.Current()
-	answered := !lost && takes <= patience
+	took := time.Duration(p.Answer) * time.Millisecond
+	timeout := limit.Current()
+	answered := !lost && took <= timeout
 	if !answered {
-		takes = patience
+		took = timeout
 	}
-	time.Sleep(takes)
-	limit.Note(calltime.Call{Took: takes, Answered: answered})
+	time.Sleep(took)
+	limit.Note(calltime.Call{Took: took, Answered: answered})
 }
--- a/modules/casefile/casefile.go
+++ b/modules/casefile/casefile.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package casefile reads the scripts of tests from their data files. Only tests use it.
+// Package casefile reads test cases from JSON files. Only tests use it.
 //
 // # Usage
 //
@@ -19,7 +19,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Read decodes a JSON file, or ends the test.
+// Read decodes a JSON file and fails the test if that is not possible.
 func Read[T any](t testing.TB, path string) T {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -29,14 +29,14 @@
 	return value
 }
 
-// Each runs a subtest for each file that the pattern names; there must be some.
-func Each[T any](t *testing.T, pattern string, play func(t *testing.T, script T)) {
+// Each runs a subtest for each file that matches the pattern. It fails the test if no file matches.
+func Each[T any](t *testing.T, pattern string, run func(t *testing.T, script T)) {
 	t.Helper()
 	files, err := filepath.Glob(pattern)
 	require.NoError(t, err)
 	require.NotEmpty(t, files, pattern)
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), filepath.Ext(file))
-		t.Run(name, func(t *testing.T) { play(t, Read[T](t, file)) })
+		t.Run(name, func(t *testing.T) { run(t, Read[T](t, file)) })
 	}
 }
--- a/modules/clock/clock.go
+++ b/modules/clock/clock.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package clock waits, and tells the time by which leases are judged.
+// Package clock provides a cancellable sleep, and the clock that leases are checked against.
 //
 // # Usage
 //
@@ -9,7 +9,7 @@
 //		return // ctx has ended
 //	}
 //	lease := clock.New(clock.Config{})
-//	if lease.Read().Before(end) { … } // also right after the VM was suspended
+//	if lease.Read().Before(end) { … } // correct even right after the VM was suspended
 package clock
 
 import (
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// Sleep waits for d; false when ctx ended before.
+// Sleep waits for d. It returns false if ctx ended first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/modules/clock/suspension.go
+++ b/modules/clock/suspension.go
@@ -11,37 +11,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// Meter tells for how long a VM has been suspended in all since some moment.
+// Meter measures for how long in total a VM has been suspended since a fixed moment.
 type Meter interface {
-	// Suspended fails when the system doesn't tell.
+	// Suspended returns an error if the system does not report suspensions.
 	Suspended() (time.Duration, error)
 }
 
-// Config is what a Clock reads.
+// Config holds the time sources of a Clock and its callbacks.
 type Config struct {
-	// Steady is the time that stands still while the VM is suspended; nil: time.Now.
+	// Steady is the clock that stops while the VM is suspended; time.Now if nil.
 	Steady func() time.Time
-	Meter  Meter // nil: that of this VM
-	// Note takes the result of each reading of the meter; nil: nobody does. Where it is an error,
-	// the VM's suspensions are not counted.
+	Meter  Meter // the meter of this VM if nil
+	// Note is called with the result of each reading of the meter; optional. While the meter
+	// returns an error, suspensions of the VM are not counted.
 	Note func(err error)
-	// Seen hears for how long the VM has been suspended since the last reading; nil: nobody does.
+	// Seen is called with the time for which the VM has been suspended since the last reading; optional.
 	Seen func(suspended time.Duration)
 }
 
-// Clock tells the time by which leases, proofs and the age of knowledge are judged: it goes on
-// while the VM is suspended, which the steady clock, and every timer with it, does not. An owner
-// that was suspended for longer than its lease would take it for valid, and start what its
-// successor has started already. It knows no steps of the time of day.
+// Clock is the clock that leases, proofs and the age of learned parameters are checked against. It advances
+// while the VM is suspended, whereas the monotonic clock and every timer stand still: an owner that was
+// suspended for longer than its lease would take the lease for valid and start tasks that its successor
+// has started already. Adjustments of the time of day do not affect a Clock.
 //
-// Its times have meaning only among themselves: the time of day that they show is ahead by what
-// was counted, see TimeOfDay.
+// Its times may be compared only with each other. As times of day they are ahead by the suspensions counted
+// so far; TimeOfDay corrects for that.
 type Clock struct {
 	config    Config
-	suspended atomic.Int64 // nanoseconds of suspension, when last read
+	suspended atomic.Int64 // nanoseconds of suspension, as of the last reading of the meter
 }
 
-// New makes a clock.
+// New returns a clock; unset fields of config get their defaults.
 func New(config Config) *Clock {
 	if config.Steady == nil {
 		config.Steady = time.Now
@@ -58,11 +58,11 @@
 	return &Clock{config: config}
 }
 
-// Now is the time, with the suspensions that Read has seen.
+// Now returns the time, including the suspensions that earlier calls of Read have counted.
 func (c *Clock) Now() time.Time { return c.config.Steady().Add(c.Suspended()) }
 
-// Read is the time now, with every suspension so far. It costs two calls to the system, and
-// comes right before what it permits; elsewhere Now does.
+// Read reads the meter and returns the time, including every suspension so far. It costs two system calls.
+// Call it right before an action that depends on a lease; elsewhere Now suffices.
 func (c *Clock) Read() time.Time {
 	suspended, err := c.config.Meter.Suspended()
 	c.config.Note(err)
@@ -72,7 +72,7 @@
 	return c.Now()
 }
 
-// addSuspension takes a newer reading; of several at once the highest stays.
+// addSuspension stores a newer reading of the meter. Of concurrent readings the highest is kept.
 func (c *Clock) addSuspension(suspended time.Duration) {
 	for {
 		before := c.suspended.Load()
@@ -86,34 +86,35 @@
 	}
 }
 
-// Since is the time since t.
+// Since returns the time since t.
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
-// Suspended is for how long the VM has been suspended, as read last.
+// Suspended returns for how long the VM has been suspended, as of the last reading of the meter.
 func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
 
-// TimeOfDay is the time of day at a time of this clock.
+// TimeOfDay converts a time of this clock to a time of day.
 func (c *Clock) TimeOfDay(t time.Time) time.Time { return t.Add(-c.Suspended()) }
 
 // minSuspension tells suspensions from the time between two readings: a thread that gets no
 // processor between them makes the difference larger, and later readings without it smaller.
 const minSuspension = 20 * time.Millisecond
 
-// vmMeter compares the clock that counts suspensions with the one that does not.
+// vmMeter measures suspensions as the growth of the offset between the boot-time clock, which counts
+// suspensions, and the monotonic clock, which does not.
 type vmMeter struct {
-	baseline time.Duration // of the first reading
-	err      error         // of the first reading
+	baseline time.Duration // offset when the meter was created
+	err      error         // of the readings for the baseline
 }
 
-// baselineReadings are compared for the first one: a pause within one of them makes it smaller, and
-// every later one would show it as a suspension.
+// baselineReadings is the number of readings of which the largest becomes the baseline. A pause within a
+// reading makes it smaller, and with too small a baseline every later reading would show a suspension.
 const baselineReadings = 5
 
 func newVMMeter() *vmMeter {
 	m := &vmMeter{}
 	for range baselineReadings {
-		ahead, err := readOffset()
-		m.baseline, m.err = max(m.baseline, ahead), errors.CombineErrors(m.err, err)
+		offset, err := readOffset()
+		m.baseline, m.err = max(m.baseline, offset), errors.CombineErrors(m.err, err)
 	}
 	return m
 }
@@ -123,30 +124,31 @@
 	if m.err != nil {
 		return 0, m.err
 	}
-	ahead, err := readOffset()
+	offset, err := readOffset()
 	if err != nil {
 		return 0, err
 	}
-	return zeroBelow(minSuspension, ahead-m.baseline), nil
+	return zeroBelow(minSuspension, offset-m.baseline), nil
 }
 
-// zeroBelow leaves out what is below a threshold.
-func zeroBelow(least, d time.Duration) time.Duration {
-	if d < least {
+// zeroBelow returns d, or 0 if d is below the threshold.
+func zeroBelow(threshold, d time.Duration) time.Duration {
+	if d < threshold {
 		return 0
 	}
 	return d
 }
 
-// readOffset is by how much the clock that counts suspensions is ahead of the steady one. It is
-// read first, so that a pause between the readings makes the difference smaller, never larger.
+// readOffset returns by how much the boot-time clock, which counts suspensions, is ahead of the monotonic
+// clock. The boot-time clock is read first, so that a pause between the two readings makes the offset
+// smaller, never larger.
 func readOffset() (time.Duration, error) {
-	var boot, steady unix.Timespec
+	var boot, monotonic unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
-		return 0, errors.Wrap(err, "read clock that counts suspensions")
+		return 0, errors.Wrap(err, "read boot-time clock")
 	}
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady); err != nil {
-		return 0, errors.Wrap(err, "read steady clock")
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
+		return 0, errors.Wrap(err, "read monotonic clock")
 	}
-	return time.Duration(boot.Nano() - steady.Nano()), nil
+	return time.Duration(boot.Nano() - monotonic.Nano()), nil
 }
--- a/modules/clock/suspension_test.go
+++ b/modules/clock/suspension_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeMeter is a meter that tests set.
+// fakeMeter is a meter whose reading tests set.
 type fakeMeter struct {
 	suspended time.Duration
 	err       error
@@ -26,32 +26,33 @@
 	c := New(Config{Steady: func() time.Time { return start }, Meter: meter, Seen: func(d time.Duration) { seen = append(seen, d) }})
 	before := c.Read()
 	meter.suspended = 5 * time.Second
-	require.Equal(t, before, c.Now(), "not read yet")
+	require.Equal(t, before, c.Now(), "the meter has not been read yet")
 	require.Equal(t, before.Add(5*time.Second), c.Read())
 	require.Equal(t, 5*time.Second, c.Since(before))
 	require.Equal(t, []time.Duration{5 * time.Second}, seen)
-	require.Equal(t, start, c.TimeOfDay(c.Now()), "the time of day has counted it already")
+	require.Equal(t, start, c.TimeOfDay(c.Now()), "the time of day already includes the suspension")
 }
 
 func TestClockNeverGoesBack(t *testing.T) {
 	meter := &fakeMeter{suspended: time.Second}
 	c := New(Config{Steady: func() time.Time { return time.Unix(7, 0) }, Meter: meter})
 	first := c.Read()
-	meter.suspended = time.Second - 3*time.Millisecond // the readings of two threads, in another order
+	// Two threads that read the meter concurrently may store their readings in reverse order.
+	meter.suspended = time.Second - 3*time.Millisecond
 	require.Equal(t, first, c.Read())
 }
 
 func TestClockWithoutMeterGoesOn(t *testing.T) {
-	heard := 0
+	readings := 0
 	c := New(Config{
-		Steady: func() time.Time { return time.Unix(7, 0) }, Meter: &fakeMeter{err: errors.New("not told")},
-		Note: func(error) { heard++ },
+		Steady: func() time.Time { return time.Unix(7, 0) }, Meter: &fakeMeter{err: errors.New("suspensions are not reported")},
+		Note: func(error) { readings++ },
 	})
 	require.Equal(t, time.Unix(7, 0), c.Read())
-	require.Equal(t, 1, heard)
+	require.Equal(t, 1, readings)
 }
 
-// TestMeterOfThisVM: a VM that isn't suspended meanwhile shows nothing, however often it is read.
+// TestMeterOfThisVM checks that the meter shows no suspension while the VM runs, however often it is read.
 func TestMeterOfThisVM(t *testing.T) {
 	m := newVMMeter()
 	for range 1000 {
@@ -61,7 +62,7 @@
 	}
 }
 
-// TestShortPausesAreNoSuspensions: what lies between two readings is left out.
+// TestShortPausesAreNoSuspensions checks that pauses between the readings of the two clocks are not counted.
 func TestShortPausesAreNoSuspensions(t *testing.T) {
 	require.Zero(t, zeroBelow(minSuspension, minSuspension-1))
 	require.Zero(t, zeroBelow(minSuspension, -time.Second))
--- a/modules/codeunits/codeunits_test.go
+++ b/modules/codeunits/codeunits_test.go
@@ -20,7 +20,7 @@
 	require.Equal(t, []uint16{0xd800, '\n', 0xdc00, 0xd83d, 0xde00, 0xd83d, 0xde00, '/', 0xe9}, units)
 }
 
-// FuzzRead: what is read is what encoding/json reads, but where that one puts in a replacement.
+// FuzzRead checks that Read agrees with encoding/json, except where encoding/json inserts a replacement character.
 func FuzzRead(f *testing.F) {
 	for _, seed := range []string{`""`, `"a\u0000\"\\\/\b"`, `"`, `"""`, `"\x"`, `"\u12"`, "\"\xff\"", "\"\n\"", `"\ud83d\ude00"`} {
 		f.Add([]byte(seed))
--- a/modules/errclass/errclass.go
+++ b/modules/errclass/errclass.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package errclass gives an error one class and no other. Marks add up: an error of several
-// tries that is marked "may have been done" over the last try's "nothing was done" is both,
-// and is taken for either by whoever asks first.
+// Package errclass gives an error exactly one class. Marks of package errors accumulate: if a call is
+// marked "may have been done" on top of the last attempt's "nothing was done", its error has both classes,
+// and how it is handled depends on which of them is checked first.
 //
 // # Usage
 //
@@ -12,6 +12,5 @@
 
 import "github.com/cockroachdb/errors"
 
-// Only makes of err an error with the same text that is of one class only; it returns nil
-// for nil.
+// Only returns an error with the text of err and class as its only class. It returns nil if err is nil.
 func Only(err, class error) error { return errors.Mark(errors.Handled(err), class) }
--- a/modules/errstep/errstep.go
+++ b/modules/errstep/errstep.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package errstep adds to an error the step at which it arose and the peer that
-// was being dealt with, so that a log line or an operator's message says both.
+// Package errstep adds to an error the step that failed and the peer it was done with, so that log lines and
+// messages to operators name both.
 //
 // # Usage
 //
@@ -15,18 +15,18 @@
 
 // Error is an error with its step and peer.
 type Error struct {
-	Step  string // what was being done, as a verb phrase
-	Peer  string // who it was done with: a member, VM or "store"
+	Step  string // the operation that failed, as a verb phrase
+	Peer  string // the other side of the operation: a member, VM or "store"
 	cause error
 }
 
-// Error says the peer, the step and the cause.
+// Error returns the step, the peer and the cause as text.
 func (e *Error) Error() string { return e.Step + " at " + e.Peer + ": " + e.cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Wrap adds step and peer to err; it returns nil for nil.
+// Wrap adds step and peer to err. It returns nil if err is nil.
 func Wrap(err error, step, peer string) error {
 	if err == nil {
 		return nil
@@ -34,7 +34,7 @@
 	return &Error{Step: step, Peer: peer, cause: err}
 }
 
-// Of finds the innermost step and peer in err; both are empty when it has none.
+// Of returns the innermost step and peer in err, or empty strings if err has none.
 func Of(err error) (step, peer string) {
 	for err != nil {
 		var e *Error
--- a/modules/graceful/graceful.go
+++ b/modules/graceful/graceful.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package graceful ends a process in order. One manager holds the process's loops
-// and its stop steps; a planned stop runs the steps in the order they were added
-// and then ends the loops.
+// Package graceful shuts a process down in order. A manager holds the loops of the process and the steps of its
+// planned stop. When the process is to stop, the manager runs the steps in the order they were added and then
+// ends the loops.
 //
 // # Usage
 //
@@ -22,12 +22,12 @@
 	"rillsail.example/rillsail/modules/log"
 )
 
-// Config says how to report steps.
+// Config configures a Manager.
 type Config struct {
-	Logger *zap.Logger
+	Logger *zap.Logger // logs the planned stop and its failed steps
 }
 
-// Manager holds the loops and stop steps of a process. Add all before Run.
+// Manager holds the loops and stop steps of a process. All of them must be added before Run.
 type Manager struct {
 	logger *zap.Logger
 	steps  []step
@@ -44,7 +44,7 @@
 	run  func(context.Context)
 }
 
-// New makes a manager.
+// New returns a manager without loops and steps.
 func New(config Config) *Manager { return &Manager{logger: config.Logger} }
 
 // Loop adds a loop that runs until its context ends.
@@ -52,13 +52,12 @@
 	m.loops = append(m.loops, loop{name, run})
 }
 
-// OnStop adds a step of the planned stop. A step that fails is logged and the next
-// one runs all the same.
+// OnStop adds a step of the planned stop. If the step fails, the failure is logged and the next step runs.
 func (m *Manager) OnStop(name string, run func(context.Context) error) {
 	m.steps = append(m.steps, step{name, run})
 }
 
-// Run runs the loops until ctx ends, then the stop steps, then ends the loops.
+// Run starts the loops and waits until ctx ends. Then it runs the stop steps, ends the loops and waits for them.
 func (m *Manager) Run(ctx context.Context) {
 	loopContext, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -75,5 +74,5 @@
 	}
 	cancel()
 	group.Wait()
-	m.logger.Info("planned stop is over")
+	m.logger.Info("planned stop is complete")
 }
--- a/modules/idleconn/idleconn.go
+++ b/modules/idleconn/idleconn.go
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package idleconn closes idle connections that are probably silent. Connections can lose
-// everything for good without a reset, all that are open at a time together, while new ones
-// work. A transport keeps several idle ones for each peer and learns nothing from a call that
-// had no answer, so that each of them costs a call and its time limit. Here one such call is
-// enough: with it go the idle connections to its peer for whose life nothing speaks.
+// Package idleconn closes idle connections that have probably gone silent. A network fault can make all open
+// connections lose their traffic for good without a reset, while new connections work. A transport keeps
+// several idle connections per peer and learns nothing from a call without an answer, so that each silent
+// connection would cost one call and its time limit. With this package one unanswered call suffices: the idle
+// connections to the same peer that show no sign of life are closed with it.
 //
-// What speaks for a connection is something heard over it, or over an older one to the same
-// peer, since the call was sent: what makes connections silent takes the older ones too. So
-// calls that get lost one by one cost no others where more than one connection is in use, and
-// peers that are well lose nothing to one that isn't.
+// A connection shows a sign of life if data arrived, since the call was sent, over it or over an older connection
+// to the same peer, because a fault that silences a connection silences the older ones too. Calls that get
+// lost one by one therefore close no other connections if more than one is in use, and a faulty peer does not
+// affect connections to other peers.
 //
 // # Usage
 //
@@ -33,27 +33,27 @@
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Config says where connections come from.
+// Config configures a Set.
 type Config struct {
-	Dial DialFunc
+	Dial DialFunc // opens the connections
 }
 
-// Set is the open connections of a transport. It may be used by several goroutines.
+// Set holds the open connections of a transport. It is safe for concurrent use.
 type Set struct {
 	config       Config
-	dialed       atomic.Int64 // connections
-	closedSilent atomic.Int64 // up
+	dialed       atomic.Int64 // connections opened or attempted
+	closedSilent atomic.Int64 // connections closed because they were probably silent
 
 	mu    sync.Mutex
-	peers map[string]map[*conn]struct{} // by address
+	peers map[string]map[*conn]struct{} // open connections by address
 }
 
-// New makes a set without connections.
+// New returns a set without connections.
 func New(config Config) *Set {
 	return &Set{config: config, peers: map[string]map[*conn]struct{}{}}
 }
 
-// Dial opens a connection; it fits http.Transport.
+// Dial opens a connection. It can serve as DialContext of an http.Transport.
 func (s *Set) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	s.dialed.Add(1)
 	opened, err := s.config.Dial(ctx, network, address)
@@ -70,18 +70,18 @@
 	return c, nil
 }
 
-// Counts of connections.
+// Counts are numbers of connections.
 type Counts struct {
-	Opened  int64 // or tried to be
+	Opened  int64 // including failed attempts to open a connection
 	GivenUp int64 // closed because they were probably silent
 }
 
-// Counts are those of all connections so far.
+// Counts returns the numbers for all connections so far.
 func (s *Set) Counts() Counts { return Counts{Opened: s.dialed.Load(), GivenUp: s.closedSilent.Load()} }
 
-// Stalled says that a call to an address that was sent then has had no answer in time. It
-// closes the idle connections that are probably silent as well. A call that the transport gives
-// one of them meanwhile can write nothing there, so that the transport makes it over another.
+// Stalled handles a call to address that was sent at the given time and got no answer in time: it closes the
+// idle connections that are probably silent too. If the transport assigns a call to such a connection
+// meanwhile, nothing can be written to the connection, and the transport uses another connection for the call.
 func (s *Set) Stalled(address string, sent time.Time) {
 	for _, c := range s.suspects(address, sent) {
 		if c.state.CompareAndSwap(idle, closed) {
@@ -91,8 +91,8 @@
 	}
 }
 
-// Passes tells whether something was heard over a connection to an address that was opened since
-// then. A call that was sent then and has no answer is lost, not late.
+// Passes reports whether data arrived over a connection to address that was opened at the given time or later.
+// If so, an unanswered call that was sent at that time is lost, not late.
 func (s *Set) Passes(address string, since time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,12 +104,12 @@
 	return false
 }
 
-// suspects are the idle connections to an address, opened before a call was sent there, for
-// whose life nothing has spoken since.
+// suspects returns the idle connections to address that were opened before the call was sent and that have shown
+// no sign of life since.
 func (s *Set) suspects(address string, sent time.Time) []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	oldest := sent // connection that is heard of, or the call
+	oldest := sent // when the oldest connection that received data since then was opened; else when the call was sent
 	for c := range s.peers[address] {
 		if c.opened.Before(oldest) && !c.lastHeardAt().Before(sent) {
 			oldest = c.opened
@@ -124,7 +124,7 @@
 	return suspects
 }
 
-// remove forgets a connection that is closed.
+// remove removes a closed connection from the set.
 func (s *Set) remove(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,17 +137,17 @@
 // The states of a connection.
 const (
 	idle           int32 = iota
-	awaitingAnswer       // for the answer to what was written
-	closed               // or about to be; nothing is written any more
+	awaitingAnswer       // a call was written and its answer has not begun
+	closed               // closed or about to be; writing fails
 )
 
-// conn is a connection that knows when it was heard of last.
+// conn is a connection that records when data last arrived over it.
 type conn struct {
 	net.Conn
 	set       *Set
 	address   string
 	opened    time.Time
-	lastHeard atomic.Int64 // after opened, in nanoseconds
+	lastHeard atomic.Int64 // nanoseconds from opened until data last arrived; 0 if none has arrived
 	state     atomic.Int32
 }
 
--- a/modules/idleconn/idleconn_test.go
+++ b/modules/idleconn/idleconn_test.go
@@ -18,22 +18,22 @@
 	"rillsail.example/rillsail/modules/idleconn"
 )
 
-// silenceCase is an entry of testdata/silences.json: connections, and a call without answer.
+// silenceCase is an entry of testdata/silences.json: a set of connections and a call without an answer.
 type silenceCase struct {
 	Name    string     `json:"name"`
 	Conns   []connCase `json:"conns"`
 	Sent    int64      `json:"sent_ms"`
 	Stalled int64      `json:"stalled_ms"`
-	Passes  bool       `json:"passes"` // what is sent after the call
+	Passes  bool       `json:"passes"` // whether data arrived over a connection opened after the call was sent
 }
 
-// connCase is what happens to a connection; times that are 0 don't come.
+// connCase is the history of a connection. Events with time 0, except for its opening, don't happen.
 type connCase struct {
-	Other  bool  `json:"other"` // it leads to another peer
+	Other  bool  `json:"other"` // the connection leads to another peer
 	Opened int64 `json:"opened_ms"`
 	Wrote  int64 `json:"wrote_ms"`
 	Heard  int64 `json:"heard_ms"`
-	Closed bool  `json:"closed"` // because of the call
+	Closed bool  `json:"closed"` // expected: closed because of the call
 }
 
 const (
@@ -41,7 +41,7 @@
 	otherPeer = "other:80"
 )
 
-// TestSilences plays the cases of testdata/silences.json.
+// TestSilences runs the cases of testdata/silences.json.
 func TestSilences(t *testing.T) {
 	for _, c := range casefile.Read[[]silenceCase](t, "testdata/silences.json") {
 		t.Run(c.Name, func(t *testing.T) { synctest.Test(t, c.run) })
@@ -50,16 +50,16 @@
 
 func (c silenceCase) run(t *testing.T) {
 	began := time.Now()
-	far := make(chan net.Conn, 1)
+	remotes := make(chan net.Conn, 1)
 	set := idleconn.New(idleconn.Config{Dial: func(context.Context, string, string) (net.Conn, error) {
-		near, there := net.Pipe()
-		far <- there
-		return near, nil
+		local, remote := net.Pipe()
+		remotes <- remote
+		return local, nil
 	}})
 	conns := make([]net.Conn, len(c.Conns))
 	var group conc.WaitGroup
 	for i, each := range c.Conns {
-		group.Go(func() { conns[i] = each.run(t, set, far, began) })
+		group.Go(func() { conns[i] = each.run(t, set, remotes, began) })
 	}
 	sleepUntil(began, c.Stalled)
 	sent := began.Add(milliseconds(c.Sent))
@@ -76,36 +76,36 @@
 	require.Equal(t, idleconn.Counts{Opened: int64(len(c.Conns)), GivenUp: closed}, set.Counts())
 }
 
-// run opens a connection and lets happen to it what the case says.
-func (c connCase) run(t *testing.T, set *idleconn.Set, far <-chan net.Conn, began time.Time) net.Conn {
+// run opens a connection and replays its history.
+func (c connCase) run(t *testing.T, set *idleconn.Set, remotes <-chan net.Conn, began time.Time) net.Conn {
 	address := testPeer
 	if c.Other {
 		address = otherPeer
 	}
 	sleepUntil(began, c.Opened)
-	near, err := set.Dial(t.Context(), "pipe", address)
+	local, err := set.Dial(t.Context(), "pipe", address)
 	require.NoError(t, err)
-	there := <-far
-	for _, at := range order(c) {
+	remote := <-remotes
+	for _, at := range transferTimes(c) {
 		sleepUntil(began, at)
 		if at == c.Heard {
-			pass(t, there, near)
+			transfer(t, remote, local)
 		} else {
-			pass(t, near, there)
+			transfer(t, local, remote)
 		}
 	}
-	return near
+	return local
 }
 
-// order gives when something passes over the connection, in its order.
-func order(c connCase) []int64 {
+// transferTimes returns the times at which data is sent over the connection, in order.
+func transferTimes(c connCase) []int64 {
 	times := []int64{c.Heard, c.Wrote}
 	slices.Sort(times)
 	return slices.DeleteFunc(times, func(at int64) bool { return at == 0 })
 }
 
-// pass sends a byte from one end to the other.
-func pass(t *testing.T, from, to net.Conn) {
+// transfer sends a byte from one end of a connection to the other.
+func transfer(t *testing.T, from, to net.Conn) {
 	var group conc.WaitGroup
 	defer group.Wait()
 	group.Go(func() {
--- a/modules/inflight/inflight.go
+++ b/modules/inflight/inflight.go
@@ -1,13 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package inflight bounds how many calls are under way, by how quickly others are answered.
-// A caller that has less processor time or bandwidth than its calls need gets no more done by
-// beginning them all at once: each waits for the others, and past the callers' time limits
-// none of them counts. With the bound, what can't be sent yet stays where it can still be
-// chosen and given up. It follows the well-known rule of additive increase and
-// multiplicative decrease: it shrinks by a share when answers come late, and grows by a step
-// when it is reached and answers are quick.
+// Package inflight limits the number of concurrent calls by how quickly calls are answered. A caller with less
+// processor time or bandwidth than its calls need gains nothing from starting them all at once: the calls
+// delay each other, and those that exceed their time limits are wasted work. With the limit, calls that can't be
+// sent yet stay queued, where they can still be reordered or dropped. The limit follows the rule of additive
+// increase and multiplicative decrease (AIMD): it shrinks by a factor when answers come late, and grows by
+// a step when it is reached and answers are quick.
 //
 // # Usage
 //
@@ -24,65 +23,65 @@
 	"time"
 )
 
-// Config says between what the limit moves, and what of.
+// Config bounds the limit and sets the latencies that change it.
 type Config struct {
-	Least int // calls under way that are always allowed
-	First int // the limit before anything is known
-	Most  int
-	// Quick is the time within which the answers of a caller that keeps up come.
+	Least int // lower bound
+	First int // initial limit
+	Most  int // upper bound
+	// Quick is the latency up to which an answer shows that the caller keeps up with its calls.
 	Quick time.Duration
-	// Late is the time after which an answer shows that the caller doesn't.
+	// Late is the latency above which an answer shows that the caller does not keep up.
 	Late time.Duration
 }
 
-// Call is what became of a call.
+// Call is the outcome of a call.
 type Call struct {
 	Took     time.Duration
-	Answered bool // one that got lost says nothing of the caller unless hardly any are answered
+	Answered bool // unanswered calls lower the limit only if nearly all calls are unanswered
 }
 
-// Limit is the bound. It may be used by several goroutines.
+// Limit is an adaptive limit of concurrent calls. It is safe for concurrent use.
 type Limit struct {
 	config Config
 
 	mu          sync.Mutex
 	current     int
-	inFlight    int       // calls under way
-	reached     bool      // the limit was, since it was judged last
-	adjustedAt  time.Time // when it was judged last
-	outcomes    counts    // since then
+	inFlight    int       // calls that have begun and not ended
+	reached     bool      // whether inFlight reached the limit since adjustedAt
+	adjustedAt  time.Time // time of the last adjustment
+	outcomes    counts    // of the calls that ended since adjustedAt
 	meanLatency time.Duration
 }
 
-// counts of calls that have ended.
+// counts are numbers of calls that have ended, by outcome.
 type counts struct {
 	all, lost, late, quick int
-	totalLatency           time.Duration // of those that were answered, together
+	totalLatency           time.Duration // sum over the answered calls
 }
 
-// New makes a limit.
+// New returns a limit with its initial value.
 func New(config Config) *Limit {
 	return &Limit{config: config, current: config.First, adjustedAt: time.Now()}
 }
 
-// Free is how many calls may begin now.
+// Free returns how many calls may begin now.
 func (l *Limit) Free() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return max(0, l.current-l.inFlight)
 }
 
-// Current is the limit now.
+// Current returns the present limit.
 func (l *Limit) Current() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current
 }
 
-// latencyMaxAge is for how long what was seen of answers says how they are now.
+// latencyMaxAge is how long after the last adjustment the mean latency is valid.
 const latencyMaxAge = time.Second
 
-// Typical is how long answers have taken lately, on average; 0 when there were hardly any.
+// Typical returns the mean latency of recent answers, or 0 if there were too few.
 func (l *Limit) Typical() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,8 +91,7 @@
 	return l.meanLatency
 }
 
-// Begin counts a call that begins. It may go past the limit: calls that must not wait are
-// counted as well.
+// Begin counts a call that begins. Calls that must not wait may exceed the limit; they are counted as well.
 func (l *Limit) Begin() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +99,7 @@
 	l.reached = l.reached || l.inFlight >= l.current
 }
 
-// End takes what became of a call.
+// End records the outcome of a call that has begun, and adjusts the limit when that is due.
 func (l *Limit) End(call Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,40 +122,41 @@
 	c.totalLatency += call.Took
 }
 
-// The limit is judged when adjustInterval has passed and minCalls have ended: often enough to
-// get from 64 to 8 calls within half a second, and not by chance of a few.
+// The limit is adjusted at most once per adjustInterval, and only after minCalls calls have ended. The interval
+// is short enough for the limit to fall from 64 to 8 calls within half a second; the number of calls keeps a
+// few chance results from changing it.
 const (
 	adjustInterval = 100 * time.Millisecond
 	minCalls       = 8
 )
 
-// Shares of the calls that change the limit.
+// Shares of the calls at which the limit changes.
 const (
-	lostShare  = 0.8 // of all; less than that can be the peers' or the network's doing
-	lateShare  = 0.5 // of those that were answered
-	quickShare = 0.9 // of the same
+	lostShare  = 0.8 // of all calls; a smaller share can be caused by the peers or the network
+	lateShare  = 0.5 // of the answered calls
+	quickShare = 0.9 // of the answered calls
 )
 
-// By how much the limit changes at a time: it must fall faster than a queue grows, and rise
-// by less than a link carries within Late.
+// Steps of an adjustment: the limit must fall faster than a queue grows, and rise by fewer calls than a link
+// carries within Config.Late.
 const (
 	decreaseFactor = 0.6
 	increaseStep   = 8
 )
 
-// adjust moves the limit by what was seen since the last time.
+// adjust changes the limit by the outcomes since the last adjustment, if an adjustment is due.
 func (l *Limit) adjust(now time.Time) {
 	if now.Sub(l.adjustedAt) < adjustInterval || l.outcomes.all < minCalls {
 		return
 	}
-	seen, answered := l.outcomes, l.outcomes.all-l.outcomes.lost
+	outcomes, answered := l.outcomes, l.outcomes.all-l.outcomes.lost
 	if answered > 0 {
-		l.meanLatency = seen.totalLatency / time.Duration(answered)
+		l.meanLatency = outcomes.totalLatency / time.Duration(answered)
 	}
 	switch {
-	case float64(seen.lost) >= lostShare*float64(seen.all), float64(seen.late) > lateShare*float64(answered):
+	case float64(outcomes.lost) >= lostShare*float64(outcomes.all), float64(outcomes.late) > lateShare*float64(answered):
 		l.current = max(l.config.Least, int(decreaseFactor*float64(l.current)))
-	case l.reached && float64(seen.quick) >= quickShare*float64(answered):
+	case l.reached && float64(outcomes.quick) >= quickShare*float64(answered):
 		l.current = min(l.config.Most, l.current+increaseStep)
 	}
 	l.adjustedAt, l.outcomes, l.reached = now, counts{}, l.inFlight >= l.current
--- a/modules/inflight/inflight_test.go
+++ b/modules/inflight/inflight_test.go
@@ -14,14 +14,14 @@
 	"rillsail.example/rillsail/modules/inflight"
 )
 
-// limitCase is a case of testdata/limits.json: calls that are under way together, and the limit
+// limitCase is a case of testdata/limits.json: each step makes calls concurrently and gives the expected limit
 // after them.
 type limitCase struct {
 	Name  string `json:"name"`
 	Steps []struct {
 		Calls int   `json:"calls"`
 		Took  int64 `json:"took_ms"`
-		Lost  int   `json:"lost"` // so many of the calls have no answer
+		Lost  int   `json:"lost"` // number of the calls that get no answer
 		Limit int   `json:"limit"`
 	} `json:"steps"`
 }
@@ -41,7 +41,7 @@
 						limit.End(inflight.Call{Took: time.Duration(step.Took) * time.Millisecond, Answered: i >= step.Lost})
 					}
 					time.Sleep(time.Second)
-					limit.Begin() // the calls above are judged with the next that ends
+					limit.Begin() // the limit is adjusted when the next call ends
 					limit.End(inflight.Call{Answered: true})
 					require.Equal(t, step.Limit, limit.Current(), "step %d", n)
 				}
@@ -74,6 +74,6 @@
 		}
 		require.Equal(t, 30*time.Millisecond, limit.Typical())
 		time.Sleep(2 * time.Second)
-		require.Zero(t, limit.Typical(), "answers of long ago say nothing of now")
+		require.Zero(t, limit.Typical(), "latencies older than latencyMaxAge are not reported")
 	})
 }
--- a/modules/listen/listen.go
+++ b/modules/listen/listen.go
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package listen opens the process's HTTP listeners with their limits, and checks
-// the tokens of calls that need one.
+// Package listen opens the HTTP listeners of a process with their limits, and checks bearer tokens.
 //
 // # Usage
 //
@@ -24,18 +23,18 @@
 	"rillsail.example/rillsail/modules/wire"
 )
 
-// Config says where to listen and what is allowed.
+// Config sets the address and the limits of a listener.
 type Config struct {
 	Address        string
 	Handler        http.Handler
 	MaxHeader      int // bytes
 	MaxConnections int
 	HeaderTimeout  time.Duration
-	// BodyTimeout bounds the reading of a whole request. 0 leaves it to the handler,
-	// which must be so where answers stand for longer.
+	// BodyTimeout bounds the time for reading a whole request. 0 leaves this to the handler, which is
+	// required where answers stay open for longer.
 	BodyTimeout time.Duration
 	IdleTimeout time.Duration
-	// ShutdownTimeout bounds the last wait for what is in flight; defaultShutdown when 0.
+	// ShutdownTimeout bounds the wait for requests in flight when the server stops; defaultShutdown if 0.
 	ShutdownTimeout time.Duration
 }
 
@@ -46,7 +45,7 @@
 	shutdown time.Duration
 }
 
-// Open listens; the server answers from Run on.
+// Open opens the listener. Requests are served once Run is called.
 func Open(config Config) (*Server, error) {
 	listener, err := net.Listen("tcp", config.Address)
 	if err != nil {
@@ -65,24 +64,25 @@
 	}, nil
 }
 
-// Address is where the server listens.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Run serves until ctx ends; then it lets what is in flight end.
+// Run serves requests until ctx ends. Requests in flight may then finish within the shutdown timeout.
 func (s *Server) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, s.close)
 	defer stop()
-	_ = s.server.Serve(s.listener) // always returns an error; the end of ctx is the reason
+	_ = s.server.Serve(s.listener) // always returns an error, which the end of ctx has caused
 }
 
-// Drain ends connections that are idle and lets each other one end with its next answer,
-// while new ones are still taken.
+// Drain closes idle connections and each other connection after its next answer. New connections are still
+// accepted.
 func (s *Server) Drain() { s.server.SetKeepAlivesEnabled(false) }
 
-// defaultShutdown bounds the last wait; a planned stop has drained before.
+// defaultShutdown is the default of Config.ShutdownTimeout. It can be short, since a planned stop drains the server
+// first.
 const defaultShutdown = 5 * time.Second
 
-// close lets what is in flight end, and breaks it off when the time is over.
+// close waits for requests in flight to finish, and aborts those that have not finished within the shutdown timeout.
 func (s *Server) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), s.shutdown)
 	defer cancel()
@@ -91,7 +91,7 @@
 	}
 }
 
-// RequireToken lets only calls with the bearer token through.
+// RequireToken passes on only calls with the bearer token. Other calls are answered with 401 Unauthorized.
 func RequireToken(token string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		given, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -103,7 +103,7 @@
 	})
 }
 
-// LimitBody bounds the bodies that a handler reads.
+// LimitBody limits the size of the request bodies that a handler reads.
 func LimitBody(limit int64, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, limit)
--- a/modules/log/log.go
+++ b/modules/log/log.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package log makes the process's logger. Lines are written only for changes of
-// state; everything that repeats is a counter in modules/metrics.
+// Package log creates the logger of a process. Log lines are written only for changes of state; recurring events
+// are counters in modules/metrics.
 //
 // # Usage
 //
@@ -21,15 +21,15 @@
 	"rillsail.example/rillsail/modules/errstep"
 )
 
-// Config says how to log.
+// Config configures the logger.
 type Config struct {
 	Level   string // debug, info, warn or error
-	Process string
-	ID      string // of this process, in every line
+	Process string // name of the program, which becomes the logger's name
+	ID      string // id of this process, added to every line
 }
 
-// New makes a logger that writes JSON lines to standard output. It never blocks: lines
-// that can't be written in time are dropped and counted.
+// New returns a logger that writes JSON lines to standard output. Logging never blocks: lines that can't be
+// written in time are dropped and counted.
 func New(config Config) (*zap.Logger, error) {
 	level, err := zapcore.ParseLevel(config.Level)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return zap.New(core).Named(config.Process).With(zap.String("id", config.ID)), nil
 }
 
-// Err gives the fields of an error, its step and peer apart.
+// Err returns the log fields of an error: its step, its peer and its text.
 func Err(err error) []zap.Field {
 	step, peer := errstep.Of(err)
 	return []zap.Field{zap.String("step", step), zap.String("peer", peer), zap.Error(err)}
--- a/modules/log/trouble.go
+++ b/modules/log/trouble.go
@@ -9,25 +9,25 @@
 	"go.uber.org/zap"
 )
 
-// TroubleConfig says what to log when something begins to fail and when it works again.
+// TroubleConfig sets the messages for the beginning and the end of an outage.
 type TroubleConfig struct {
 	Logger *zap.Logger
-	Began  string
-	Ended  string
+	Began  string // message of the first failure, logged as a warning
+	Ended  string // message of the first success after a failure
 }
 
-// Trouble logs the changes of something that is tried again and again: the first
-// failure and the first success after it. It may be used by several goroutines.
+// Trouble logs the beginning and the end of an outage of an operation that is repeated: the first failure and
+// the first success after it. It is safe for concurrent use.
 type Trouble struct {
 	config  TroubleConfig
 	mu      sync.Mutex
 	failing bool
 }
 
-// NewTrouble makes one that has not failed.
+// NewTrouble returns a logger for an operation that has not failed yet.
 func NewTrouble(config TroubleConfig) *Trouble { return &Trouble{config: config} }
 
-// Note takes the result of a try.
+// Note takes the result of an attempt, and logs if the operation starts or stops failing.
 func (t *Trouble) Note(err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/modules/log/writer.go
+++ b/modules/log/writer.go
@@ -12,37 +12,36 @@
 )
 
 const (
-	// bufferSize bounds the bytes that wait to be written: some seconds of lines at the
-	// users' load.
+	// bufferSize bounds the bytes waiting to be written. It holds some seconds of lines at the users' load.
 	bufferSize = 1 << 20
-	// flushInterval gathers lines, for each write costs a system call.
+	// flushInterval is the time for which lines are collected, since each write costs a system call.
 	flushInterval = 50 * time.Millisecond
-	// syncTimeout bounds the wait of Sync for a reader that doesn't read.
+	// syncTimeout bounds how long Sync waits for a reader that doesn't read.
 	syncTimeout = 200 * time.Millisecond
 )
 
 // droppedLines counts the lines that this process has dropped.
 var droppedLines atomic.Int64
 
-// Dropped is how many lines this process has dropped because nobody read them in time.
+// Dropped returns how many lines this process has dropped because its output was not read in time.
 func Dropped() int64 { return droppedLines.Load() }
 
-// writer hands lines on without ever blocking. When its reader is too slow it drops
-// lines and says how many with the next one that fits.
+// writer buffers lines and writes them in the background, so that Write never blocks. If the output is not read
+// quickly enough, the writer drops lines and reports their number before the next line that fits.
 type writer struct {
 	out        io.Writer
 	mu         sync.Mutex
-	pending    []byte
-	maxPending int
-	dropped    int
-	flushing   bool // a loop is running
+	pending    []byte // lines waiting to be written
+	maxPending int    // bytes
+	dropped    int    // lines dropped since the last report of dropped lines
+	flushing   bool   // whether flush is running
 }
 
-func newWriter(out io.Writer, size int) *writer {
-	return &writer{out: out, maxPending: size}
+func newWriter(out io.Writer, maxPending int) *writer {
+	return &writer{out: out, maxPending: maxPending}
 }
 
-// Write takes a line.
+// Write buffers a line, or drops it if the buffer is full.
 func (w *writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -63,7 +62,7 @@
 	return len(line), nil
 }
 
-// flush writes what has gathered, until nothing is left.
+// flush writes the buffered lines at each interval, until none are left.
 func (w *writer) flush() {
 	for {
 		time.Sleep(flushInterval)
@@ -76,18 +75,18 @@
 			return
 		}
 		w.mu.Unlock()
-		_, _ = w.out.Write(lines) // there is nowhere else to say so
+		_, _ = w.out.Write(lines) // an error can't be reported: this is the log
 	}
 }
 
-// Sync waits until the lines are written, for a short while at most.
+// Sync waits until the buffered lines are written, at most for syncTimeout.
 func (w *writer) Sync() error {
 	deadline := time.Now().Add(syncTimeout)
 	for time.Now().Before(deadline) {
 		w.mu.Lock()
-		busy := w.flushing
+		flushing := w.flushing
 		w.mu.Unlock()
-		if !busy {
+		if !flushing {
 			return nil
 		}
 		time.Sleep(flushInterval / 5)
--- a/modules/log/writer_test.go
+++ b/modules/log/writer_test.go
@@ -14,24 +14,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// blockedOutput is an output that takes nothing until it is let.
+// blockedOutput is an output whose writes block until unblock is closed.
 type blockedOutput struct {
 	unblock chan struct{}
 	mu      sync.Mutex
-	got     bytes.Buffer
+	written bytes.Buffer
 }
 
 func (s *blockedOutput) Write(p []byte) (int, error) {
 	<-s.unblock
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(p)
+	return s.written.Write(p)
 }
 
 func (s *blockedOutput) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.String()
+	return s.written.String()
 }
 
 func TestReaderThatDoesNotReadNeverBlocks(t *testing.T) {
@@ -45,13 +45,13 @@
 		require.NoError(t, err)
 	}
 	require.Less(t, time.Since(began), time.Second)
-	require.Greater(t, Dropped(), before+900, "what is dropped is counted for the metrics")
+	require.Greater(t, Dropped(), before+900, "dropped lines are counted for the metrics")
 	close(out.unblock)
 	require.Eventually(t, func() bool { return strings.Count(out.String(), "\n") >= 10 }, 10*time.Second, time.Millisecond)
 	_, err := w.Write(line)
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return strings.Contains(out.String(), "log lines are dropped") }, 10*time.Second, time.Millisecond,
-		"what was dropped is said")
+		"the number of dropped lines is logged")
 }
 
 func TestSyncWritesWhatIsLeft(t *testing.T) {
--- a/modules/logtrace/logtrace.go
+++ b/modules/logtrace/logtrace.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package logtrace finds in the logs of all daemons what happened to one job or task, in
-// order, together with the changes of state that explain it: cells that changed their
-// owner, the store that did not answer, workers that went. No daemon has to be alive.
+// Package logtrace finds the log lines about a job or task in the logs of all daemons, in order of time, together
+// with the changes of state that may explain them: cells that changed their owner, outages of the store, lost
+// workers. It reads only logs; no daemon has to run.
 //
 // # Usage
 //
@@ -27,24 +27,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Line is one line of a log.
+// Line is a log line.
 type Line struct {
 	At      time.Time
 	Daemon  string
 	Message string
-	// Matched: the line names what is looked for. Others are changes of state.
+	// Matched is true for lines that mention the id searched for, false for changes of state.
 	Matched bool
-	Fields  map[string]any
+	Fields  map[string]any // the other fields of the line
 }
 
-// maxLine bounds a line of a log, in bytes.
+// maxLine bounds a log line, in bytes.
 const maxLine = 1 << 20
 
-// contextWindow is how long before and after the lines that name what is looked for changes of
-// state are shown: a takeover or an outage shows seconds later.
+// contextWindow is how long before the first and after the last matched line changes of state are included. A takeover
+// or an outage shows in the lines of a job only seconds later.
 const contextWindow = 5 * time.Second
 
-// stateChanges are what may explain a job's fate without naming it.
+// stateChanges are the messages of state changes that may affect any job without mentioning it.
 var stateChanges = map[string]bool{
 	"daemon starts": true, "planned stop begins": true, "cell is taken": true, "cell is lost": true, "cell is loaded": true,
 	"cell is recovered": true, "cell can't be loaded yet": true, "store does not answer": true, "store answers again": true,
@@ -55,35 +55,34 @@
 	"progress is not stored": true,
 }
 
-// workerChanges explain the fate of tasks that ran there.
+// workerChanges are the messages of state changes of a worker, which may affect the tasks that ran on it.
 var workerChanges = map[string]bool{
 	"worker is gone": true, "worker drains": true, "silent worker's tasks have lapsed": true,
 	"worker stands still and is left alone": true, "worker has started again under its id": true,
 }
 
-// Find reads logs and gives the lines about an id, oldest first, with the changes of
-// state around them.
+// Find reads logs and returns the lines about an id, oldest first, with the changes of state around them.
 func Find(logs io.Reader, id string) ([]Line, error) {
 	all, err := parseLines(logs)
 	if err != nil {
 		return nil, err
 	}
-	f, found := markMatches(all, id)
+	scope, found := markMatches(all, id)
 	if !found {
-		return nil, errors.Newf("no line names %q", id)
+		return nil, errors.Newf("no log line mentions %q", id)
 	}
-	return slices.DeleteFunc(all, func(l Line) bool { return !l.Matched && !f.includes(l) }), nil
+	return slices.DeleteFunc(all, func(l Line) bool { return !l.Matched && !scope.includes(l) }), nil
 }
 
-// matchScope is when and where something happened to what is looked for.
+// matchScope is the time span of the matched lines and the workers that they name.
 type matchScope struct {
 	first, last time.Time
 	workers     map[string]bool
 }
 
-// markMatches marks the lines that name an id and gathers its fate from them.
-func markMatches(lines []Line, id string) (f matchScope, found bool) {
-	f.workers = map[string]bool{}
+// markMatches marks the lines that mention an id and returns their scope.
+func markMatches(lines []Line, id string) (scope matchScope, found bool) {
+	scope.workers = map[string]bool{}
 	for i := range lines {
 		l := &lines[i]
 		if !l.mentions(id) {
@@ -91,40 +90,40 @@
 		}
 		l.Matched = true
 		if !found {
-			f.first, found = l.At, true
+			scope.first, found = l.At, true
 		}
-		f.last = l.At
+		scope.last = l.At
 		for _, field := range workerFields {
 			if worker := l.stringField(field); worker != "" {
-				f.workers[worker] = true
+				scope.workers[worker] = true
 			}
 		}
 	}
-	return f, found
+	return scope, found
 }
 
-// includes tells whether a line is a change of state that may explain the fate.
-func (f matchScope) includes(l Line) bool {
-	if l.At.Before(f.first.Add(-contextWindow)) || l.At.After(f.last.Add(contextWindow)) {
+// includes reports whether a line is a change of state within the scope.
+func (s matchScope) includes(l Line) bool {
+	if l.At.Before(s.first.Add(-contextWindow)) || l.At.After(s.last.Add(contextWindow)) {
 		return false
 	}
-	return stateChanges[l.Message] || workerChanges[l.Message] && f.workers[l.worker()]
+	return stateChanges[l.Message] || workerChanges[l.Message] && s.workers[l.worker()]
 }
 
-// workerFields name workers whose fate matters to what a line is about: where a run is, and where
-// the text comes from that it goes on from.
+// workerFields are the fields that name workers relevant to a matched line: the worker of the run, and the worker whose
+// checkpoint the run was started from.
 var workerFields = []string{"worker", "saved_worker"}
 
-// worker is the worker that the line is about; empty: none.
+// worker returns the worker that the line is about, or an empty string.
 func (l Line) worker() string { return l.stringField("worker") }
 
-// stringField is a field of the line that is a text; empty: there is none.
+// stringField returns the value of a string field, or an empty string if the line has no such field.
 func (l Line) stringField(field string) string {
 	text, _ := l.Fields[field].(string)
 	return text
 }
 
-// parseLines reads all lines that are JSON, whatever stands before it, in the order of time.
+// parseLines returns all lines that contain JSON, in order of time. Any prefix before the JSON is skipped.
 func parseLines(logs io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(logs)
@@ -138,7 +137,7 @@
 	return lines, errors.Wrap(scanner.Err(), "read logs")
 }
 
-// timeLayout of the time in a line, as package log writes it.
+// timeLayout is the format of the time in a line, as package log writes it.
 const timeLayout = "2006-01-02T15:04:05.000Z0700"
 
 func parse(text string) (Line, bool) {
@@ -148,9 +147,9 @@
 	}
 	var fields map[string]any
 	decoder := json.NewDecoder(strings.NewReader(text[start:]))
-	decoder.UseNumber() // numbers of runs are longer than a float shows
+	decoder.UseNumber() // run numbers exceed the precision of float64
 	if decoder.Decode(&fields) != nil {
-		return Line{}, false // another program's line, or one that was cut
+		return Line{}, false // a line of another program, or a truncated line
 	}
 	line := Line{Fields: fields}
 	line.Message, _ = fields["msg"].(string)
@@ -158,13 +157,14 @@
 	at, _ := fields["ts"].(string)
 	var err error
 	line.At, err = time.Parse(timeLayout, at)
-	for _, shown := range []string{"msg", "id", "ts", "logger", "level"} {
-		delete(fields, shown)
+	for _, key := range []string{"msg", "id", "ts", "logger", "level"} {
+		delete(fields, key)
 	}
 	return line, err == nil && line.Message != ""
 }
 
-// mentions tells whether the line is about a job, or about a task or any task of a job.
+// mentions reports whether the line is about the job or task with the given id, about a task of that job, or about the
+// job of that task.
 func (l Line) mentions(id string) bool {
 	for _, key := range []string{"job", "task"} {
 		value, _ := l.Fields[key].(string)
@@ -178,8 +178,8 @@
 	return false
 }
 
-// String shows the line for a person: a mark for lines about the id, time, daemon, what
-// happened and the rest in the order of names.
+// String formats the line for people: an asterisk if the line is matched, the time, the daemon, the message and
+// the other fields in alphabetical order.
 func (l Line) String() string {
 	mark := " "
 	if l.Matched {
--- a/modules/logtrace/logtrace_test.go
+++ b/modules/logtrace/logtrace_test.go
@@ -47,8 +47,8 @@
 	require.Error(t, err)
 }
 
-// TestFindFollowsWhatARunGoesOnFrom: the worker that a run's text is from may be named by this line
-// alone, when the log of the owner at that time is not among those read.
+// TestFindFollowsWhatARunGoesOnFrom checks that the loss of the worker that a run's checkpoint comes from is found.
+// The line of the run's start may be the only one that names this worker, if the log of the previous owner is missing.
 func TestFindFollowsWhatARunGoesOnFrom(t *testing.T) {
 	const resumed = `{"ts":"2026-09-25T09:39:03.000Z","msg":"run starts","id":"front-2","task":"aa00000000000001.0.0.0","run":3,"worker":"w1","saved":"5f1e","saved_run":2,"saved_worker":"w2","saved_row":"stopped"}` + "\n"
 	lines, err := Find(strings.NewReader(resumed+logs), "aa00000000000001.0.0.0")
--- a/modules/metrics/metrics.go
+++ b/modules/metrics/metrics.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package metrics makes the process's tally scope with its Prometheus endpoint and
-// names the figures that users measure.
+// Package metrics creates the tally scope of a process with its Prometheus endpoint, and defines the names of the
+// metrics that users measure the system by.
 //
 // # Usage
 //
@@ -22,26 +22,26 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// The three figures that users measure, by the names they are exported under.
+// Names of the three metrics that users measure the system by.
 const (
 	// ServiceLatency is the latency of answered requests by class, in seconds.
 	ServiceLatency = "service_latency"
 	// BatchFinished counts batch tasks that succeeded.
 	BatchFinished = "batch_tasks_finished"
-	// Evictions counts tasks taken off their worker before they ended.
+	// Evictions counts tasks that were removed from their worker before they ended.
 	Evictions = "evictions"
 )
 
-// LatencyBuckets are the histogram bounds for request latencies.
+// LatencyBuckets are the histogram buckets for request latencies.
 var LatencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 1.5, 28)
 
-// Config names the process.
+// Config configures the metrics of a process.
 type Config struct {
-	Process        string
-	ReportInterval time.Duration // how often counters are handed to the endpoint; 1 s when 0
+	Process        string        // prefix of the metrics' names
+	ReportInterval time.Duration // how often counters are passed to the endpoint; 1 s if 0
 }
 
-// Registry is a process's metrics.
+// Registry holds the metrics of a process.
 type Registry struct {
 	Scope   tally.Scope
 	Handler http.Handler
@@ -50,12 +50,12 @@
 
 const defaultReportInterval = time.Second
 
-// New makes a registry.
+// New returns a registry that reports until it is closed.
 func New(config Config) *Registry {
-	registry := client.NewRegistry() // of its own, so that several daemons fit in a process
+	registry := client.NewRegistry() // not the global registry, so that a process can hold several daemons
 	reporter := prometheus.NewReporter(prometheus.Options{
 		Registerer: registry, Gatherer: registry,
-		OnRegisterError: func(error) {}, // a metric that can't be shown must not end the daemon
+		OnRegisterError: func(error) {}, // a metric that can't be registered must not stop the daemon
 	})
 	if config.ReportInterval == 0 {
 		config.ReportInterval = defaultReportInterval
--- a/modules/pack/pack.go
+++ b/modules/pack/pack.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package pack puts a value into few bytes: its JSON, deflated when that is worth
-// it. The first byte says which.
+// Package pack encodes values compactly as JSON, which is deflated above a minimum size. The first byte of the
+// encoding gives the format.
 //
 // # Usage
 //
@@ -10,7 +10,7 @@
 //	data, err := packer.Pack(value)
 //	plain, err := packer.Unpack(data) // the JSON
 //
-// A Packer may be used by several goroutines at a time.
+// A Packer is safe for concurrent use.
 package pack
 
 import (
@@ -23,33 +23,33 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Config says how to deflate. Who unpacks must have the same dictionary.
+// Config sets the parameters of compression. Packing and unpacking must use the same dictionary.
 type Config struct {
-	Dictionary string // what values are mostly made of; may be empty
-	From       int    // values below this many bytes aren't worth deflating
-	Limit      int64  // bytes that a value may inflate to
+	Dictionary string // common substrings of values; may be empty
+	From       int    // size of a value's JSON in bytes from which it is deflated
+	Limit      int64  // maximum size of an inflated value in bytes
 }
 
-// The first byte of a packed value.
+// Formats of a packed value, given by its first byte.
 const (
 	formatPlain    byte = 'j' // JSON
 	formatDeflated byte = 'd' // JSON, deflated with the dictionary
 )
 
-// Packer packs and unpacks.
+// Packer packs and unpacks values.
 type Packer struct {
 	config Config
-	// writers are kept, for a new one takes more memory and time than its use.
+	// writers are reused, since creating a writer takes more memory and time than using it.
 	writers sync.Pool
 }
 
-// New makes a packer.
+// New returns a packer.
 func New(config Config) *Packer {
 	p := &Packer{config: config}
 	p.writers.New = func() any {
 		w, err := flate.NewWriterDict(io.Discard, flate.BestSpeed, []byte(config.Dictionary))
 		if err != nil {
-			panic(err) // the level is a constant that is allowed
+			panic(err) // cannot happen: the level is a valid constant
 		}
 		return w
 	}
@@ -79,7 +79,7 @@
 	return out.Bytes(), nil
 }
 
-// Unpack gives the JSON of a packed value.
+// Unpack returns the JSON of a packed value.
 func (p *Packer) Unpack(data []byte) ([]byte, error) {
 	if len(data) == 0 {
 		return nil, errors.New("value is empty")
--- a/modules/pack/pack_test.go
+++ b/modules/pack/pack_test.go
@@ -19,7 +19,8 @@
 	return pack.New(pack.Config{Dictionary: "abcabc", From: 100, Limit: limit})
 }
 
-// TestRoundTrip packs short and long values and unpacks them again.
+// TestRoundTrip packs and unpacks short and long values, and checks that a value that inflates beyond the limit is
+// refused.
 func TestRoundTrip(t *testing.T) {
 	for _, text := range []string{"", "short", strings.Repeat("abc", 1000)} {
 		data, err := packer().Pack(text)
@@ -35,7 +36,7 @@
 	assert.ErrorContains(t, err, "more than 65536 bytes")
 }
 
-// FuzzUnpack feeds packed values from outside.
+// FuzzUnpack checks that no input unpacks to more than the limit.
 func FuzzUnpack(f *testing.F) {
 	packed, err := packer().Pack(strings.Repeat("abc", 100))
 	require.NoError(f, err)
--- a/modules/portblock/portblock.go
+++ b/modules/portblock/portblock.go
@@ -1,10 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package portblock finds loopback addresses for programs that are told where to listen
-// before they do so. A port from the system's ephemeral range may be given to any
-// connection meanwhile, so ports come from below that range: from a block that a process
-// holds by listening on its first port.
+// Package portblock allocates loopback addresses for programs whose listen address is set before they listen on it.
+// The system may assign a port of its ephemeral range to any connection in the meantime. Ports are therefore
+// taken from below that range, from a block that the process reserves by listening on the block's first port.
 //
 // # Usage
 //
@@ -20,23 +19,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The ports that blocks are cut from: below the ephemeral range, which begins at 32,768
-// on Linux, and above most well-known services.
+// The range of ports that blocks are reserved from. It lies below the ephemeral range, which begins at 32,768
+// on Linux, and above the ports of most well-known services.
 const (
 	firstPort = 20_000
 	endPort   = 32_000
-	blockSize = 400 // some 50 daemons with their proxies; a block grows by as many
+	blockSize = 400 // ports reserved at a time, enough for about 50 daemons with their proxies
 )
 
-// Block is a range of ports that no other process takes from; it grows when all are given.
-// The zero value is ready.
+// Block is a set of ports reserved for this process. It grows by blockSize ports when all have been taken.
+// The zero value is ready to use.
 type Block struct {
 	mu   sync.Mutex
-	held []net.Listener // on the first port of each part, for as long as the process lives
-	used int            // of the last part
+	held []net.Listener // on the first port of each reserved part, until the process ends
+	used int            // ports taken from the last part
 }
 
-// Take gives the next address of the block that nobody listens on.
+// Take returns the next address of the block that is not in use.
 func (b *Block) Take() (string, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -49,12 +48,12 @@
 		b.used++
 		first := b.held[len(b.held)-1].Addr().(*net.TCPAddr).Port
 		if listener, err := listenOn(first + b.used); err == nil {
-			return listener.Addr().String(), errors.Wrap(listener.Close(), "free the port")
+			return listener.Addr().String(), errors.Wrap(listener.Close(), "release the port")
 		}
 	}
 }
 
-// claim holds the first part that no process holds yet.
+// claim reserves the first part that no process has reserved.
 func (b *Block) claim() error {
 	for first := firstPort; first < endPort; first += blockSize {
 		if listener, err := listenOn(first); err == nil {
@@ -62,10 +61,10 @@
 			return nil
 		}
 	}
-	return errors.New("no block of ports is free")
+	return errors.New("all blocks of ports are in use")
 }
 
-// listenOn listens on a port of the loopback.
+// listenOn listens on a port of the loopback address.
 func listenOn(port int) (net.Listener, error) {
 	return net.Listen("tcp", net.JoinHostPort("127.0.0.1", strconv.Itoa(port)))
 }
--- a/modules/portblock/portblock_test.go
+++ b/modules/portblock/portblock_test.go
@@ -14,9 +14,9 @@
 )
 
 func TestAddressesAreNotEphemeral(t *testing.T) {
-	least := 32_768
+	firstEphemeral := 32_768
 	if data, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range"); err == nil {
-		least, err = strconv.Atoi(strings.Fields(string(data))[0])
+		firstEphemeral, err = strconv.Atoi(strings.Fields(string(data))[0])
 		require.NoError(t, err)
 	}
 	var block, other Block
@@ -25,11 +25,11 @@
 		for _, b := range []*Block{&block, &other} {
 			address, err := b.Take()
 			require.NoError(t, err)
-			require.False(t, seen[address], "%s is given twice", address)
+			require.False(t, seen[address], "%s was allocated twice", address)
 			seen[address] = true
 			tcp, err := net.ResolveTCPAddr("tcp", address)
 			require.NoError(t, err)
-			require.Less(t, tcp.Port, least)
+			require.Less(t, tcp.Port, firstEphemeral)
 		}
 	}
 }
--- a/modules/rendezvous/rendezvous.go
+++ b/modules/rendezvous/rendezvous.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package rendezvous orders nodes for a key by highest random weight: every
-// process that knows the same nodes finds the same order, and a node that comes or
-// goes moves only the keys it is first for.
+// Package rendezvous implements rendezvous hashing (highest random weight). Every process that knows the same nodes
+// computes the same order of them for a key, and adding or removing a node moves only the keys for which that
+// node comes first.
 //
 // # Usage
 //
@@ -18,7 +18,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Order returns the nodes, first choice first. It leaves nodes as it is.
+// Order returns the nodes in their order for key, first choice first. It does not modify nodes.
 func Order[N ~string](key string, nodes []N) []N {
 	order := slices.Clone(nodes)
 	slices.SortFunc(order, func(a, b N) int {
@@ -35,7 +35,7 @@
 	return order
 }
 
-// First returns the first choice; ok is false when there are no nodes.
+// First returns the first choice for key. ok is false if there are no nodes.
 func First[N ~string](key string, nodes []N) (first N, ok bool) {
 	var best uint64
 	for _, node := range nodes {
@@ -50,7 +50,7 @@
 func weight(key, node string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	_, _ = d.WriteString(key) // never fails
+	_, _ = d.WriteString(key) // never returns an error
 	_, _ = d.Write([]byte{0})
 	_, _ = d.WriteString(node)
 	return d.Sum64()
--- a/modules/ring/ring.go
+++ b/modules/ring/ring.go
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package ring keeps the latest values, up to a number.
+// Package ring provides a ring buffer that keeps the latest values.
 //
 // # Usage
 //
 //	latest := ring.New[models.Decision](512)
 //	dropped, full := latest.Add(decision)
-//	for _, d := range latest.All() { … } // the oldest first
+//	for _, d := range latest.All() { … } // oldest first
 //
-// A Ring is used by one goroutine at a time.
+// A Ring is not safe for concurrent use.
 package ring
 
 import "slices"
@@ -17,14 +17,14 @@
 // Ring holds the latest values.
 type Ring[T any] struct {
 	values []T
-	next   int // where the oldest stands once the ring is full
+	next   int // index of the oldest value once the ring is full
 	size   int
 }
 
-// New makes a ring for so many values.
+// New returns an empty ring for size values.
 func New[T any](size int) *Ring[T] { return &Ring[T]{size: size} }
 
-// Add keeps a value; when the ring was full, it gives the one that had to go.
+// Add adds a value. If the ring was full, Add drops and returns the oldest value.
 func (r *Ring[T]) Add(value T) (dropped T, full bool) {
 	if len(r.values) < r.size {
 		r.values = append(r.values, value)
@@ -35,5 +35,5 @@
 	return dropped, true
 }
 
-// All gives the values, the oldest first.
+// All returns the values, oldest first.
 func (r *Ring[T]) All() []T { return slices.Concat(r.values[r.next:], r.values[:r.next]) }
--- a/modules/ring/ring_test.go
+++ b/modules/ring/ring_test.go
@@ -11,7 +11,7 @@
 	"rillsail.example/rillsail/modules/ring"
 )
 
-// TestLatestAreKept adds more values than fit.
+// TestLatestAreKept adds more values than the ring holds.
 func TestLatestAreKept(t *testing.T) {
 	r := ring.New[int](3)
 	assert.Empty(t, r.All())
--- a/modules/selector/selector.go
+++ b/modules/selector/selector.go
@@ -2,8 +2,7 @@
 // Copyright The Rillsail Authors
 
 // Package selector matches label selectors in the usual syntax
-// ("tier=urgent,app in (quote,fare),!batch") against label sets, keeping parsed
-// selectors.
+// ("tier=urgent,app in (quote,fare),!batch") against label sets, and caches parsed selectors.
 //
 // # Usage
 //
@@ -17,18 +16,17 @@
 	"k8s.io/apimachinery/pkg/labels"
 )
 
-// Set keeps the selectors that were parsed before. It may be used by several
-// goroutines at a time.
+// Set is a cache of parsed selectors. It is safe for concurrent use.
 type Set struct {
 	mu     sync.RWMutex
 	parsed map[string]labels.Selector
 }
 
-// New makes an empty set.
+// New returns an empty set.
 func New() *Set { return &Set{parsed: map[string]labels.Selector{}} }
 
-// Matches tells whether the selector takes the labels. An empty selector takes all;
-// one that can't be parsed takes none.
+// Matches reports whether the selector matches the labels. An empty selector matches all labels; an invalid
+// selector matches none.
 func (s *Set) Matches(text string, set map[string]string) bool {
 	return s.parse(text).Matches(labels.Set(set))
 }
--- a/modules/stall/stall.go
+++ b/modules/stall/stall.go
@@ -1,12 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package stall bounds HTTP calls by the time in which nothing of them moves, in place of
-// their whole time. A time limit for a whole call is also one for the size of its answer
-// over what the link has left: past that size every try is ended, begins anew at the first
-// byte, and takes the link from the calls that would succeed. A call that still moves
-// is left alone here; one whose peer or link is silent ends as soon as with a time
-// limit for the whole.
+// Package stall limits the time that an HTTP call may go without progress, instead of its total time. A total time
+// limit also limits the size of the answer by the free bandwidth of the link: every attempt at a larger answer
+// times out, starts again at the first byte, and takes bandwidth from calls that would succeed. This package lets
+// a call with progress continue. A call whose peer or link is silent ends as soon as with a total time
+// limit.
 //
 // # Usage
 //
@@ -16,7 +15,7 @@
 //		Limits: stall.Evenly(time.Second),
 //	}
 //	response, err := client.Do(request)
-//	if errors.Is(err, stall.ErrStalled) { … } // reading response.Body may give it too
+//	if errors.Is(err, stall.ErrStalled) { … } // reading response.Body may return it too
 package stall
 
 import (
@@ -30,42 +29,42 @@
 	"rillsail.example/rillsail/modules/idleconn"
 )
 
-// ErrStalled says that a call was ended because nothing of it moved for as long as its
-// limits allow, or because all of it took longer than any call may.
+// ErrStalled is the error of a call that was ended because it made no progress within its limits, or because it took
+// longer than any call may take.
 var ErrStalled = errors.New("call has stalled")
 
-// Limits of one call; the zero value sets none.
+// Limits are the time limits of a call; the zero value sets none.
 type Limits struct {
-	// Answer bounds the time until the answer begins, from the start of the call or from
-	// when the last part of its body was handed to the connection.
+	// Answer bounds the time until the answer begins, from the start of the call or from the time at which
+	// the last part of its body was passed to the connection.
 	Answer time.Duration
 	// Silence bounds the time between two parts of the answer.
 	Silence time.Duration
 }
 
-// Evenly are limits that allow the same time for each part of a call.
+// Evenly returns limits that allow the same time for each part of a call.
 func Evenly(limit time.Duration) Limits { return Limits{Answer: limit, Silence: limit} }
 
-// maxCallTime bounds a whole call, however steadily it moves: 8 MB, the largest answer that any
-// caller reads, take 30 s at 2 Mbit/s, a fifth of the narrowest link in use.
+// maxCallTime bounds the total time of a call, even if it makes steady progress. 8 MB, the largest answer that
+// any caller reads, takes 30 s at 2 Mbit/s, which is a fifth of the narrowest link in use.
 const maxCallTime = 30 * time.Second
 
 // Client makes calls that all have the same limits.
 type Client struct {
 	HTTP   *http.Client
 	Limits Limits
-	// Conns are the connections of HTTP. They are told of a call that stalls, so that idle ones
-	// which went silent with the one that it used don't cost a call each; nil: they are not.
+	// Conns are the connections of HTTP; optional. The set is notified of each stalled call, so that idle
+	// connections that went silent together with that of the call don't cost a call each.
 	Conns *idleconn.Set
 }
 
-// Do makes a call within limits, with a client whose connections are not told.
+// Do makes a call within limits, without notifying the connections of the client.
 func Do(client *http.Client, request *http.Request, limits Limits) (*http.Response, error) {
 	return (&Client{HTTP: client, Limits: limits}).Do(request)
 }
 
-// Do makes a call. The answer's body must be closed, as always. Errors are those of HTTP, or
-// ErrStalled.
+// Do makes a call. The caller must close the answer's body. Errors are those of package net/http, marked with ErrStalled
+// if the call has stalled.
 func (c *Client) Do(request *http.Request) (*http.Response, error) {
 	limits := c.Limits
 	if limits == (Limits{}) {
@@ -73,7 +72,9 @@
 	}
 	ctx, cancel := context.WithCancelCause(request.Context())
 	now := time.Now()
-	w := &watchdog{cancel: cancel, ctx: ctx, sent: now, deadline: now.Add(maxCallTime), host: request.URL.Host, conns: c.Conns}
+	w := &watchdog{
+		cancel: cancel, ctx: ctx, sent: now, deadline: now.Add(maxCallTime), host: request.URL.Host, conns: c.Conns,
+	}
 	w.timer = time.AfterFunc(limits.Answer, w.expire)
 	response, err := c.HTTP.Do(w.watchBody(request, limits.Answer))
 	if err != nil {
@@ -85,18 +86,18 @@
 	return response, nil
 }
 
-// watchdog ends a call that does not move.
+// watchdog ends a call that makes no progress.
 type watchdog struct {
 	ctx      context.Context // of the call
 	cancel   context.CancelCauseFunc
 	timer    *time.Timer
 	sent     time.Time // when the call began
-	deadline time.Time // of the call, also when it moves
+	deadline time.Time // when the call is ended even if it makes progress
 	host     string
-	conns    *idleconn.Set // nil: nobody is told
+	conns    *idleconn.Set // notified if the call stalls; may be nil
 }
 
-// expire ends the call. The connections are told first, for the next call comes at once.
+// expire ends the call. It notifies the connections first, because the next call may follow immediately.
 func (w *watchdog) expire() {
 	if w.conns != nil {
 		w.conns.Stalled(w.host, w.sent)
@@ -104,7 +105,7 @@
 	w.cancel(ErrStalled)
 }
 
-// progressed leaves the call as much time again.
+// progressed restarts the time limit after progress of the call.
 func (w *watchdog) progressed(limit time.Duration) {
 	w.timer.Reset(min(limit, time.Until(w.deadline)))
 }
@@ -114,7 +115,7 @@
 	w.cancel(nil)
 }
 
-// markStalled says of an error whether it came about because the call had stalled.
+// markStalled marks err with ErrStalled if the call was ended because it had stalled.
 func (w *watchdog) markStalled(err error) error {
 	if errors.Is(context.Cause(w.ctx), ErrStalled) {
 		return errors.Mark(errors.Wrap(err, ErrStalled.Error()), ErrStalled)
@@ -122,28 +123,28 @@
 	return err
 }
 
-// watchBody lets the watchdog see the parts of the call's own body that are sent.
+// watchBody returns the request with a body that reports each part that is sent to the watchdog.
 func (w *watchdog) watchBody(request *http.Request, limit time.Duration) *http.Request {
 	request = request.WithContext(w.ctx)
 	if request.Body == nil || request.Body == http.NoBody {
 		return request
 	}
 	request.Body = &body{ReadCloser: request.Body, watchdog: w, limit: limit, isRequest: true}
-	if again := request.GetBody; again != nil {
+	if getBody := request.GetBody; getBody != nil {
 		request.GetBody = func() (io.ReadCloser, error) {
-			reader, err := again()
+			reader, err := getBody()
 			return &body{ReadCloser: reader, watchdog: w, limit: limit, isRequest: true}, err
 		}
 	}
 	return request
 }
 
-// body is a body whose reading shows that the call moves.
+// body is the body of a request or an answer. Reading from it counts as progress of the call.
 type body struct {
 	io.ReadCloser
 	watchdog  *watchdog
-	limit     time.Duration
-	isRequest bool // the call's, not the answer's
+	limit     time.Duration // time limit until the next progress
+	isRequest bool
 }
 
 // Read implements io.Reader.
@@ -152,7 +153,7 @@
 	if n > 0 {
 		b.watchdog.progressed(b.limit)
 	}
-	if err == nil || err == io.EOF { // readers give the bare value at their end
+	if err == nil || err == io.EOF { // readers return io.EOF unwrapped
 		return n, err
 	}
 	return n, b.watchdog.markStalled(err)
--- a/modules/stall/stall_test.go
+++ b/modules/stall/stall_test.go
@@ -18,18 +18,18 @@
 	"rillsail.example/rillsail/modules/stall"
 )
 
-// callCase is one entry of testdata/calls.json; times are pauses before a part moves.
+// callCase is an entry of testdata/calls.json. Its times are pauses, except for that of the stall.
 type callCase struct {
 	Name   string  `json:"name"`
-	Sent   []int64 `json:"sent_ms"`   // parts of the call
-	Answer int64   `json:"answer_ms"` // after the call was sent
-	Pieces []int64 `json:"pieces_ms"` // parts of the answer
-	Stalls int64   `json:"stalls_after_ms"`
+	Sent   []int64 `json:"sent_ms"`         // before each part of the call's body
+	Answer int64   `json:"answer_ms"`       // between the end of the call's body and the answer
+	Pieces []int64 `json:"pieces_ms"`       // before each part of the answer's body
+	Stalls int64   `json:"stalls_after_ms"` // time from the start until the call is ended; 0 if it succeeds
 }
 
 const testLimit = time.Second
 
-// TestCalls plays the calls of testdata/calls.json with limits of one second.
+// TestCalls runs the cases of testdata/calls.json with limits of one second.
 func TestCalls(t *testing.T) {
 	for _, c := range casefile.Read[[]callCase](t, "testdata/calls.json") {
 		t.Run(c.Name, func(t *testing.T) { synctest.Test(t, c.run) })
@@ -87,7 +87,7 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: &slowBody{ctx: ctx, pauses: c.Pieces}}, nil
 }
 
-// slowBody gives one byte after each pause.
+// slowBody returns one byte after each pause.
 type slowBody struct {
 	ctx    context.Context
 	pauses []int64
@@ -110,7 +110,7 @@
 // Close implements io.Closer.
 func (b *slowBody) Close() error { return nil }
 
-// pause waits, or ends with ctx.
+// pause waits for ms milliseconds, or until ctx ends.
 func pause(ctx context.Context, ms int64) error {
 	select {
 	case <-time.After(time.Duration(ms) * time.Millisecond):
--- a/modules/wire/wire.go
+++ b/modules/wire/wire.go
@@ -1,9 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package wire decodes and encodes what crosses process boundaries. A value is
-// handed on only when it was within its size limit, well formed, without unknown
-// fields, and passed its own Check.
+// Package wire encodes and decodes the values that processes exchange over HTTP. A decoded value is returned only if it
+// was within its size limit, well formed and without unknown fields, and has passed its own Check.
 //
 // # Usage
 //
@@ -27,32 +26,32 @@
 	"rillsail.example/rillsail/modules/stall"
 )
 
-// Checker is a wire type; Check says what is wrong with a decoded value.
+// Checker is a type that can be decoded. Check returns an error if a decoded value is not valid.
 type Checker interface{ Check() error }
 
-// Kind says what is wrong with an input.
+// Kind is the kind of a decoding error.
 type Kind string
 
 // The kinds of decoding error.
 const (
 	KindMalformed Kind = "malformed" // not JSON of this shape, or an unknown field
 	KindOversized Kind = "oversized"
-	KindInvalid   Kind = "invalid" // the value's own Check refused it
+	KindInvalid   Kind = "invalid" // refused by the value's own Check
 )
 
-// Error is a decoding error; it says nothing was changed.
+// Error is a decoding error. The input has changed nothing.
 type Error struct {
 	Kind  Kind
 	cause error
 }
 
-// Error says the kind and the cause.
+// Error returns the kind and the cause as text.
 func (e *Error) Error() string { return "input is " + string(e.Kind) + ": " + e.cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Status is the HTTP status for the error.
+// Status returns the HTTP status for the error.
 func (e *Error) Status() int {
 	switch e.Kind {
 	case KindOversized:
@@ -64,8 +63,7 @@
 	}
 }
 
-// Decode reads one value of at most limit bytes and checks it. Errors are *Error,
-// or the reader's own.
+// Decode reads a value of at most limit bytes and checks it. Errors are *Error, or errors of the reader.
 func Decode[T Checker](r io.Reader, limit int64) (T, error) {
 	data, err := io.ReadAll(io.LimitReader(r, limit+1))
 	var tooLarge *http.MaxBytesError
@@ -84,7 +82,7 @@
 	return DecodeBytes[T](data)
 }
 
-// DecodeBytes decodes and checks one value.
+// DecodeBytes decodes and checks a value.
 func DecodeBytes[T Checker](data []byte) (T, error) {
 	var value T
 	decoder := json.NewDecoder(bytes.NewReader(data))
@@ -105,7 +103,7 @@
 func Write(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(value) // the caller is gone if this fails
+	_ = json.NewEncoder(w).Encode(value) // an error means that the caller has disconnected
 }
 
 // Problem is the body of an error answer.
@@ -114,10 +112,10 @@
 	Kind  string `json:"kind,omitempty"`
 }
 
-// Check is there for the decoder; every value is allowed.
+// Check implements Checker; every value is allowed.
 func (p Problem) Check() error { return nil }
 
-// WriteError sends err: decoding errors with their own status, others as 500.
+// WriteError sends err: decoding errors with their own status, others with status 500.
 func WriteError(w http.ResponseWriter, err error) {
 	var e *Error
 	if errors.As(err, &e) {
@@ -127,37 +125,37 @@
 	Write(w, http.StatusInternalServerError, Problem{Error: err.Error()})
 }
 
-// StatusError is an answer with an error status.
+// StatusError is the error of a call whose answer has an error status.
 type StatusError struct {
 	Status int
 	Problem
 }
 
-// Error says the status and what the peer said.
+// Error returns the status and the peer's error as text.
 func (e *StatusError) Error() string {
 	return http.StatusText(e.Status) + ": " + e.Problem.Error
 }
 
-// Call describes one HTTP call with a JSON body.
+// Call describes an HTTP call with a JSON body.
 type Call struct {
 	Client *http.Client
-	Method string // POST when empty
+	Method string // POST if empty
 	URL    string
-	Token  string // bearer token; empty sends none
-	Limit  int64  // bytes of the answer
-	// Timeouts end a call that does not move.
+	Token  string // bearer token; none is sent if empty
+	Limit  int64  // maximum size of the answer in bytes
+	// Timeouts limit the time that the call may go without progress.
 	Timeouts stall.Limits
 }
 
-// Do sends body (none when nil) and decodes the answer. Errors of the peer are
-// *StatusError; all others are the connection's.
+// Do sends body as JSON, or no body if it is nil, and decodes the answer. An answer with an error status becomes a
+// *StatusError; all other errors are those of the connection.
 func Do[T Checker](ctx context.Context, call Call, body any) (T, error) {
 	var zero T
 	var reader io.Reader
 	if body != nil {
 		data, err := json.Marshal(body)
 		if err != nil {
-			return zero, errors.Wrap(err, "encode call")
+			return zero, errors.Wrap(err, "encode request body")
 		}
 		reader = bytes.NewReader(data)
 	}
@@ -167,7 +165,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, method, call.URL, reader)
 	if err != nil {
-		return zero, errors.Wrap(err, "make call")
+		return zero, errors.Wrap(err, "create request")
 	}
 	request.Header.Set("Content-Type", "application/json")
 	if call.Token != "" {
--- a/modules/wire/wire_test.go
+++ b/modules/wire/wire_test.go
@@ -15,7 +15,7 @@
 	"rillsail.example/rillsail/modules/wire"
 )
 
-// TestKinds checks which kind of error each wrong input gives.
+// TestKinds checks the kind of error that each invalid input causes.
 func TestKinds(t *testing.T) {
 	good := `{"id":"a","team":"t","tasks":1,"size":{"cpu_milli":1,"memory_mib":1},"work_ms":1}`
 	for input, kind := range map[string]wire.Kind{
@@ -36,7 +36,7 @@
 	assert.NoError(t, err)
 }
 
-// check decodes as every listener does and says what must hold of the result.
+// check decodes data as every listener does, and checks that the value is valid or the error has a 4xx status.
 func check[T wire.Checker](t *testing.T, data []byte) {
 	t.Helper()
 	value, err := wire.DecodeBytes[T](data)
@@ -50,7 +50,7 @@
 	require.Less(t, e.Status(), 500)
 }
 
-// FuzzListeners feeds the decoders of all three listeners and of the platform.
+// FuzzListeners fuzzes the decoders of all three listeners and of the platform.
 func FuzzListeners(f *testing.F) {
 	for _, seed := range []string{
 		`{"jobs":[{"id":"a","team":"t","tasks":1,"size":{"cpu_milli":1,"memory_mib":1},"work_ms":1}]}`,
