--- a/modules/setting/cell.go
+++ b/modules/setting/cell.go
@@ -5,14 +5,14 @@
 
 import "time"
 
-// Cell is section [cell]: how cells' owners deal with workers and the journal.
+// Cell is section [cell]: how owners of cells treat workers and the journal.
 type Cell struct {
-	Lease       time.Duration // of tasks at workers
-	Renew       time.Duration // how often it is renewed
-	Append      time.Duration // least time between two appends under load
-	Tick        time.Duration // how often the owner looks at its cell unasked
-	RingSlots   int           // keys of the journal's ring
-	KeepJobs    int           // ended jobs kept for each cell
+	Lease       time.Duration // of tasks on workers
+	Renew       time.Duration // how often the leases are renewed
+	Append      time.Duration // minimum time between two appends to a journal under load
+	Tick        time.Duration // how often an owner checks its cell without an event
+	RingSlots   int           // number of keys in a journal's ring
+	KeepJobs    int           // number of ended jobs kept for each cell
 	SettleAfter time.Duration // after an action, reports older than this are not judged
 	Policy      string        // placement beside noisy tasks
 }
@@ -31,14 +31,14 @@
 }
 
 func (c *Cell) register(r *registry) {
-	r.duration("lease", &c.Lease, 200*time.Millisecond, time.Hour, "lease of tasks at workers")
+	r.duration("lease", &c.Lease, 200*time.Millisecond, time.Hour, "lease of tasks on workers")
 	r.duration("renew", &c.Renew, 20*time.Millisecond, time.Minute, "how often tasks' leases are renewed")
-	r.duration("append", &c.Append, time.Millisecond, 10*time.Second, "least time between two appends to a journal under load")
-	r.duration("tick", &c.Tick, 10*time.Millisecond, time.Minute, "how often an owner looks at its cell unasked")
-	r.number("ring_slots", &c.RingSlots, 4, 1024, "keys of a journal's ring; the same at all daemons")
-	r.number("keep_jobs", &c.KeepJobs, 1, 100_000, "ended jobs kept for each cell")
-	r.duration("settle_after", &c.SettleAfter, 0, time.Hour, "how long after an action reports are not judged")
-	r.choice("policy", &c.Policy, "placement beside services", "first-fit", "feedback", "pairs")
+	r.duration("append", &c.Append, time.Millisecond, 10*time.Second, "minimum time between two appends to a journal under load")
+	r.duration("tick", &c.Tick, 10*time.Millisecond, time.Minute, "how often an owner checks its cell without an event")
+	r.number("ring_slots", &c.RingSlots, 4, 1024, "number of keys in a journal's ring; the same at all daemons")
+	r.number("keep_jobs", &c.KeepJobs, 1, 100_000, "number of ended jobs kept for each cell")
+	r.duration("settle_after", &c.SettleAfter, 0, time.Hour, "how long after an action reports are ignored")
+	r.choice("policy", &c.Policy, "placement policy of tasks beside services", "first-fit", "feedback", "pairs")
 }
 
 func checkCell(s *Settings) *Error {
--- a/modules/setting/daemon.go
+++ b/modules/setting/daemon.go
@@ -3,7 +3,7 @@
 
 package setting
 
-// Daemon is section [daemon]: who this process is.
+// Daemon is section [daemon]: the identity of this process.
 type Daemon struct {
 	ID       string
 	Domain   string // failure domain, "region/domain"
@@ -13,9 +13,9 @@
 func defaultDaemon() Daemon { return Daemon{LogLevel: "info"} }
 
 func (d *Daemon) register(r *registry) {
-	r.text("id", &d.ID, "name of this daemon, unlike all others")
+	r.text("id", &d.ID, "unique name of this daemon")
 	r.text("domain", &d.Domain, "failure domain of this VM, region/domain")
-	r.choice("log_level", &d.LogLevel, "lowest level that is logged", "debug", "info", "warn", "error")
+	r.choice("log_level", &d.LogLevel, "lowest level of log lines that are written", "debug", "info", "warn", "error")
 }
 
 func checkDaemon(s *Settings) *Error {
--- a/modules/setting/jobs.go
+++ b/modules/setting/jobs.go
@@ -9,14 +9,14 @@
 type Jobs struct {
 	OwnerLease     time.Duration // of a cell's owner in the store
 	WorkerLease    time.Duration // of the runs on a worker
-	LongestLease   time.Duration // that a worker grants to anybody
-	ReportWait     time.Duration // how long a worker's report may wait for an end
-	ReportPause    time.Duration // between two reports of one worker
-	StoreEvery     time.Duration // how often progress is stored
-	StopGrace      time.Duration // between the order to stop and the end of the process
-	WorkersPerCell int
-	Processor      float64 // cores that this daemon may use
-	Link           float64 // Mbit/s that this daemon may send and receive; 0: not known
+	LongestLease   time.Duration // longest lease that a worker grants
+	ReportWait     time.Duration // how long a worker may hold its report back until a run ends
+	ReportPause    time.Duration // between two reports of a worker
+	StoreEvery     time.Duration // how often progress of jobs is stored
+	StopGrace      time.Duration // from the order to stop until the process must have ended
+	WorkersPerCell int           // maximum when cells are laid out
+	Processor      float64       // cores that this daemon may use
+	Link           float64       // Mbit/s that this daemon may send and receive; 0: unknown
 }
 
 func defaultJobs() Jobs {
@@ -37,13 +37,13 @@
 	r.duration("owner_lease", &j.OwnerLease, time.Second, time.Minute, "lease of a cell's owner in the store")
 	r.duration("worker_lease", &j.WorkerLease, time.Second, time.Hour, "lease of the runs on a worker")
 	r.duration("longest_lease", &j.LongestLease, time.Second, time.Hour, "longest lease that a worker grants")
-	r.duration("report_wait", &j.ReportWait, 50*time.Millisecond, 2*time.Second, "how long a worker's report may wait for an end")
-	r.duration("report_pause", &j.ReportPause, 0, 2*time.Second, "pause between two reports of one worker")
+	r.duration("report_wait", &j.ReportWait, 50*time.Millisecond, 2*time.Second, "how long a worker may hold its report back until a run ends")
+	r.duration("report_pause", &j.ReportPause, 0, 2*time.Second, "pause between two reports of a worker")
 	r.duration("store_every", &j.StoreEvery, 10*time.Millisecond, 10*time.Second, "how often progress of jobs is stored")
-	r.duration("stop_grace", &j.StopGrace, time.Second, time.Hour, "time between the order to stop and the end of the process")
-	r.fraction("processor", &j.Processor, 0.01, 1024, "cores that this daemon may use; daemons with few leave cells to others")
-	r.fraction("link", &j.Link, 0, 1_000_000, "Mbit/s that this daemon may send and receive; 0 when not known; cells are laid out for what the daemons carry")
-	r.number("workers_per_cell", &j.WorkersPerCell, 1, 10_000, "most workers of one cell, when the cells are laid out")
+	r.duration("stop_grace", &j.StopGrace, time.Second, time.Hour, "time from the order to stop until the process must have ended")
+	r.fraction("processor", &j.Processor, 0.01, 1024, "cores that this daemon may use; daemons with few cores leave cells to others")
+	r.fraction("link", &j.Link, 0, 1_000_000, "Mbit/s that this daemon may send and receive, or 0 if unknown; cells are laid out by the capacity of the daemons")
+	r.number("workers_per_cell", &j.WorkersPerCell, 1, 10_000, "maximum number of workers of a cell when cells are laid out")
 }
 
 func checkJobs(s *Settings) *Error {
--- a/modules/setting/listen.go
+++ b/modules/setting/listen.go
@@ -5,15 +5,15 @@
 
 import "time"
 
-// Listen is section [listen]: the listeners, their limits and tokens.
+// Listen is section [listen]: the addresses, limits and tokens of the listeners.
 type Listen struct {
 	Caller   string
 	Operator string
 	Peer     string
-	// PeerAdvertised is what the other daemons are told, when it is not Peer: a proxy's.
+	// PeerAdvertised is the peer address advertised to the other daemons if it is not Peer, such as that of a proxy.
 	PeerAdvertised string
-	Ready          string // on the users' platform: where it asks whether this daemon takes callers
-	Metrics        string // on the users' platform: where figures and the state dump are served
+	Ready          string // readiness check of the users' platform: whether this daemon accepts callers
+	Metrics        string // on the users' platform: address of metrics and the state dump
 	OperatorToken  string
 	PeerToken      string
 
@@ -37,20 +37,20 @@
 }
 
 func (l *Listen) register(r *registry) {
-	r.address("caller", &l.Caller, "where callers' requests are taken")
-	r.address("operator", &l.Operator, "where operators' calls are taken")
-	r.address("peer", &l.Peer, "where the other daemons call; they are told this address")
-	r.address("peer_advertised", &l.PeerAdvertised, "on the users' platform: the address that the other daemons are told; by default peer")
-	r.address("ready", &l.Ready, "where the users' platform asks whether this daemon takes callers")
-	r.address("metrics", &l.Metrics, "on the users' platform: where metrics and the state dump are served")
-	r.text("operator_token", &l.OperatorToken, "token that operators' calls must carry")
-	r.text("peer_token", &l.PeerToken, "token that daemons' calls must carry; the same at all")
-	r.number("max_header", &l.MaxHeader, 1<<10, 1<<20, "bytes of a request's header")
-	r.number("max_body", &l.MaxBody, 1<<10, 1<<30, "bytes of a request's body")
-	r.number("max_connections", &l.MaxConnections, 16, 1<<16, "connections of each listener")
-	r.duration("header_timeout", &l.HeaderTimeout, 100*time.Millisecond, time.Minute, "time for a request's header to arrive")
-	r.duration("body_timeout", &l.BodyTimeout, 100*time.Millisecond, time.Hour, "time for a request's body to arrive")
-	r.duration("idle_timeout", &l.IdleTimeout, time.Second, time.Hour, "time a connection may be idle")
+	r.address("caller", &l.Caller, "address for requests of callers")
+	r.address("operator", &l.Operator, "address for calls of operators")
+	r.address("peer", &l.Peer, "address for calls of the other daemons, to which it is advertised")
+	r.address("peer_advertised", &l.PeerAdvertised, "on the users' platform: address advertised to the other daemons; peer by default")
+	r.address("ready", &l.Ready, "address where the users' platform checks whether this daemon accepts callers")
+	r.address("metrics", &l.Metrics, "on the users' platform: address of metrics and the state dump")
+	r.text("operator_token", &l.OperatorToken, "token that calls of operators must carry")
+	r.text("peer_token", &l.PeerToken, "token that calls of daemons must carry; the same at all daemons")
+	r.number("max_header", &l.MaxHeader, 1<<10, 1<<20, "maximum size of a request's header in bytes")
+	r.number("max_body", &l.MaxBody, 1<<10, 1<<30, "maximum size of a request's body in bytes")
+	r.number("max_connections", &l.MaxConnections, 16, 1<<16, "maximum number of connections of each listener")
+	r.duration("header_timeout", &l.HeaderTimeout, 100*time.Millisecond, time.Minute, "time limit for reading a request's header")
+	r.duration("body_timeout", &l.BodyTimeout, 100*time.Millisecond, time.Hour, "time limit for reading a request's body")
+	r.duration("idle_timeout", &l.IdleTimeout, time.Second, time.Hour, "how long a connection may be idle")
 }
 
 func checkListen(s *Settings) *Error {
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// checkUsersListen checks the listeners of a daemon on the users' platform: its network
-// is closed, its operators write to the store, so there are no tokens.
+// checkUsersListen checks the listeners of a daemon on the users' platform. There are no tokens, because the platform's
+// network is closed and its operators write to the store.
 func checkUsersListen(l Listen) *Error {
 	if err := checkRequired("listen", []requiredKey{
 		{"caller", l.Caller},
--- a/modules/setting/member.go
+++ b/modules/setting/member.go
@@ -5,13 +5,13 @@
 
 import "time"
 
-// Member is section [member]: how daemons know of each other.
+// Member is section [member]: membership of the daemons.
 type Member struct {
 	Lease       time.Duration // of this daemon's key in the store
 	Heartbeat   time.Duration
-	SilentAfter time.Duration // without heartbeat a peer's cells are taken over
-	Sync        time.Duration // how often the members are read without a watch
-	Seeds       []string      // peers' addresses, for a start during a store outage
+	SilentAfter time.Duration // time without heartbeats after which a peer's cells are taken over
+	Sync        time.Duration // how often the members are read while no watch answers
+	Seeds       []string      // addresses of peers, for a start during an outage of the store
 }
 
 func defaultMember() Member {
@@ -25,10 +25,10 @@
 
 func (m *Member) register(r *registry) {
 	r.duration("lease", &m.Lease, 200*time.Millisecond, 10*time.Minute, "lease of this daemon's key in the store")
-	r.duration("heartbeat", &m.Heartbeat, 20*time.Millisecond, time.Minute, "how often peers are told of load and cells")
-	r.duration("silent_after", &m.SilentAfter, 50*time.Millisecond, 10*time.Minute, "without heartbeat for so long a peer counts as gone")
-	r.duration("sync", &m.Sync, 100*time.Millisecond, 10*time.Minute, "how often the members are read when no watch answers")
-	r.addresses("seeds", &m.Seeds, "peers to ask when the store can't be read")
+	r.duration("heartbeat", &m.Heartbeat, 20*time.Millisecond, time.Minute, "how often load and cells are sent to the peers")
+	r.duration("silent_after", &m.SilentAfter, 50*time.Millisecond, 10*time.Minute, "time without heartbeats after which a peer counts as lost")
+	r.duration("sync", &m.Sync, 100*time.Millisecond, 10*time.Minute, "how often the members are read while no watch answers")
+	r.addresses("seeds", &m.Seeds, "peers to ask for the members when the store can't be read")
 }
 
 func checkMember(s *Settings) *Error {
--- a/modules/setting/registry.go
+++ b/modules/setting/registry.go
@@ -1,10 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package setting loads and checks the daemon's settings. Each section is a file
-// of its own with its keys, defaults and bounds. Every key is also a flag
-// (-section.key) and an environment variable (RILLSAIL_SECTION_KEY); a flag goes
-// before the environment, and that before the file.
+// Package setting loads and checks the settings of the daemon. Each section has its own source file with its keys,
+// defaults and bounds. Every key is also a flag (-section.key) and an environment variable
+// (RILLSAIL_SECTION_KEY). A flag takes precedence over the environment, and the environment over the settings file.
 //
 // # Usage
 //
@@ -24,21 +23,21 @@
 	"time"
 )
 
-// Error is a key that is unknown, or a value that isn't allowed.
+// Error is the error of an unknown or duplicate key, or of a value that isn't allowed.
 type Error struct {
 	Section string
 	Key     string
 	Value   string
-	Allowed string // what is allowed instead
+	Allowed string // which values are allowed, or why the key is refused
 }
 
-// Error says section, key, value and what is allowed.
+// Error returns the section, the key, the value and what is allowed as text.
 func (e *Error) Error() string {
 	return fmt.Sprintf("settings: [%s] %s = %q: %s", e.Section, e.Key, e.Value, e.Allowed)
 }
 
-// registry turns keys into flags that check their values. The first bad value is
-// kept, because package flag hands on only its text.
+// registry registers keys as flags that check their values. It keeps the error of the first invalid value, because
+// package flag passes on only the error's text.
 type registry struct {
 	flags      *flag.FlagSet
 	section    string
@@ -50,7 +49,7 @@
 	return r
 }
 
-// add registers a key; set stores a checked value or says what is allowed.
+// add registers a key. set checks and stores a value; if the value is invalid, set returns what is allowed.
 func (r *registry) add(key, current, usage string, set func(string) (allowed string)) {
 	section := r.section
 	value := &value{text: current}
@@ -68,7 +67,7 @@
 	r.flags.Var(value, section+"."+key, usage)
 }
 
-// value is one key as package flag sees it.
+// value is a key's flag.Value.
 type value struct {
 	text string
 	set  func(string) error
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -12,7 +12,7 @@
 	"gopkg.in/ini.v1"
 )
 
-// Settings are all settings of a daemon, section by section.
+// Settings are all settings of a daemon by section.
 type Settings struct {
 	Daemon   Daemon
 	Listen   Listen
@@ -22,21 +22,21 @@
 	Entry    Entry
 	Jobs     Jobs
 
-	// CheckOnly ends the process after the settings are checked. Flag only.
+	// CheckOnly makes the process exit after the settings are checked. It can be set only by a flag.
 	CheckOnly bool
 }
 
-// Config says where the settings come from.
+// Config configures Load.
 type Config struct {
-	Args   []string  // without the program's name
-	Output io.Writer // for -help; standard error when nil
+	Args   []string  // command line without the program's name
+	Output io.Writer // output of -help; standard error if nil
 }
 
-// EnvironmentPrefix stands before the environment variable of each key.
+// EnvironmentPrefix is the prefix of the environment variables.
 const EnvironmentPrefix = "RILLSAIL"
 
-// Load reads flags, environment and the file named by -config, and checks each
-// value and their combinations. Errors about a value are *Error.
+// Load reads the flags, the environment and the file given by -config, and checks each value and the combinations of
+// values. Errors about a value are *Error.
 func Load(config Config) (*Settings, error) {
 	settings := Defaults()
 	r := settings.register()
@@ -62,8 +62,8 @@
 	return settings, nil
 }
 
-// Defaults are the settings when nothing is said. Id, addresses, failure domain
-// and tokens have no default; they must be given.
+// Defaults returns the default settings. The id, the addresses, the failure domain and the tokens have no default and
+// must be given.
 func Defaults() *Settings {
 	return &Settings{
 		Daemon:   defaultDaemon(),
@@ -97,20 +97,20 @@
 	return nil
 }
 
-// requiredKey is a key that has no default, with its value.
+// requiredKey is a key that must be given, with its value.
 type requiredKey struct{ key, value string }
 
-// checkRequired refuses the first key of a section that has no value.
+// checkRequired returns an error for the first key of a section that has no value.
 func checkRequired(section string, keys []requiredKey) *Error {
-	for _, g := range keys {
-		if g.value == "" {
-			return &Error{Section: section, Key: g.key, Allowed: "must be given"}
+	for _, k := range keys {
+		if k.value == "" {
+			return &Error{Section: section, Key: k.key, Allowed: "must be given"}
 		}
 	}
 	return nil
 }
 
-// parseINI hands each key of the file to set; an unknown one is an error.
+// parseINI passes each key of the file to set. Unknown keys are errors.
 func (r *registry) parseINI(file io.Reader, set func(name, value string) error) error {
 	data, err := io.ReadAll(file)
 	if err != nil {
@@ -132,20 +132,20 @@
 
 func (r *registry) setKey(section string, key *ini.Key, set func(name, value string) error) error {
 	name := section + "." + key.Name()
-	bad := &Error{Section: section, Key: key.Name(), Value: key.Value()}
+	err := &Error{Section: section, Key: key.Name(), Value: key.Value()}
 	switch {
 	case r.flags.Lookup(name) == nil:
-		bad.Allowed = "unknown key; -help lists the keys"
+		err.Allowed = "unknown key; -help lists the keys"
 	case len(key.ValueWithShadows()) > 1:
-		bad.Allowed = "the key stands twice"
+		err.Allowed = "the key stands twice"
 	default:
 		return set(name, key.Value())
 	}
-	r.firstError = bad
-	return bad
+	r.firstError = err
+	return err
 }
 
-// Keys lists every key as "section.key".
+// Keys returns all keys as "section.key".
 func Keys() []string {
 	var keys []string
 	Defaults().register().flags.VisitAll(func(f *flag.Flag) { keys = append(keys, f.Name) })
