--- a/modules/clock/suspension.go
+++ b/modules/clock/suspension.go
@@ -38,7 +38,7 @@
 // so far; TimeOfDay corrects for that.
 type Clock struct {
 	config    Config
-	suspended atomic.Int64 // nanoseconds of suspension, as of the last reading of the meter
+	suspendedNanos atomic.Int64 // total time of suspension, as of the last reading of the meter
 }
 
 // New returns a clock; unset fields of config get their defaults.
@@ -75,11 +75,11 @@
 // addSuspension stores a newer reading of the meter. Of concurrent readings the highest is kept.
 func (c *Clock) addSuspension(suspended time.Duration) {
 	for {
-		before := c.suspended.Load()
+		before := c.suspendedNanos.Load()
 		if int64(suspended) <= before {
 			return
 		}
-		if c.suspended.CompareAndSwap(before, int64(suspended)) {
+		if c.suspendedNanos.CompareAndSwap(before, int64(suspended)) {
 			c.config.Seen(suspended - time.Duration(before))
 			return
 		}
@@ -90,7 +90,7 @@
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
 // Suspended returns for how long the VM has been suspended, as of the last reading of the meter.
-func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
+func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspendedNanos.Load()) }
 
 // TimeOfDay converts a time of this clock to a time of day.
 func (c *Clock) TimeOfDay(t time.Time) time.Time { return t.Add(-c.Suspended()) }
