--- a/modules/clock/suspension.go
+++ b/modules/clock/suspension.go
@@ -37,7 +37,7 @@
 // Its times may be compared only with each other. As times of day they are ahead by the suspensions counted
 // so far; TimeOfDay corrects for that.
 type Clock struct {
-	config    Config
+	config         Config
 	suspendedNanos atomic.Int64 // total time of suspension, as of the last reading of the meter
 }
 
