--- a/modules/calltime/calltime.go
+++ b/modules/calltime/calltime.go
@@ -5,7 +5,7 @@
 // that times out and is retried costs a connection and work on both sides. A slow caller times out calls
 // whose answers are already on their way, which makes it slower still, so that it never recovers. The limit
 // therefore grows when answers come late or nearly all calls time out, and shrinks again when answers are
-// quick. Calls that get lost one by one don't change it.
+// quick. Isolated losses of calls don't change it.
 //
 // # Usage
 //
@@ -98,7 +98,7 @@
 	}
 }
 
-// Shares of the calls at which the limit changes. Calls that get lost one by one are at most half of all calls,
+// Shares of the calls at which the limit changes. Isolated losses amount to at most half of all calls,
 // whereas a limit that is too short for a slow caller makes nearly all calls time out.
 const (
 	lostShare  = 0.8
--- a/modules/idleconn/idleconn.go
+++ b/modules/idleconn/idleconn.go
@@ -8,9 +8,9 @@
 // connections to the same peer that show no sign of life are closed with it.
 //
 // A connection shows a sign of life if data arrived, since the call was sent, over it or over an older connection
-// to the same peer, because a fault that silences a connection silences the older ones too. Calls that get
-// lost one by one therefore close no other connections if more than one is in use, and a faulty peer does not
-// affect connections to other peers.
+// to the same peer, because a fault that silences a connection silences the older ones too. Isolated losses of
+// calls therefore close no other connections if more than one is in use, and a faulty peer does not affect
+// connections to other peers.
 //
 // # Usage
 //
--- a/modules/setting/registry.go
+++ b/modules/setting/registry.go
@@ -9,7 +9,7 @@
 //
 //	settings, err := setting.Load(setting.Config{Args: os.Args[1:]})
 //	if err != nil {
-//		// *setting.Error: section, key, value and what is allowed
+//		// *setting.Error: section, key, value and allowed values
 //	}
 package setting
 
@@ -31,7 +31,7 @@
 	Allowed string // which values are allowed, or why the key is refused
 }
 
-// Error returns the section, the key, the value and what is allowed as text.
+// Error returns the section, the key, the value and the allowed values as text.
 func (e *Error) Error() string {
 	return fmt.Sprintf("settings: [%s] %s = %q: %s", e.Section, e.Key, e.Value, e.Allowed)
 }
