--- a/modules/inflight/inflight.go
+++ b/modules/inflight/inflight.go
@@ -1,13 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package inflight bounds how many calls are under way, by how quickly others are answered.
-// A caller that has less processor time or bandwidth than its calls need gets no more done by
-// beginning them all at once: each waits for the others, and past the callers' time limits
-// none of them counts. With the bound, what can't be sent yet stays where it can still be
-// chosen and given up. It follows the well-known rule of additive increase and
-// multiplicative decrease: it shrinks by a share when answers come late, and grows by a step
-// when it is reached and answers are quick.
+// Package inflight limits the number of concurrent calls by how quickly calls are answered. A caller with less
+// processor time or bandwidth than its calls need gains nothing from starting them all at once: the calls
+// delay each other, and those that exceed their time limits are wasted work. With the limit, calls that can't be
+// sent yet stay queued, where they can still be reordered or dropped. The limit follows the rule of additive
+// increase and multiplicative decrease (AIMD): it shrinks by a factor when answers come late, and grows by
+// a step when it is reached and answers are quick.
 //
 // # Usage
 //
@@ -24,90 +23,89 @@
 	"time"
 )
 
-// Config says between what the limit moves, and what of.
+// Config bounds the limit and sets the latencies that change it.
 type Config struct {
-	Least int // calls under way that are always allowed
-	First int // the limit before anything is known
-	Most  int
-	// Quick is the time within which the answers of a caller that keeps up come.
+	Least int // lower bound
+	First int // initial limit
+	Most  int // upper bound
+	// Quick is the latency up to which an answer shows that the caller keeps up with its calls.
 	Quick time.Duration
-	// Late is the time after which an answer shows that the caller doesn't.
+	// Late is the latency above which an answer shows that the caller does not keep up.
 	Late time.Duration
 }
 
-// Call is what became of a call.
+// Call is the outcome of a call.
 type Call struct {
 	Took     time.Duration
-	Answered bool // one that got lost says nothing of the caller unless hardly any are answered
+	Answered bool // unanswered calls lower the limit only if nearly all calls are unanswered
 }
 
-// Limit is the bound. It may be used by several goroutines.
+// Limit is an adaptive limit of concurrent calls. It is safe for concurrent use.
 type Limit struct {
 	config Config
 
-	mu      sync.Mutex
-	current int
-	under   int       // calls under way
-	reached bool      // the limit was, since it was judged last
-	looked  time.Time // when it was judged last
-	seen    counts    // since then
-	typical time.Duration
+	mu          sync.Mutex
+	current     int
+	inFlight    int       // calls that have begun and not ended
+	reached     bool      // whether inFlight reached the limit since adjustedAt
+	adjustedAt  time.Time // time of the last adjustment
+	outcomes    counts    // of the calls that ended since adjustedAt
+	meanLatency time.Duration
 }
 
-// counts of calls that have ended.
+// counts are numbers of calls that have ended, by outcome.
 type counts struct {
 	all, lost, late, quick int
-	took                   time.Duration // of those that were answered, together
+	totalLatency           time.Duration // sum over the answered calls
 }
 
-// New makes a limit.
+// New returns a limit with its initial value.
 func New(config Config) *Limit {
-	return &Limit{config: config, current: config.First, looked: time.Now()}
+	return &Limit{config: config, current: config.First, adjustedAt: time.Now()}
 }
 
-// Free is how many calls may begin now.
+// Free returns how many calls may begin now.
 func (l *Limit) Free() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(0, l.current-l.under)
+	return max(0, l.current-l.inFlight)
 }
 
-// Current is the limit now.
+// Current returns the present limit.
 func (l *Limit) Current() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current
 }
 
-// recent is for how long what was seen of answers says how they are now.
-const recent = time.Second
+// latencyMaxAge is how long after the last adjustment the mean latency is valid.
+const latencyMaxAge = time.Second
 
-// Typical is how long answers have taken lately, on average; 0 when there were hardly any.
+// Typical returns the mean latency of recent answers, or 0 if there were too few.
 func (l *Limit) Typical() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if time.Since(l.looked) > recent {
+	if time.Since(l.adjustedAt) > latencyMaxAge {
 		return 0
 	}
-	return l.typical
+	return l.meanLatency
 }
 
-// Begin counts a call that begins. It may go past the limit: calls that must not wait are
-// counted as well.
+// Begin counts a call that begins. Calls that must not wait may exceed the limit; they are counted as well.
 func (l *Limit) Begin() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.under++
-	l.reached = l.reached || l.under >= l.current
+	l.inFlight++
+	l.reached = l.reached || l.inFlight >= l.current
 }
 
-// End takes what became of a call.
+// End records the outcome of a call that has begun, and adjusts the limit when that is due.
 func (l *Limit) End(call Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.under--
-	l.seen.add(call, l.config)
-	l.judge(time.Now())
+	l.inFlight--
+	l.outcomes.add(call, l.config)
+	l.adjust(time.Now())
 }
 
 func (c *counts) add(call Call, config Config) {
@@ -121,44 +119,45 @@
 	case call.Took <= config.Quick:
 		c.quick++
 	}
-	c.took += call.Took
+	c.totalLatency += call.Took
 }
 
-// The limit is judged when judgeEvery has passed and leastCalls have ended: often enough to
-// get from 64 to 8 calls within half a second, and not by chance of a few.
+// The limit is adjusted at most once per adjustInterval, and only after minCalls calls have ended. The interval
+// is short enough for the limit to fall from 64 to 8 calls within half a second; the number of calls keeps a
+// few chance results from changing it.
 const (
-	judgeEvery = 100 * time.Millisecond
-	leastCalls = 8
+	adjustInterval = 100 * time.Millisecond
+	minCalls       = 8
 )
 
-// Shares of the calls that change the limit.
+// Shares of the calls at which the limit changes.
 const (
-	lostShare  = 0.8 // of all; less than that can be the peers' or the network's doing
-	lateShare  = 0.5 // of those that were answered
-	quickShare = 0.9 // of the same
+	lostShare  = 0.8 // of all calls; a smaller share can be caused by the peers or the network
+	lateShare  = 0.5 // of the answered calls
+	quickShare = 0.9 // of the answered calls
 )
 
-// By how much the limit changes at a time: it must fall faster than a queue grows, and rise
-// by less than a link carries within Late.
+// Steps of an adjustment: the limit must fall faster than a queue grows, and rise by fewer calls than a link
+// carries within Config.Late.
 const (
-	decrease = 0.6
-	increase = 8
+	decreaseFactor = 0.6
+	increaseStep   = 8
 )
 
-// judge moves the limit by what was seen since the last time.
-func (l *Limit) judge(now time.Time) {
-	if now.Sub(l.looked) < judgeEvery || l.seen.all < leastCalls {
+// adjust changes the limit by the outcomes since the last adjustment, if an adjustment is due.
+func (l *Limit) adjust(now time.Time) {
+	if now.Sub(l.adjustedAt) < adjustInterval || l.outcomes.all < minCalls {
 		return
 	}
-	seen, answered := l.seen, l.seen.all-l.seen.lost
+	outcomes, answered := l.outcomes, l.outcomes.all-l.outcomes.lost
 	if answered > 0 {
-		l.typical = seen.took / time.Duration(answered)
+		l.meanLatency = outcomes.totalLatency / time.Duration(answered)
 	}
 	switch {
-	case float64(seen.lost) >= lostShare*float64(seen.all), float64(seen.late) > lateShare*float64(answered):
-		l.current = max(l.config.Least, int(decrease*float64(l.current)))
-	case l.reached && float64(seen.quick) >= quickShare*float64(answered):
-		l.current = min(l.config.Most, l.current+increase)
+	case float64(outcomes.lost) >= lostShare*float64(outcomes.all), float64(outcomes.late) > lateShare*float64(answered):
+		l.current = max(l.config.Least, int(decreaseFactor*float64(l.current)))
+	case l.reached && float64(outcomes.quick) >= quickShare*float64(answered):
+		l.current = min(l.config.Most, l.current+increaseStep)
 	}
-	l.looked, l.seen, l.reached = now, counts{}, l.under >= l.current
+	l.adjustedAt, l.outcomes, l.reached = now, counts{}, l.inFlight >= l.current
 }
--- a/modules/logtrace/logtrace.go
+++ b/modules/logtrace/logtrace.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package logtrace finds in the logs of all daemons what happened to one job or task, in
-// order, together with the changes of state that explain it: cells that changed their
-// owner, the store that did not answer, workers that went. No daemon has to be alive.
+// Package logtrace finds the log lines about a job or task in the logs of all daemons, in order of time, together
+// with the changes of state that may explain them: cells that changed their owner, outages of the store, lost
+// workers. It reads only logs; no daemon has to run.
 //
 // # Usage
 //
@@ -27,25 +27,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Line is one line of a log.
+// Line is a log line.
 type Line struct {
-	At     time.Time
-	Daemon string
-	What   string
-	// About: the line names what is looked for. Others are changes of state.
-	About  bool
-	Fields map[string]any
+	At      time.Time
+	Daemon  string
+	Message string
+	// Matched is true for lines that mention the id searched for, false for changes of state.
+	Matched bool
+	Fields  map[string]any // the other fields of the line
 }
 
-// maxLine bounds a line of a log, in bytes.
+// maxLine bounds a log line, in bytes.
 const maxLine = 1 << 20
 
-// around is how long before and after the lines that name what is looked for changes of
-// state are shown: a takeover or an outage shows seconds later.
-const around = 5 * time.Second
+// contextWindow is how long before the first and after the last matched line changes of state are included. A takeover
+// or an outage shows in the lines of a job only seconds later.
+const contextWindow = 5 * time.Second
 
-// changesOfState are what may explain a job's fate without naming it.
-var changesOfState = map[string]bool{
+// stateChanges are the messages of state changes that may affect any job without mentioning it.
+var stateChanges = map[string]bool{
 	"daemon starts": true, "planned stop begins": true, "cell is taken": true, "cell is lost": true, "cell is loaded": true,
 	"cell is recovered": true, "cell can't be loaded yet": true, "store does not answer": true, "store answers again": true,
 	"lease in the store is over": true, "configuration is in force": true, "log lines are dropped": true,
@@ -55,77 +55,76 @@
 	"progress is not stored": true,
 }
 
-// changesOfWorkers explain the fate of tasks that ran there.
-var changesOfWorkers = map[string]bool{
+// workerChanges are the messages of state changes of a worker, which may affect the tasks that ran on it.
+var workerChanges = map[string]bool{
 	"worker is gone": true, "worker drains": true, "silent worker's tasks have lapsed": true,
 	"worker stands still and is left alone": true, "worker has started again under its id": true,
 }
 
-// Find reads logs and gives the lines about an id, oldest first, with the changes of
-// state around them.
+// Find reads logs and returns the lines about an id, oldest first, with the changes of state around them.
 func Find(logs io.Reader, id string) ([]Line, error) {
-	all, err := read(logs)
+	all, err := parseLines(logs)
 	if err != nil {
 		return nil, err
 	}
-	f, found := mark(all, id)
+	scope, found := markMatches(all, id)
 	if !found {
-		return nil, errors.Newf("no line names %q", id)
+		return nil, errors.Newf("no log line mentions %q", id)
 	}
-	return slices.DeleteFunc(all, func(l Line) bool { return !l.About && !f.explainedBy(l) }), nil
+	return slices.DeleteFunc(all, func(l Line) bool { return !l.Matched && !scope.includes(l) }), nil
 }
 
-// fate is when and where something happened to what is looked for.
-type fate struct {
+// matchScope is the time span of the matched lines and the workers that they name.
+type matchScope struct {
 	first, last time.Time
 	workers     map[string]bool
 }
 
-// mark marks the lines that name an id and gathers its fate from them.
-func mark(lines []Line, id string) (f fate, found bool) {
-	f.workers = map[string]bool{}
+// markMatches marks the lines that mention an id and returns their scope.
+func markMatches(lines []Line, id string) (scope matchScope, found bool) {
+	scope.workers = map[string]bool{}
 	for i := range lines {
 		l := &lines[i]
-		if !l.names(id) {
+		if !l.mentions(id) {
 			continue
 		}
-		l.About = true
+		l.Matched = true
 		if !found {
-			f.first, found = l.At, true
+			scope.first, found = l.At, true
 		}
-		f.last = l.At
+		scope.last = l.At
 		for _, field := range workerFields {
-			if worker := l.text(field); worker != "" {
-				f.workers[worker] = true
+			if worker := l.stringField(field); worker != "" {
+				scope.workers[worker] = true
 			}
 		}
 	}
-	return f, found
+	return scope, found
 }
 
-// explainedBy tells whether a line is a change of state that may explain the fate.
-func (f fate) explainedBy(l Line) bool {
-	if l.At.Before(f.first.Add(-around)) || l.At.After(f.last.Add(around)) {
+// includes reports whether a line is a change of state within the scope.
+func (s matchScope) includes(l Line) bool {
+	if l.At.Before(s.first.Add(-contextWindow)) || l.At.After(s.last.Add(contextWindow)) {
 		return false
 	}
-	return changesOfState[l.What] || changesOfWorkers[l.What] && f.workers[l.worker()]
+	return stateChanges[l.Message] || workerChanges[l.Message] && s.workers[l.worker()]
 }
 
-// workerFields name workers whose fate matters to what a line is about: where a run is, and where
-// the text comes from that it goes on from.
+// workerFields are the fields that name workers relevant to a matched line: the worker of the run, and the worker whose
+// checkpoint the run was started from.
 var workerFields = []string{"worker", "saved_worker"}
 
-// worker is the worker that the line is about; empty: none.
-func (l Line) worker() string { return l.text("worker") }
+// worker returns the worker that the line is about, or an empty string.
+func (l Line) worker() string { return l.stringField("worker") }
 
-// text is a field of the line that is a text; empty: there is none.
-func (l Line) text(field string) string {
+// stringField returns the value of a string field, or an empty string if the line has no such field.
+func (l Line) stringField(field string) string {
 	text, _ := l.Fields[field].(string)
 	return text
 }
 
-// read reads all lines that are JSON, whatever stands before it, in the order of time.
-func read(logs io.Reader) ([]Line, error) {
+// parseLines returns all lines that contain JSON, in order of time. Any prefix before the JSON is skipped.
+func parseLines(logs io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(logs)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
@@ -138,8 +137,8 @@
 	return lines, errors.Wrap(scanner.Err(), "read logs")
 }
 
-// layout of the time in a line, as package log writes it.
-const layout = "2006-01-02T15:04:05.000Z0700"
+// timeLayout is the format of the time in a line, as package log writes it.
+const timeLayout = "2006-01-02T15:04:05.000Z0700"
 
 func parse(text string) (Line, bool) {
 	start := strings.IndexByte(text, '{')
@@ -148,24 +147,25 @@
 	}
 	var fields map[string]any
 	decoder := json.NewDecoder(strings.NewReader(text[start:]))
-	decoder.UseNumber() // numbers of runs are longer than a float shows
+	decoder.UseNumber() // run numbers exceed the precision of float64
 	if decoder.Decode(&fields) != nil {
-		return Line{}, false // another program's line, or one that was cut
+		return Line{}, false // a line of another program, or a truncated line
 	}
 	line := Line{Fields: fields}
-	line.What, _ = fields["msg"].(string)
+	line.Message, _ = fields["msg"].(string)
 	line.Daemon, _ = fields["id"].(string)
 	at, _ := fields["ts"].(string)
 	var err error
-	line.At, err = time.Parse(layout, at)
-	for _, shown := range []string{"msg", "id", "ts", "logger", "level"} {
-		delete(fields, shown)
+	line.At, err = time.Parse(timeLayout, at)
+	for _, key := range []string{"msg", "id", "ts", "logger", "level"} {
+		delete(fields, key)
 	}
-	return line, err == nil && line.What != ""
+	return line, err == nil && line.Message != ""
 }
 
-// names tells whether the line is about a job, or about a task or any task of a job.
-func (l Line) names(id string) bool {
+// mentions reports whether the line is about the job or task with the given id, about a task of that job, or about the
+// job of that task.
+func (l Line) mentions(id string) bool {
 	for _, key := range []string{"job", "task"} {
 		value, _ := l.Fields[key].(string)
 		if value == id || strings.HasPrefix(value, id+".") {
@@ -178,15 +178,15 @@
 	return false
 }
 
-// String shows the line for a person: a mark for lines about the id, time, daemon, what
-// happened and the rest in the order of names.
+// String formats the line for people: an asterisk if the line is matched, the time, the daemon, the message and
+// the other fields in alphabetical order.
 func (l Line) String() string {
 	mark := " "
-	if l.About {
+	if l.Matched {
 		mark = "*"
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s %-18s %s", mark, l.At.Format("15:04:05.000"), l.Daemon, l.What)
+	fmt.Fprintf(&b, "%s %s %-18s %s", mark, l.At.Format("15:04:05.000"), l.Daemon, l.Message)
 	for _, key := range slices.SortedFunc(maps.Keys(l.Fields), cmp.Compare[string]) {
 		fmt.Fprintf(&b, " %s=%v", key, l.Fields[key])
 	}
