--- a/cmd/rillsail-soak/main.go
+++ b/cmd/rillsail-soak/main.go
@@ -55,8 +55,8 @@
 		return 0, err
 	}
 	began := time.Now()
-	for n := 0; ctx.Err() == nil && o.goesOn(n, time.Since(began)); n++ {
-		failed, err := o.play(ctx, o.Seed+uint64(n))
+	for n := 0; ctx.Err() == nil && o.playsAnother(n, time.Since(began)); n++ {
+		failed, err := o.playSeed(ctx, o.Seed+uint64(n))
 		if err != nil {
 			return broken, err
 		}
@@ -67,17 +67,17 @@
 	return broken, nil
 }
 
-// goesOn tells whether another seed is played after so many and so long.
+// playsAnother tells whether another seed is played after so many and so long.
 // Less than no minutes: until the command is stopped.
-func (o *options) goesOn(played int, passed time.Duration) bool {
+func (o *options) playsAnother(played int, passed time.Duration) bool {
 	if o.minutes == 0 {
 		return played < o.seeds
 	}
 	return o.minutes < 0 || passed.Minutes() < o.minutes
 }
 
-// highestFresh bounds fresh seeds: they have nine digits at most.
-const highestFresh = 1_000_000_000
+// freshSeedLimit bounds fresh seeds: they have nine digits at most.
+const freshSeedLimit = 1_000_000_000
 
 // parse reads the command line and the environment.
 func parse(args []string) (*options, error) {
@@ -100,13 +100,13 @@
 		return nil, err
 	}
 	if o.Seed == 0 {
-		o.Seed = uint64(time.Now().UnixNano() % highestFresh)
+		o.Seed = uint64(time.Now().UnixNano() % freshSeedLimit)
 	}
 	return o, nil
 }
 
-// play plays one seed and says what came of it; what it leaves is removed if all was kept.
-func (o *options) play(ctx context.Context, seed uint64) (failed bool, err error) {
+// playSeed plays one seed and says what came of it; what it leaves is removed if all was kept.
+func (o *options) playSeed(ctx context.Context, seed uint64) (failed bool, err error) {
 	config := o.Config
 	config.Seed = seed
 	config.Folder = filepath.Join(o.folder, fmt.Sprintf("seed-%d", seed))
@@ -117,7 +117,7 @@
 	if err != nil {
 		return false, err
 	}
-	show(report)
+	printReport(report)
 	if len(report.Breaches) > 0 {
 		fmt.Println("  see", config.Folder)
 		return true, nil
@@ -125,8 +125,8 @@
 	return false, os.RemoveAll(config.Folder)
 }
 
-// show prints what came of a seed.
-func show(report *soak.Report) {
+// printReport prints what came of a seed.
+func printReport(report *soak.Report) {
 	faults := 0
 	for _, n := range report.Faults {
 		faults += n
--- a/cmd/rillsail-standin/main.go
+++ b/cmd/rillsail-standin/main.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// ready is the line that tells where a stand-in listens.
-type ready struct {
+// readyLine is the line that tells where a stand-in listens.
+type readyLine struct {
 	Address string `json:"address"`
 }
 
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	if err := json.NewEncoder(os.Stdout).Encode(ready{Address: listener.Addr().String()}); err != nil {
+	if err := json.NewEncoder(os.Stdout).Encode(readyLine{Address: listener.Addr().String()}); err != nil {
 		return err
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
--- a/cmd/rillsail-standin/platform.go
+++ b/cmd/rillsail-standin/platform.go
@@ -56,7 +56,7 @@
 		Exec: func(ctx context.Context, _ []string) error {
 			config.Domains = strings.Split(*domains, ",")
 			config.Worker = models.Resources{CPU: models.MilliCPU(*cpu), Memory: models.MiB(*memory)}
-			config.Service.Most = mostServiceTimes * config.Service.Median
+			config.Service.Most = maxServiceTimeFactor * config.Service.Median
 			f, err := fleet.New(config)
 			if err != nil {
 				return err
@@ -66,5 +66,5 @@
 	}
 }
 
-// mostServiceTimes bounds drawn service times, as a multiple of the median.
-const mostServiceTimes = 50
+// maxServiceTimeFactor bounds drawn service times, as a multiple of the median.
+const maxServiceTimeFactor = 50
--- a/cmd/rillsail/answer_test.go
+++ b/cmd/rillsail/answer_test.go
@@ -16,18 +16,18 @@
 	"rillsail.example/rillsail/routers/operator"
 )
 
-// at runs a command line against a daemon that answers every call like this.
-func at(t *testing.T, answer http.HandlerFunc, args ...string) (int, string) {
+// runAgainst runs a command line against a daemon that answers every call like this.
+func runAgainst(t *testing.T, answer http.HandlerFunc, args ...string) (int, string) {
 	t.Helper()
 	daemon := httptest.NewServer(answer)
 	defer daemon.Close()
-	return command(t, append([]string{"--daemon", strings.TrimPrefix(daemon.URL, "http://")}, args...)...)
+	return runTool(t, append([]string{"--daemon", strings.TrimPrefix(daemon.URL, "http://")}, args...)...)
 }
 
 // TestErrorAnswerCutOff cuts the answer off that says that a change may be in force, right
 // after its status.
 func TestErrorAnswerCutOff(t *testing.T) {
-	code, out := at(t, func(w http.ResponseWriter, _ *http.Request) {
+	code, out := runAgainst(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		w.WriteHeader(http.StatusGatewayTimeout)
 	}, "config", "delete", "team/office")
@@ -37,7 +37,7 @@
 
 // TestErrorAnswerOfSomebodyElse lets something between tool and daemon answer a change.
 func TestErrorAnswerOfSomebodyElse(t *testing.T) {
-	code, out := at(t, func(w http.ResponseWriter, _ *http.Request) {
+	code, out := runAgainst(t, func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "upstream has gone", http.StatusBadGateway)
 	}, "jobs", "cancel", "nightly")
 	require.Equal(t, exitUnknown, code, out)
@@ -46,7 +46,7 @@
 
 // TestNotRunIsSaid keeps the daemon's own word that nothing was done.
 func TestNotRunIsSaid(t *testing.T) {
-	code, out := at(t, func(w http.ResponseWriter, _ *http.Request) {
+	code, out := runAgainst(t, func(w http.ResponseWriter, _ *http.Request) {
 		wire.Write(w, http.StatusServiceUnavailable, wire.Problem{Error: "store unavailable", Kind: operator.KindNotRun})
 	}, "config", "delete", "team/office")
 	require.Equal(t, exitFailed, code, out)
@@ -55,7 +55,7 @@
 
 // TestUnknownBesideRefusal answers one job as refused and the next as unknown.
 func TestUnknownBesideRefusal(t *testing.T) {
-	code, out := at(t, func(w http.ResponseWriter, _ *http.Request) {
+	code, out := runAgainst(t, func(w http.ResponseWriter, _ *http.Request) {
 		wire.Write(w, http.StatusOK, models.JobResults{Results: []models.JobResult{
 			{ID: "first", Outcome: models.RequestNotRun, Error: "not run: not now"},
 			{ID: "second", Outcome: models.RequestUnknown, Error: "unknown: no answer came"},
@@ -69,11 +69,11 @@
 // TestExplainWithoutAllCells asks for a task while a cell gives no answer.
 func TestExplainWithoutAllCells(t *testing.T) {
 	listing := models.Listing{Missing: map[models.CellID]string{"cell-rack-1": "no owner is known"}}
-	code, out := at(t, func(w http.ResponseWriter, _ *http.Request) { wire.Write(w, http.StatusOK, listing) }, "explain", "job/nightly/0")
+	code, out := runAgainst(t, func(w http.ResponseWriter, _ *http.Request) { wire.Write(w, http.StatusOK, listing) }, "explain", "job/nightly/0")
 	require.Zero(t, code)
 	require.NotContains(t, out, "never was", "the cell that gave no answer may keep it")
 	require.Contains(t, out, "cell-rack-1")
 	listing.Missing = nil
-	_, out = at(t, func(w http.ResponseWriter, _ *http.Request) { wire.Write(w, http.StatusOK, listing) }, "explain", "job/nightly/0")
+	_, out = runAgainst(t, func(w http.ResponseWriter, _ *http.Request) { wire.Write(w, http.StatusOK, listing) }, "explain", "job/nightly/0")
 	require.Contains(t, out, "never was")
 }
--- a/cmd/rillsail/change.go
+++ b/cmd/rillsail/change.go
@@ -21,10 +21,10 @@
 	return &ffcli.Command{
 		Name: "config", ShortUsage: "rillsail config <get|apply|diff|delete>", ShortHelp: "the configuration in force",
 		Subcommands: []*ffcli.Command{
-			t.simple("get", "print the configuration in force", t.getConfig),
+			t.noArgCommand("get", "print the configuration in force", t.getConfig),
 			t.fileCommand("apply", "put a change in force", func(ctx context.Context, file string) error { return t.applyFile(ctx, file, false) }),
 			t.fileCommand("diff", "say what a change would do", func(ctx context.Context, file string) error { return t.applyFile(ctx, file, true) }),
-			t.named("delete", "<kind/[team/]name>", "delete one object", t.deleteObject),
+			t.oneArgCommand("delete", "<kind/[team/]name>", "delete one object", t.deleteObject),
 		},
 		Exec: func(context.Context, []string) error { return flag.ErrHelp },
 	}
@@ -133,10 +133,10 @@
 	object := findObject(c, key)
 	switch o := object.(type) {
 	case models.Service:
-		o.Labels, err = relabel(o.Labels, changes)
+		o.Labels, err = applyLabelChanges(o.Labels, changes)
 		object = o
 	case models.VMLabels:
-		o.Labels, err = relabel(o.Labels, changes)
+		o.Labels, err = applyLabelChanges(o.Labels, changes)
 		object = o
 	default:
 		return usageError{fmt.Errorf("%s is no service or vm in revision %d", key, c.Revision)}
@@ -159,7 +159,7 @@
 	return nil
 }
 
-func relabel(labels map[string]string, changes []string) (map[string]string, error) {
+func applyLabelChanges(labels map[string]string, changes []string) (map[string]string, error) {
 	labels = maps.Clone(labels)
 	if labels == nil {
 		labels = map[string]string{}
--- a/cmd/rillsail/client.go
+++ b/cmd/rillsail/client.go
@@ -74,12 +74,12 @@
 	case errors.As(err, &dial) && dial.Op == "dial":
 		e.advice = "nothing was done; ask another daemon with --daemon"
 	case changes:
-		e.advice, e.status = adviceMaybe, exitUnknown
+		e.advice, e.status = adviceUnknown, exitUnknown
 	}
 	return e
 }
 
-const adviceMaybe = "it may have been done: look at the state, then do it again if it was not"
+const adviceUnknown = "it may have been done: look at the state, then do it again if it was not"
 
 // adviceFor goes by the daemon's own word. An error status without it may come from something
 // between, or be all that is left of an answer that was cut off.
@@ -96,7 +96,7 @@
 	case answered.Status < http.StatusInternalServerError:
 		return "nothing was done; correct the input", exitRefused
 	case changes:
-		return adviceMaybe, exitUnknown
+		return adviceUnknown, exitUnknown
 	default:
 		return "nothing was done; look at the daemon's log", exitFailed
 	}
--- a/cmd/rillsail/jobs.go
+++ b/cmd/rillsail/jobs.go
@@ -22,7 +22,7 @@
 	return &ffcli.Command{
 		Name: "jobs", ShortUsage: "rillsail jobs [list|submit|cancel]", ShortHelp: "batch jobs",
 		Subcommands: []*ffcli.Command{
-			t.simple("list", "list the jobs of all cells", t.listJobs),
+			t.noArgCommand("list", "list the jobs of all cells", t.listJobs),
 			t.fileCommand("submit", "submit jobs; the same id is taken only once", t.submit),
 			{
 				Name: "cancel", ShortUsage: "rillsail jobs cancel <job> ...", ShortHelp: "cancel jobs",
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	return t.show(l, func() error { return t.jobTable(l.Jobs) }, func() error { return t.missing(l) })
+	return t.show(l, func() error { return t.jobTable(l.Jobs) }, func() error { return t.printMissing(l) })
 }
 
 func (t *tool) jobTable(jobs []models.Job) error {
--- a/cmd/rillsail/main.go
+++ b/cmd/rillsail/main.go
@@ -74,26 +74,26 @@
 		Exec:        func(context.Context, []string) error { return flag.ErrHelp },
 	}
 	if err := root.Parse(args); err != nil {
-		return status(errOut, usageError{err})
+		return exitStatus(errOut, usageError{err})
 	}
 	if t.output != "table" && t.output != "json" {
-		return status(errOut, usageError{fmt.Errorf("--output %q is neither table nor json", t.output)})
+		return exitStatus(errOut, usageError{fmt.Errorf("--output %q is neither table nor json", t.output)})
 	}
-	return status(errOut, root.Run(ctx))
+	return exitStatus(errOut, root.Run(ctx))
 }
 
 func (t *tool) commands() []*ffcli.Command {
 	return []*ffcli.Command{
-		t.simple("status", "daemons, cells and upstreams", t.status),
-		t.simple("cells", "cells with their owners", t.cells),
-		t.simple("workers", "workers with what is committed there", t.workers),
-		t.simple("services", "services with their replicas", t.services),
-		t.simple("tasks", "tasks of all cells", t.tasks),
-		t.simple("dump", "whole state of the asked daemon, as JSON", t.dump),
+		t.noArgCommand("status", "daemons, cells and upstreams", t.status),
+		t.noArgCommand("cells", "cells with their owners", t.cells),
+		t.noArgCommand("workers", "workers with what is committed there", t.workers),
+		t.noArgCommand("services", "services with their replicas", t.services),
+		t.noArgCommand("tasks", "tasks of all cells", t.tasks),
+		t.noArgCommand("dump", "whole state of the asked daemon, as JSON", t.dump),
 		t.explainCommand(),
-		t.simple("refusals", "latest requests that the asked daemon refused, and why", t.refusals),
-		t.named("drain", "<vm>", "keep new work off a VM and move away what it runs", t.drain),
-		t.named("undrain", "<vm>", "let a drained VM take work again", t.undrain),
+		t.noArgCommand("refusals", "latest requests that the asked daemon refused, and why", t.refusals),
+		t.oneArgCommand("drain", "<vm>", "keep new work off a VM and move away what it runs", t.drain),
+		t.oneArgCommand("undrain", "<vm>", "let a drained VM take work again", t.undrain),
 		t.labelCommand(),
 		t.configCommand(),
 		t.jobsCommand(),
@@ -101,8 +101,8 @@
 	}
 }
 
-// simple is a subcommand without arguments.
-func (t *tool) simple(name, help string, do func(context.Context) error) *ffcli.Command {
+// noArgCommand is a subcommand without arguments.
+func (t *tool) noArgCommand(name, help string, do func(context.Context) error) *ffcli.Command {
 	return &ffcli.Command{
 		Name: name, ShortUsage: "rillsail " + name, ShortHelp: help,
 		Exec: func(ctx context.Context, args []string) error {
@@ -114,8 +114,8 @@
 	}
 }
 
-// named is a subcommand with one argument.
-func (t *tool) named(name, argument, help string, do func(context.Context, string) error) *ffcli.Command {
+// oneArgCommand is a subcommand with one argument.
+func (t *tool) oneArgCommand(name, argument, help string, do func(context.Context, string) error) *ffcli.Command {
 	return &ffcli.Command{
 		Name: name, ShortUsage: "rillsail " + name + " " + argument, ShortHelp: help,
 		Exec: func(ctx context.Context, args []string) error {
@@ -133,8 +133,8 @@
 // Unwrap gives the cause.
 func (e usageError) Unwrap() error { return e.error }
 
-// status prints an error with what to do and gives the exit status.
-func status(errOut io.Writer, err error) int {
+// exitStatus prints an error with what to do and gives the exit status.
+func exitStatus(errOut io.Writer, err error) int {
 	var usage usageError
 	var call *callError
 	var jobs jobErrors
--- a/cmd/rillsail/show.go
+++ b/cmd/rillsail/show.go
@@ -96,11 +96,11 @@
 					cores(v.Capacity.CPU), cores(v.Committed.CPU), cores(v.Usage.CPU), v.Capacity.Memory, v.Committed.Memory)
 			}
 		})
-	}, func() error { return t.missing(l) })
+	}, func() error { return t.printMissing(l) })
 }
 
-// missing says which cells gave no answer.
-func (t *tool) missing(l models.Listing) error {
+// printMissing says which cells gave no answer.
+func (t *tool) printMissing(l models.Listing) error {
 	for cell, why := range l.Missing {
 		fmt.Fprintf(t.out, "not shown: cell %s: %s\n", cell, why)
 	}
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	return t.show(l, func() error { return t.taskTable(l.Tasks) }, func() error { return t.missing(l) })
+	return t.show(l, func() error { return t.taskTable(l.Tasks) }, func() error { return t.printMissing(l) })
 }
 
 func (t *tool) taskTable(tasks []models.Task) error {
@@ -150,7 +150,7 @@
 				}
 			}
 		})
-	}, func() error { return t.missing(l) })
+	}, func() error { return t.printMissing(l) })
 }
 
 func (t *tool) explain(ctx context.Context, task string) error {
@@ -167,7 +167,7 @@
 				fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", clockTime(d.At), d.Action, d.Worker, d.Reason)
 			}
 		})
-	}, func() error { return t.missing(l) })
+	}, func() error { return t.printMissing(l) })
 }
 
 func (t *tool) refusals(ctx context.Context) error {
@@ -188,14 +188,14 @@
 	return time.UnixMilli(int64(at)).UTC().Format(time.RFC3339)
 }
 
-// raw is an answer that is shown as it came.
-type raw struct{ json.RawMessage }
+// rawAnswer is an answer that is shown as it came.
+type rawAnswer struct{ json.RawMessage }
 
 // Check is there for the decoder.
-func (r raw) Check() error { return nil }
+func (r rawAnswer) Check() error { return nil }
 
 func (t *tool) dump(ctx context.Context) error {
-	d, err := get[raw](ctx, t.client, operator.PathDump)
+	d, err := get[rawAnswer](ctx, t.client, operator.PathDump)
 	if err != nil {
 		return err
 	}
--- a/routers/peer/peer.go
+++ b/routers/peer/peer.go
@@ -90,14 +90,14 @@
 	return peerrpc.Serve(string(s.Self), in, func(call C) (A, error) {
 		answer, err := perform(call)
 		if err != nil {
-			return answer, refusalOf(err)
+			return answer, twirpError(err)
 		}
 		return answer, nil
 	})
 }
 
-// refusalOf carries over the wire which refusal an error is.
-func refusalOf(err error) error {
+// twirpError carries over the wire which refusal an error is.
+func twirpError(err error) error {
 	failed := twirp.NewError(twirp.Unavailable, err.Error())
 	if refusal, ok := cell.RefusalOf(err); ok {
 		failed = failed.WithMeta(cell.MetaRefusal, refusal)
--- a/tests/integration/bad_input_test.go
+++ b/tests/integration/bad_input_test.go
@@ -21,7 +21,7 @@
 // TestBadInputChangesNothing sends malformed, oversized and unauthorised calls to
 // every listener.
 func TestBadInputChangesNothing(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 1, fleet: []string{"--workers", "2", "--upstreams", "1"}, extra: map[string]string{"listen.max_body": "4096"}})
+	c := newCluster(t, clusterConfig{daemons: 1, fleetFlags: []string{"--workers", "2", "--upstreams", "1"}, extraSettings: map[string]string{"listen.max_body": "4096"}})
 	d := c.daemons[0]
 	for _, bad := range []struct {
 		address, path, token, body string
@@ -72,14 +72,14 @@
 
 // TestSlowBodiesEnd sends half a body to each listener and then nothing more.
 func TestSlowBodiesEnd(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 1, fleet: []string{"--workers", "2", "--upstreams", "1"}, extra: map[string]string{"listen.body_timeout": "300ms"}})
+	c := newCluster(t, clusterConfig{daemons: 1, fleetFlags: []string{"--workers", "2", "--upstreams", "1"}, extraSettings: map[string]string{"listen.body_timeout": "300ms"}})
 	d := c.daemons[0]
 	for _, listener := range []struct{ address, token string }{{d.caller, ""}, {d.operator, operatorToken}, {d.peer, peerToken}} {
 		connection, err := net.Dial("tcp", listener.address)
 		require.NoError(t, err)
 		_, err = fmt.Fprintf(connection, "POST /v1/jobs HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 100\r\n\r\n{", listener.token)
 		require.NoError(t, err)
-		require.NoError(t, connection.SetReadDeadline(time.Now().Add(patience)))
+		require.NoError(t, connection.SetReadDeadline(time.Now().Add(waitTimeout)))
 		answer, err := io.ReadAll(connection)
 		require.NoError(t, err, "the daemon ends the connection")
 		assert.NotContains(t, string(answer), "200 OK")
--- a/tests/integration/cluster_test.go
+++ b/tests/integration/cluster_test.go
@@ -21,22 +21,22 @@
 
 // clusterConfig says what to start.
 type clusterConfig struct {
-	daemons int
-	fleet   []string          // flags of the fleet
-	store   []string          // flags of the store
-	extra   map[string]string // settings of all daemons, "section.key"
+	daemons       int
+	fleetFlags    []string          // flags of the fleet
+	storeFlags    []string          // flags of the store
+	extraSettings map[string]string // settings of all daemons, "section.key"
 }
 
 // cluster is everything that runs.
 type cluster struct {
-	t         *testing.T
-	config    clusterConfig
-	storeAt   string
-	fleetAt   string
-	proxies   *toxiproxy.ApiServer
-	storeGate *toxiproxy.Proxy
-	listGate  *toxiproxy.Proxy
-	daemons   []*daemonProcess
+	t            *testing.T
+	config       clusterConfig
+	storeAddress string
+	fleetAddress string
+	proxies      *toxiproxy.ApiServer
+	storeProxy   *toxiproxy.Proxy
+	listProxy    *toxiproxy.Proxy
+	daemons      []*daemonProcess
 }
 
 // daemonProcess is a daemon with the addresses of its listeners.
@@ -50,25 +50,25 @@
 func newCluster(t *testing.T, config clusterConfig) *cluster {
 	t.Helper()
 	c := &cluster{t: t, config: config}
-	_, c.storeAt = startStandin(t, append([]string{"store"}, config.store...)...)
-	_, c.fleetAt = startStandin(t, append([]string{"fleet", "--list-lag", "200ms", "--report-lag", "200ms", "--domains", "south/a,south/b"}, config.fleet...)...)
-	c.startGate()
+	_, c.storeAddress = startStandin(t, append([]string{"store"}, config.storeFlags...)...)
+	_, c.fleetAddress = startStandin(t, append([]string{"fleet", "--list-lag", "200ms", "--report-lag", "200ms", "--domains", "south/a,south/b"}, config.fleetFlags...)...)
+	c.startProxies()
 	for i := range config.daemons {
 		c.daemons = append(c.daemons, c.startDaemon(i, nil))
 	}
-	c.untilOwned()
+	c.waitCellsOwned()
 	return c
 }
 
-// startGate puts proxies before the store and the VM list.
-func (c *cluster) startGate() {
+// startProxies puts proxies before the store and the VM list.
+func (c *cluster) startProxies() {
 	c.proxies = toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
-	c.storeGate = c.proxy("store", c.storeAt)
-	c.listGate = c.proxy("list", c.fleetAt)
+	c.storeProxy = c.newProxy("store", c.storeAddress)
+	c.listProxy = c.newProxy("list", c.fleetAddress)
 }
 
-// proxy puts a fault-injecting proxy before an address.
-func (c *cluster) proxy(name, upstream string) *toxiproxy.Proxy {
+// newProxy puts a fault-injecting proxy before an address.
+func (c *cluster) newProxy(name, upstream string) *toxiproxy.Proxy {
 	p := toxiproxy.NewProxy(c.proxies, name, freeAddress(c.t), upstream)
 	require.NoError(c.t, p.Start())
 	c.t.Cleanup(p.Stop)
@@ -82,30 +82,30 @@
 		id: fmt.Sprintf("entry-%d", i), number: i,
 		caller: freeAddress(c.t), operator: freeAddress(c.t), peer: freeAddress(c.t),
 	}
-	settings := c.settingsOf(d)
-	maps.Copy(settings, c.config.extra)
+	settings := c.defaultSettings(d)
+	maps.Copy(settings, c.config.extraSettings)
 	maps.Copy(settings, own)
 	file := filepath.Join(c.t.TempDir(), "app.ini")
-	require.NoError(c.t, os.WriteFile(file, []byte(iniOf(settings)), 0o600))
+	require.NoError(c.t, os.WriteFile(file, []byte(formatINI(settings)), 0o600))
 	d.process = startDaemonProcess(c.t, file)
 	return d
 }
 
-// settingsOf are the settings of a daemon that the cluster's and its own go over.
-func (c *cluster) settingsOf(d *daemonProcess) map[string]string {
+// defaultSettings are the settings of a daemon that the cluster's and its own go over.
+func (c *cluster) defaultSettings(d *daemonProcess) map[string]string {
 	return map[string]string{
 		"daemon.id": d.id, "daemon.domain": []string{"south/a", "south/b"}[d.number%2],
 		"listen.caller": d.caller, "listen.operator": d.operator, "listen.peer": d.peer,
 		"listen.operator_token": operatorToken, "listen.peer_token": peerToken,
-		"platform.store": c.storeGate.Listen, "platform.list": c.listGate.Listen,
+		"platform.store": c.storeProxy.Listen, "platform.list": c.listProxy.Listen,
 		"platform.list_every": "200ms", "platform.call_timeout": "1s", "platform.watch_wait": "5s",
 		"member.heartbeat": "100ms", "member.silent_after": "1s", "member.lease": "3s", "member.sync": "500ms",
 		"cell.lease": "4s", "cell.renew": "200ms", "cell.append": "50ms", "cell.tick": "100ms", "cell.settle_after": "500ms",
 	}
 }
 
-// iniOf writes settings, named "section.key", as a file.
-func iniOf(settings map[string]string) string {
+// formatINI writes settings, named "section.key", as a file.
+func formatINI(settings map[string]string) string {
 	sections := map[string][]string{}
 	for name, value := range settings {
 		section, key, _ := strings.Cut(name, ".")
@@ -118,9 +118,9 @@
 	return b.String()
 }
 
-// untilOwned waits until every daemon knows that each cell has the owner that hashing
+// waitCellsOwned waits until every daemon knows that each cell has the owner that hashing
 // gives, so that nothing moves any more.
-func (c *cluster) untilOwned() {
+func (c *cluster) waitCellsOwned() {
 	c.t.Helper()
 	var ids []models.MemberID
 	for _, d := range c.daemons {
--- a/tests/integration/config_faults_test.go
+++ b/tests/integration/config_faults_test.go
@@ -19,9 +19,9 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// everywhere waits until every daemon has at least the revision, and tells how long
+// waitRevision waits until every daemon has at least the revision, and tells how long
 // that took.
-func (c *cluster) everywhere(revision models.Revision) time.Duration {
+func (c *cluster) waitRevision(revision models.Revision) time.Duration {
 	c.t.Helper()
 	began := time.Now()
 	for _, d := range c.daemons {
@@ -43,9 +43,9 @@
 // same time through different daemons: of those on the same base one wins, and no
 // accepted change is lost.
 func TestOperatorsRace(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 3, fleet: smallFleet})
+	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: smallFleet})
 	accepted := c.apply(c.daemons[0], models.Team{Name: "shared"})
-	c.everywhere(accepted.Revision)
+	c.waitRevision(accepted.Revision)
 	const operators = 12
 	outcomes := make([]error, operators)
 	var group sync.WaitGroup
@@ -76,7 +76,7 @@
 		}
 	}
 	assert.Equal(t, 1, won, "of the operators on the same base one wins")
-	c.everywhere(accepted.Revision + operators/2 + 1)
+	c.waitRevision(accepted.Revision + operators/2 + 1)
 	got, err := call[models.Configuration](c.daemons[2], http.MethodGet, operator.PathConfig, nil)
 	require.NoError(t, err)
 	assert.Len(t, got.Objects, 1+operators/2)
@@ -87,7 +87,7 @@
 // accepted, and replaces every daemon in and after the outage: the change is in
 // force everywhere within seconds and never reverts.
 func TestConfigurationOutlivesOutage(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 3, fleet: smallFleet})
+	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: smallFleet})
 	// The store is gone for all but the daemon that accepts: the peers have it from there.
 	slow := c.startDaemon(3, nil)
 	c.daemons = append(c.daemons, slow)
@@ -97,8 +97,8 @@
 	})
 	result, err := call[models.ConfigResult](c.daemons[0], http.MethodPost, operator.PathConfig, teamChange(0, "office"))
 	require.NoError(t, err)
-	c.faults(kv.Faults{Outage: true})
-	assert.Less(t, c.everywhere(result.Revision), 7*time.Second)
+	c.setStoreFaults(kv.Faults{Outage: true})
+	assert.Less(t, c.waitRevision(result.Revision), 7*time.Second)
 	_, err = call[models.ConfigResult](c.daemons[1], http.MethodPost, operator.PathConfig, teamChange(0, "never"))
 	var refused *wire.StatusError
 	require.ErrorAs(t, err, &refused)
@@ -109,41 +109,41 @@
 		c.daemons[i].kill()
 		c.daemons[i] = next
 	}
-	c.faults(kv.Faults{})
+	c.setStoreFaults(kv.Faults{})
 	again, err := call[models.ConfigResult](c.daemons[2], http.MethodPost, operator.PathConfig, teamChange(0, "after"))
 	require.NoError(t, err)
 	assert.Equal(t, result.Revision+1, again.Revision)
-	assert.Less(t, c.everywhere(again.Revision), 7*time.Second)
+	assert.Less(t, c.waitRevision(again.Revision), 7*time.Second)
 }
 
 // TestLostAnswerOfAConfigurationWrite lets the store swap the head and lose the
 // answer: the operator hears that the change was accepted, once.
 func TestLostAnswerOfAConfigurationWrite(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 2, fleet: smallFleet})
-	c.faults(kv.Faults{LoseAnswers: 1, LosePrefix: "config/head"})
+	c := newCluster(t, clusterConfig{daemons: 2, fleetFlags: smallFleet})
+	c.setStoreFaults(kv.Faults{LoseAnswers: 1, LosePrefix: "config/head"})
 	result, err := call[models.ConfigResult](c.daemons[0], http.MethodPost, operator.PathConfig, teamChange(0, "office"))
 	require.NoError(t, err)
 	assert.EqualValues(t, 1, result.Revision)
-	assert.Less(t, c.everywhere(1), 7*time.Second)
-	c.faults(kv.Faults{Delay: 300})
+	assert.Less(t, c.waitRevision(1), 7*time.Second)
+	c.setStoreFaults(kv.Faults{Delay: 300})
 	slow, err := call[models.ConfigResult](c.daemons[1], http.MethodPost, operator.PathConfig, teamChange(0, "second"))
 	require.NoError(t, err)
 	assert.EqualValues(t, 2, slow.Revision, "a slow store changes nothing but the time")
-	assert.Less(t, c.everywhere(2), 7*time.Second)
+	assert.Less(t, c.waitRevision(2), 7*time.Second)
 }
 
 // TestStoreAtItsLimit submits far more than the store takes in single writes; the
 // stand-in enforces 100 writes and 2,000 reads a second.
 func TestStoreAtItsLimit(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 3, fleet: smallFleet})
+	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: smallFleet})
 	c.apply(c.daemons[0], testTeam)
 	for i := range 60 {
 		c.submit(c.daemons[i%3], batchJob(models.JobID(fmt.Sprint("many-", i)), 5, 50))
 	}
 	for i := range 60 {
-		job := c.untilDone(c.daemons[0], models.JobID(fmt.Sprint("many-", i)))
+		job := c.waitEnded(c.daemons[0], models.JobID(fmt.Sprint("many-", i)))
 		require.Equal(t, 5, job.Succeeded)
 	}
-	c.noViolations()
+	c.requireNoViolations()
 	assert.EqualValues(t, 300, c.audit().Finished)
 }
--- a/tests/integration/counters_test.go
+++ b/tests/integration/counters_test.go
@@ -20,8 +20,8 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// clockTicks is the unit of processor times in /proc, a hundredth of a second.
-const clockTicks = 100
+// clockTicksPerSecond is the unit of processor times in /proc, a hundredth of a second.
+const clockTicksPerSecond = 100
 
 func processorTime(t *testing.T, p *process) float64 {
 	t.Helper()
@@ -32,7 +32,7 @@
 	require.NoError(t, err)
 	system, err := strconv.ParseFloat(fields[12], 64)
 	require.NoError(t, err)
-	return (user + system) / clockTicks
+	return (user + system) / clockTicksPerSecond
 }
 
 func residentMB(t *testing.T, p *process) float64 {
@@ -70,8 +70,8 @@
 	return counts.PeerCalls.BytesSent + counts.PeerCalls.BytesGot
 }
 
-// reading is what the counters say at one moment.
-type reading struct {
+// counterReading is what the counters say at one moment.
+type counterReading struct {
 	at    time.Time
 	cpu   []float64
 	peers []float64
@@ -79,8 +79,8 @@
 	audit fleet.Audit
 }
 
-func (c *cluster) read() reading {
-	r := reading{at: time.Now(), store: c.storeStats(), audit: c.audit()}
+func (c *cluster) readCounters() counterReading {
+	r := counterReading{at: time.Now(), store: c.storeStats(), audit: c.audit()}
 	for _, d := range c.daemons {
 		r.cpu = append(r.cpu, processorTime(c.t, d.process))
 		r.peers = append(r.peers, d.peerBytes(c.t))
--- a/tests/integration/harness_test.go
+++ b/tests/integration/harness_test.go
@@ -24,13 +24,13 @@
 const (
 	operatorToken = "test-operator"
 	peerToken     = "test-peer"
-	// patience bounds every wait for an event; only a failure takes so long.
-	patience = 60 * time.Second
-	look     = 20 * time.Millisecond
-	limit    = 64 << 20
+	// waitTimeout bounds every wait for an event; only a failure takes so long.
+	waitTimeout   = 60 * time.Second
+	pollInterval  = 20 * time.Millisecond
+	maxAnswerSize = 64 << 20
 )
 
-var binaries string
+var binariesFolder string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "rillsail-integration")
@@ -42,32 +42,32 @@
 	if err := build.Run(); err != nil {
 		panic(err)
 	}
-	binaries = dir
+	binariesFolder = dir
 	code := m.Run()
 	_ = os.RemoveAll(dir)
 	os.Exit(code)
 }
 
-// programSources are the folders of what the programs are built from.
-var programSources = []string{"cmd", "models", "modules", "platform", "routers", "services"}
+// sourceFolders are the folders of what the programs are built from.
+var sourceFolders = []string{"cmd", "models", "modules", "platform", "routers", "services"}
 
 // programPath is the path of a program, whose sources are looked at. Go keeps a verdict for as long
 // as the test's own code and the files that it has looked at are unchanged, and doesn't know that
 // programs are built here: a change of theirs would pass by the verdict on their predecessors.
 func programPath(t *testing.T, name string) string {
 	t.Helper()
-	sourcesNoted.Do(func() {
-		for _, folder := range programSources {
-			require.NoError(t, filepath.WalkDir(filepath.Join("..", "..", folder), lookAt))
+	statSourcesOnce.Do(func() {
+		for _, folder := range sourceFolders {
+			require.NoError(t, filepath.WalkDir(filepath.Join("..", "..", folder), statFile))
 		}
 	})
-	return filepath.Join(binaries, name)
+	return filepath.Join(binariesFolder, name)
 }
 
-var sourcesNoted sync.Once
+var statSourcesOnce sync.Once
 
-// lookAt looks at a file, as Go notes it.
-func lookAt(path string, _ fs.DirEntry, err error) error {
+// statFile looks at a file, as Go notes it.
+func statFile(path string, _ fs.DirEntry, err error) error {
 	if err == nil {
 		_, err = os.Stat(path)
 	}
@@ -77,7 +77,7 @@
 // eventually waits until the condition holds.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	require.Eventually(t, condition, patience, look, what)
+	require.Eventually(t, condition, waitTimeout, pollInterval, what)
 }
 
 // Objects that most tests use.
--- a/tests/integration/jobs_test.go
+++ b/tests/integration/jobs_test.go
@@ -27,10 +27,10 @@
 // site is the users' platform, emulated in this process behind a proxy, and daemons as
 // processes.
 type site struct {
-	t        *testing.T
-	emulator *emulator.Emulator
-	gate     *toxiproxy.Proxy // before the store
-	daemons  []*siteDaemon
+	t          *testing.T
+	emulator   *emulator.Emulator
+	storeProxy *toxiproxy.Proxy // before the store
+	daemons    []*siteDaemon
 }
 
 type siteDaemon struct {
@@ -39,9 +39,9 @@
 }
 
 const (
-	siteHost   = "jobs.example"
-	sitePrefix = "/quotes/"
-	siteTries  = 3
+	siteHost        = "jobs.example"
+	sitePrefix      = "/quotes/"
+	siteMaxAttempts = 3
 )
 
 func newSite(t *testing.T, workers, daemons int) *site {
@@ -52,7 +52,7 @@
 			LongestLease: 6 * time.Second, StopTime: 200 * time.Millisecond,
 		},
 		Queues: []emulator.Queue{{
-			Name: "quotes", Host: siteHost, Prefix: sitePrefix, Pool: "pool", Slack: 250, Stretch: 1.5, MaxAttempts: siteTries,
+			Name: "quotes", Host: siteHost, Prefix: sitePrefix, Pool: "pool", Slack: 250, Stretch: 1.5, MaxAttempts: siteMaxAttempts,
 		}},
 		Heartbeat: 500 * time.Millisecond,
 	})
@@ -66,10 +66,10 @@
 	go func() { ran <- e.Run(ctx) }()
 	s := &site{t: t, emulator: e}
 	proxies := toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
-	s.gate = toxiproxy.NewProxy(proxies, "store", freeAddress(t), listener.Addr().String())
-	require.NoError(t, s.gate.Start())
+	s.storeProxy = toxiproxy.NewProxy(proxies, "store", freeAddress(t), listener.Addr().String())
+	require.NoError(t, s.storeProxy.Start())
 	t.Cleanup(func() {
-		s.gate.Stop()
+		s.storeProxy.Stop()
 		cancel()
 		require.NoError(t, <-ran)
 		_ = store.Close()
@@ -83,7 +83,7 @@
 	return s
 }
 
-func get(url string) int {
+func statusCodeOf(url string) int {
 	response, err := http.Get(url) //nolint:noctx // the test's own time limit counts
 	if err != nil {
 		return 0
@@ -96,10 +96,10 @@
 	s.t.Helper()
 	d := &siteDaemon{caller: freeAddress(s.t), ready: freeAddress(s.t), metrics: freeAddress(s.t)}
 	file := filepath.Join(s.t.TempDir(), "app.ini")
-	require.NoError(s.t, os.WriteFile(file, []byte(iniOf(map[string]string{
+	require.NoError(s.t, os.WriteFile(file, []byte(formatINI(map[string]string{
 		"daemon.id": fmt.Sprintf("front-%d", i), "daemon.domain": "south/a",
 		"listen.caller": d.caller, "listen.ready": d.ready, "listen.peer": freeAddress(s.t), "listen.metrics": d.metrics,
-		"platform.adapter": "users", "platform.store": s.gate.Listen, "platform.call_timeout": "700ms", "platform.watch_wait": "800ms",
+		"platform.adapter": "users", "platform.store": s.storeProxy.Listen, "platform.call_timeout": "700ms", "platform.watch_wait": "800ms",
 		"jobs.worker_lease": "4500ms", "jobs.longest_lease": "6s", "jobs.stop_grace": "2s",
 	})), 0o600))
 	d.process = startDaemonProcess(s.t, file)
@@ -129,7 +129,7 @@
 func (s *site) submit(d *siteDaemon, n int, lasts bool) jobs.ID {
 	s.t.Helper()
 	spec := siteJob(n, lasts)
-	s.emulator.Grid.Expect(spec, siteTries)
+	s.emulator.Grid.Expect(spec, siteMaxAttempts)
 	eventually(s.t, "job is accepted", func() bool {
 		answer, err := siteCaller.Submit(s.t.Context(), d.caller, spec)
 		return err == nil && answer.Status == http.StatusOK
@@ -137,7 +137,7 @@
 	return spec.ID
 }
 
-func (s *site) untilState(d *siteDaemon, id jobs.ID, state jobs.State) {
+func (s *site) waitState(d *siteDaemon, id jobs.ID, state jobs.State) {
 	s.t.Helper()
 	eventually(s.t, fmt.Sprintf("%s is %s", id, state), func() bool {
 		shown, answer, err := siteCaller.State(s.t.Context(), d.caller, id)
@@ -145,7 +145,7 @@
 	})
 }
 
-func (s *site) noBreach() {
+func (s *site) requireNoBreaches() {
 	s.t.Helper()
 	require.Empty(s.t, s.emulator.Grid.Breaches())
 }
@@ -154,7 +154,7 @@
 	s := newSite(t, 4, 3)
 	id := s.submit(s.daemons[0], 1, false)
 	for _, d := range s.daemons {
-		s.untilState(d, id, jobs.StateSucceeded)
+		s.waitState(d, id, jobs.StateSucceeded)
 	}
 	lasting := s.submit(s.daemons[1], 2, true)
 	eventually(t, "tasks run", func() bool { return s.emulator.Grid.Running(lasting) == 3 })
@@ -165,12 +165,12 @@
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, answer.Status)
 	eventually(t, "tasks are stopped", func() bool { return s.emulator.Grid.Running(lasting) == 0 })
-	s.untilState(s.daemons[0], lasting, jobs.StateCancelled)
+	s.waitState(s.daemons[0], lasting, jobs.StateCancelled)
 	_, answer, err = siteCaller.State(t.Context(), s.daemons[0].caller, siteJob(99, false).ID)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusGone, answer.Status)
-	require.Equal(t, http.StatusOK, get("http://"+s.daemons[0].metrics+"/metrics"))
-	s.noBreach()
+	require.Equal(t, http.StatusOK, statusCodeOf("http://"+s.daemons[0].metrics+"/metrics"))
+	s.requireNoBreaches()
 }
 
 func TestDaemonsKilledOneAfterTheOther(t *testing.T) {
@@ -180,12 +180,12 @@
 	for i := range s.daemons {
 		s.daemons[i].kill()
 		id := s.submit(s.daemons[(i+1)%len(s.daemons)], 10+i, false)
-		s.untilState(s.daemons[(i+1)%len(s.daemons)], id, jobs.StateSucceeded)
+		s.waitState(s.daemons[(i+1)%len(s.daemons)], id, jobs.StateSucceeded)
 		s.daemons[i] = s.startDaemon(i)
 		eventually(t, "daemon is ready", func() bool { return s.daemons[i].isReady(t) })
 	}
 	require.Equal(t, 3, s.emulator.Grid.Running(lasting))
-	s.noBreach()
+	s.requireNoBreaches()
 }
 
 func TestDaemonsFrozenInTurn(t *testing.T) {
@@ -196,33 +196,33 @@
 		other := s.daemons[1-i]
 		d.signal(syscall.SIGSTOP)
 		id := s.submit(other, 10+i, false)
-		s.untilState(other, id, jobs.StateSucceeded)
+		s.waitState(other, id, jobs.StateSucceeded)
 		d.signal(syscall.SIGCONT)
-		s.untilState(d, id, jobs.StateSucceeded)
+		s.waitState(d, id, jobs.StateSucceeded)
 	}
-	s.noBreach()
+	s.requireNoBreaches()
 }
 
 func TestOutageOfTheUsersStore(t *testing.T) {
 	s := newSite(t, 4, 2)
 	first := s.submit(s.daemons[0], 1, false)
-	s.untilState(s.daemons[0], first, jobs.StateSucceeded)
-	s.gate.Stop()
+	s.waitState(s.daemons[0], first, jobs.StateSucceeded)
+	s.storeProxy.Stop()
 	// Each try hands in another job: one that was on its way when the store went may be
 	// accepted for all that is known, and is never refused.
 	n := 100
 	eventually(t, "a job is refused at once", func() bool {
 		n++
 		spec := siteJob(n, false)
-		s.emulator.Grid.Expect(spec, siteTries)
+		s.emulator.Grid.Expect(spec, siteMaxAttempts)
 		began := time.Now()
 		answer, err := siteCaller.Submit(t.Context(), s.daemons[1].caller, spec)
 		return err == nil && answer.Status == http.StatusServiceUnavailable && time.Since(began) < 200*time.Millisecond
 	})
-	require.NoError(t, s.gate.Start())
+	require.NoError(t, s.storeProxy.Start())
 	id := s.submit(s.daemons[1], 3, false)
-	s.untilState(s.daemons[0], id, jobs.StateSucceeded)
-	s.noBreach()
+	s.waitState(s.daemons[0], id, jobs.StateSucceeded)
+	s.requireNoBreaches()
 }
 
 func TestPlannedStopsInTurn(t *testing.T) {
@@ -233,17 +233,17 @@
 		s.daemons[i].stop()
 		require.True(t, s.daemons[i].cmd.ProcessState.Success())
 		id := s.submit(s.daemons[1-i], 10+i, false)
-		s.untilState(s.daemons[1-i], id, jobs.StateSucceeded)
+		s.waitState(s.daemons[1-i], id, jobs.StateSucceeded)
 		s.daemons[i] = s.startDaemon(i)
 		eventually(t, "daemon is ready", func() bool { return s.daemons[i].isReady(t) })
 	}
 	require.Equal(t, 3, s.emulator.Grid.Running(lasting))
-	s.noBreach()
+	s.requireNoBreaches()
 }
 
 func TestPlannedStopInAnOutageEndsInTime(t *testing.T) {
 	s := newSite(t, 2, 1)
-	s.gate.Stop()
+	s.storeProxy.Stop()
 	began := time.Now()
 	s.daemons[0].stop()
 	require.Less(t, time.Since(began), 2*time.Second, "the time for a planned stop is 2 s")
@@ -254,7 +254,7 @@
 	s := newSite(t, 2, 1)
 	s.daemons[0].signal(syscall.SIGHUP)
 	id := s.submit(s.daemons[0], 1, false)
-	s.untilState(s.daemons[0], id, jobs.StateSucceeded)
+	s.waitState(s.daemons[0], id, jobs.StateSucceeded)
 	s.daemons[0].stop()
 	require.Contains(t, s.daemons[0].stderr.String(), "settings are read again, nothing has changed")
 }
--- a/tests/integration/measure_test.go
+++ b/tests/integration/measure_test.go
@@ -27,8 +27,8 @@
 	measureSeconds = flag.Int("seconds", 30, "length of each run of the measurement")
 )
 
-// size is a fleet of a size with the load that belongs to it.
-type size struct {
+// fleetSize is a fleet of a size with the load that belongs to it.
+type fleetSize struct {
 	name     string
 	daemons  int
 	workers  int
@@ -47,26 +47,26 @@
 
 // capacity is what a run has cost in all.
 type capacity struct {
-	size
-	daemon      cost // mean of the daemons
-	worst       cost // each figure of the worst daemon
-	writes      float64
-	reads       float64
-	storeBytes  float64
-	started     float64
-	startP50    models.Milli
-	startP99    models.Milli
-	byKind      map[string]float64
-	bytesAStart float64
+	fleetSize
+	daemon        cost // mean of the daemons
+	worst         cost // each figure of the worst daemon
+	writes        float64
+	reads         float64
+	storeBytes    float64
+	started       float64
+	startP50      models.Milli
+	startP99      models.Milli
+	byKind        map[string]float64
+	bytesPerStart float64
 }
 
 // measure runs a fleet under its load for a time and reads the counters around it.
-func measure(t *testing.T, s size, length time.Duration) capacity {
+func measure(t *testing.T, s fleetSize, length time.Duration) capacity {
 	t.Helper()
 	c := newCluster(t, clusterConfig{
-		daemons: s.daemons,
-		fleet:   []string{"--workers", fmt.Sprint(s.workers), "--per-rack", "8", "--upstreams", fmt.Sprint(s.workers), "--tick", "100ms", "--cpu", "64000", "--memory", "256000"},
-		extra: map[string]string{
+		daemons:    s.daemons,
+		fleetFlags: []string{"--workers", fmt.Sprint(s.workers), "--per-rack", "8", "--upstreams", fmt.Sprint(s.workers), "--tick", "100ms", "--cpu", "64000", "--memory", "256000"},
+		extraSettings: map[string]string{
 			"platform.list_every": "2s", "platform.call_timeout": "2s", "platform.watch_wait": "30s",
 			"member.heartbeat": "1s", "member.silent_after": "4s", "member.lease": "10s", "member.sync": "15s",
 			"cell.lease": "20s", "cell.renew": "3s", "cell.append": "1s", "cell.tick": "1s", "daemon.log_level": "warn",
@@ -78,16 +78,16 @@
 	filling := batchJob("filling", s.batch, 3_600_000)
 	c.submit(c.daemons[0], filling)
 	eventually(t, "the fleet is filled", func() bool { return c.audit().Running >= s.services+s.batch })
-	before := c.read()
-	c.drive(s, length)
-	after := c.read()
-	c.noViolations()
-	return c.sum(s, before, after)
+	before := c.readCounters()
+	c.generateLoad(s, length)
+	after := c.readCounters()
+	c.requireNoViolations()
+	return c.computeCapacity(s, before, after)
 }
 
-// drive submits jobs of ten tasks and changes the configuration at the size's rates,
+// generateLoad submits jobs of ten tasks and changes the configuration at the size's rates,
 // without waiting for the answers before the next.
-func (c *cluster) drive(s size, length time.Duration) {
+func (c *cluster) generateLoad(s fleetSize, length time.Duration) {
 	const perJob = 10
 	end := time.Now().Add(length)
 	jobs := time.NewTicker(time.Duration(perJob / s.starts * float64(time.Second)))
@@ -122,10 +122,10 @@
 	assert.NoError(c.t, err)
 }
 
-func (c *cluster) sum(s size, before, after reading) capacity {
+func (c *cluster) computeCapacity(s fleetSize, before, after counterReading) capacity {
 	seconds := after.at.Sub(before.at).Seconds()
 	sum := capacity{
-		size: s, byKind: map[string]float64{},
+		fleetSize: s, byKind: map[string]float64{},
 		writes: float64(after.store.Writes-before.store.Writes) / seconds, reads: float64(after.store.Reads-before.store.Reads) / seconds,
 		storeBytes: float64(after.store.BytesIn-before.store.BytesIn+after.store.BytesOut-before.store.BytesOut) / seconds,
 		started:    float64(after.audit.Starts-before.audit.Starts) / seconds,
@@ -134,7 +134,7 @@
 	for kind, n := range after.store.WritesByKind {
 		sum.byKind[kind] = float64(n-before.store.WritesByKind[kind]) / seconds
 	}
-	sum.bytesAStart = float64(after.store.BytesIn-before.store.BytesIn) / max(1, float64(after.audit.Starts-before.audit.Starts))
+	sum.bytesPerStart = float64(after.store.BytesIn-before.store.BytesIn) / max(1, float64(after.audit.Starts-before.audit.Starts))
 	n := float64(len(c.daemons))
 	for i, d := range c.daemons {
 		own := cost{
@@ -155,30 +155,30 @@
 func (c capacity) row() string {
 	return fmt.Sprintf("| %s | %d | %d | %d + %d | %.1f (%.1f) | %.2f (%.2f) | %.0f (%.0f) | %.0f (%.0f) | %.1f (cells %.1f, config %.1f) | %.1f | %.0f | %.0f | %d / %d |\n",
 		c.name, c.daemons, c.workers, c.services, c.batch, c.started, c.starts, c.daemon.cpu, c.worst.cpu, c.daemon.memory, c.worst.memory,
-		c.daemon.peerRate, c.worst.peerRate, c.writes, c.byKind["cells"], c.byKind["config"], c.reads, c.storeBytes, c.bytesAStart, c.startP50, c.startP99)
+		c.daemon.peerRate, c.worst.peerRate, c.writes, c.byKind["cells"], c.byKind["config"], c.reads, c.storeBytes, c.bytesPerStart, c.startP50, c.startP99)
 }
 
 // sizes are fleets in the proportions of the one that is planned for: 2.9 services
 // and 9.3 batch tasks a worker, and starts and changes by the number of workers.
-func sizes() []size {
-	var all []size
+func sizes() []fleetSize {
+	var all []fleetSize
 	for _, workers := range []int{64, 160, 320} {
 		part := float64(workers) / 1500
-		all = append(all, size{
+		all = append(all, fleetSize{
 			name: fmt.Sprint(workers, " workers"), daemons: 6, workers: workers,
 			services: int(4400 * part), batch: int(14_000 * part), starts: 110 * part, changes: 0.1,
 		})
 	}
 	return append(all,
-		size{name: "more starts", daemons: 6, workers: 160, services: 469, batch: 1493, starts: 110, changes: 0.1},
-		size{name: "more daemons", daemons: 12, workers: 160, services: 469, batch: 1493, starts: 11.7, changes: 0.1})
+		fleetSize{name: "more starts", daemons: 6, workers: 160, services: 469, batch: 1493, starts: 110, changes: 0.1},
+		fleetSize{name: "more daemons", daemons: 12, workers: 160, services: 469, batch: 1493, starts: 11.7, changes: 0.1})
 }
 
 // TestMeasureCapacity is the whole measurement; "make measure" asks for it. Without
 // that it runs one small size, for a few seconds, to keep the measurement working.
 func TestMeasureCapacity(t *testing.T) {
 	if *measureTo == "" {
-		small := measure(t, size{name: "small", daemons: 2, workers: 16, services: 8, batch: 20, starts: 10, changes: 1}, 4*time.Second)
+		small := measure(t, fleetSize{name: "small", daemons: 2, workers: 16, services: 8, batch: 20, starts: 10, changes: 1}, 4*time.Second)
 		assert.Positive(t, small.started)
 		assert.Positive(t, small.startP99)
 		assert.Less(t, small.writes, 100.0)
--- a/tests/integration/operator_test.go
+++ b/tests/integration/operator_test.go
@@ -16,10 +16,10 @@
 
 // call makes an operator's call to a daemon.
 func call[T wire.Checker](d *daemonProcess, method, path string, body any) (T, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	return wire.Do[T](ctx, wire.Call{
-		Client: http.DefaultClient, Method: method, URL: "http://" + d.operator + path, Token: operatorToken, Limit: limit,
+		Client: http.DefaultClient, Method: method, URL: "http://" + d.operator + path, Token: operatorToken, Limit: maxAnswerSize,
 	}, body)
 }
 
@@ -79,13 +79,13 @@
 	return models.Job{}
 }
 
-// untilDone waits until a job has ended.
-func (c *cluster) untilDone(d *daemonProcess, id models.JobID) models.Job {
+// waitEnded waits until a job has ended.
+func (c *cluster) waitEnded(d *daemonProcess, id models.JobID) models.Job {
 	c.t.Helper()
 	var job models.Job
 	defer func() {
 		if c.t.Failed() {
-			c.tell(d, job)
+			c.logState(d, job)
 		}
 	}()
 	eventually(c.t, "job "+string(id)+" ends", func() bool {
@@ -95,8 +95,8 @@
 	return job
 }
 
-// tell logs what the daemons know when a wait has failed.
-func (c *cluster) tell(d *daemonProcess, job models.Job) {
+// logState logs what the daemons know when a wait has failed.
+func (c *cluster) logState(d *daemonProcess, job models.Job) {
 	l, err := call[models.Listing](d, http.MethodGet, operator.PathTasks, nil)
 	c.t.Logf("job %+v\nmissing %v, %v", job, l.Missing, err)
 	for _, t := range l.Tasks {
@@ -108,8 +108,8 @@
 	}
 }
 
-// running counts the replicas of a service that the daemons know to run.
-func (c *cluster) running(d *daemonProcess, service models.ServiceName) int {
+// runningReplicas counts the replicas of a service that the daemons know to run.
+func (c *cluster) runningReplicas(d *daemonProcess, service models.ServiceName) int {
 	l, err := call[models.Listing](d, http.MethodGet, operator.PathTasks, nil)
 	if err != nil {
 		return 0
--- a/tests/integration/refusals_test.go
+++ b/tests/integration/refusals_test.go
@@ -113,25 +113,25 @@
 		t.Run(c.Name, func(t *testing.T) {
 			s.submit(s.daemons[0], 400+i, false) // the daemon is registered in the store
 			spec := siteJob(500+i, false)
-			s.emulator.Grid.Expect(spec, siteTries)
+			s.emulator.Grid.Expect(spec, siteMaxAttempts)
 			fault := &refusalFault{refusalCase: c, id: string(spec.ID)}
 			s.emulator.SetFault(fault.fault)
 			defer s.emulator.SetFault(kv.NoFault)
 			for _, try := range c.Tries {
 				<-time.After(time.Duration(try.After) * time.Millisecond)
-				status := handIn(t, s.daemons[0], spec, try)
+				status := submitOnce(t, s.daemons[0], spec, try)
 				require.NotContains(t, []int{http.StatusServiceUnavailable, http.StatusTooManyRequests}, status,
 					"the job is written, and must not be refused")
 			}
 			s.emulator.SetFault(kv.NoFault)
-			s.untilState(s.daemons[1], spec.ID, "succeeded")
+			s.waitState(s.daemons[1], spec.ID, "succeeded")
 		})
 	}
-	s.noBreach()
+	s.requireNoBreaches()
 }
 
-// handIn hands a job in once and gives the status of the answer; 0: none came.
-func handIn(t *testing.T, d *siteDaemon, spec jobs.Spec, try refusalTry) int {
+// submitOnce hands a job in once and gives the status of the answer; 0: none came.
+func submitOnce(t *testing.T, d *siteDaemon, spec jobs.Spec, try refusalTry) int {
 	ctx := t.Context()
 	if try.Leaves > 0 {
 		var cancel context.CancelFunc
--- a/tests/integration/request_faults_test.go
+++ b/tests/integration/request_faults_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func (c *cluster) callers() []string {
+func (c *cluster) callerAddresses() []string {
 	var callers []string
 	for _, d := range c.daemons {
 		callers = append(callers, d.caller)
@@ -46,7 +46,7 @@
 // runsOf is how often upstreams ran a request.
 func (c *cluster) runsOf(id string) int {
 	c.t.Helper()
-	response, err := http.Get("http://" + c.fleetAt + fleet.PathRuns + "?id=" + id)
+	response, err := http.Get("http://" + c.fleetAddress + fleet.PathRuns + "?id=" + id)
 	require.NoError(c.t, err)
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
@@ -60,7 +60,7 @@
 // TestAnswersAreOwnAndWhole lets upstreams cut answers in the middle, answer with
 // another request's id and hang up after running, under load from many callers.
 func TestAnswersAreOwnAndWhole(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 2, fleet: []string{"--workers", "2", "--upstreams", "4"}})
+	c := newCluster(t, clusterConfig{daemons: 2, fleetFlags: []string{"--workers", "2", "--upstreams", "4"}})
 	c.apply(c.daemons[0], testClass, testMatch, testContract)
 	for i, action := range []fleet.Action{fleet.ActionHalf, fleet.ActionForeign, fleet.ActionHangUp} {
 		c.controlWith(fleet.Control{VM: models.VMID(fmt.Sprint("upstream-", i)), Action: action, Count: 15})
@@ -68,7 +68,7 @@
 	// Too long to be held back, these are streamed: a cut one ends the connection.
 	large := load.Kind{Name: "large", Weight: 10, Labels: "app=quote", Deadline: 5 * time.Second, Bytes: 400_000}
 	report, err := load.Run(context.Background(), load.Config{
-		Targets: c.callers(), Rate: 200, For: 3 * time.Second, Mix: append(testMix(), large), Seed: 1, Run: "whole",
+		Targets: c.callerAddresses(), Rate: 200, For: 3 * time.Second, Mix: append(testMix(), large), Seed: 1, Run: "whole",
 	})
 	require.NoError(t, err)
 	for name, k := range report.Kinds {
@@ -81,15 +81,15 @@
 	quotes := report.Kinds["quote"]
 	assert.Equal(t, quotes.Sent, quotes.Right+quotes.Unknown+quotes.NotRun, "%+v", quotes)
 	assert.Positive(t, report.Kinds["match"].Unknown, "an unrepeatable one whose answer was cut is not tried again")
-	c.noViolations()
+	c.requireNoViolations()
 }
 
 // TestNotRunIsTrue refuses requests for many reasons; none that was refused as not
 // run may have reached an upstream, and no unrepeatable one runs twice.
 func TestNotRunIsTrue(t *testing.T) {
 	c := newCluster(t, clusterConfig{
-		daemons: 1, fleet: []string{"--workers", "2", "--upstreams", "2", "--slots", "2", "--median", "20ms"},
-		extra: map[string]string{"entry.max_waiting": "10"},
+		daemons: 1, fleetFlags: []string{"--workers", "2", "--upstreams", "2", "--slots", "2", "--median", "20ms"},
+		extraSettings: map[string]string{"entry.max_waiting": "10"},
 	})
 	d := c.daemons[0]
 	c.apply(d, testClass, testMatch)
@@ -129,7 +129,7 @@
 		assert.Zero(t, c.runsOf(id), "%s was refused as not run", id)
 	}
 	assert.NotEmpty(t, unknown, "some ran without answer")
-	c.noViolations()
+	c.requireNoViolations()
 }
 
 // TestUnreachableUpstreamsAreNotRun ends the upstreams' process: connections are
@@ -137,11 +137,11 @@
 func TestUnreachableUpstreamsAreNotRun(t *testing.T) {
 	c := &cluster{t: t, config: clusterConfig{daemons: 1}}
 	p, fleetAt := startStandin(t, "fleet", "--workers", "2", "--upstreams", "2")
-	c.fleetAt = fleetAt
-	_, c.storeAt = startStandin(t, "store")
-	c.startGate()
+	c.fleetAddress = fleetAt
+	_, c.storeAddress = startStandin(t, "store")
+	c.startProxies()
 	c.daemons = append(c.daemons, c.startDaemon(0, nil))
-	c.untilOwned()
+	c.waitCellsOwned()
 	p.kill()
 	response, body := send(t, c.daemons[0], "app=match", "x", "x")
 	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
@@ -152,7 +152,7 @@
 // TestUnrepeatableThroughAnotherDaemon kills the daemon that took an unrepeatable
 // request while an upstream runs it; its caller sends it again through the others.
 func TestUnrepeatableThroughAnotherDaemon(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 3, fleet: []string{"--workers", "2", "--upstreams", "3", "--median", "300ms", "--sigma", "0"}})
+	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: []string{"--workers", "2", "--upstreams", "3", "--median", "300ms", "--sigma", "0"}})
 	c.apply(c.daemons[0], testMatch)
 	var group sync.WaitGroup
 	for i := range 20 {
@@ -189,7 +189,7 @@
 		}
 		assert.LessOrEqual(t, c.runsOf(id), 1, id)
 	}
-	c.noViolations()
+	c.requireNoViolations()
 	id := fmt.Sprint("fresh-", tried)
 	response, _ := send(t, c.daemons[2], "app=match", id, id)
 	assert.Equal(t, http.StatusConflict, response.StatusCode, "the key was used")
@@ -198,7 +198,7 @@
 // TestLeavingUpstreamGetsNothingNew lets an upstream leave by the list, and another
 // by its own word alone while the list can't be read.
 func TestLeavingUpstreamGetsNothingNew(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 3, fleet: []string{"--workers", "2", "--upstreams", "4", "--list-lag", "1s"}})
+	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: []string{"--workers", "2", "--upstreams", "4", "--list-lag", "1s"}})
 	c.apply(c.daemons[0], testClass)
 	quiet := func(vm models.VMID) {
 		t.Helper()
@@ -214,7 +214,7 @@
 	began := time.Now()
 	quiet("upstream-0")
 	assert.Less(t, time.Since(began), 5*time.Second, "a few seconds at most")
-	c.listGate.Stop()
+	c.listProxy.Stop()
 	c.control("upstream-1", fleet.ActionLeave)
 	began = time.Now()
 	quiet("upstream-1")
@@ -224,7 +224,7 @@
 // TestPlannedStopUnderLoad stops a daemon while short requests, long ones and
 // standing watchers are in flight and more arrive on kept connections.
 func TestPlannedStopUnderLoad(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 2, fleet: []string{"--workers", "2", "--upstreams", "4"}})
+	c := newCluster(t, clusterConfig{daemons: 2, fleetFlags: []string{"--workers", "2", "--upstreams", "4"}})
 	c.apply(c.daemons[0], testClass, testMatch, testContract, testWatcher)
 	stopping := c.daemons[0]
 	mix := append(testMix(),
@@ -241,7 +241,7 @@
 	eventually(t, "watchers and others are under way", func() bool { return c.audit().Requests > 30 })
 	stopping.signal(syscall.SIGTERM)
 	eventually(t, "the health check fails", func() bool {
-		return get("http://"+stopping.caller+"/healthz") == http.StatusServiceUnavailable
+		return statusCodeOf("http://"+stopping.caller+"/healthz") == http.StatusServiceUnavailable
 	})
 	report := <-done
 	for name, k := range report.Kinds {
@@ -249,20 +249,20 @@
 	}
 	stopping.reap()
 	assert.Zero(t, stopping.cmd.ProcessState.ExitCode())
-	c.noViolations()
+	c.requireNoViolations()
 }
 
 // TestDaemonCutFromItsPeers runs a daemon whose calls its peers refuse and who
 // refuses theirs: it takes no cell, its requests are answered, and an upstream that
 // leaves gets nothing new from it.
 func TestDaemonCutFromItsPeers(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 3, fleet: []string{"--workers", "4", "--per-rack", "2", "--upstreams", "4"}})
+	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: []string{"--workers", "4", "--per-rack", "2", "--upstreams", "4"}})
 	c.apply(c.daemons[0], testClass)
 	before, err := statusOf(c.daemons[0])
 	require.NoError(t, err)
 	cut := c.startDaemon(7, map[string]string{"listen.peer_token": "another-token"})
 	eventually(t, "the cut daemon has the configuration from the store and answers", func() bool {
-		return get("http://"+cut.caller+"/healthz") == http.StatusOK && revisionAt(cut) == before.Revision
+		return statusCodeOf("http://"+cut.caller+"/healthz") == http.StatusOK && revisionAt(cut) == before.Revision
 	})
 	c.control("upstream-0", fleet.ActionLeave)
 	began := time.Now()
@@ -279,7 +279,7 @@
 		status, err := statusOf(cut)
 		return err == nil && len(status.Cells) == len(before.Cells) && time.Since(began) > 2*time.Second
 	})
-	assert.Empty(t, owned(cut, cut))
+	assert.Empty(t, ownedCells(cut, cut))
 	after, err := statusOf(c.daemons[0])
 	require.NoError(t, err)
 	for i, cell := range after.Cells {
--- a/tests/integration/standin_test.go
+++ b/tests/integration/standin_test.go
@@ -19,7 +19,7 @@
 func callStandin[T wire.Checker](c *cluster, method, address, path string, body any) T {
 	c.t.Helper()
 	answer, err := wire.Do[T](context.Background(), wire.Call{
-		Client: http.DefaultClient, Method: method, URL: "http://" + address + path, Limit: limit,
+		Client: http.DefaultClient, Method: method, URL: "http://" + address + path, Limit: maxAnswerSize,
 	}, body)
 	require.NoError(c.t, err)
 	return answer
@@ -28,11 +28,11 @@
 // audit is what the fleet has seen.
 func (c *cluster) audit() fleet.Audit {
 	c.t.Helper()
-	return callStandin[fleet.Audit](c, http.MethodGet, c.fleetAt, fleet.PathAudit, nil)
+	return callStandin[fleet.Audit](c, http.MethodGet, c.fleetAddress, fleet.PathAudit, nil)
 }
 
-// noViolations checks what the fleet itself has seen.
-func (c *cluster) noViolations() {
+// requireNoViolations checks what the fleet itself has seen.
+func (c *cluster) requireNoViolations() {
 	c.t.Helper()
 	require.Empty(c.t, c.audit().Violations)
 }
@@ -45,17 +45,17 @@
 
 func (c *cluster) controlWith(control fleet.Control) {
 	c.t.Helper()
-	callStandin[fleet.Control](c, http.MethodPost, c.fleetAt, fleet.PathControl, control)
+	callStandin[fleet.Control](c, http.MethodPost, c.fleetAddress, fleet.PathControl, control)
 }
 
-// faults sets the faults of the store; no faults end those that were set.
-func (c *cluster) faults(faults kv.Faults) {
+// setStoreFaults sets the faults of the store; no faults end those that were set.
+func (c *cluster) setStoreFaults(faults kv.Faults) {
 	c.t.Helper()
-	callStandin[kv.Faults](c, http.MethodPost, c.storeAt, kv.PathFaults, faults)
+	callStandin[kv.Faults](c, http.MethodPost, c.storeAddress, kv.PathFaults, faults)
 }
 
 // storeStats is what the store has counted.
 func (c *cluster) storeStats() kv.Stats {
 	c.t.Helper()
-	return callStandin[kv.Stats](c, http.MethodGet, c.storeAt, kv.PathStats, nil)
+	return callStandin[kv.Stats](c, http.MethodGet, c.storeAddress, kv.PathStats, nil)
 }
--- a/tests/integration/task_faults_test.go
+++ b/tests/integration/task_faults_test.go
@@ -22,8 +22,8 @@
 // smallFleet is eight workers in four racks and three upstreams.
 var smallFleet = []string{"--workers", "8", "--per-rack", "2", "--upstreams", "3", "--cpu", "4000", "--memory", "4096"}
 
-// owned lists the cells that a daemon owns, as another sees it.
-func owned(by, asked *daemonProcess) []models.CellID {
+// ownedCells lists the cells that a daemon owns, as another sees it.
+func ownedCells(by, asked *daemonProcess) []models.CellID {
 	s, err := statusOf(asked)
 	if err != nil {
 		return nil
@@ -42,7 +42,7 @@
 	c.t.Helper()
 	most := -1
 	for _, d := range c.daemons {
-		if n := len(owned(d, c.daemons[0])); n > most {
+		if n := len(ownedCells(d, c.daemons[0])); n > most {
 			victim, most = d, n
 		}
 	}
@@ -58,7 +58,7 @@
 // TestOwnerFrozenAndContinued freezes the owner of cells with SIGSTOP until others
 // have taken them, and lets it go on while it believes that it owns them.
 func TestOwnerFrozenAndContinued(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 3, fleet: smallFleet})
+	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: smallFleet})
 	victim, other := c.busiest()
 	c.apply(other, testTeam, testService)
 	for i := range 4 {
@@ -67,22 +67,22 @@
 	for range 2 { // twice, for the second time meets its own former self
 		victim.signal(syscall.SIGSTOP)
 		eventually(t, "others own the cells", func() bool {
-			return len(owned(victim, other)) == 0 && len(owned(other, other)) > 0
+			return len(ownedCells(victim, other)) == 0 && len(ownedCells(other, other)) > 0
 		})
 		victim.signal(syscall.SIGCONT)
-		eventually(t, "it works again", func() bool { return len(owned(victim, other)) > 0 })
+		eventually(t, "it works again", func() bool { return len(ownedCells(victim, other)) > 0 })
 	}
 	for i := range 4 {
-		job := c.untilDone(other, models.JobID(fmt.Sprint("before-", i)))
+		job := c.waitEnded(other, models.JobID(fmt.Sprint("before-", i)))
 		assert.Equal(t, 6, job.Succeeded)
 	}
-	c.noViolations()
+	c.requireNoViolations()
 }
 
 // TestOwnerKilled kills the owner of cells at different moments of evictions and
 // starts; what was evicted resumes once.
 func TestOwnerKilled(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 3, fleet: smallFleet})
+	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: smallFleet})
 	victim, other := c.busiest()
 	c.apply(other, testTeam)
 	for i := range 4 {
@@ -95,10 +95,10 @@
 	victim.kill()
 	replacement := c.startDaemon(victim.number, nil)
 	for i := range 4 {
-		job := c.untilDone(replacement, models.JobID(fmt.Sprint("evicted-", i)))
+		job := c.waitEnded(replacement, models.JobID(fmt.Sprint("evicted-", i)))
 		assert.Equal(t, 6, job.Succeeded, "%+v", job)
 	}
-	c.noViolations()
+	c.requireNoViolations()
 	audit := c.audit()
 	assert.EqualValues(t, 24, audit.Finished, "each task ended once")
 	assert.EqualValues(t, audit.Starts, audit.Finished+audit.Stopped, "each stop was followed by one start")
@@ -107,7 +107,7 @@
 // TestContractsOnAVMThatVanishes kills a worker under unrepeatable tasks: none runs
 // a second time, and the job says so.
 func TestContractsOnAVMThatVanishes(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 2, fleet: smallFleet})
+	c := newCluster(t, clusterConfig{daemons: 2, fleetFlags: smallFleet})
 	d := c.daemons[0]
 	c.apply(d, testTeam)
 	contracts := batchJob("contracts", 8, 4000)
@@ -117,32 +117,32 @@
 	eventually(t, "tasks run", func() bool { return c.audit().Running == 16 })
 	c.control("worker-0", fleet.ActionKill)
 	c.control("worker-1", fleet.ActionRestart)
-	job := c.untilDone(d, "contracts")
+	job := c.waitEnded(d, "contracts")
 	assert.Equal(t, 8, job.Succeeded+job.MayHaveRun, "%+v", job)
-	reports := c.untilDone(d, "reports")
+	reports := c.waitEnded(d, "reports")
 	assert.Equal(t, 8, reports.Succeeded)
-	c.noViolations()
+	c.requireNoViolations()
 }
 
 // TestStoreOutage takes the store away for longer than every lease, with a daemon
 // killed and one stopped as planned meanwhile: what runs goes on, requests are
 // answered, submissions are refused as not run, and everything catches up after.
 func TestStoreOutage(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 4, fleet: smallFleet})
+	c := newCluster(t, clusterConfig{daemons: 4, fleetFlags: smallFleet})
 	victim, other := c.busiest()
 	accepted := c.apply(other, testTeam, testClass, testService)
-	eventually(t, "replicas run", func() bool { return c.running(other, "quotes") == 3 })
+	eventually(t, "replicas run", func() bool { return c.runningReplicas(other, "quotes") == 3 })
 	c.submit(other, batchJob("long", 8, 12000))
 	eventually(t, "tasks run", func() bool { return c.audit().Running == 11 })
 	stopped := c.audit().Stopped
 
-	c.faults(kv.Faults{Outage: true})
+	c.setStoreFaults(kv.Faults{Outage: true})
 	victim.kill()
 	leaving := c.daemons[(victim.number+1)%4]
 	if leaving == other {
 		leaving = c.daemons[(victim.number+2)%4]
 	}
-	leftCells := len(owned(leaving, other))
+	leftCells := len(ownedCells(leaving, other))
 	leaving.stop()
 	assert.Equal(t, leftCells, strings.Count(leaving.stderr.String(), "cell is handed over"), "each cell went to one peer")
 	fresh := c.startDaemon(victim.number, map[string]string{"member.seeds": other.peer})
@@ -168,43 +168,43 @@
 	eventually(t, "batch tasks end during the outage", func() bool { return c.audit().Finished == 8 })
 	assert.Equal(t, stopped, c.audit().Stopped, "no lease lapsed")
 
-	c.faults(kv.Faults{})
-	job := c.untilDone(fresh, "long")
+	c.setStoreFaults(kv.Faults{})
+	job := c.waitEnded(fresh, "long")
 	assert.Equal(t, 8, job.Succeeded)
 	c.submit(fresh, batchJob("after", 4, 100))
-	c.untilDone(fresh, "after")
-	assert.Equal(t, 3, c.running(fresh, "quotes"))
-	c.noViolations()
+	c.waitEnded(fresh, "after")
+	assert.Equal(t, 3, c.runningReplicas(fresh, "quotes"))
+	c.requireNoViolations()
 }
 
 // TestRackAndFailureDomainGone kills a rack and then a failure domain: services have
 // their replicas again, and batch work ends.
 func TestRackAndFailureDomainGone(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 3, fleet: smallFleet})
+	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: smallFleet})
 	d := c.daemons[0]
 	c.apply(d, testTeam, testService)
-	eventually(t, "replicas run", func() bool { return c.running(d, "quotes") == 3 })
+	eventually(t, "replicas run", func() bool { return c.runningReplicas(d, "quotes") == 3 })
 	c.submit(d, batchJob("work", 12, 1500))
 	for _, vm := range []models.VMID{"worker-0", "worker-1"} { // rack-0 of domain a
 		c.control(vm, fleet.ActionKill)
 	}
-	job := c.untilDone(d, "work")
+	job := c.waitEnded(d, "work")
 	assert.Equal(t, 12, job.Succeeded)
 	for _, vm := range []models.VMID{"worker-4", "worker-5"} { // the rest of domain a
 		c.control(vm, fleet.ActionKill)
 	}
 	eventually(t, "three replicas run on what is left", func() bool {
-		return c.running(d, "quotes") == 3 && c.audit().Running == 3
+		return c.runningReplicas(d, "quotes") == 3 && c.audit().Running == 3
 	})
 	c.submit(d, batchJob("after", 4, 100))
-	c.untilDone(d, "after")
-	c.noViolations()
+	c.waitEnded(d, "after")
+	c.requireNoViolations()
 }
 
 // TestCancellationsInWaves cancels many jobs at once; what has not started never
 // does, and what runs is stopped.
 func TestCancellationsInWaves(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 2, fleet: smallFleet})
+	c := newCluster(t, clusterConfig{daemons: 2, fleetFlags: smallFleet})
 	d := c.daemons[0]
 	c.apply(d, testTeam)
 	var cancellation models.Cancellation
@@ -221,16 +221,16 @@
 	}
 	eventually(t, "nothing runs", func() bool { return c.audit().Running == 0 })
 	for _, id := range cancellation.Jobs {
-		job := c.untilDone(d, id)
+		job := c.waitEnded(d, id)
 		assert.Equal(t, 50, job.Stopped, "%+v", job)
 	}
-	c.noViolations()
+	c.requireNoViolations()
 }
 
 // TestHalfTheDaemonsReplaced kills two of four daemons at once, starts two others,
 // and then replaces the rest one after the other.
 func TestHalfTheDaemonsReplaced(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 4, fleet: smallFleet})
+	c := newCluster(t, clusterConfig{daemons: 4, fleetFlags: smallFleet})
 	accepted := c.apply(c.daemons[0], testTeam, testService)
 	c.submit(c.daemons[0], batchJob("work", 12, 4000))
 	c.daemons[0].kill()
@@ -247,8 +247,8 @@
 		s, err := statusOf(last)
 		return err == nil && s.Revision == accepted.Revision
 	})
-	job := c.untilDone(last, "work")
+	job := c.waitEnded(last, "work")
 	assert.Equal(t, 12, job.Succeeded)
-	eventually(t, "replicas run", func() bool { return c.running(last, "quotes") == 3 })
-	c.noViolations()
+	eventually(t, "replicas run", func() bool { return c.runningReplicas(last, "quotes") == 3 })
+	c.requireNoViolations()
 }
--- a/tests/integration/whole_path_test.go
+++ b/tests/integration/whole_path_test.go
@@ -40,7 +40,7 @@
 
 // TestWholePath drives a request, a service and a job from one end to the other.
 func TestWholePath(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 3, fleet: []string{"--workers", "6", "--per-rack", "2", "--upstreams", "3"}})
+	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: []string{"--workers", "6", "--per-rack", "2", "--upstreams", "3"}})
 	first, last := c.daemons[0], c.daemons[2]
 	result := c.apply(first, testTeam, testClass, testService)
 	for _, d := range c.daemons {
@@ -52,11 +52,11 @@
 		assert.Equal(t, http.StatusOK, response.StatusCode)
 		assert.Equal(t, fleet.AnswerFor("whole-"+d.id, []byte("body"), 0), body)
 	}
-	eventually(t, "the service's replicas run", func() bool { return c.running(last, "quotes") == 3 })
+	eventually(t, "the service's replicas run", func() bool { return c.runningReplicas(last, "quotes") == 3 })
 	c.submit(first, batchJob("nightly", 10, 300))
-	job := c.untilDone(last, "nightly")
+	job := c.waitEnded(last, "nightly")
 	assert.Equal(t, 10, job.Succeeded)
-	c.noViolations()
+	c.requireNoViolations()
 	audit := c.audit()
 	assert.EqualValues(t, 13, audit.Starts)
 	assert.EqualValues(t, 10, audit.Finished)
@@ -64,7 +64,7 @@
 
 // TestTool runs the operators' tool against a daemon.
 func TestTool(t *testing.T) {
-	c := newCluster(t, clusterConfig{daemons: 1, fleet: []string{"--workers", "2", "--per-rack", "2", "--upstreams", "1"}})
+	c := newCluster(t, clusterConfig{daemons: 1, fleetFlags: []string{"--workers", "2", "--per-rack", "2", "--upstreams", "1"}})
 	d := c.daemons[0]
 	tool := func(stdin string, args ...string) (string, int) {
 		cmd := exec.Command(programPath(t, "rillsail"), append([]string{"--daemon", d.operator, "--token", operatorToken}, args...)...)
@@ -78,14 +78,14 @@
 	assert.Contains(t, out, "revision 1 accepted")
 	out, code = tool(`{"jobs":[{"id":"j1","team":"office","tasks":2,"size":{"cpu_milli":100,"memory_mib":1},"work_ms":100}]}`, "jobs", "submit")
 	require.Equal(t, 0, code, out)
-	c.untilDone(d, "j1")
+	c.waitEnded(d, "j1")
 	out, code = tool(`{"jobs":[{"id":"j2","team":"office","tasks":1}]}`, "jobs", "submit")
 	assert.Equal(t, 1, code, "neither job nor team says the size: %s", out)
 	out, code = tool(`{"put":[{"kind":"team","spec":{"name":"office","quota":{"cpu_milli":0,"memory_mib":0},"jobs":{"labels":{"app":"report"},"size":{"cpu_milli":50,"memory_mib":1},"work_ms":50}}}]}`, "config", "apply")
 	require.Equal(t, 0, code, out)
 	out, code = tool(`{"jobs":[{"id":"j2","team":"office","tasks":1}]}`, "jobs", "submit")
 	require.Equal(t, 0, code, out)
-	j2 := c.untilDone(d, "j2")
+	j2 := c.waitEnded(d, "j2")
 	assert.EqualValues(t, 50, j2.Size.CPU)
 	assert.Equal(t, "report", j2.Labels["app"])
 	for _, args := range [][]string{{"status"}, {"cells"}, {"workers"}, {"services"}, {"tasks"}, {"jobs"}, {"dump"}, {"config", "get"}, {"explain", "job/j1/0"}, {"drain", "worker-0"}, {"undrain", "worker-0"}} {
--- a/tests/soak/acceptances.go
+++ b/tests/soak/acceptances.go
@@ -16,29 +16,29 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// acceptances knows from the store which daemons have written which jobs down for the first
+// acceptanceLog knows from the store which daemons have written which jobs down for the first
 // time. It is safe for concurrent use.
-type acceptances struct {
-	mu     sync.Mutex
-	writes map[jobs.ID][]acceptance
-	lost   int // writes of jobs whose answers the store has lost
+type acceptanceLog struct {
+	mu          sync.Mutex
+	writes      map[jobs.ID][]acceptance
+	lostAnswers int // writes of jobs whose answers the store has lost
 }
 
 // acceptance is a write by which a daemon accepts a job, done by the store.
 type acceptance struct {
 	connection
-	arrived  time.Time // at the store
-	done     time.Time
-	answered bool // by the store; the answer may be lost on its way
+	arrived   time.Time // at the store
+	committed time.Time
+	answered  bool // by the store; the answer may be lost on its way
 }
 
-// newAcceptances makes an empty record.
-func newAcceptances() *acceptances { return &acceptances{writes: map[jobs.ID][]acceptance{}} }
+// newAcceptanceLog makes an empty record.
+func newAcceptanceLog() *acceptanceLog { return &acceptanceLog{writes: map[jobs.ID][]acceptance{}} }
 
-// done looks at a write that was done.
-func (a *acceptances) done(ctx context.Context, answered bool) {
+// recordWrite looks at a write that was done.
+func (a *acceptanceLog) recordWrite(ctx context.Context, answered bool) {
 	txn, _ := emulator.TxnOf(ctx)
-	id := accepted(txn)
+	id := acceptedJob(txn)
 	if id == "" {
 		return
 	}
@@ -48,25 +48,25 @@
 	defer a.mu.Unlock()
 	a.writes[id] = append(a.writes[id], acceptance{from, arrived, time.Now(), answered})
 	if !answered {
-		a.lost++
+		a.lostAnswers++
 	}
 }
 
-// of gives the writes of a job.
-func (a *acceptances) of(id jobs.ID) []acceptance {
+// writesOf gives the writes of a job.
+func (a *acceptanceLog) writesOf(id jobs.ID) []acceptance {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.writes[id]
 }
 
-// jobKeys is the prefix of the keys of jobs: job/CELL/ID.
-const jobKeys = "job/"
+// jobKeyPrefix is the prefix of the keys of jobs: job/CELL/ID.
+const jobKeyPrefix = "job/"
 
-// accepted gives the job that a transaction accepts; empty: it does something else. An
+// acceptedJob gives the job that a transaction accepts; empty: it does something else. An
 // acceptance writes an active record, on condition that the job is nowhere; the parts of a
 // job that moves to another cell depend on its record there.
-func accepted(txn platform.Txn) jobs.ID {
-	if len(txn.Put) == 0 || !strings.HasPrefix(txn.Put[0].Key, jobKeys) {
+func acceptedJob(txn platform.Txn) jobs.ID {
+	if len(txn.Put) == 0 || !strings.HasPrefix(txn.Put[0].Key, jobKeyPrefix) {
 		return ""
 	}
 	var record jobs.Record
--- a/tests/soak/acceptances_test.go
+++ b/tests/soak/acceptances_test.go
@@ -38,7 +38,7 @@
 			value, err := json.Marshal(jobs.Record{Spec: jobs.Spec{ID: id}, Ended: test.ended})
 			require.NoError(t, err)
 			txn := platform.Txn{Require: test.require, Put: []platform.Write{{Key: test.put, Value: value}}}
-			require.Equal(t, test.want, accepted(txn))
+			require.Equal(t, test.want, acceptedJob(txn))
 		})
 	}
 }
@@ -66,19 +66,19 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := &run{begin: begin, record: newRecord(), site: &site{daemons: []*daemon{d, other}}}
-			r.site.storeFaults.accepted = newAcceptances()
+			r := &run{begin: begin, record: newCallerRecord(), site: &site{daemons: []*daemon{d, other}}}
+			r.site.storeFaults.accepted = newAcceptanceLog()
 			if test.pause > 0 {
-				r.record.fault(at(4600).Sub(begin), at(test.pause).Sub(begin), Fault{Kind: PauseDaemon})
+				r.record.addFault(at(4600).Sub(begin), at(test.pause).Sub(begin), Fault{Kind: PauseDaemon})
 			}
 			j := &job{spec: jobs.Spec{ID: "0000000100000001"}}
-			j.tries = []try{
-				{daemon: test.unanswered, life: 1, began: at(7000), ended: at(7300), status: test.status},
-				{daemon: d, life: 1, began: at(7600), ended: at(8129), status: http.StatusServiceUnavailable},
+			j.submissions = []submission{
+				{daemon: test.unanswered, incarnation: 1, began: at(7000), ended: at(7300), status: test.status},
+				{daemon: d, incarnation: 1, began: at(7600), ended: at(8129), status: http.StatusServiceUnavailable},
 			}
-			write := acceptance{connection: connection{d, 1}, arrived: at(test.arrived), done: at(test.arrived), answered: true}
+			write := acceptance{connection: connection{d, 1}, arrived: at(test.arrived), committed: at(test.arrived), answered: true}
 			r.site.storeFaults.accepted.writes[j.spec.ID] = []acceptance{write}
-			r.checkKnownToRefuser(j)
+			r.checkRefuserDidNotAccept(j)
 			require.Len(t, r.record.breaches, test.breaches)
 		})
 	}
@@ -87,14 +87,14 @@
 // TestOverlapsFollowFromTheSeed checks that a seed brings the same overlaps again, in pairs.
 func TestOverlapsFollowFromTheSeed(t *testing.T) {
 	const seed = 31001
-	length := 10 * longestOverlap
-	faults := overlaps(seed, length)
+	length := 10 * maxOverlapDuration
+	faults := drawOverlaps(seed, length)
 	require.NotEmpty(t, faults)
-	require.Equal(t, faults, overlaps(seed, length))
+	require.Equal(t, faults, drawOverlaps(seed, length))
 	for n := 0; n < len(faults); n += 2 {
 		first, second := faults[n], faults[n+1]
-		require.Contains(t, unanswered, first.Kind)
-		require.Contains(t, turnedAway, second.Kind)
+		require.Contains(t, unansweredKinds, first.Kind)
+		require.Contains(t, rejectingKinds, second.Kind)
 		require.LessOrEqual(t, second.At, first.At+first.For, "it comes beside the first or right behind it")
 	}
 }
--- a/tests/soak/daemon.go
+++ b/tests/soak/daemon.go
@@ -19,46 +19,46 @@
 
 // daemon is a rillsaild in a process of its own, with the proxies around it.
 type daemon struct {
-	name    string
-	program string
-	file    string // settings
-	log     *os.File
-	ready   string // address that says whether it takes callers
+	name         string
+	program      string
+	settingsFile string // settings
+	log          *os.File
+	readyAddress string // address that says whether it takes callers
 
 	callers *toxiproxy.Proxy // before its callers' listener
 	peers   *toxiproxy.Proxy // before its peers' listener
 	store   *toxiproxy.Proxy // on its way to the store
 
-	mu      sync.Mutex
-	process *os.Process
-	ended   chan struct{}
-	exit    *os.ProcessState // of the life that ended last
-	life    int              // how often it was started
+	mu          sync.Mutex
+	process     *os.Process
+	exited      chan struct{}
+	exitState   *os.ProcessState // of the life that ended last
+	incarnation int              // how often it was started
 }
 
-// grace is what daemons are given for a planned stop.
-const grace = 4 * time.Second
+// stopGrace is what daemons are given for a planned stop.
+const stopGrace = 4 * time.Second
 
 // start starts the process.
 func (d *daemon) start() error {
-	command := exec.Command(d.program, "--config", d.file)
+	command := exec.Command(d.program, "--config", d.settingsFile)
 	command.Stdout, command.Stderr = d.log, d.log
 	if err := command.Start(); err != nil {
 		return errors.Wrapf(err, "start %s", d.name)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.process, d.ended = command.Process, make(chan struct{})
-	d.life++
-	go d.waitLoop(command, d.ended)
+	d.process, d.exited = command.Process, make(chan struct{})
+	d.incarnation++
+	go d.waitForExit(command, d.exited)
 	return nil
 }
 
-// waitLoop takes the end of one life.
-func (d *daemon) waitLoop(command *exec.Cmd, ended chan struct{}) {
+// waitForExit takes the end of one life.
+func (d *daemon) waitForExit(command *exec.Cmd, ended chan struct{}) {
 	_ = command.Wait() // the state says how it ended
 	d.mu.Lock()
-	d.exit = command.ProcessState
+	d.exitState = command.ProcessState
 	d.mu.Unlock()
 	close(ended)
 }
@@ -74,8 +74,8 @@
 func (d *daemon) stop() {
 	d.signal(syscall.SIGTERM)
 	select {
-	case <-d.ended:
-	case <-time.After(grace):
+	case <-d.exited:
+	case <-time.After(stopGrace):
 		d.kill()
 	}
 }
@@ -83,7 +83,7 @@
 // kill ends the process at once and waits for its end.
 func (d *daemon) kill() {
 	d.signal(syscall.SIGKILL)
-	<-d.ended
+	<-d.exited
 }
 
 // running tells whether the process runs, and in which life.
@@ -91,43 +91,43 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	select {
-	case <-d.ended:
-		return d.life, false
+	case <-d.exited:
+		return d.incarnation, false
 	default:
-		return d.life, true
+		return d.incarnation, true
 	}
 }
 
-// processName names the daemon's process among what faults disturb.
-func (d *daemon) processName() string { return "process of " + d.name }
+// processTarget names the daemon's process among what faults disturb.
+func (d *daemon) processTarget() string { return "process of " + d.name }
 
 // lastExit tells how the life that ended last has ended, and how many there were.
 func (d *daemon) lastExit() (exit *os.ProcessState, lives int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.exit, d.life
+	return d.exitState, d.incarnation
 }
 
 // newDaemon writes the daemon's settings and opens its log and its proxies.
 func (s *site) newDaemon(number int) (*daemon, error) {
 	d := &daemon{name: fmt.Sprintf("front-%d", number), program: s.config.Daemon}
-	addresses, err := s.addresses("caller", "ready", "peer", "metrics")
+	addresses, err := s.takeAddresses("caller", "ready", "peer", "metrics")
 	if err != nil {
 		return nil, err
 	}
-	d.ready = addresses["ready"]
-	if err := s.surround(d, addresses); err != nil {
+	d.readyAddress = addresses["ready"]
+	if err := s.startProxies(d, addresses); err != nil {
 		return nil, err
 	}
 	if d.log, err = os.Create(filepath.Join(s.config.Folder, d.name+".log")); err != nil {
 		return nil, errors.Wrap(err, "log")
 	}
-	d.file = filepath.Join(s.config.Folder, d.name+".ini")
-	return d, errors.Wrap(os.WriteFile(d.file, []byte(s.settings(d, addresses)), 0o600), "settings")
+	d.settingsFile = filepath.Join(s.config.Folder, d.name+".ini")
+	return d, errors.Wrap(os.WriteFile(d.settingsFile, []byte(s.settingsINI(d, addresses)), 0o600), "settings")
 }
 
-// addresses takes an address for each listener.
-func (s *site) addresses(listeners ...string) (map[string]string, error) {
+// takeAddresses takes an address for each listener.
+func (s *site) takeAddresses(listeners ...string) (map[string]string, error) {
 	addresses := map[string]string{}
 	for _, listener := range listeners {
 		address, err := s.ports.Take()
@@ -139,19 +139,19 @@
 	return addresses, nil
 }
 
-// surround opens the daemon's proxies.
-func (s *site) surround(d *daemon, addresses map[string]string) (err error) {
-	if d.callers, err = s.proxy(d.name+" callers", addresses["caller"]); err != nil {
+// startProxies opens the daemon's proxies.
+func (s *site) startProxies(d *daemon, addresses map[string]string) (err error) {
+	if d.callers, err = s.newProxy(d.name+" callers", addresses["caller"]); err != nil {
 		return err
 	}
-	if d.peers, err = s.proxy(d.name+" peers", addresses["peer"]); err != nil {
+	if d.peers, err = s.newProxy(d.name+" peers", addresses["peer"]); err != nil {
 		return err
 	}
 	atStore, err := s.listenForStore(d)
 	if err != nil {
 		return err
 	}
-	d.store, err = s.proxy(d.name+" store", atStore)
+	d.store, err = s.newProxy(d.name+" store", atStore)
 	return err
 }
 
@@ -164,8 +164,8 @@
 	workerLease   = 4500 * time.Millisecond // less than the longest that workers grant
 )
 
-// settings is the daemon's INI.
-func (s *site) settings(d *daemon, addresses map[string]string) string {
+// settingsINI is the daemon's INI.
+func (s *site) settingsINI(d *daemon, addresses map[string]string) string {
 	return strings.Join([]string{
 		"[daemon]", "id = " + d.name, "domain = south/a",
 		"[listen]", "caller = " + addresses["caller"], "ready = " + addresses["ready"], "peer = " + addresses["peer"],
@@ -173,7 +173,7 @@
 		"[platform]", "adapter = users", "store = " + d.store.Listen,
 		fmt.Sprintf("call_timeout = %s", callTimeout), fmt.Sprintf("dial_timeout = %s", dialTimeout),
 		fmt.Sprintf("worker_timeout = %s", workerTimeout), fmt.Sprintf("watch_wait = %s", watchWait),
-		"[jobs]", fmt.Sprintf("worker_lease = %s", workerLease), fmt.Sprintf("longest_lease = %s", longestLease), fmt.Sprintf("stop_grace = %s", grace),
+		"[jobs]", fmt.Sprintf("worker_lease = %s", workerLease), fmt.Sprintf("longest_lease = %s", maxWorkerLease), fmt.Sprintf("stop_grace = %s", stopGrace),
 		fmt.Sprintf("workers_per_cell = %d", s.config.WorkersPerCell), "",
 	}, "\n")
 }
--- a/tests/soak/inject.go
+++ b/tests/soak/inject.go
@@ -21,7 +21,7 @@
 // so that faults overlap.
 func (r *run) injectLoop(ctx context.Context, group *conc.WaitGroup) {
 	for _, fault := range r.plan.Faults {
-		if !pause(ctx, time.Until(r.begin.Add(fault.At))) {
+		if !sleep(ctx, time.Until(r.begin.Add(fault.At))) {
 			return
 		}
 		group.Go(func() { r.inject(ctx, fault) })
@@ -34,24 +34,24 @@
 func (r *run) inject(ctx context.Context, fault Fault) {
 	d := r.site.daemons[fault.Target%len(r.site.daemons)]
 	place := fault.Target % r.config.Workers
-	what := disturbed(fault, d, place)
+	what := faultTarget(fault, d, place)
 	if !fault.Over {
-		if !r.site.take(what) {
+		if !r.site.reserve(what) {
 			return
 		}
 		defer r.site.release(what)
 	}
 	began := time.Since(r.begin)
-	if r.bringAbout(ctx, fault, d, place) {
-		r.record.fault(began, time.Since(r.begin), fault)
+	if r.applyFault(ctx, fault, d, place) {
+		r.record.addFault(began, time.Since(r.begin), fault)
 	}
 }
 
-// disturbed names what a fault disturbs.
-func disturbed(fault Fault, d *daemon, place int) string {
+// faultTarget names what a fault disturbs.
+func faultTarget(fault Fault, d *daemon, place int) string {
 	switch fault.Kind {
 	case KillDaemon, PauseDaemon, StopDaemon, Hangup:
-		return d.processName()
+		return d.processTarget()
 	case CutStore, CutStoreHalf:
 		return "store's connections of " + d.name
 	case CutPeer:
@@ -69,70 +69,70 @@
 	}
 }
 
-// bringAbout lets the fault happen until it is mended; false: it didn't happen.
-func (r *run) bringAbout(ctx context.Context, fault Fault, d *daemon, place int) bool {
+// applyFault lets the fault happen until it is mended; false: it didn't happen.
+func (r *run) applyFault(ctx context.Context, fault Fault, d *daemon, place int) bool {
 	switch fault.Kind {
 	case KillDaemon, PauseDaemon, StopDaemon, Hangup:
-		r.disturbProcess(ctx, fault, d)
+		r.applyProcessFault(ctx, fault, d)
 	case Reconfigure:
 		return r.site.reconfigure(ctx) == nil
 	case StoreDown, StoreSlow, StoreLossy, StoreLate, StoreForgets, StoreBusy, StoreLimited, StoreReadsFail:
-		r.disturbStore(ctx, fault)
+		r.applyStoreFault(ctx, fault)
 	case SilenceDaemon, SilenceWorker:
-		r.silenceAll(fault, d, place)
-		pause(ctx, fault.For)
+		r.silenceTarget(fault, d, place)
+		sleep(ctx, fault.For)
 	case CutStore, CutStoreHalf, CutPeer, CutCallers, SlowWorker, ResetWorker:
-		r.disturbConnections(ctx, fault, d, place)
+		r.applyConnectionFault(ctx, fault, d, place)
 	case FailWorker, StallWorker, OvertakeWorker, RepeatWorker:
-		r.troubleWorker(ctx, fault, place)
+		r.applyMisbehavior(ctx, fault, place)
 	case RestartWorker:
 		r.restartWorker(ctx, fault, place)
 	case RestartWorkers:
 		r.restartWorkers()
 	default:
-		r.disturbWorker(ctx, fault, place)
+		r.applyWorkerFault(ctx, fault, place)
 	}
 	return true
 }
 
-// disturbProcess sends signals to a daemon.
-func (r *run) disturbProcess(ctx context.Context, fault Fault, d *daemon) {
+// applyProcessFault sends signals to a daemon.
+func (r *run) applyProcessFault(ctx context.Context, fault Fault, d *daemon) {
 	switch fault.Kind {
 	case Hangup:
 		d.signal(syscall.SIGHUP)
 		return
 	case PauseDaemon:
 		d.signal(syscall.SIGSTOP)
-		pause(ctx, fault.For)
+		sleep(ctx, fault.For)
 		d.signal(syscall.SIGCONT)
 		return
 	case KillDaemon:
 		d.kill()
 	default:
 		d.stop()
-		r.checkStop(d)
+		r.checkPlannedStop(d)
 	}
-	pause(ctx, fault.For)
+	sleep(ctx, fault.For)
 	if err := d.start(); err != nil {
-		r.record.broken(time.Since(r.begin), "daemon", "%v", err)
+		r.record.addBreach(time.Since(r.begin), "daemon", "%v", err)
 	}
 }
 
-// disturbConnections lets a proxy misbehave.
-func (r *run) disturbConnections(ctx context.Context, fault Fault, d *daemon, place int) {
+// applyConnectionFault lets a proxy misbehave.
+func (r *run) applyConnectionFault(ctx context.Context, fault Fault, d *daemon, place int) {
 	switch fault.Kind {
 	case CutStore:
-		r.poison(ctx, fault, d.store, toxicSilence, "upstream", "downstream")
+		r.applyToxic(ctx, fault, d.store, toxicSilence, "upstream", "downstream")
 	case CutStoreHalf:
-		r.poison(ctx, fault, d.store, toxicSilence, "downstream")
+		r.applyToxic(ctx, fault, d.store, toxicSilence, "downstream")
 	case CutPeer:
-		r.poison(ctx, fault, d.peers, toxicSilence, "upstream")
+		r.applyToxic(ctx, fault, d.peers, toxicSilence, "upstream")
 	case CutCallers:
-		r.poison(ctx, fault, d.callers, toxicReset, "downstream")
+		r.applyToxic(ctx, fault, d.callers, toxicReset, "downstream")
 	case SlowWorker:
-		r.poison(ctx, fault, r.site.workers[place], toxicDelay, "upstream", "downstream")
+		r.applyToxic(ctx, fault, r.site.workerProxies[place], toxicDelay, "upstream", "downstream")
 	default:
-		r.poison(ctx, fault, r.site.workers[place], toxicReset, "upstream")
+		r.applyToxic(ctx, fault, r.site.workerProxies[place], toxicReset, "upstream")
 	}
 }
 
@@ -147,19 +147,19 @@
 // The delay of slow connections, in milliseconds: both ways together it is at most
 // callTimeout.
 const (
-	delayBy     = 200
-	delayJitter = 150
+	delayMs       = 200
+	delayJitterMs = 150
 )
 
-// poison adds a toxic to the streams of a proxy and removes it again.
-func (r *run) poison(ctx context.Context, fault Fault, p *toxiproxy.Proxy, toxic string, streams ...string) {
+// applyToxic adds a toxic to the streams of a proxy and removes it again.
+func (r *run) applyToxic(ctx context.Context, fault Fault, p *toxiproxy.Proxy, toxic string, streams ...string) {
 	for _, stream := range streams {
 		name := toxic + " " + stream
-		if r.addToxic(p, name, toxic, stream, map[string]int{"latency": delayBy, "jitter": delayJitter}) {
+		if r.addToxic(p, name, toxic, stream, map[string]int{"latency": delayMs, "jitter": delayJitterMs}) {
 			defer func() { _ = p.Toxics.RemoveToxic(context.Background(), name) }() // mend may have removed it
 		}
 	}
-	pause(ctx, fault.For)
+	sleep(ctx, fault.For)
 }
 
 // addToxic adds a toxic of some type to a stream of a proxy.
@@ -169,13 +169,13 @@
 		_, err = p.Toxics.AddToxicJson(bytes.NewReader(body))
 	}
 	if err != nil {
-		r.record.broken(time.Since(r.begin), "soak", "%s can't be disturbed: %v", p.Name, err)
+		r.record.addBreach(time.Since(r.begin), "soak", "%s can't be disturbed: %v", p.Name, err)
 	}
 	return err == nil
 }
 
-// disturbWorker lets a worker misbehave.
-func (r *run) disturbWorker(ctx context.Context, fault Fault, place int) {
+// applyWorkerFault lets a worker misbehave.
+func (r *run) applyWorkerFault(ctx context.Context, fault Fault, place int) {
 	g := r.site.emulator.Grid
 	switch fault.Kind {
 	case CutWorker:
@@ -190,7 +190,7 @@
 		g.Drain(place, fault.For)
 	}
 	if fault.Kind != CrashWorker {
-		pause(ctx, fault.For)
+		sleep(ctx, fault.For)
 	}
 	if fault.Kind == CrashWorker || fault.Kind == DrainWorker {
 		g.Crash(place)
--- a/tests/soak/plan.go
+++ b/tests/soak/plan.go
@@ -50,9 +50,9 @@
 	RestartWorkers Kind = "all workers start again at once"
 )
 
-// kinds lists those that come by themselves with their weights: what daemons must survive
+// weightedKinds lists those that come by themselves with their weights: what daemons must survive
 // most often comes most often.
-var kinds = []struct {
+var weightedKinds = []struct {
 	kind   Kind
 	weight int
 }{
@@ -101,13 +101,13 @@
 // Times of the plan. Faults come singly, in series and one over the other: some pauses
 // are far shorter than the faults last.
 const (
-	firstFault    = 2 * time.Second
-	longestPause  = 2500 * time.Millisecond
-	shortestFault = 200 * time.Millisecond
-	longestFault  = 6 * time.Second // longer than the leases of daemons and workers
-	seriesOf      = 3
-	seriesPause   = 300 * time.Millisecond
-	oneInSeries   = 5 // one fault in so many is a series of the same kind
+	firstFaultAt     = 2 * time.Second
+	maxFaultPause    = 2500 * time.Millisecond
+	minFaultDuration = 200 * time.Millisecond
+	maxFaultDuration = 6 * time.Second // longer than the leases of daemons and workers
+	seriesLength     = 3
+	seriesPause      = 300 * time.Millisecond
+	seriesOneIn      = 5 // one fault in so many is a series of the same kind
 )
 
 // newPlan draws the faults of a run that lasts so long.
@@ -115,23 +115,23 @@
 	seed, length, daemons, workers := config.Seed, config.Length, config.Daemons, config.Workers
 	random := rand.New(rand.NewPCG(seed, uint64(length)))
 	plan := Plan{Seed: seed}
-	at := firstFault
+	at := firstFaultAt
 	for at < length {
-		fault := draw(random, at, daemons, workers)
+		fault := drawFault(random, at, daemons, workers)
 		repeats := 1
-		if random.IntN(oneInSeries) == 0 {
-			repeats = seriesOf
+		if random.IntN(seriesOneIn) == 0 {
+			repeats = seriesLength
 		}
 		for range repeats {
 			plan.Faults = append(plan.Faults, fault)
 			fault.At += seriesPause
 			fault.Target++
 		}
-		at += time.Duration(random.Int64N(int64(longestPause)))
+		at += time.Duration(random.Int64N(int64(maxFaultPause)))
 	}
-	plan.Faults = append(plan.Faults, overlaps(seed, length)...)
+	plan.Faults = append(plan.Faults, drawOverlaps(seed, length)...)
 	plan.Faults = append(plan.Faults, drawSilences(seed, length, daemons*workers)...)
-	plan.Faults = append(plan.Faults, drawTroubles(seed, length, workers)...)
+	plan.Faults = append(plan.Faults, drawMisbehaviors(seed, length, workers)...)
 	if config.Restarts {
 		plan.Faults = append(plan.Faults, drawRestarts(seed, length, workers)...)
 	}
@@ -139,16 +139,16 @@
 	return plan
 }
 
-// draw draws one fault.
-func draw(random *rand.Rand, at time.Duration, daemons, workers int) Fault {
+// drawFault draws one fault.
+func drawFault(random *rand.Rand, at time.Duration, daemons, workers int) Fault {
 	all := 0
-	for _, k := range kinds {
+	for _, k := range weightedKinds {
 		all += k.weight
 	}
 	fault := Fault{At: at, Target: random.IntN(daemons * workers)}
-	fault.For = shortestFault + time.Duration(random.Int64N(int64(longestFault-shortestFault)))
+	fault.For = minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration-minFaultDuration)))
 	n := random.IntN(all)
-	for _, k := range kinds {
+	for _, k := range weightedKinds {
 		if n -= k.weight; n < 0 {
 			fault.Kind = k.kind
 			return fault
@@ -160,31 +160,31 @@
 // Faults of the store that come one over the other: one that leaves a daemon without an
 // answer, and, beside it or right behind it, one that turns it away.
 var (
-	unanswered = []Kind{StoreLossy, StoreLate}
-	turnedAway = []Kind{StoreDown, StoreBusy, StoreLimited, StoreReadsFail}
+	unansweredKinds = []Kind{StoreLossy, StoreLate}
+	rejectingKinds  = []Kind{StoreDown, StoreBusy, StoreLimited, StoreReadsFail}
 )
 
 const (
-	longestCalm    = 2 * time.Second // between two overlaps
-	longestOverlap = 3 * time.Second // of either fault
-	mostEvery      = 3               // an overlap hits at least one daemon in so many
+	maxOverlapPause    = 2 * time.Second // between two overlaps
+	maxOverlapDuration = 3 * time.Second // of either fault
+	maxOverlapEvery    = 3               // an overlap hits at least one daemon in so many
 )
 
-// overlaps draws them from a stream of its own.
-func overlaps(seed uint64, length time.Duration) []Fault {
+// drawOverlaps draws them from a stream of its own.
+func drawOverlaps(seed uint64, length time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, overlapStream))
 	lasts := func() time.Duration {
-		return shortestFault + time.Duration(random.Int64N(int64(longestOverlap-shortestFault)))
+		return minFaultDuration + time.Duration(random.Int64N(int64(maxOverlapDuration-minFaultDuration)))
 	}
 	var faults []Fault
-	for at := firstFault; at < length; at += time.Duration(random.Int64N(int64(longestCalm))) {
+	for at := firstFaultAt; at < length; at += time.Duration(random.Int64N(int64(maxOverlapPause))) {
 		first := Fault{
-			At: at, For: lasts(), Kind: unanswered[random.IntN(len(unanswered))], Over: true,
-			Target: random.IntN(mostEvery), Every: 1 + random.IntN(mostEvery),
+			At: at, For: lasts(), Kind: unansweredKinds[random.IntN(len(unansweredKinds))], Over: true,
+			Target: random.IntN(maxOverlapEvery), Every: 1 + random.IntN(maxOverlapEvery),
 		}
 		second := first
 		second.At += time.Duration(random.Int64N(int64(first.For)))
-		second.For, second.Kind = lasts(), turnedAway[random.IntN(len(turnedAway))]
+		second.For, second.Kind = lasts(), rejectingKinds[random.IntN(len(rejectingKinds))]
 		faults = append(faults, first, second)
 		at = second.At
 	}
--- a/tests/soak/races.go
+++ b/tests/soak/races.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// raceFound is how the race detector's reports begin, in the logs of daemons that were built with
+// raceWarning is how the race detector's reports begin, in the logs of daemons that were built with
 // it. Their exit status tells of races as well, but not of a daemon that was killed.
-var raceFound = []byte("WARNING: DATA RACE")
+var raceWarning = []byte("WARNING: DATA RACE")
 
 // checkRaces checks that the race detector has found nothing.
 func (r *run) checkRaces() {
 	for _, d := range r.site.daemons {
 		data, err := os.ReadFile(d.log.Name())
 		if err != nil {
-			r.record.broken(time.Since(r.begin), d.name, "its log can't be read: %v", err)
+			r.record.addBreach(time.Since(r.begin), d.name, "its log can't be read: %v", err)
 			continue
 		}
-		if races := bytes.Count(data, raceFound); races > 0 {
-			r.record.broken(time.Since(r.begin), d.name, "%d races between goroutines, see its log", races)
+		if races := bytes.Count(data, raceWarning); races > 0 {
+			r.record.addBreach(time.Since(r.begin), d.name, "%d races between goroutines, see its log", races)
 		}
 	}
 }
--- a/tests/soak/record.go
+++ b/tests/soak/record.go
@@ -17,27 +17,27 @@
 type job struct {
 	spec      jobs.Spec
 	outcome   outcome
-	answered  time.Time // when the outcome was known
+	decided   time.Time // when the outcome was known
 	cancelled bool      // a cancellation was confirmed
-	// mayBeCancelled says that a cancellation was sent, confirmed or not.
-	mayBeCancelled bool
-	gone           time.Time // when a daemon answered a cancellation with "no such job"; zero: none did
-	tries          []try
+	// cancelSent says that a cancellation was sent, confirmed or not.
+	cancelSent  bool
+	notFound    time.Time // when a daemon answered a cancellation with "no such job"; zero: none did
+	submissions []submission
 }
 
-// try is one time that a job was handed in.
-type try struct {
+// submission is one time that a job was handed in.
+type submission struct {
 	daemon       *daemon
-	life         int // of the daemon's process; 0: more than one
+	incarnation  int // of the daemon's process; 0: more than one
 	began, ended time.Time
 	status       int // 0: no answer
 }
 
 // accepted tells whether the job was accepted.
-func (t try) accepted() bool { return t.status == http.StatusOK }
+func (t submission) accepted() bool { return t.status == http.StatusOK }
 
 // refused tells whether the job was refused.
-func (t try) refused() bool {
+func (t submission) refused() bool {
 	return t.status == http.StatusTooManyRequests || t.status == http.StatusServiceUnavailable
 }
 
@@ -51,19 +51,19 @@
 	outcomeUnknown  outcome = "unknown" // a call was not answered; it may have been accepted
 )
 
-// record is what callers know. It is safe for concurrent use.
-type record struct {
-	mu       sync.Mutex
-	jobs     []*job
-	accepted []*job
-	counts   map[outcome]int
-	asks     int
-	unheard  int // asks without answer
-	late     int // refusals
-	gone     int // cancellations answered with "no such job"
-	samples  []sample
-	faults   []happened
-	breaches []Breach
+// callerRecord is what callers know. It is safe for concurrent use.
+type callerRecord struct {
+	mu                sync.Mutex
+	jobs              []*job
+	accepted          []*job
+	counts            map[outcome]int
+	queries           int
+	unansweredQueries int // asks without answer
+	lateRefusals      int // refusals
+	notFoundCancels   int // cancellations answered with "no such job"
+	samples           []sample
+	faults            []injectedFault
+	breaches          []Breach
 }
 
 // sample is a point of the plots; counts are those so far.
@@ -73,28 +73,28 @@
 	tail                       float64
 }
 
-// happened is a fault that came about.
-type happened struct {
+// injectedFault is a fault that came about.
+type injectedFault struct {
 	from, to time.Duration
 	fault    Fault
 }
 
-// newRecord makes an empty record.
-func newRecord() *record { return &record{counts: map[outcome]int{}} }
+// newCallerRecord makes an empty record.
+func newCallerRecord() *callerRecord { return &callerRecord{counts: map[outcome]int{}} }
 
-// tried notes a try.
-func (r *record) tried(j *job, t try) {
+// addSubmission notes a try.
+func (r *callerRecord) addSubmission(j *job, t submission) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	j.tries = append(j.tries, t)
+	j.submissions = append(j.submissions, t)
 }
 
-// outcome notes and gives what came of a job by the tries so far.
-func (r *record) outcome(j *job) outcome {
+// decideOutcome notes and gives what came of a job by the tries so far.
+func (r *callerRecord) decideOutcome(j *job) outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	j.answered, j.outcome = time.Now(), outcomeRefused
-	for _, t := range j.tries {
+	j.decided, j.outcome = time.Now(), outcomeRefused
+	for _, t := range j.submissions {
 		switch {
 		case t.accepted():
 			j.outcome = outcomeAccepted
@@ -110,8 +110,8 @@
 	return j.outcome
 }
 
-// some draws an accepted job; nil: there is none yet.
-func (r *record) some(random *rand.Rand) *job {
+// randomAccepted draws an accepted job; nil: there is none yet.
+func (r *callerRecord) randomAccepted(random *rand.Rand) *job {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.accepted) == 0 {
@@ -120,68 +120,68 @@
 	return r.accepted[random.IntN(len(r.accepted))]
 }
 
-// cancelling notes that a cancellation is sent.
-func (r *record) cancelling(j *job) {
+// noteCancelSent notes that a cancellation is sent.
+func (r *callerRecord) noteCancelSent(j *job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	j.mayBeCancelled = true
+	j.cancelSent = true
 }
 
-// cancelled notes that a cancellation was confirmed.
-func (r *record) cancelled(j *job) {
+// noteCancelled notes that a cancellation was confirmed.
+func (r *callerRecord) noteCancelled(j *job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j.cancelled = true
 }
 
-// noSuchJob notes that a cancellation was answered with "no such job".
-func (r *record) noSuchJob(j *job) {
+// noteNotFound notes that a cancellation was answered with "no such job".
+func (r *callerRecord) noteNotFound(j *job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	j.gone = time.Now()
-	r.gone++
+	j.notFound = time.Now()
+	r.notFoundCancels++
 }
 
-// mayBeCancelled tells whether a cancellation was sent.
-func (r *record) mayBeCancelled(j *job) bool {
+// cancelSent tells whether a cancellation was sent.
+func (r *callerRecord) cancelSent(j *job) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return j.mayBeCancelled
+	return j.cancelSent
 }
 
-// asked notes that a state was asked for.
-func (r *record) asked(answered bool) {
+// noteQuery notes that a state was asked for.
+func (r *callerRecord) noteQuery(answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.asks++
+	r.queries++
 	if !answered {
-		r.unheard++
+		r.unansweredQueries++
 	}
 }
 
-// refusedLate notes a refusal that took too long.
-func (r *record) refusedLate() {
+// noteLateRefusal notes a refusal that took too long.
+func (r *callerRecord) noteLateRefusal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.late++
+	r.lateRefusals++
 }
 
-// sample notes the counts so far and the worst tail.
-func (r *record) sample(at time.Duration, tail float64) {
+// addSample notes the counts so far and the worst tail.
+func (r *callerRecord) addSample(at time.Duration, tail float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.samples = append(r.samples, sample{at, r.counts[outcomeAccepted], r.counts[outcomeRefused], r.counts[outcomeUnknown], tail})
 }
 
-// fault notes a fault that came about.
-func (r *record) fault(from, to time.Duration, fault Fault) {
+// addFault notes a fault that came about.
+func (r *callerRecord) addFault(from, to time.Duration, fault Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults = append(r.faults, happened{from, to, fault})
+	r.faults = append(r.faults, injectedFault{from, to, fault})
 }
 
-// broken notes a promise that somebody saw broken.
-func (r *record) broken(at time.Duration, who, format string, args ...any) {
+// addBreach notes a promise that somebody saw broken.
+func (r *callerRecord) addBreach(at time.Duration, who, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.breaches = append(r.breaches, Breach{At: at, Seen: who, What: fmt.Sprintf(format, args...)})
--- a/tests/soak/report.go
+++ b/tests/soak/report.go
@@ -37,26 +37,26 @@
 	Breaches []Breach        `json:"breaches"` // none: all promises were kept
 }
 
-// sum puts the report together.
-func (r *run) sum() {
+// fillReport puts the report together.
+func (r *run) fillReport() {
 	r.record.mu.Lock()
 	defer r.record.mu.Unlock()
 	for _, h := range r.record.faults {
 		r.report.Faults[h.fault.Kind]++
 	}
 	r.report.Jobs = r.record.counts
-	r.report.Asked, r.report.Unheard = r.record.asks, r.record.unheard
+	r.report.Asked, r.report.Unheard = r.record.queries, r.record.unansweredQueries
 	r.report.Checked = len(r.record.jobs)
-	r.report.Late = r.record.late
-	r.report.Gone, r.report.Lost = r.record.gone, r.site.storeFaults.accepted.lost
+	r.report.Late = r.record.lateRefusals
+	r.report.Gone, r.report.Lost = r.record.notFoundCancels, r.site.storeFaults.accepted.lostAnswers
 	workers := r.site.emulator.Grid
 	r.report.Resumed, r.report.Behind, r.report.Redone = workers.CheckpointsBrought(), len(workers.StartsBehind()), workers.WorkLost()
 	r.report.Took = time.Since(r.begin)
 	r.report.Breaches = r.record.breaches
 }
 
-// leave writes plan, report and plot beside the daemons' logs.
-func (r *run) leave() error {
+// writeResults writes plan, report and plot beside the daemons' logs.
+func (r *run) writeResults() error {
 	for name, value := range map[string]any{"plan.json": r.plan, "report.json": r.report} {
 		data, err := json.MarshalIndent(value, "", "  ")
 		if err != nil {
@@ -66,5 +66,5 @@
 			return errors.Wrap(err, "write report")
 		}
 	}
-	return errors.Wrap(os.WriteFile(filepath.Join(r.config.Folder, "run.svg"), []byte(r.plot()), 0o600), "write plot")
+	return errors.Wrap(os.WriteFile(filepath.Join(r.config.Folder, "run.svg"), []byte(r.renderPlot()), 0o600), "write plot")
 }
--- a/tests/soak/restart.go
+++ b/tests/soak/restart.go
@@ -26,33 +26,33 @@
 	NewIDsAndBorn Naming = "born"
 )
 
-// namings are the stand-in's values for them.
-var namings = map[Naming]grid.Naming{"": grid.NewIDs, NewIDs: grid.NewIDs, SameID: grid.SameID, NewIDsAndBorn: grid.NewIDsAndBorn}
+// gridNamings are the stand-in's values for them.
+var gridNamings = map[Naming]grid.Naming{"": grid.NewIDs, NewIDs: grid.NewIDs, SameID: grid.SameID, NewIDsAndBorn: grid.NewIDsAndBorn}
 
 // check rejects a way that isn't known; left out, it is NewIDs.
 func (n Naming) check() error {
-	if _, ok := namings[n]; !ok {
+	if _, ok := gridNamings[n]; !ok {
 		return errors.Newf("unknown naming of workers %q: new, same or born", n)
 	}
 	return nil
 }
 
 const (
-	restartStream      = 0x7e_57_a7_7    // of the random numbers of restarts
-	longestUntilNext   = 2 * time.Second // between two restarts
-	longestBehind      = 3 * time.Second // of the fault behind which a worker starts again
-	oneRestartOfAll    = 6               // one restart in so many is of all workers
-	restartsOfOneFault = 3               // at most, while a fault lasts
+	restartStream       = 0x7e_57_a7_7    // of the random numbers of restarts
+	maxRestartPause     = 2 * time.Second // between two restarts
+	maxRestartFault     = 3 * time.Second // of the fault behind which a worker starts again
+	allWorkersOneIn     = 6               // one restart in so many is of all workers
+	maxRestartsPerFault = 3               // at most, while a fault lasts
 )
 
 // drawRestarts draws workers that start again while calls to them go wrong, from a stream of its own.
 func drawRestarts(seed uint64, length time.Duration, workers int) []Fault {
 	random := rand.New(rand.NewPCG(seed, restartStream))
 	var faults []Fault
-	for at := firstFault; at < length; at += time.Duration(random.Int64N(int64(longestUntilNext))) {
-		fault := Fault{At: at, Kind: RestartWorker, Target: random.IntN(workers), Over: true, Every: 1 + random.IntN(restartsOfOneFault)}
-		fault.For = shortestFault + time.Duration(random.Int64N(int64(longestBehind-shortestFault)))
-		if random.IntN(oneRestartOfAll) == 0 {
+	for at := firstFaultAt; at < length; at += time.Duration(random.Int64N(int64(maxRestartPause))) {
+		fault := Fault{At: at, Kind: RestartWorker, Target: random.IntN(workers), Over: true, Every: 1 + random.IntN(maxRestartsPerFault)}
+		fault.For = minFaultDuration + time.Duration(random.Int64N(int64(maxRestartFault-minFaultDuration)))
+		if random.IntN(allWorkersOneIn) == 0 {
 			fault.Kind = RestartWorkers
 		}
 		faults = append(faults, fault)
@@ -65,16 +65,16 @@
 func (r *run) restartWorker(ctx context.Context, fault Fault, place int) {
 	g := r.site.emulator.Grid
 	late := fault.Target%2 == 0
-	g.ChangeFaults(place, func(f *grid.Faults) { setBehind(f, late, fault.For) })
+	g.ChangeFaults(place, func(f *grid.Faults) { setRestartFault(f, late, fault.For) })
 	for range fault.Every {
-		pause(ctx, fault.For/time.Duration(fault.Every))
+		sleep(ctx, fault.For/time.Duration(fault.Every))
 		g.CrashBehind(place)
 	}
-	g.ChangeFaults(place, func(f *grid.Faults) { setBehind(f, late, 0) })
+	g.ChangeFaults(place, func(f *grid.Faults) { setRestartFault(f, late, 0) })
 }
 
-// setBehind begins the fault behind which a worker starts again, or ends it, for no time.
-func setBehind(f *grid.Faults, late bool, lasts time.Duration) {
+// setRestartFault begins the fault behind which a worker starts again, or ends it, for no time.
+func setRestartFault(f *grid.Faults, late bool, lasts time.Duration) {
 	if late {
 		f.Late = lasts
 		return
--- a/tests/soak/silence.go
+++ b/tests/soak/silence.go
@@ -26,12 +26,14 @@
 	Added int64 `json:"added"` // milliseconds since 1970
 }
 
-// openedWithin is how soon after the toxic was added the proxy has given it to the
+// toxicSpreadTime is how soon after the toxic was added the proxy has given it to the
 // connections that were there.
-const openedWithin = 50 * time.Millisecond
+const toxicSpreadTime = 50 * time.Millisecond
 
 // NewState implements toxics.StatefulToxic: it tells of a connection whether it is silent.
-func (s *silentConnections) NewState() any { return time.Since(time.UnixMilli(s.Added)) < openedWithin }
+func (s *silentConnections) NewState() any {
+	return time.Since(time.UnixMilli(s.Added)) < toxicSpreadTime
+}
 
 // Pipe implements toxics.Toxic.
 func (s *silentConnections) Pipe(stub *toxics.ToxicStub) {
@@ -59,8 +61,8 @@
 	}
 }
 
-// silence lets all connections through a proxy go silent for good.
-func (r *run) silence(p *toxiproxy.Proxy) {
+// silenceProxy lets all connections through a proxy go silent for good.
+func (r *run) silenceProxy(p *toxiproxy.Proxy) {
 	now := time.Now()
 	for _, stream := range []string{"upstream", "downstream"} {
 		name := fmt.Sprint("silent since ", now.UnixNano(), " ", stream)
@@ -68,22 +70,22 @@
 	}
 }
 
-// silenceAll silences the connections of a daemon to the store and from its peers, or those of
+// silenceTarget silences the connections of a daemon to the store and from its peers, or those of
 // a worker.
-func (r *run) silenceAll(fault Fault, d *daemon, place int) {
+func (r *run) silenceTarget(fault Fault, d *daemon, place int) {
 	if fault.Kind == SilenceWorker {
-		r.silence(r.site.workers[place])
+		r.silenceProxy(r.site.workerProxies[place])
 		return
 	}
-	r.silence(d.store)
-	r.silence(d.peers)
+	r.silenceProxy(d.store)
+	r.silenceProxy(d.peers)
 }
 
 const (
-	silenceStream = 0x51_1e_4c_e0           // of the random numbers of silences
-	longestQuiet  = 4 * time.Second         // between two of them
-	silences      = 3                       // kinds of draws: a daemon, or, twice as often, a worker
-	silenceFor    = 1500 * time.Millisecond // until the time limits of all calls have passed
+	silenceStream      = 0x51_1e_4c_e0           // of the random numbers of silences
+	maxSilencePause    = 4 * time.Second         // between two of them
+	daemonSilenceOneIn = 3                       // kinds of draws: a daemon, or, twice as often, a worker
+	silenceDuration    = 1500 * time.Millisecond // until the time limits of all calls have passed
 )
 
 // drawSilences draws them from a stream of its own, so that the other faults of a seed are as
@@ -91,12 +93,12 @@
 func drawSilences(seed uint64, length time.Duration, targets int) []Fault {
 	random := rand.New(rand.NewPCG(seed, silenceStream))
 	var faults []Fault
-	for at := firstFault; at < length; at += time.Duration(random.Int64N(int64(longestQuiet))) {
+	for at := firstFaultAt; at < length; at += time.Duration(random.Int64N(int64(maxSilencePause))) {
 		kind := SilenceWorker
-		if random.IntN(silences) == 0 {
+		if random.IntN(daemonSilenceOneIn) == 0 {
 			kind = SilenceDaemon
 		}
-		faults = append(faults, Fault{At: at, For: silenceFor, Kind: kind, Target: random.IntN(targets), Over: true})
+		faults = append(faults, Fault{At: at, For: silenceDuration, Kind: kind, Target: random.IntN(targets), Over: true})
 	}
 	return faults
 }
--- a/tests/soak/site.go
+++ b/tests/soak/site.go
@@ -25,56 +25,56 @@
 
 // What the emulated platform is like.
 const (
-	longestLease = 6 * time.Second
-	stopTime     = 200 * time.Millisecond // of a run
-	slowClocks   = 0.02                   // the workers' clocks run so much slow
-	perRack      = 4
-	heartbeat    = 500 * time.Millisecond
-	attempts     = 3 // of a task
-	host         = "jobs.example"
-	prefix       = "/jobs/"
-	workerPool   = "pool"
-	workerCPU    = 4000 // thousandths of a processor
-	workerMemory = 8000 // MB
-	// save is short against the tasks' work of 300 ms and more, so that most runs that end early
+	maxWorkerLease  = 6 * time.Second
+	stopTime        = 200 * time.Millisecond // of a run
+	clockSlowdown   = 0.02                   // the workers' clocks run so much slow
+	perRack         = 4
+	heartbeat       = 500 * time.Millisecond
+	maxTaskAttempts = 3 // of a task
+	host            = "jobs.example"
+	prefix          = "/jobs/"
+	workerPool      = "pool"
+	workerCPU       = 4000 // thousandths of a processor
+	workerMemory    = 8000 // MB
+	// checkpointTime is short against the tasks' work of 300 ms and more, so that most runs that end early
 	// leave a checkpoint.
-	save    = 50 * time.Millisecond
-	restore = 30 * time.Millisecond
-	// workerDown is how long it takes until another incarnation is there after a crash.
-	workerDown = 3 * time.Second
+	checkpointTime = 50 * time.Millisecond
+	restoreTime    = 30 * time.Millisecond
+	// workerDowntime is how long it takes until another incarnation is there after a crash.
+	workerDowntime = 3 * time.Second
 )
 
 // site is the emulated platform in this process and the daemons in theirs.
 type site struct {
-	config   Config
-	ports    portblock.Block
-	proxies  *toxiproxy.ApiServer
-	all      []*toxiproxy.Proxy
-	workers  []*toxiproxy.Proxy // by place
-	emulator *emulator.Emulator
-	store    *http.Server
-	daemons  []*daemon
-	cancel   context.CancelFunc
-	group    conc.WaitGroup
+	config        Config
+	ports         portblock.Block
+	proxies       *toxiproxy.ApiServer
+	allProxies    []*toxiproxy.Proxy
+	workerProxies []*toxiproxy.Proxy // by place
+	emulator      *emulator.Emulator
+	store         *http.Server
+	daemons       []*daemon
+	cancel        context.CancelFunc
+	group         conc.WaitGroup
 
 	storeFaults storeFaults
 
-	mu      sync.Mutex
-	atStore map[string]*daemon // by address
-	taken   map[string]bool    // what a fault has now
-	version int                // of the configuration that was written last
+	mu             sync.Mutex
+	storeListeners map[string]*daemon // by address
+	reserved       map[string]bool    // what a fault has now
+	version        int                // of the configuration that was written last
 }
 
 // newSite starts the platform and the daemons, and waits until they take callers. With an
 // error it gives what was started, which must be closed as well; nil: nothing was.
 func newSite(ctx context.Context, config Config) (*site, error) {
-	s := &site{taken: map[string]bool{}, atStore: map[string]*daemon{}, config: config, proxies: toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop()), version: 1}
+	s := &site{reserved: map[string]bool{}, storeListeners: map[string]*daemon{}, config: config, proxies: toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop()), version: 1}
 	var err error
 	s.emulator, err = emulator.New(emulator.Config{
 		Grid: grid.Config{
 			Workers: config.Workers, PerRack: perRack, Pool: workerPool, Capacity: models.Resources{CPU: workerCPU, Memory: workerMemory},
-			LongestLease: longestLease, StopTime: stopTime, Slow: slowClocks, Work: work,
-			Crash: config.crash, Down: workerDown, Naming: namings[config.Naming], Save: save, Restore: restore,
+			LongestLease: maxWorkerLease, StopTime: stopTime, Slow: clockSlowdown, Work: taskOutcome,
+			Crash: config.crashDelay, Down: workerDowntime, Naming: gridNamings[config.Naming], Save: checkpointTime, Restore: restoreTime,
 		},
 		Store: kv.Config{}, Queues: queues(s.version), Heartbeat: heartbeat, Expose: s.expose,
 	})
@@ -90,11 +90,11 @@
 
 // expose puts a proxy before the worker in a place.
 func (s *site) expose(place int, address string) (string, error) {
-	p, err := s.proxy(fmt.Sprint("worker ", place), address)
+	p, err := s.newProxy(fmt.Sprint("worker ", place), address)
 	if err != nil {
 		return "", err
 	}
-	s.workers = append(s.workers, p)
+	s.workerProxies = append(s.workerProxies, p)
 	return p.Listen, nil
 }
 
@@ -111,47 +111,47 @@
 		s.daemons = append(s.daemons, d)
 	}
 	for _, d := range s.daemons {
-		if err := s.untilReady(ctx, d); err != nil {
+		if err := s.waitReady(ctx, d); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// patience is how long something that must come about in the end is waited for, also on a
+// waitTimeout is how long something that must come about in the end is waited for, also on a
 // machine that is busy with other work.
-const patience = 90 * time.Second
+const waitTimeout = 90 * time.Second
 
-// look is how often it is looked for.
-const look = 50 * time.Millisecond
+// pollInterval is how often it is looked for.
+const pollInterval = 50 * time.Millisecond
 
-// untilReady waits until the daemon takes callers.
-func (s *site) untilReady(ctx context.Context, d *daemon) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// waitReady waits until the daemon takes callers.
+func (s *site) waitReady(ctx context.Context, d *daemon) error {
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
-	for !ready(ctx, d.ready) {
-		if !pause(ctx, look) {
+	for !isReady(ctx, d.readyAddress) {
+		if !sleep(ctx, pollInterval) {
 			return errors.Newf("%s did not get ready", d.name)
 		}
 	}
 	return nil
 }
 
-// proxy puts a proxy before an address.
-func (s *site) proxy(name, upstream string) (*toxiproxy.Proxy, error) {
+// newProxy puts a proxy before an address.
+func (s *site) newProxy(name, upstream string) (*toxiproxy.Proxy, error) {
 	address, err := s.ports.Take()
 	if err != nil {
 		return nil, err
 	}
 	p := toxiproxy.NewProxy(s.proxies, name, address, upstream)
-	s.all = append(s.all, p)
+	s.allProxies = append(s.allProxies, p)
 	return p, errors.Wrapf(p.Start(), "proxy before %s", name)
 }
 
-// mend ends all faults: connections are whole, workers are well, daemons run.
-func (s *site) mend() {
+// clearFaults ends all faults: connections are whole, workers are well, daemons run.
+func (s *site) clearFaults() {
 	s.storeFaults.clear()
-	for _, p := range s.all {
+	for _, p := range s.allProxies {
 		p.Toxics.ResetToxics(context.Background())
 		_ = p.Start() // it may run
 	}
@@ -163,7 +163,7 @@
 	for _, d := range s.daemons {
 		d.signal(syscall.SIGCONT)
 		if _, up := d.running(); !up {
-			_ = d.start() // untilReady tells
+			_ = d.start() // waitReady tells
 		}
 	}
 }
@@ -175,7 +175,7 @@
 		d.kill()
 		_ = d.log.Close()
 	}
-	for _, p := range s.all {
+	for _, p := range s.allProxies {
 		p.Stop()
 	}
 	s.cancel()
@@ -183,8 +183,8 @@
 	s.group.Wait()
 }
 
-// pause waits; false: ctx has ended.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits; false: ctx has ended.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -195,25 +195,25 @@
 	}
 }
 
-// take reserves something for a fault; false: another one has it.
-func (s *site) take(what string) bool {
+// reserve reserves something for a fault; false: another one has it.
+func (s *site) reserve(what string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	free := !s.taken[what]
-	s.taken[what] = true
+	free := !s.reserved[what]
+	s.reserved[what] = true
 	return free
 }
 
-// isTaken tells whether a fault has something.
-func (s *site) isTaken(what string) bool {
+// isReserved tells whether a fault has something.
+func (s *site) isReserved(what string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.taken[what]
+	return s.reserved[what]
 }
 
 // release lets other faults have it.
 func (s *site) release(what string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.taken, what)
+	delete(s.reserved, what)
 }
--- a/tests/soak/soak.go
+++ b/tests/soak/soak.go
@@ -73,21 +73,21 @@
 	}
 	plan := newPlan(config)
 	r := &run{
-		config: config, site: s, plan: plan, begin: time.Now(), record: newRecord(),
+		config: config, site: s, plan: plan, begin: time.Now(), record: newCallerRecord(),
 		report: &Report{Seed: config.Seed, Faults: map[Kind]int{}},
 	}
 	r.play(ctx)
 	r.finish(ctx)
-	return r.report, r.leave()
+	return r.report, r.writeResults()
 }
 
 // Random numbers other than the plan's come from streams of their own, so that one use
 // doesn't change what another one draws.
 const (
-	storeStream  = 1
-	submitStream = 2
-	askStream    = 3
-	habitStream  = 4
+	storeStream    = 1
+	submitStream   = 2
+	queryStream    = 3
+	behaviorStream = 4
 	// overlapStream is not the length of any run, which is the plan's stream.
 	overlapStream = 1<<63 + 5
 )
@@ -98,7 +98,7 @@
 	site   *site
 	plan   Plan
 	begin  time.Time
-	record *record
+	record *callerRecord
 	report *Report
 }
 
@@ -108,7 +108,7 @@
 	defer cancel()
 	var group conc.WaitGroup
 	group.Go(func() { r.submitLoop(ctx) })
-	group.Go(func() { r.askLoop(ctx) })
+	group.Go(func() { r.queryLoop(ctx) })
 	group.Go(func() { r.versionLoop(ctx) })
 	group.Go(func() { r.sampleLoop(ctx) })
 	r.injectLoop(ctx, &group)
@@ -117,13 +117,13 @@
 
 // finish mends everything and checks what must hold then.
 func (r *run) finish(ctx context.Context) {
-	r.site.mend()
-	r.checkEnds(ctx)
-	r.checkPromises()
-	r.checkStops()
+	r.site.clearFaults()
+	r.checkFinalStates(ctx)
+	r.checkGuarantees()
+	r.checkUnplannedExits()
 	r.checkRaces()
 	for _, breach := range r.site.emulator.Grid.Breaches() {
-		r.record.broken(time.Since(r.begin), "workers", "%s", breach)
+		r.record.addBreach(time.Since(r.begin), "workers", "%s", breach)
 	}
-	r.sum()
+	r.fillReport()
 }
--- a/tests/soak/store.go
+++ b/tests/soak/store.go
@@ -21,9 +21,9 @@
 // startStore serves the store until close; each daemon has an address of its own there, so
 // that faults know whose call they have.
 func (s *site) startStore() {
-	s.storeFaults.accepted = newAcceptances()
+	s.storeFaults.accepted = newAcceptanceLog()
 	s.emulator.SetFault(s.storeFaults.fault)
-	s.store = &http.Server{Handler: noteArrival(s.emulator.Handler()), ReadHeaderTimeout: time.Minute, ConnContext: s.connectionOf}
+	s.store = &http.Server{Handler: withArrivalTime(s.emulator.Handler()), ReadHeaderTimeout: time.Minute, ConnContext: s.connContext}
 }
 
 // listenForStore opens a daemon's address at the store.
@@ -34,7 +34,7 @@
 	}
 	address = listener.Addr().String()
 	s.mu.Lock()
-	s.atStore[address] = d
+	s.storeListeners[address] = d
 	s.mu.Unlock()
 	s.group.Go(func() { _ = s.store.Serve(listener) }) // ends with close
 	return address, nil
@@ -48,21 +48,21 @@
 
 // connection is a daemon's connection to the store.
 type connection struct {
-	daemon *daemon
-	life   int // of the daemon's process
+	daemon      *daemon
+	incarnation int // of the daemon's process
 }
 
-// connectionOf finds whose a new connection is.
-func (s *site) connectionOf(ctx context.Context, c net.Conn) context.Context {
+// connContext finds whose a new connection is.
+func (s *site) connContext(ctx context.Context, c net.Conn) context.Context {
 	s.mu.Lock()
-	d := s.atStore[c.LocalAddr().String()]
+	d := s.storeListeners[c.LocalAddr().String()]
 	s.mu.Unlock()
 	life, _ := d.running()
 	return context.WithValue(ctx, connectionKey{}, connection{d, life})
 }
 
-// noteArrival notes when calls arrive.
-func noteArrival(handler http.Handler) http.Handler {
+// withArrivalTime notes when calls arrive.
+func withArrivalTime(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		handler.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), arrivalKey{}, time.Now())))
 	})
@@ -70,21 +70,21 @@
 
 // storeFaults are the store's faults in force. It is safe for concurrent use.
 type storeFaults struct {
-	accepted *acceptances // that the store has seen
-	mu       sync.Mutex
-	all      []*kv.Fault // the newest first
-	held     time.Time   // when the last of the writes that are held up is done
+	accepted      *acceptanceLog // that the store has seen
+	mu            sync.Mutex
+	active        []*kv.Fault // the newest first
+	lastHeldUntil time.Time   // when the last of the writes that are held up is done
 }
 
 // add puts a fault beside the others until it is removed.
 func (f *storeFaults) add(fault kv.Fault) (remove func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.all = append([]*kv.Fault{&fault}, f.all...)
+	f.active = append([]*kv.Fault{&fault}, f.active...)
 	return func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.all = slices.DeleteFunc(slices.Clone(f.all), func(other *kv.Fault) bool { return other == &fault })
+		f.active = slices.DeleteFunc(slices.Clone(f.active), func(other *kv.Fault) bool { return other == &fault })
 	}
 }
 
@@ -92,13 +92,13 @@
 func (f *storeFaults) clear() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.all = nil
+	f.active = nil
 }
 
 // fault implements kv.Fault: all faults in force are asked, until one has something to say.
 func (f *storeFaults) fault(ctx context.Context, write, after bool, key string) error {
 	f.mu.Lock()
-	all := f.all
+	all := f.active
 	f.mu.Unlock()
 	var err error
 	for _, fault := range all {
@@ -107,16 +107,16 @@
 		}
 	}
 	if write && after {
-		f.accepted.done(ctx, err == nil)
+		f.accepted.recordWrite(ctx, err == nil)
 	}
 	return err
 }
 
-// hold holds a write up.
-func (f *storeFaults) hold(d time.Duration) {
+// delayWrite holds a write up.
+func (f *storeFaults) delayWrite(d time.Duration) {
 	f.mu.Lock()
-	if until := time.Now().Add(d); until.After(f.held) {
-		f.held = until
+	if until := time.Now().Add(d); until.After(f.lastHeldUntil) {
+		f.lastHeldUntil = until
 	}
 	f.mu.Unlock()
 	time.Sleep(d)
@@ -126,31 +126,31 @@
 func (f *storeFaults) heldUntil() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.held
+	return f.lastHeldUntil
 }
 
 // Figures of the store's faults: slow answers come within callTimeout, late writes
 // are done after it.
 const (
-	slowBy      = 150 * time.Millisecond
-	loseOneIn   = 3 // calls
-	busyOneIn   = 2 // calls
-	lateAtLeast = time.Second
-	lateAtMost  = 5 * time.Second
+	slowDelay    = 150 * time.Millisecond
+	loseOneIn    = 3 // calls
+	busyOneIn    = 2 // calls
+	minLateDelay = time.Second
+	maxLateDelay = 5 * time.Second
 )
 
-// disturbStore lets calls to the store go wrong.
-func (r *run) disturbStore(ctx context.Context, fault Fault) {
+// applyStoreFault lets calls to the store go wrong.
+func (r *run) applyStoreFault(ctx context.Context, fault Fault) {
 	if fault.Kind == StoreForgets {
 		r.site.emulator.Store.Forget()
 		return
 	}
-	defer r.site.storeFaults.add(r.hits(fault, r.storeFault(fault)))()
-	pause(ctx, fault.For)
+	defer r.site.storeFaults.add(r.restrictToDaemons(fault, r.newStoreFault(fault)))()
+	sleep(ctx, fault.For)
 }
 
-// hits restricts a fault to the calls of the daemons that it is planned for.
-func (r *run) hits(planned Fault, fault kv.Fault) kv.Fault {
+// restrictToDaemons restricts a fault to the calls of the daemons that it is planned for.
+func (r *run) restrictToDaemons(planned Fault, fault kv.Fault) kv.Fault {
 	if planned.Every <= 1 {
 		return fault
 	}
@@ -166,8 +166,8 @@
 	}
 }
 
-// storeFault is what the emulator asks before and after each call.
-func (r *run) storeFault(planned Fault) kv.Fault {
+// newStoreFault is what the emulator asks before and after each call.
+func (r *run) newStoreFault(planned Fault) kv.Fault {
 	var mu sync.Mutex
 	stream := uint64(storeStream)
 	if planned.Over {
@@ -187,9 +187,9 @@
 		case after:
 			return nil
 		case kind == StoreSlow:
-			time.Sleep(slowBy)
+			time.Sleep(slowDelay)
 		case kind == StoreLate && write && draw(loseOneIn) == 0:
-			r.site.storeFaults.hold(lateAtLeast + time.Duration(draw(int64(lateAtMost-lateAtLeast)))) // then it is done, and nobody waits any more
+			r.site.storeFaults.delayWrite(minLateDelay + time.Duration(draw(int64(maxLateDelay-minLateDelay)))) // then it is done, and nobody waits any more
 		case kind == StoreDown, kind == StoreReadsFail && !write, kind == StoreBusy && draw(busyOneIn) == 0:
 			return platform.ErrUnavailable
 		case kind == StoreLimited && draw(busyOneIn) == 0:
--- a/tests/soak/trouble.go
+++ b/tests/soak/trouble.go
@@ -15,8 +15,8 @@
 // end and are started again. They go over other faults of the worker, and each is mended
 // by itself.
 
-// troubles lists them with their weights.
-var troubles = []struct {
+// weightedMisbehaviors lists them with their weights.
+var weightedMisbehaviors = []struct {
 	kind   Kind
 	weight int
 }{
@@ -27,29 +27,29 @@
 }
 
 const (
-	troubleStream  = 0x7_20_0b_1e    // of the random numbers of troubles
-	longestSound   = 3 * time.Second // between two of them
-	longestTrouble = 4 * time.Second
-	// passBy is by how much answers are late at most: less than calls to workers wait.
-	passBy = 300 * time.Millisecond
+	misbehaviorStream      = 0x7_20_0b_1e    // of the random numbers of troubles
+	maxMisbehaviorPause    = 3 * time.Second // between two of them
+	maxMisbehaviorDuration = 4 * time.Second
+	// maxAnswerDelay is by how much answers are late at most: less than calls to workers wait.
+	maxAnswerDelay = 300 * time.Millisecond
 	// repeatAfter is when an order is done once more: newer ones for the task have come by then.
 	repeatAfter = 1200 * time.Millisecond
 )
 
-// drawTroubles draws them from a stream of its own, so that the other faults of a seed are as
+// drawMisbehaviors draws them from a stream of its own, so that the other faults of a seed are as
 // before.
-func drawTroubles(seed uint64, length time.Duration, workers int) []Fault {
+func drawMisbehaviors(seed uint64, length time.Duration, workers int) []Fault {
 	all := 0
-	for _, t := range troubles {
+	for _, t := range weightedMisbehaviors {
 		all += t.weight
 	}
-	random := rand.New(rand.NewPCG(seed, troubleStream))
+	random := rand.New(rand.NewPCG(seed, misbehaviorStream))
 	var faults []Fault
-	for at := firstFault; at < length; at += time.Duration(random.Int64N(int64(longestSound))) {
+	for at := firstFaultAt; at < length; at += time.Duration(random.Int64N(int64(maxMisbehaviorPause))) {
 		fault := Fault{At: at, Target: random.IntN(workers), Over: true}
-		fault.For = shortestFault + time.Duration(random.Int64N(int64(longestTrouble-shortestFault)))
+		fault.For = minFaultDuration + time.Duration(random.Int64N(int64(maxMisbehaviorDuration-minFaultDuration)))
 		n := random.IntN(all)
-		for _, t := range troubles {
+		for _, t := range weightedMisbehaviors {
 			if n -= t.weight; n < 0 {
 				fault.Kind = t.kind
 				break
@@ -60,16 +60,16 @@
 	return faults
 }
 
-// troubleWorker lets a worker be in trouble for a time.
-func (r *run) troubleWorker(ctx context.Context, fault Fault, place int) {
+// applyMisbehavior lets a worker be in trouble for a time.
+func (r *run) applyMisbehavior(ctx context.Context, fault Fault, place int) {
 	g := r.site.emulator.Grid
-	g.ChangeFaults(place, func(f *grid.Faults) { setTrouble(f, fault.Kind, true) })
-	pause(ctx, fault.For)
-	g.ChangeFaults(place, func(f *grid.Faults) { setTrouble(f, fault.Kind, false) })
+	g.ChangeFaults(place, func(f *grid.Faults) { setMisbehavior(f, fault.Kind, true) })
+	sleep(ctx, fault.For)
+	g.ChangeFaults(place, func(f *grid.Faults) { setMisbehavior(f, fault.Kind, false) })
 }
 
-// setTrouble begins or ends a trouble.
-func setTrouble(f *grid.Faults, kind Kind, begins bool) {
+// setMisbehavior begins or ends a trouble.
+func setMisbehavior(f *grid.Faults, kind Kind, begins bool) {
 	switch kind {
 	case FailWorker:
 		f.FailsAll = begins
@@ -78,7 +78,7 @@
 	case OvertakeWorker:
 		f.LateAnswers = 0
 		if begins {
-			f.LateAnswers = passBy
+			f.LateAnswers = maxAnswerDelay
 		}
 	case RepeatWorker:
 		f.Again = 0
