--- a/cmd/rillsail-soak/main.go
+++ b/cmd/rillsail-soak/main.go
@@ -132,9 +132,9 @@
 		faults += n
 	}
 	fmt.Printf("seed %d: %d faults, jobs %v, %d written without answer, %d said not to be there, %d answers of %d, %d starts with checkpoints, %d behind by %s, %d broken, %s\n",
-		report.Seed, faults, report.Jobs, report.Lost, report.Gone, report.Asked-report.Unheard, report.Asked,
-		report.Resumed, report.Behind, report.Redone.Round(time.Millisecond), len(report.Breaches), report.Took.Round(time.Millisecond))
+		report.Seed, faults, report.Jobs, report.LostAnswers, report.NotFoundCancels, report.Queries-report.UnansweredQueries, report.Queries,
+		report.StartsWithCheckpoint, report.StartsBehind, report.WorkRedone.Round(time.Millisecond), len(report.Breaches), report.Duration.Round(time.Millisecond))
 	for _, b := range report.Breaches {
-		fmt.Printf("  %s %s: %s\n", b.At.Round(time.Millisecond), b.Seen, b.What)
+		fmt.Printf("  %s %s: %s\n", b.At.Round(time.Millisecond), b.SeenBy, b.What)
 	}
 }
--- a/tests/integration/soak_test.go
+++ b/tests/integration/soak_test.go
@@ -26,7 +26,7 @@
 	resumed := 0
 	for _, seed := range soakSeeds(t) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
-			resumed += playSoak(t, soak.Config{Seed: seed}).Resumed
+			resumed += playSoak(t, soak.Config{Seed: seed}).StartsWithCheckpoint
 		})
 	}
 	require.NotZero(t, resumed, "starts that brought a checkpoint, in all runs together")
@@ -38,7 +38,7 @@
 // TestSoakOfRestarts plays workers that start again behind cuts, while calls are carried out late, and
 // all at once, in the ways in which they name their incarnations.
 func TestSoakOfRestarts(t *testing.T) {
-	for _, naming := range []soak.Naming{soak.SameID, soak.NewIDsAndBorn} {
+	for _, naming := range []soak.Naming{soak.SameID, soak.NewIDsWithStartTime} {
 		t.Run(string(naming), func(t *testing.T) {
 			playSoak(t, soak.Config{Seed: restartSeed, Naming: naming, Restarts: true})
 		})
--- a/tests/soak/inject.go
+++ b/tests/soak/inject.go
@@ -35,7 +35,7 @@
 	d := r.site.daemons[fault.Target%len(r.site.daemons)]
 	place := fault.Target % r.config.Workers
 	what := faultTarget(fault, d, place)
-	if !fault.Over {
+	if !fault.Overlapping {
 		if !r.site.reserve(what) {
 			return
 		}
@@ -83,7 +83,7 @@
 		sleep(ctx, fault.For)
 	case CutStore, CutStoreHalf, CutPeer, CutCallers, SlowWorker, ResetWorker:
 		r.applyConnectionFault(ctx, fault, d, place)
-	case FailWorker, StallWorker, OvertakeWorker, RepeatWorker:
+	case FailWorker, StallWorker, ReorderWorkerAnswers, RepeatWorkerOrders:
 		r.applyMisbehavior(ctx, fault, place)
 	case RestartWorker:
 		r.restartWorker(ctx, fault, place)
@@ -180,9 +180,9 @@
 	switch fault.Kind {
 	case CutWorker:
 		g.ChangeFaults(place, func(f *grid.Faults) { f.Cut = true })
-	case LateWorker:
+	case DelayWorkerOrders:
 		g.ChangeFaults(place, func(f *grid.Faults) { f.Late = fault.For })
-	case MuteWorker:
+	case LoseWorkerAnswers:
 		g.ChangeFaults(place, func(f *grid.Faults) { f.LoseAnswers = true })
 	case HideWorker:
 		g.SetListed(place, false)
--- a/tests/soak/plan.go
+++ b/tests/soak/plan.go
@@ -15,39 +15,39 @@
 
 // The kinds of faults. Those of daemons, connections and workers hit one of them.
 const (
-	KillDaemon     Kind = "kill daemon"            // and start it again
-	PauseDaemon    Kind = "pause daemon"           // and let it go on
-	StopDaemon     Kind = "stop daemon as planned" // and start it again
-	Hangup         Kind = "hang up"
-	Reconfigure    Kind = "change configuration"
-	StoreDown      Kind = "store is down"
-	StoreSlow      Kind = "store is slow"
-	StoreLossy     Kind = "store loses answers"
-	StoreLate      Kind = "store does writes late"
-	StoreBusy      Kind = "store turns calls away"
-	StoreLimited   Kind = "store limits calls"
-	StoreReadsFail Kind = "store turns reads away"
-	StoreForgets   Kind = "store forgets its history"
-	CutStore       Kind = "daemon is cut from the store"
-	CutStoreHalf   Kind = "daemon's calls reach the store, the answers don't come back"
-	CutPeer        Kind = "daemon is cut from its peers"
-	CutCallers     Kind = "callers' connections are reset"
-	SlowWorker     Kind = "connections to a worker are slow"
-	ResetWorker    Kind = "connections to a worker are reset"
-	CutWorker      Kind = "worker is silent"
-	LateWorker     Kind = "worker does orders late"
-	MuteWorker     Kind = "worker's answers are lost"
-	CrashWorker    Kind = "worker is replaced"
-	HideWorker     Kind = "worker is missing in the list"
-	DrainWorker    Kind = "worker drains and leaves"
-	SilenceDaemon  Kind = "daemon's open connections are silent for good"
-	SilenceWorker  Kind = "open connections to a worker are silent for good"
-	FailWorker     Kind = "worker fails all that it starts"
-	StallWorker    Kind = "worker stands still"
-	OvertakeWorker Kind = "worker's answers pass each other"
-	RepeatWorker   Kind = "worker does orders again later"
-	RestartWorker  Kind = "worker starts again while calls to it go wrong"
-	RestartWorkers Kind = "all workers start again at once"
+	KillDaemon           Kind = "kill daemon"            // and start it again
+	PauseDaemon          Kind = "pause daemon"           // and let it go on
+	StopDaemon           Kind = "stop daemon as planned" // and start it again
+	Hangup               Kind = "hang up"
+	Reconfigure          Kind = "change configuration"
+	StoreDown            Kind = "store is down"
+	StoreSlow            Kind = "store is slow"
+	StoreLossy           Kind = "store loses answers"
+	StoreLate            Kind = "store does writes late"
+	StoreBusy            Kind = "store turns calls away"
+	StoreLimited         Kind = "store limits calls"
+	StoreReadsFail       Kind = "store turns reads away"
+	StoreForgets         Kind = "store forgets its history"
+	CutStore             Kind = "daemon is cut from the store"
+	CutStoreHalf         Kind = "daemon's calls reach the store, the answers don't come back"
+	CutPeer              Kind = "daemon is cut from its peers"
+	CutCallers           Kind = "callers' connections are reset"
+	SlowWorker           Kind = "connections to a worker are slow"
+	ResetWorker          Kind = "connections to a worker are reset"
+	CutWorker            Kind = "worker is silent"
+	DelayWorkerOrders    Kind = "worker does orders late"
+	LoseWorkerAnswers    Kind = "worker's answers are lost"
+	CrashWorker          Kind = "worker is replaced"
+	HideWorker           Kind = "worker is missing in the list"
+	DrainWorker          Kind = "worker drains and leaves"
+	SilenceDaemon        Kind = "daemon's open connections are silent for good"
+	SilenceWorker        Kind = "open connections to a worker are silent for good"
+	FailWorker           Kind = "worker fails all that it starts"
+	StallWorker          Kind = "worker stands still"
+	ReorderWorkerAnswers Kind = "worker's answers pass each other"
+	RepeatWorkerOrders   Kind = "worker does orders again later"
+	RestartWorker        Kind = "worker starts again while calls to it go wrong"
+	RestartWorkers       Kind = "all workers start again at once"
 )
 
 // weightedKinds lists those that come by themselves with their weights: what daemons must survive
@@ -73,8 +73,8 @@
 	{SlowWorker, 1},
 	{ResetWorker, 2},
 	{CutWorker, 3},
-	{LateWorker, 2},
-	{MuteWorker, 2},
+	{DelayWorkerOrders, 2},
+	{LoseWorkerAnswers, 2},
 	{CrashWorker, 3},
 	{HideWorker, 1},
 	{DrainWorker, 2},
@@ -86,8 +86,8 @@
 	For    time.Duration `json:"for"` // until it is mended; for a daemon, until it runs again
 	Kind   Kind          `json:"kind"`
 	Target int           `json:"target"` // number of the daemon or worker
-	// Over says that a fault of the store comes over its other ones.
-	Over bool `json:"over,omitempty"`
+	// Overlapping says that a fault of the store comes over its other ones.
+	Overlapping bool `json:"over,omitempty"`
 	// Every restricts a fault of the store to one daemon in so many, counted from Target; 0: all.
 	Every int `json:"every,omitempty"`
 }
@@ -179,7 +179,7 @@
 	var faults []Fault
 	for at := firstFaultAt; at < length; at += time.Duration(random.Int64N(int64(maxOverlapPause))) {
 		first := Fault{
-			At: at, For: lasts(), Kind: unansweredKinds[random.IntN(len(unansweredKinds))], Over: true,
+			At: at, For: lasts(), Kind: unansweredKinds[random.IntN(len(unansweredKinds))], Overlapping: true,
 			Target: random.IntN(maxOverlapEvery), Every: 1 + random.IntN(maxOverlapEvery),
 		}
 		second := first
--- a/tests/soak/record.go
+++ b/tests/soak/record.go
@@ -184,5 +184,5 @@
 func (r *callerRecord) addBreach(at time.Duration, who, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.breaches = append(r.breaches, Breach{At: at, Seen: who, What: fmt.Sprintf(format, args...)})
+	r.breaches = append(r.breaches, Breach{At: at, SeenBy: who, What: fmt.Sprintf(format, args...)})
 }
--- a/tests/soak/report.go
+++ b/tests/soak/report.go
@@ -14,27 +14,27 @@
 
 // Breach is a promise that was broken.
 type Breach struct {
-	At   time.Duration `json:"at"` // since the run began
-	Seen string        `json:"seen_by"`
-	What string        `json:"what"`
+	At     time.Duration `json:"at"` // since the run began
+	SeenBy string        `json:"seen_by"`
+	What   string        `json:"what"`
 }
 
 // Report is what came of a run.
 type Report struct {
-	Seed     uint64          `json:"seed"`
-	Faults   map[Kind]int    `json:"faults"` // that came about
-	Jobs     map[outcome]int `json:"jobs"`
-	Asked    int             `json:"asked"`    // for states
-	Unheard  int             `json:"unheard"`  // of them, without answer
-	Checked  int             `json:"checked"`  // jobs, at the end
-	Late     int             `json:"late"`     // refusals that took longer than they should
-	Gone     int             `json:"gone"`     // cancellations of jobs without answer that were told there is no such job
-	Lost     int             `json:"lost"`     // writes of jobs that the store did without answering
-	Took     time.Duration   `json:"took"`     // from the first fault to the last check
-	Resumed  int             `json:"resumed"`  // starts that brought a checkpoint
-	Behind   int             `json:"behind"`   // starts with less work than a report had shown
-	Redone   time.Duration   `json:"redone"`   // the work that these began anew
-	Breaches []Breach        `json:"breaches"` // none: all promises were kept
+	Seed                 uint64          `json:"seed"`
+	Faults               map[Kind]int    `json:"faults"` // that came about
+	Jobs                 map[outcome]int `json:"jobs"`
+	Queries              int             `json:"asked"`    // for states
+	UnansweredQueries    int             `json:"unheard"`  // of them, without answer
+	Checked              int             `json:"checked"`  // jobs, at the end
+	LateRefusals         int             `json:"late"`     // refusals that took longer than they should
+	NotFoundCancels      int             `json:"gone"`     // cancellations of jobs without answer that were told there is no such job
+	LostAnswers          int             `json:"lost"`     // writes of jobs that the store did without answering
+	Duration             time.Duration   `json:"took"`     // from the first fault to the last check
+	StartsWithCheckpoint int             `json:"resumed"`  // starts that brought a checkpoint
+	StartsBehind         int             `json:"behind"`   // starts with less work than a report had shown
+	WorkRedone           time.Duration   `json:"redone"`   // the work that these began anew
+	Breaches             []Breach        `json:"breaches"` // none: all promises were kept
 }
 
 // fillReport puts the report together.
@@ -45,13 +45,13 @@
 		r.report.Faults[h.fault.Kind]++
 	}
 	r.report.Jobs = r.record.counts
-	r.report.Asked, r.report.Unheard = r.record.queries, r.record.unansweredQueries
+	r.report.Queries, r.report.UnansweredQueries = r.record.queries, r.record.unansweredQueries
 	r.report.Checked = len(r.record.jobs)
-	r.report.Late = r.record.lateRefusals
-	r.report.Gone, r.report.Lost = r.record.notFoundCancels, r.site.storeFaults.accepted.lostAnswers
+	r.report.LateRefusals = r.record.lateRefusals
+	r.report.NotFoundCancels, r.report.LostAnswers = r.record.notFoundCancels, r.site.storeFaults.accepted.lostAnswers
 	workers := r.site.emulator.Grid
-	r.report.Resumed, r.report.Behind, r.report.Redone = workers.CheckpointsBrought(), len(workers.StartsBehind()), workers.WorkLost()
-	r.report.Took = time.Since(r.begin)
+	r.report.StartsWithCheckpoint, r.report.StartsBehind, r.report.WorkRedone = workers.CheckpointsBrought(), len(workers.StartsBehind()), workers.WorkLost()
+	r.report.Duration = time.Since(r.begin)
 	r.report.Breaches = r.record.breaches
 }
 
--- a/tests/soak/restart.go
+++ b/tests/soak/restart.go
@@ -22,12 +22,12 @@
 	NewIDs Naming = "new"
 	// SameID: a worker that starts again has the id that it had, and says when it started.
 	SameID Naming = "same"
-	// NewIDsAndBorn: each incarnation has an id of its own, and says when it started.
-	NewIDsAndBorn Naming = "born"
+	// NewIDsWithStartTime: each incarnation has an id of its own, and says when it started.
+	NewIDsWithStartTime Naming = "born"
 )
 
 // gridNamings are the stand-in's values for them.
-var gridNamings = map[Naming]grid.Naming{"": grid.NewIDs, NewIDs: grid.NewIDs, SameID: grid.SameID, NewIDsAndBorn: grid.NewIDsAndBorn}
+var gridNamings = map[Naming]grid.Naming{"": grid.NewIDs, NewIDs: grid.NewIDs, SameID: grid.SameID, NewIDsWithStartTime: grid.NewIDsAndBorn}
 
 // check rejects a way that isn't known; left out, it is NewIDs.
 func (n Naming) check() error {
@@ -50,7 +50,7 @@
 	random := rand.New(rand.NewPCG(seed, restartStream))
 	var faults []Fault
 	for at := firstFaultAt; at < length; at += time.Duration(random.Int64N(int64(maxRestartPause))) {
-		fault := Fault{At: at, Kind: RestartWorker, Target: random.IntN(workers), Over: true, Every: 1 + random.IntN(maxRestartsPerFault)}
+		fault := Fault{At: at, Kind: RestartWorker, Target: random.IntN(workers), Overlapping: true, Every: 1 + random.IntN(maxRestartsPerFault)}
 		fault.For = minFaultDuration + time.Duration(random.Int64N(int64(maxRestartFault-minFaultDuration)))
 		if random.IntN(allWorkersOneIn) == 0 {
 			fault.Kind = RestartWorkers
--- a/tests/soak/silence.go
+++ b/tests/soak/silence.go
@@ -98,7 +98,7 @@
 		if random.IntN(daemonSilenceOneIn) == 0 {
 			kind = SilenceDaemon
 		}
-		faults = append(faults, Fault{At: at, For: silenceDuration, Kind: kind, Target: random.IntN(targets), Over: true})
+		faults = append(faults, Fault{At: at, For: silenceDuration, Kind: kind, Target: random.IntN(targets), Overlapping: true})
 	}
 	return faults
 }
--- a/tests/soak/store.go
+++ b/tests/soak/store.go
@@ -170,7 +170,7 @@
 func (r *run) newStoreFault(planned Fault) kv.Fault {
 	var mu sync.Mutex
 	stream := uint64(storeStream)
-	if planned.Over {
+	if planned.Overlapping {
 		stream += uint64(planned.At) // faults that overlap must not draw the same
 	}
 	random := rand.New(rand.NewPCG(r.plan.Seed, stream))
--- a/tests/soak/trouble.go
+++ b/tests/soak/trouble.go
@@ -22,8 +22,8 @@
 }{
 	{FailWorker, 4},
 	{StallWorker, 1},
-	{OvertakeWorker, 2},
-	{RepeatWorker, 2},
+	{ReorderWorkerAnswers, 2},
+	{RepeatWorkerOrders, 2},
 }
 
 const (
@@ -46,7 +46,7 @@
 	random := rand.New(rand.NewPCG(seed, misbehaviorStream))
 	var faults []Fault
 	for at := firstFaultAt; at < length; at += time.Duration(random.Int64N(int64(maxMisbehaviorPause))) {
-		fault := Fault{At: at, Target: random.IntN(workers), Over: true}
+		fault := Fault{At: at, Target: random.IntN(workers), Overlapping: true}
 		fault.For = minFaultDuration + time.Duration(random.Int64N(int64(maxMisbehaviorDuration-minFaultDuration)))
 		n := random.IntN(all)
 		for _, t := range weightedMisbehaviors {
@@ -75,12 +75,12 @@
 		f.FailsAll = begins
 	case StallWorker:
 		f.Stalled = begins
-	case OvertakeWorker:
+	case ReorderWorkerAnswers:
 		f.LateAnswers = 0
 		if begins {
 			f.LateAnswers = maxAnswerDelay
 		}
-	case RepeatWorker:
+	case RepeatWorkerOrders:
 		f.Again = 0
 		if begins {
 			f.Again = repeatAfter
