--- a/cmd/rillsail-soak/main.go
+++ b/cmd/rillsail-soak/main.go
@@ -2,12 +2,12 @@
 // Copyright The Rillsail Authors
 
 // Command rillsail-soak runs real daemons under random faults and checks what callers and
-// workers see; see the package soak.
+// workers observe; see package soak.
 //
 // # Usage
 //
 //	rillsail-soak --daemon bin/rillsaild --seed 7 --length 30s
-//	rillsail-soak --daemon bin/rillsaild --minutes 5        # fresh seeds
+//	rillsail-soak --daemon bin/rillsaild --minutes 5        # seeds from the clock
 //	rillsail-soak --daemon bin/rillsaild --seeds 50 --seed 1
 package main
 
@@ -27,7 +27,7 @@
 	"rillsail.example/rillsail/tests/soak"
 )
 
-// options are the command line.
+// options holds the parsed command line.
 type options struct {
 	soak.Config
 	seeds   int
@@ -48,7 +48,7 @@
 	}
 }
 
-// run plays the seeds and gives how many of them broke a promise.
+// run runs the seeds and returns how many of them broke a guarantee.
 func run(ctx context.Context, args []string) (broken int, err error) {
 	o, err := parse(args)
 	if err != nil {
@@ -67,35 +67,35 @@
 	return broken, nil
 }
 
-// playsAnother tells whether another seed is played after so many and so long.
-// Less than no minutes: until the command is stopped.
-func (o *options) playsAnother(played int, passed time.Duration) bool {
+// playsAnother reports whether another seed is run after the given number of seeds and the given time.
+// With negative minutes the command runs until it is interrupted.
+func (o *options) playsAnother(played int, elapsed time.Duration) bool {
 	if o.minutes == 0 {
 		return played < o.seeds
 	}
-	return o.minutes < 0 || passed.Minutes() < o.minutes
+	return o.minutes < 0 || elapsed.Minutes() < o.minutes
 }
 
-// freshSeedLimit bounds fresh seeds: they have nine digits at most.
+// freshSeedLimit bounds seeds taken from the clock, so that they have at most nine digits.
 const freshSeedLimit = 1_000_000_000
 
-// parse reads the command line and the environment.
+// parse reads the options from the command line and the environment.
 func parse(args []string) (*options, error) {
 	o := &options{}
 	flags := flag.NewFlagSet("rillsail-soak", flag.ContinueOnError)
-	flags.StringVar(&o.Daemon, "daemon", "bin/rillsaild", "the program of the daemons")
-	flags.Uint64Var(&o.Seed, "seed", 0, "first seed; 0: a fresh one")
-	flags.IntVar(&o.seeds, "seeds", 1, "how many seeds, one after the other")
-	flags.Float64Var(&o.minutes, "minutes", 0, "play seeds for so long instead")
-	flags.DurationVar(&o.Length, "length", 20*time.Second, "in which faults begin, for each seed")
-	flags.IntVar(&o.Daemons, "processes", 3, "daemons")
-	flags.IntVar(&o.Workers, "workers", 8, "workers")
-	flags.IntVar(&o.WorkersPerCell, "workers-per-cell", 4, "workers of a cell")
-	flags.Float64Var(&o.Rate, "rate", 8, "jobs that callers hand in a second")
-	flags.IntVar(&o.CrashingOneIn, "crashing-one-in", 0, "one job in so many has a task that ends its workers; 0: none")
-	flags.StringVar((*string)(&o.Naming), "ids", string(soak.NewIDs), "of workers that start again: new, same, or born (new, and they say when they started)")
-	flags.BoolVar(&o.Restarts, "restarts", false, "workers start again while calls to them go wrong, and all at once")
-	flags.StringVar(&o.folder, "folder", "soak", "where runs that broke a promise are left")
+	flags.StringVar(&o.Daemon, "daemon", "bin/rillsaild", "path of the rillsaild program")
+	flags.Uint64Var(&o.Seed, "seed", 0, "first seed; 0: taken from the clock")
+	flags.IntVar(&o.seeds, "seeds", 1, "number of seeds to run, one after the other")
+	flags.Float64Var(&o.minutes, "minutes", 0, "run seeds for this many minutes instead; negative: until interrupted")
+	flags.DurationVar(&o.Length, "length", 20*time.Second, "time of each run in which faults begin")
+	flags.IntVar(&o.Daemons, "processes", 3, "number of daemons")
+	flags.IntVar(&o.Workers, "workers", 8, "number of workers")
+	flags.IntVar(&o.WorkersPerCell, "workers-per-cell", 4, "workers per cell")
+	flags.Float64Var(&o.Rate, "rate", 8, "jobs that callers submit per second")
+	flags.IntVar(&o.CrashingOneIn, "crashing-one-in", 0, "one in this many jobs has a task that crashes its workers; 0: none")
+	flags.StringVar((*string)(&o.Naming), "ids", string(soak.NewIDs), "ids of workers that restart: new, same, or born (new, and workers report when they started)")
+	flags.BoolVar(&o.Restarts, "restarts", false, "restart workers while calls to them fail, and all workers at once")
+	flags.StringVar(&o.folder, "folder", "soak", "folder that keeps the files of runs that broke a guarantee")
 	if err := ff.Parse(flags, args, ff.WithEnvVarPrefix("RILLSAIL_SOAK")); err != nil {
 		return nil, err
 	}
@@ -105,7 +105,7 @@
 	return o, nil
 }
 
-// playSeed plays one seed and says what came of it; what it leaves is removed if all was kept.
+// playSeed runs one seed and prints its result. The run's files are removed if no guarantee was broken.
 func (o *options) playSeed(ctx context.Context, seed uint64) (failed bool, err error) {
 	config := o.Config
 	config.Seed = seed
@@ -125,7 +125,7 @@
 	return false, os.RemoveAll(config.Folder)
 }
 
-// printReport prints what came of a seed.
+// printReport prints the result of a seed.
 func printReport(report *soak.Report) {
 	faults := 0
 	for _, n := range report.Faults {
--- a/cmd/rillsail-standin/demo.go
+++ b/cmd/rillsail-standin/demo.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// printNext says what to type next.
+// printNext prints the commands to try next.
 func printNext(w io.Writer, d demo.Running) {
 	fmt.Fprintf(w, `
 The platform is embedded; three daemons are running. In another terminal:
--- a/cmd/rillsail-standin/load.go
+++ b/cmd/rillsail-standin/load.go
@@ -17,8 +17,8 @@
 	"rillsail.example/rillsail/services/standin/load"
 )
 
-// standardMix is the users' mix: quotes are ordinary work, riders' matches are
-// urgent, contracts and watchers can wait.
+// standardMix is the request mix that the users describe: quotes are ordinary requests, matches
+// are urgent, contracts and watchers are deferred.
 var standardMix = []load.Kind{
 	{Name: "quote", Weight: 60, Labels: "app=quote", Deadline: time.Second},
 	{Name: "match", Weight: 20, Labels: "app=match", Deadline: 500 * time.Millisecond, Unrepeatable: true},
@@ -28,15 +28,15 @@
 
 func loadCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("load", flag.ExitOnError)
-	targets := flags.String("target", "", "callers' listeners, with commas between them")
+	targets := flags.String("target", "", "addresses of callers' listeners, separated by commas")
 	config := load.Config{Mix: standardMix, Run: fmt.Sprintf("load-%d", os.Getpid())}
-	flags.Float64Var(&config.Rate, "rate", 100, "requests a second")
-	flags.DurationVar(&config.For, "for", 10*time.Second, "how long")
-	flags.Uint64Var(&config.Seed, "seed", 1, "seed of the draws")
-	flags.IntVar(&config.Retries, "retries", 0, "refused requests are sent again at once so often")
+	flags.Float64Var(&config.Rate, "rate", 100, "requests per second")
+	flags.DurationVar(&config.For, "for", 10*time.Second, "duration of the load")
+	flags.Uint64Var(&config.Seed, "seed", 1, "seed of the random numbers")
+	flags.IntVar(&config.Retries, "retries", 0, "how often a refused request is retried at once")
 	asJSON := flags.Bool("json", false, "print JSON instead of a table")
 	return &ffcli.Command{
-		Name: "load", ShortHelp: "send requests at a rate and measure", FlagSet: flags,
+		Name: "load", ShortHelp: "send requests at a steady rate and measure the answers", FlagSet: flags,
 		Exec: func(ctx context.Context, _ []string) error {
 			config.Targets = strings.Split(*targets, ",")
 			report, err := load.Run(ctx, config)
--- a/cmd/rillsail-standin/main.go
+++ b/cmd/rillsail-standin/main.go
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Command rillsail-standin plays the platform and the callers, for trials and tests
+// Command rillsail-standin simulates the platform and the callers, for trials and tests
 // only: a key-value store, a fleet of workers and upstreams with their VM list, and
-// a load. Each subcommand prints the address it listens on as one line of JSON and
-// runs until it is interrupted.
+// a load generator. Each subcommand prints the address that it listens on as one line of
+// JSON and runs until it is interrupted.
 //
 // # Usage
 //
@@ -49,13 +49,13 @@
 	}
 }
 
-// readyLine is the line that tells where a stand-in listens.
+// readyLine is the line of JSON by which a stand-in announces the address that it listens on.
 type readyLine struct {
 	Address string `json:"address"`
 }
 
-// serve answers on the address until ctx ends, with another part beside it.
-func serve(ctx context.Context, address string, handler http.Handler, beside func(context.Context)) error {
+// serve serves HTTP on the address and runs the background function until ctx ends.
+func serve(ctx context.Context, address string, handler http.Handler, background func(context.Context)) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
@@ -65,10 +65,10 @@
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
 	var group conc.WaitGroup
-	group.Go(func() { beside(ctx) })
+	group.Go(func() { background(ctx) })
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	_ = server.Serve(listener) // ends with ctx
+	_ = server.Serve(listener) // returns when ctx ends
 	group.Wait()
 	return nil
 }
--- a/cmd/rillsail-standin/platform.go
+++ b/cmd/rillsail-standin/platform.go
@@ -20,11 +20,11 @@
 
 func storeCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("store", flag.ExitOnError)
-	listen := flags.String("listen", "127.0.0.1:0", "address")
-	writes := flags.Int("writes", 100, "writes a second that are allowed; 0: any")
-	reads := flags.Int("reads", 2000, "reads a second that are allowed; 0: any")
+	listen := flags.String("listen", "127.0.0.1:0", "address to listen on")
+	writes := flags.Int("writes", 100, "allowed writes per second; 0: unlimited")
+	reads := flags.Int("reads", 2000, "allowed reads per second; 0: unlimited")
 	return &ffcli.Command{
-		Name: "store", ShortHelp: "play the platform's key-value service", FlagSet: flags,
+		Name: "store", ShortHelp: "simulate the platform's key-value service", FlagSet: flags,
 		Exec: func(ctx context.Context, _ []string) error {
 			service := kv.New(kv.Config{WritesPerSecond: *writes, ReadsPerSecond: *reads})
 			return serve(ctx, *listen, service.Handler(), func(context.Context) {})
@@ -34,25 +34,25 @@
 
 func fleetCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("fleet", flag.ExitOnError)
-	listen := flags.String("listen", "127.0.0.1:0", "address of list, control and audit")
+	listen := flags.String("listen", "127.0.0.1:0", "address of VM list, control and audit")
 	domains := flags.String("domains", "south/a,south/b,south/c,south/d", "failure domains")
 	config := fleet.Config{Run: fmt.Sprint(os.Getpid())}
 	flags.IntVar(&config.Workers, "workers", 16, "worker VMs")
-	flags.IntVar(&config.PerRack, "per-rack", 8, "workers of a rack")
+	flags.IntVar(&config.PerRack, "per-rack", 8, "workers per rack")
 	flags.IntVar(&config.Upstreams, "upstreams", 8, "upstream VMs")
-	flags.IntVar(&config.Slots, "slots", 8, "slots of an upstream")
-	flags.IntVar(&config.Conns, "connections", 64, "connections of an upstream")
-	flags.BoolVar(&config.Guards, "guards", true, "workers refuse what they have no room for")
+	flags.IntVar(&config.Slots, "slots", 8, "slots per upstream")
+	flags.IntVar(&config.Conns, "connections", 64, "connections per upstream")
+	flags.BoolVar(&config.Guards, "guards", true, "workers refuse tasks that exceed their free capacity")
 	flags.DurationVar(&config.ListLag, "list-lag", 2*time.Second, "lag of the VM list")
 	flags.DurationVar(&config.ReportLag, "report-lag", 2*time.Second, "lag of latencies in reports")
 	flags.Float64Var(&config.SizeError, "size-error", 0, "declared run times are off by up to 1+e times")
 	flags.DurationVar(&config.Service.Median, "median", 10*time.Millisecond, "median service time of upstreams")
 	flags.Float64Var(&config.Service.Sigma, "sigma", 0.6, "spread of service times")
-	flags.DurationVar(&config.Tick, "tick", 20*time.Millisecond, "step of the tasks' clock")
-	cpu := flags.Int64("cpu", 16_000, "thousandths of a core of a worker")
-	memory := flags.Int64("memory", 61_440, "MiB of a worker")
+	flags.DurationVar(&config.Tick, "tick", 20*time.Millisecond, "interval at which simulated tasks advance")
+	cpu := flags.Int64("cpu", 16_000, "capacity of a worker, in thousandths of a core")
+	memory := flags.Int64("memory", 61_440, "capacity of a worker, in MiB")
 	return &ffcli.Command{
-		Name: "fleet", ShortHelp: "play workers, upstreams and the VM list", FlagSet: flags,
+		Name: "fleet", ShortHelp: "simulate workers, upstreams and the VM list", FlagSet: flags,
 		Exec: func(ctx context.Context, _ []string) error {
 			config.Domains = strings.Split(*domains, ",")
 			config.Worker = models.Resources{CPU: models.MilliCPU(*cpu), Memory: models.MiB(*memory)}
@@ -66,5 +66,5 @@
 	}
 }
 
-// maxServiceTimeFactor bounds drawn service times, as a multiple of the median.
+// maxServiceTimeFactor bounds random service times, as a multiple of the median.
 const maxServiceTimeFactor = 50
--- a/cmd/rillsail/answer_test.go
+++ b/cmd/rillsail/answer_test.go
@@ -16,16 +16,16 @@
 	"rillsail.example/rillsail/routers/operator"
 )
 
-// runAgainst runs a command line against a daemon that answers every call like this.
-func runAgainst(t *testing.T, answer http.HandlerFunc, args ...string) (int, string) {
+// runAgainst runs a command line against a daemon that answers every call with the given handler.
+func runAgainst(t *testing.T, handler http.HandlerFunc, args ...string) (int, string) {
 	t.Helper()
-	daemon := httptest.NewServer(answer)
+	daemon := httptest.NewServer(handler)
 	defer daemon.Close()
 	return runTool(t, append([]string{"--daemon", strings.TrimPrefix(daemon.URL, "http://")}, args...)...)
 }
 
-// TestErrorAnswerCutOff cuts the answer off that says that a change may be in force, right
-// after its status.
+// TestErrorAnswerCutOff truncates, right after the status line, the answer that says that a change may
+// be in force. The tool must not claim that nothing was done.
 func TestErrorAnswerCutOff(t *testing.T) {
 	code, out := runAgainst(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
@@ -35,7 +35,8 @@
 	require.NotContains(t, out, "nothing was done")
 }
 
-// TestErrorAnswerOfSomebodyElse lets something between tool and daemon answer a change.
+// TestErrorAnswerOfSomebodyElse has an intermediary between tool and daemon answer a change with an
+// error. The tool must not claim that nothing was done.
 func TestErrorAnswerOfSomebodyElse(t *testing.T) {
 	code, out := runAgainst(t, func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "upstream has gone", http.StatusBadGateway)
@@ -44,7 +45,7 @@
 	require.NotContains(t, out, "nothing was done")
 }
 
-// TestNotRunIsSaid keeps the daemon's own word that nothing was done.
+// TestNotRunIsSaid checks that the tool passes on a daemon's statement that nothing was done.
 func TestNotRunIsSaid(t *testing.T) {
 	code, out := runAgainst(t, func(w http.ResponseWriter, _ *http.Request) {
 		wire.Write(w, http.StatusServiceUnavailable, wire.Problem{Error: "store unavailable", Kind: operator.KindNotRun})
@@ -53,7 +54,8 @@
 	require.Contains(t, out, "nothing was done")
 }
 
-// TestUnknownBesideRefusal answers one job as refused and the next as unknown.
+// TestUnknownBesideRefusal answers that one job was refused and that the outcome of the next is unknown.
+// The exit status must be that of the unknown outcome.
 func TestUnknownBesideRefusal(t *testing.T) {
 	code, out := runAgainst(t, func(w http.ResponseWriter, _ *http.Request) {
 		wire.Write(w, http.StatusOK, models.JobResults{Results: []models.JobResult{
@@ -66,12 +68,13 @@
 	require.Contains(t, out, "second")
 }
 
-// TestExplainWithoutAllCells asks for a task while a cell gives no answer.
+// TestExplainWithoutAllCells asks for a task while one cell does not answer. The tool must not say that
+// the task never existed.
 func TestExplainWithoutAllCells(t *testing.T) {
 	listing := models.Listing{Missing: map[models.CellID]string{"cell-rack-1": "no owner is known"}}
 	code, out := runAgainst(t, func(w http.ResponseWriter, _ *http.Request) { wire.Write(w, http.StatusOK, listing) }, "explain", "job/nightly/0")
 	require.Zero(t, code)
-	require.NotContains(t, out, "never was", "the cell that gave no answer may keep it")
+	require.NotContains(t, out, "never was", "the cell that did not answer may hold the task")
 	require.Contains(t, out, "cell-rack-1")
 	listing.Missing = nil
 	_, out = runAgainst(t, func(w http.ResponseWriter, _ *http.Request) { wire.Write(w, http.StatusOK, listing) }, "explain", "job/nightly/0")
--- a/cmd/rillsail/change.go
+++ b/cmd/rillsail/change.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// fileCommand is a subcommand that reads a file named by -f.
+// fileCommand returns a subcommand that reads the file given by -f.
 func (t *tool) fileCommand(name, help string, do func(context.Context, string) error) *ffcli.Command {
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	file := flags.String("f", "-", "file in JSON; - reads standard input")
@@ -93,7 +93,7 @@
 	return t.apply(ctx, models.ConfigChange{Delete: []models.ObjectKey{key}})
 }
 
-// parseKey reads "kind/name" or "kind/team/name".
+// parseKey parses "kind/name" or "kind/team/name".
 func parseKey(name string) (models.ObjectKey, error) {
 	parts := strings.Split(name, "/")
 	switch len(parts) {
@@ -123,8 +123,8 @@
 	}
 }
 
-// label changes labels of one object as it is in force; a change by somebody else
-// meanwhile is a conflict.
+// label changes labels of one object of the configuration in force. It bases the change on the revision
+// that it has read, so that a concurrent change of the object is reported as a conflict.
 func (t *tool) label(ctx context.Context, key models.ObjectKey, changes []string) error {
 	c, err := get[models.Configuration](ctx, t.client, operator.PathConfig)
 	if err != nil {
--- a/cmd/rillsail/client.go
+++ b/cmd/rillsail/client.go
@@ -18,14 +18,14 @@
 	"rillsail.example/rillsail/routers/operator"
 )
 
-// client calls one daemon.
+// client makes calls to one daemon.
 type client struct {
 	daemon  string
 	token   string
 	timeout time.Duration
 }
 
-// callError is a call that failed, with what to do about it.
+// callError is a failed call with advice for the operator and the exit status.
 type callError struct {
 	daemon string
 	cause  error
@@ -33,15 +33,15 @@
 	status int
 }
 
-// Error says what failed where, and what to do.
+// Error returns the daemon, the cause and the advice.
 func (e *callError) Error() string {
 	return fmt.Sprintf("daemon %s: %v; %s", e.daemon, e.cause, e.advice)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *callError) Unwrap() error { return e.cause }
 
-// maxAnswer bounds a daemon's answer, in bytes.
+// maxAnswer bounds the size of a daemon's answer and of an input file, in bytes.
 const maxAnswer = 256 << 20
 
 func get[T wire.Checker](ctx context.Context, c client, path string) (T, error) {
@@ -63,14 +63,15 @@
 	return answer, nil
 }
 
-// explain turns an error into one that says what was done and what to do.
+// explain turns an error of a call into a callError, which tells whether something may have been done
+// and what to do next. changes is true if the call changes something.
 func (c client) explain(err error, changes bool) error {
 	e := &callError{daemon: c.daemon, cause: err, status: exitFailed, advice: "nothing was done; look at the daemon's log"}
-	var answered *wire.StatusError
+	var statusErr *wire.StatusError
 	var dial *net.OpError
 	switch {
-	case errors.As(err, &answered):
-		e.advice, e.status = adviceFor(answered, changes)
+	case errors.As(err, &statusErr):
+		e.advice, e.status = adviceFor(statusErr, changes)
 	case errors.As(err, &dial) && dial.Op == "dial":
 		e.advice = "nothing was done; ask another daemon with --daemon"
 	case changes:
@@ -81,19 +82,20 @@
 
 const adviceUnknown = "it may have been done: look at the state, then do it again if it was not"
 
-// adviceFor goes by the daemon's own word. An error status without it may come from something
-// between, or be all that is left of an answer that was cut off.
-func adviceFor(answered *wire.StatusError, changes bool) (advice string, status int) {
+// adviceFor returns the advice and exit status for an error status. It relies on the kind that the daemon
+// gives. An error status without a kind may come from an intermediary or belong to a truncated answer;
+// for a change, the outcome is then unknown.
+func adviceFor(statusErr *wire.StatusError, changes bool) (advice string, status int) {
 	switch {
-	case answered.Status == http.StatusUnauthorized:
+	case statusErr.Status == http.StatusUnauthorized:
 		return "nothing was done; give the operators' token with --token or RILLSAIL_TOKEN", exitFailed
-	case answered.Kind == operator.KindConflict:
+	case statusErr.Kind == operator.KindConflict:
 		return "nothing was done; get the configuration, look at the other change, which may be an earlier try of yours, and apply yours again if it is still needed", exitConflict
-	case answered.Kind == operator.KindUnknown:
+	case statusErr.Kind == operator.KindUnknown:
 		return "get the configuration to see whether it is in force", exitUnknown
-	case answered.Kind == operator.KindNotRun:
+	case statusErr.Kind == operator.KindNotRun:
 		return "nothing was done; try again in 10 seconds", exitFailed
-	case answered.Status < http.StatusInternalServerError:
+	case statusErr.Status < http.StatusInternalServerError:
 		return "nothing was done; correct the input", exitRefused
 	case changes:
 		return adviceUnknown, exitUnknown
@@ -102,7 +104,7 @@
 	}
 }
 
-// readFile reads a JSON file, or standard input for "-".
+// readFile decodes a JSON file, or standard input if the name is "-".
 func readFile[T wire.Checker](name string) (T, error) {
 	file := os.Stdin
 	if name != "-" {
@@ -121,7 +123,7 @@
 	return value, nil
 }
 
-// printJSON writes a value as indented JSON.
+// printJSON prints a value as indented JSON.
 func (t *tool) printJSON(value any) error {
 	encoder := json.NewEncoder(t.out)
 	encoder.SetIndent("", "  ")
--- a/cmd/rillsail/jobs.go
+++ b/cmd/rillsail/jobs.go
@@ -76,8 +76,8 @@
 	return t.showResults(results, err)
 }
 
-// showResults shows what became of each job; one refusal makes the call a failure, and one
-// job of unknown fate makes it unknown.
+// showResults prints the result of each job. One refused job makes the call a failure, and one job
+// whose outcome is unknown makes the outcome of the call unknown.
 func (t *tool) showResults(results models.JobResults, err error) error {
 	if err != nil {
 		return err
@@ -100,8 +100,8 @@
 	return failed
 }
 
-// jobError is what a daemon says of a job that it didn't take. Only its own word "not run"
-// says that nothing was done.
+// jobError describes a job that the daemon did not accept or cancel. Only the outcome "not run" from the
+// daemon itself means that nothing was done; otherwise the outcome is unknown.
 func (t *tool) jobError(r models.JobResult) *callError {
 	e := &callError{daemon: t.client.daemon, cause: fmt.Errorf("job %s: %s", r.ID, r.Error), advice: "the other jobs are not affected", status: exitUnknown}
 	if r.Outcome == models.RequestNotRun {
@@ -110,10 +110,10 @@
 	return e
 }
 
-// jobErrors are the jobs of a call that were not taken.
+// jobErrors are the errors of the jobs of one call that were not accepted or cancelled.
 type jobErrors []*callError
 
-// Error says a line for each job.
+// Error returns one line for each job.
 func (e jobErrors) Error() string {
 	lines := make([]string, len(e))
 	for i, job := range e {
@@ -122,7 +122,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// status is that of the job of which the least is known.
+// status returns the exit status of the call: unknown if the outcome of any job is unknown.
 func (e jobErrors) status() int {
 	if slices.ContainsFunc(e, func(job *callError) bool { return job.status == exitUnknown }) {
 		return exitUnknown
--- a/cmd/rillsail/main.go
+++ b/cmd/rillsail/main.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Command rillsail is the operators' tool. It asks any daemon; the daemon finds
-// whoever has to answer.
+// Command rillsail is the operators' tool. It can ask any daemon, which forwards the call
+// to the daemons that hold the data.
 //
 // # Usage
 //
@@ -14,9 +14,9 @@
 //	rillsail drain worker-12
 //	rillsail explain 5c0e7a21d94b36f8 daemon-*.log
 //
-// Exit status: 0 done; 1 failed, nothing was done (of several jobs: of those that are
-// named on standard error); 2 wrong usage; 3 conflict with another operator's change;
-// 4 unknown, it, or one of several jobs, may have been done; 5 refused as wrong.
+// Exit status: 0 success; 1 failure, nothing was done (with several jobs: for those named
+// on standard error); 2 wrong usage; 3 conflict with another operator's change; 4 unknown
+// outcome, the call or one of several jobs may have been done; 5 refused as invalid input.
 package main
 
 import (
@@ -43,7 +43,7 @@
 	exitRefused  = 5
 )
 
-// tool is what every subcommand works with.
+// tool holds what all subcommands use: the client and the output settings.
 type tool struct {
 	client client
 	output string
@@ -58,7 +58,7 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// run runs one command line and gives the exit status.
+// run runs one command line and returns the exit status.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	t := &tool{out: out}
 	flags := flag.NewFlagSet("rillsail", flag.ContinueOnError)
@@ -101,7 +101,7 @@
 	}
 }
 
-// noArgCommand is a subcommand without arguments.
+// noArgCommand returns a subcommand that takes no arguments.
 func (t *tool) noArgCommand(name, help string, do func(context.Context) error) *ffcli.Command {
 	return &ffcli.Command{
 		Name: name, ShortUsage: "rillsail " + name, ShortHelp: help,
@@ -114,7 +114,7 @@
 	}
 }
 
-// oneArgCommand is a subcommand with one argument.
+// oneArgCommand returns a subcommand that takes exactly one argument.
 func (t *tool) oneArgCommand(name, argument, help string, do func(context.Context, string) error) *ffcli.Command {
 	return &ffcli.Command{
 		Name: name, ShortUsage: "rillsail " + name + " " + argument, ShortHelp: help,
@@ -127,13 +127,13 @@
 	}
 }
 
-// usageError is a command line that makes no sense.
+// usageError is an error in the command line or in an input file.
 type usageError struct{ error }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e usageError) Unwrap() error { return e.error }
 
-// exitStatus prints an error with what to do and gives the exit status.
+// exitStatus prints the error with its advice and returns the exit status.
 func exitStatus(errOut io.Writer, err error) int {
 	var usage usageError
 	var call *callError
--- a/cmd/rillsail/show.go
+++ b/cmd/rillsail/show.go
@@ -15,7 +15,7 @@
 	"rillsail.example/rillsail/routers/operator"
 )
 
-// table writes rows with aligned columns.
+// table prints rows with aligned columns.
 func (t *tool) table(header string, rows func(w *tabwriter.Writer)) error {
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, header)
@@ -23,7 +23,7 @@
 	return w.Flush()
 }
 
-// show writes an answer as JSON or as tables.
+// show prints an answer as JSON or as tables, depending on --output.
 func (t *tool) show(value any, tables ...func() error) error {
 	if t.output == "json" {
 		return t.printJSON(value)
@@ -99,7 +99,7 @@
 	}, func() error { return t.printMissing(l) })
 }
 
-// printMissing says which cells gave no answer.
+// printMissing prints the cells that did not answer, with the reasons.
 func (t *tool) printMissing(l models.Listing) error {
 	for cell, why := range l.Missing {
 		fmt.Fprintf(t.out, "not shown: cell %s: %s\n", cell, why)
@@ -158,7 +158,7 @@
 	if err != nil {
 		return err
 	}
-	if len(l.Tasks)+len(l.Decisions)+len(l.Missing) == 0 && t.output != "json" { // else a cell that wasn't heard may keep it
+	if len(l.Tasks)+len(l.Decisions)+len(l.Missing) == 0 && t.output != "json" { // a cell in Missing may hold the task
 		fmt.Fprintf(t.out, "no record and no decision is kept of task %s; it ended long ago, waits as part of its job, or never was\n", task)
 	}
 	return t.show(l, func() error { return t.taskTable(l.Tasks) }, func() error {
@@ -188,10 +188,10 @@
 	return time.UnixMilli(int64(at)).UTC().Format(time.RFC3339)
 }
 
-// rawAnswer is an answer that is shown as it came.
+// rawAnswer is an answer that is printed without being interpreted.
 type rawAnswer struct{ json.RawMessage }
 
-// Check is there for the decoder.
+// Check implements wire.Checker; it accepts any JSON.
 func (r rawAnswer) Check() error { return nil }
 
 func (t *tool) dump(ctx context.Context) error {
--- a/cmd/rillsail/trace.go
+++ b/cmd/rillsail/trace.go
@@ -15,7 +15,7 @@
 	"rillsail.example/rillsail/modules/logtrace"
 )
 
-// traceCommand shows from logs what happened to a job; it asks no daemon.
+// traceCommand returns the subcommand that shows from logs what happened to a job; it calls no daemon.
 func (t *tool) traceCommand() *ffcli.Command {
 	return &ffcli.Command{
 		Name: "trace", ShortUsage: "rillsail trace <job or task> [log file ...]",
@@ -29,8 +29,8 @@
 	}
 }
 
-// explainCommand asks a daemon about a task, or the logs when they are given: then no daemon
-// need be alive.
+// explainCommand returns the subcommand that explains a task. It asks a daemon, or reads log files if
+// they are given, so that it works without a running daemon.
 func (t *tool) explainCommand() *ffcli.Command {
 	return &ffcli.Command{
 		Name: "explain", ShortUsage: "rillsail explain <task> [log file ...]",
@@ -48,7 +48,7 @@
 	}
 }
 
-// trace shows what the logs say of a job or task.
+// trace prints the log lines about a job or task.
 func (t *tool) trace(id string, files []string) error {
 	logs, closeAll, err := openLogs(files)
 	if err != nil {
@@ -65,7 +65,8 @@
 	return nil
 }
 
-// openLogs opens log files one after the other; none, or "-": standard input.
+// openLogs opens log files to be read one after the other. Without files, or for the single name "-",
+// it returns standard input.
 func openLogs(files []string) (io.Reader, func(), error) {
 	if len(files) == 0 || len(files) == 1 && files[0] == "-" {
 		return os.Stdin, func() {}, nil
@@ -74,7 +75,7 @@
 	var opened []*os.File
 	closeAll := func() {
 		for _, file := range opened {
-			_ = file.Close() // only read
+			_ = file.Close() // opened for reading only
 		}
 	}
 	for _, name := range files {
--- a/cmd/rillsail/trace_test.go
+++ b/cmd/rillsail/trace_test.go
@@ -14,7 +14,7 @@
 
 const logLine = `{"level":"info","ts":"2026-09-25T09:39:02.000Z","msg":"job is accepted","id":"front-1","job":"aa00000000000001"}` + "\n"
 
-// runTool runs a command line and gives its status and output.
+// runTool runs a command line and returns its exit status and output.
 func runTool(t *testing.T, args ...string) (int, string) {
 	t.Helper()
 	var out, errOut bytes.Buffer
--- a/cmd/rillsaild/main.go
+++ b/cmd/rillsaild/main.go
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Command rillsaild is the daemon: it takes callers' requests to upstreams and
-// decides which tasks run on which workers, together with its peers.
+// Command rillsaild is the daemon: it forwards callers' requests to upstreams and
+// decides, together with its peers, which tasks run on which workers.
 //
 // # Usage
 //
 //	rillsaild --config app.ini            run until SIGTERM, which is a planned stop
-//	rillsaild --check --config app.ini    check the settings and end
+//	rillsaild --check --config app.ini    check the settings and exit
 //
 // Every setting is also a flag and an environment variable; -help lists them. The
-// exit status is 0 after a planned stop or a good check, and 2 for settings that
-// are not allowed or listeners that can't be opened.
+// exit status is 0 after a planned stop or a successful check, and 2 if the settings
+// are invalid or a listener can't be opened.
 package main
 
 import (
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = logger.Sync() }() // there is nowhere else to say so
+	defer func() { _ = logger.Sync() }() // an error can't be logged any more
 	d, err := newDaemon(settings, logger)
 	if err != nil {
 		return err
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// reloader reads the settings again when the process is told that they have changed.
+// reloader loads the settings again on SIGHUP and logs whether they have changed.
 type reloader struct {
 	args     []string
 	settings *setting.Settings
@@ -98,21 +98,21 @@
 	}
 }
 
-// reload says what has become of the settings. What a running daemon has taken from them
-// stays in force until its next start.
+// reload logs whether the settings are valid and have changed. A running daemon keeps the settings that it
+// was started with until its next start.
 func (r *reloader) reload() {
 	settings, err := setting.Load(setting.Config{Args: r.args})
 	switch {
 	case err != nil:
-		r.logger.Error("settings have changed and are not allowed, the former ones stay in force", zap.Error(err))
+		r.logger.Error("changed settings are invalid, the previous settings stay in force", zap.Error(err))
 	case reflect.DeepEqual(settings, r.settings):
-		r.logger.Info("settings are read again, nothing has changed")
+		r.logger.Info("settings reloaded, nothing has changed")
 	default:
-		r.logger.Warn("settings have changed, the new ones come into force at the next start")
+		r.logger.Warn("settings have changed, the new settings take effect at the next start")
 	}
 }
 
-// runner is what the settings ask for.
+// runner is the daemon that the settings select.
 type runner interface{ Run(ctx context.Context) }
 
 func newDaemon(settings *setting.Settings, logger *zap.Logger) (runner, error) {
@@ -122,7 +122,7 @@
 	return daemon.New(daemon.Config{Settings: settings, Logger: logger, Routers: routers.For})
 }
 
-// newScheduler makes a daemon that reaches the users' platform through its adapter.
+// newScheduler creates a daemon that uses the users' platform through the platform adapter.
 func newScheduler(settings *setting.Settings, logger *zap.Logger) (runner, error) {
 	workerCalls := control.NewWorkerCalls(settings.Platform.WorkerTimeout)
 	client := platform.NewClient(platform.ClientConfig{
--- a/cmd/rillsaild/main_test.go
+++ b/cmd/rillsaild/main_test.go
@@ -21,27 +21,27 @@
 	testscript.Main(m, map[string]func(){"rillsaild": main})
 }
 
-// TestScripts runs the daemon on tables of good and bad settings.
+// TestScripts runs the daemon with the valid and invalid settings of testdata/script.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{Dir: "testdata/script"})
 }
 
-// TestExampleListsEveryKey compares app.example.ini with the keys there are.
+// TestExampleListsEveryKey checks that app.example.ini and the settings have the same keys.
 func TestExampleListsEveryKey(t *testing.T) {
 	data, err := os.ReadFile("../../app.example.ini")
 	require.NoError(t, err)
-	text := regexp.MustCompile(`(?m)^;(\w)`).ReplaceAllString(string(data), "$1") // keys that are commented out count
+	text := regexp.MustCompile(`(?m)^;(\w)`).ReplaceAllString(string(data), "$1") // includes keys that are commented out
 	file, err := ini.LoadSources(ini.LoadOptions{SkipUnrecognizableLines: true}, []byte(text))
 	require.NoError(t, err)
 	known := map[string]bool{}
 	for _, key := range setting.Keys() {
 		known[key] = true
 		section, name, _ := strings.Cut(key, ".")
-		assert.True(t, file.Section(section).HasKey(name), "%s is missing in app.example.ini", key)
+		assert.True(t, file.Section(section).HasKey(name), "key %s is missing in app.example.ini", key)
 	}
 	for _, section := range file.Sections() {
 		for _, key := range section.Keys() {
-			assert.True(t, known[section.Name()+"."+key.Name()], "[%s] %s is no key", section.Name(), key.Name())
+			assert.True(t, known[section.Name()+"."+key.Name()], "[%s] %s in app.example.ini is not a known key", section.Name(), key.Name())
 		}
 	}
 }
--- a/routers/caller/caller.go
+++ b/routers/caller/caller.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package caller is the callers' listener: the balancer's health check, and
-// everything else to the entry.
+// Package caller handles the callers' listener: it answers the load balancer's health
+// check and passes all other requests to the entry service.
 //
 // # Usage
 //
@@ -16,15 +16,15 @@
 	"rillsail.example/rillsail/services/entry"
 )
 
-// HealthPath is where the balancer asks whether to send requests here.
+// HealthPath is the path of the load balancer's health check.
 const HealthPath = "/healthz"
 
-// Health is the answer to the health check.
+// Health is the body of the answer to the health check.
 type Health struct {
 	Healthy bool `json:"healthy"`
 }
 
-// New makes the handler.
+// New returns the handler of the callers' listener.
 func New(service *entry.Service) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != HealthPath {
--- a/routers/operator/operator.go
+++ b/routers/operator/operator.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package operator is the operators' listener: JSON over HTTP, as the rillsail tool
-// speaks it. Each handler decodes, calls one service and encodes.
+// Package operator handles the operators' listener: JSON over HTTP, as the rillsail tool
+// uses it. Each handler decodes the call, calls one service and encodes the answer.
 //
 // # Usage
 //
@@ -24,7 +24,7 @@
 	"rillsail.example/rillsail/services/operate"
 )
 
-// Paths of the interface.
+// Paths of the operators' interface.
 const (
 	PathStatus  = "/v1/status"
 	PathConfig  = "/v1/config"
@@ -36,21 +36,21 @@
 	PathRefused = "/v1/refusals"
 	PathDump    = "/v1/dump"
 	PathMetrics = "/metrics"
-	PathProfile = "/debug/pprof/profile" // processor time, for go tool pprof
+	PathProfile = "/debug/pprof/profile" // CPU profile, for go tool pprof
 	PathHeap    = "/debug/pprof/heap"
 )
 
-// Config is what the handlers call.
+// Config holds the services that the handlers call and the limits of a call.
 type Config struct {
 	Operate  *operate.Service
 	Settings *config.Service
 	Dump     func(context.Context) any
 	Metrics  http.Handler
 	MaxBody  int64
-	Timeout  time.Duration // of one call
+	Timeout  time.Duration // per call
 }
 
-// New makes the handler.
+// New returns the handler of the operators' listener.
 func New(c Config) http.Handler {
 	h := &handlers{c}
 	router := httprouter.New()
@@ -98,11 +98,11 @@
 	wire.Write(w, http.StatusOK, result)
 }
 
-// Kinds of a refused change.
+// Kinds of a failed change of the configuration.
 const (
 	KindConflict = "conflict"
 	KindRefused  = "refused"
-	KindUnknown  = "unknown" // it may have been accepted
+	KindUnknown  = "unknown" // the change may have been accepted
 	KindNotRun   = "not-run"
 )
 
@@ -116,7 +116,7 @@
 		return KindRefused
 	case errors.Is(err, config.ErrNotApplied):
 		return KindNotRun
-	default: // nothing is known of an error that doesn't say so itself
+	default: // an error of another type does not tell whether the change was accepted
 		return KindUnknown
 	}
 }
--- a/routers/peer/peer.go
+++ b/routers/peer/peer.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package peer is the daemons' listener for each other: it decodes each twirp call,
-// hands it to one service and encodes the answer.
+// Package peer handles the listener for calls from other daemons: it decodes each twirp
+// call, passes it to one service and encodes the answer.
 //
 // # Usage
 //
@@ -25,7 +25,7 @@
 	"rillsail.example/rillsail/services/member"
 )
 
-// Config is what the handlers call.
+// Config holds the services that the handlers call.
 type Config struct {
 	Self      models.MemberID
 	Members   *member.Service
@@ -37,7 +37,7 @@
 	Heard func(models.Heartbeat)
 }
 
-// New makes the handler.
+// New returns the handler of the peers' listener.
 func New(c Config) http.Handler { return peerrpc.NewPeerServer(&server{c}) }
 
 type server struct{ Config }
@@ -85,7 +85,7 @@
 	return serve(s, in, s.Cells.AdoptHere)
 }
 
-// serve performs one call and says which refusal an error of it is.
+// serve decodes and performs one call, and converts its error to a twirp error that carries the refusal.
 func serve[C wire.Checker, A any](s *server, in *peerrpc.Envelope, perform func(C) (A, error)) (*peerrpc.Envelope, error) {
 	return peerrpc.Serve(string(s.Self), in, func(call C) (A, error) {
 		answer, err := perform(call)
@@ -96,7 +96,7 @@
 	})
 }
 
-// twirpError carries over the wire which refusal an error is.
+// twirpError converts an error to a twirp error whose metadata names the refusal, if the error is one.
 func twirpError(err error) error {
 	failed := twirp.NewError(twirp.Unavailable, err.Error())
 	if refusal, ok := cell.RefusalOf(err); ok {
--- a/routers/routers.go
+++ b/routers/routers.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package routers makes the handlers of a daemon's three listeners.
+// Package routers creates the HTTP handlers of a daemon's three listeners.
 //
 // # Usage
 //
@@ -18,11 +18,11 @@
 	"rillsail.example/rillsail/services/daemon"
 )
 
-// operatorTimeout bounds one operator's call; what isn't known by then is said to
-// be unknown.
+// operatorTimeout bounds an operator's call; if the outcome is not known by then, the
+// answer says that it is unknown.
 const operatorTimeout = 10 * time.Second
 
-// For makes the handlers for a daemon.
+// For returns the handlers for a daemon.
 func For(d *daemon.Daemon) daemon.Handlers {
 	return daemon.Handlers{
 		Caller: caller.New(d.Entry),
--- a/tests/integration/jobs_test.go
+++ b/tests/integration/jobs_test.go
@@ -256,5 +256,5 @@
 	id := s.submit(s.daemons[0], 1, false)
 	s.waitState(s.daemons[0], id, jobs.StateSucceeded)
 	s.daemons[0].stop()
-	require.Contains(t, s.daemons[0].stderr.String(), "settings are read again, nothing has changed")
+	require.Contains(t, s.daemons[0].stderr.String(), "settings reloaded, nothing has changed")
 }
