--- a/tests/soak/acceptances.go
+++ b/tests/soak/acceptances.go
@@ -16,26 +16,26 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// acceptanceLog knows from the store which daemons have written which jobs down for the first
+// acceptanceLog records, as seen by the store, which daemons have written which jobs for the first
 // time. It is safe for concurrent use.
 type acceptanceLog struct {
 	mu          sync.Mutex
 	writes      map[jobs.ID][]acceptance
-	lostAnswers int // writes of jobs whose answers the store has lost
+	lostAnswers int // committed writes of jobs whose answers were lost
 }
 
-// acceptance is a write by which a daemon accepts a job, done by the store.
+// acceptance is a committed write by which a daemon accepts a job.
 type acceptance struct {
 	connection
 	arrived   time.Time // at the store
 	committed time.Time
-	answered  bool // by the store; the answer may be lost on its way
+	answered  bool // by the store; the answer may still be lost on the network
 }
 
-// newAcceptanceLog makes an empty record.
+// newAcceptanceLog returns an empty log.
 func newAcceptanceLog() *acceptanceLog { return &acceptanceLog{writes: map[jobs.ID][]acceptance{}} }
 
-// recordWrite looks at a write that was done.
+// recordWrite records a committed write if it accepts a job.
 func (a *acceptanceLog) recordWrite(ctx context.Context, answered bool) {
 	txn, _ := emulator.TxnOf(ctx)
 	id := acceptedJob(txn)
@@ -52,19 +52,19 @@
 	}
 }
 
-// writesOf gives the writes of a job.
+// writesOf returns the acceptances of a job.
 func (a *acceptanceLog) writesOf(id jobs.ID) []acceptance {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.writes[id]
 }
 
-// jobKeyPrefix is the prefix of the keys of jobs: job/CELL/ID.
+// jobKeyPrefix is the prefix of the store's keys of jobs: job/CELL/ID.
 const jobKeyPrefix = "job/"
 
-// acceptedJob gives the job that a transaction accepts; empty: it does something else. An
-// acceptance writes an active record, on condition that the job is nowhere; the parts of a
-// job that moves to another cell depend on its record there.
+// acceptedJob returns the job that a transaction accepts, or "" if the transaction does something
+// else. An acceptance writes an active record on condition that no cell has a record of the job; a
+// transaction that moves a job to another cell depends on the existing record.
 func acceptedJob(txn platform.Txn) jobs.ID {
 	if len(txn.Put) == 0 || !strings.HasPrefix(txn.Put[0].Key, jobKeyPrefix) {
 		return ""
--- a/tests/soak/acceptances_test.go
+++ b/tests/soak/acceptances_test.go
@@ -15,8 +15,8 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// TestAcceptanceIsToldFromOtherWrites keeps the check of refusals honest: only the write that
-// stores a job for the first time speaks for the daemon that made it.
+// TestAcceptanceIsToldFromOtherWrites checks that only the write that stores a job for the first time
+// counts as an acceptance. Otherwise checkRefuserDidNotAccept would miss or invent breaches.
 func TestAcceptanceIsToldFromOtherWrites(t *testing.T) {
 	const id, here, there = "0000000100000001", "job/0/0000000100000001", "job/1/0000000100000001"
 	daemon := platform.Precondition{Key: "daemon/front-0", Version: 7}
@@ -43,15 +43,15 @@
 	}
 }
 
-// TestRefusalBesideARequestThatIsReadLater holds what seed 502012 showed: three tries of a job
-// waited at a daemon that was paused, which refused the last of them first and accepted another
-// 4 ms later. Without the pause, or with a write that came before the refusal, it is a fault.
+// TestRefusalBesideARequestThatIsReadLater covers what seed 502012 showed: three submissions of a job
+// waited at a paused daemon, which refused the last one first and accepted another 4 ms later. That is
+// no breach. Without the pause, or if the write arrived before the refusal, it is one.
 func TestRefusalBesideARequestThatIsReadLater(t *testing.T) {
 	begin := time.Now().Add(-time.Minute)
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
 	d, other := &daemon{name: "front-0"}, &daemon{name: "front-1"}
 	tests := map[string]struct {
-		pause            int // when the daemon's process goes on; it was paused at 4,600
+		pause            int // when the daemon's process is resumed, in ms; it was paused at 4,600; 0: never paused
 		unanswered       *daemon
 		arrived          int
 		breaches, status int
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestOverlapsFollowFromTheSeed checks that a seed brings the same overlaps again, in pairs.
+// TestOverlapsFollowFromTheSeed checks that a seed always yields the same overlapping faults, in pairs.
 func TestOverlapsFollowFromTheSeed(t *testing.T) {
 	const seed = 31001
 	length := 10 * maxOverlapDuration
@@ -95,6 +95,6 @@
 		first, second := faults[n], faults[n+1]
 		require.Contains(t, unansweredKinds, first.Kind)
 		require.Contains(t, rejectingKinds, second.Kind)
-		require.LessOrEqual(t, second.At, first.At+first.For, "it comes beside the first or right behind it")
+		require.LessOrEqual(t, second.At, first.At+first.For, "the second fault begins during the first or right at its end")
 	}
 }
--- a/tests/soak/behavior.go
+++ b/tests/soak/behavior.go
@@ -10,18 +10,18 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// behavior is how a caller hands in a job that is not accepted at once.
+// behavior is how a caller submits a job and reacts if the job is not accepted at once.
 type behavior struct {
 	weight           int
-	maxTries         int  // at most
-	daemonStep       int  // so many daemons further with each try; 0: at the same one
-	disconnectsEarly bool // closes the connection soon, and each time somewhat later
-	acceptsRefusal   bool // does not come again when it was refused
-	submitsToTwo     bool // hands the job in at two daemons at once
-	resubmits        bool // hands the job in once more after it was accepted
+	maxTries         int
+	daemonStep       int  // how many daemons further each retry goes; 0: to the same daemon
+	disconnectsEarly bool // closes the connection early, with each retry somewhat later
+	acceptsRefusal   bool // does not retry after a refusal
+	submitsToTwo     bool // submits the job to two daemons at the same time
+	resubmits        bool // submits the job once more after its acceptance
 }
 
-// behaviors lists them all.
+// behaviors lists all behaviors of callers.
 var behaviors = []behavior{
 	{weight: 4, maxTries: maxTries, daemonStep: 1},
 	{weight: 3, maxTries: maxTries, daemonStep: 1, acceptsRefusal: true},
@@ -32,53 +32,53 @@
 }
 
 const (
-	// minFirstTimeout and maxFirstTimeout bound how long a caller that leaves early stays the first time: the
-	// users' callers leave from a tenth of a second on.
+	// minFirstTimeout and maxFirstTimeout bound how long a caller that disconnects early waits for its first
+	// answer: the users' callers disconnect after a tenth of a second at the earliest.
 	minFirstTimeout = 100 * time.Millisecond
 	maxFirstTimeout = 1500 * time.Millisecond
-	// maxResubmitDelay is when at the latest an accepted job is handed in once more.
+	// maxResubmitDelay bounds how long after its acceptance a job is submitted once more.
 	maxResubmitDelay = 4 * time.Second
-	// cancelUnknownOneIn: one caller in so many that does not know what became of its job cancels it.
+	// cancelUnknownOneIn is the share of callers that cancel a job whose outcome they don't know: one in so many.
 	cancelUnknownOneIn = 2
 )
 
-// callerPlan is what one caller will do with its job.
+// callerPlan is what one caller is going to do with its job.
 type callerPlan struct {
 	behavior
 	spec           jobs.Spec
-	firstDaemon    int           // daemon
-	otherDaemon    int           // daemon, of a cancellation and of a second call
-	firstTimeout   time.Duration // of a caller that leaves early, the first time
-	resubmitDelay  time.Duration // when an accepted job is handed in once more
-	cancelsUnknown bool          // cancels the job when it can't know what became of it
+	firstDaemon    int           // number of the daemon that gets the first submission
+	otherDaemon    int           // number of the daemon that gets a cancellation or a second submission
+	firstTimeout   time.Duration // of the first submission of a caller that disconnects early
+	resubmitDelay  time.Duration // from the acceptance to the submission that is sent once more
+	cancelsUnknown bool          // cancels the job if its outcome is unknown
 }
 
-// newCallerPlan draws how a caller behaves.
+// newCallerPlan draws the behavior of a caller.
 func newCallerPlan(random *rand.Rand, spec jobs.Spec, first, daemons int) callerPlan {
-	all := 0
-	for _, h := range behaviors {
-		all += h.weight
+	totalWeight := 0
+	for _, b := range behaviors {
+		totalWeight += b.weight
 	}
-	v := callerPlan{
+	plan := callerPlan{
 		spec: spec, firstDaemon: first, otherDaemon: first + 1 + random.IntN(max(1, daemons-1)),
 		firstTimeout:   minFirstTimeout + time.Duration(random.Int64N(int64(maxFirstTimeout-minFirstTimeout))),
 		resubmitDelay:  time.Duration(random.Int64N(int64(maxResubmitDelay))),
 		cancelsUnknown: random.IntN(cancelUnknownOneIn) == 0,
 	}
-	n := random.IntN(all)
-	for _, h := range behaviors {
-		if n -= h.weight; n < 0 {
-			v.behavior = h
+	n := random.IntN(totalWeight)
+	for _, b := range behaviors {
+		if n -= b.weight; n < 0 {
+			plan.behavior = b
 			break
 		}
 	}
-	return v
+	return plan
 }
 
-// timeout is how long the caller waits for the answer of a try, counted from 0.
-func (v callerPlan) timeout(try int) time.Duration {
-	if v.disconnectsEarly {
-		return min(answerTimeout, time.Duration(1+try)*v.firstTimeout)
+// timeout returns how long the caller waits for the answer to a try; tries are counted from 0.
+func (p callerPlan) timeout(try int) time.Duration {
+	if p.disconnectsEarly {
+		return min(answerTimeout, time.Duration(1+try)*p.firstTimeout)
 	}
 	return answerTimeout
 }
--- a/tests/soak/callers.go
+++ b/tests/soak/callers.go
@@ -18,45 +18,45 @@
 const (
 	// answerTimeout is how long callers wait for an answer.
 	answerTimeout = 3 * time.Second
-	// maxTries is how often a caller hands in a job that was refused or not answered.
+	// maxTries bounds how often a caller submits a job that is refused or not answered.
 	maxTries = 4
-	// retryPause is the pause between them.
+	// retryPause is the pause between two tries.
 	retryPause = 300 * time.Millisecond
-	// visibleWithin is when an accepted job must be known to all daemons.
+	// visibleWithin is the time after which all daemons must know an accepted job.
 	visibleWithin = 3 * time.Second
-	// queryInterval is the pause between two jobs that are asked for.
+	// queryInterval is the pause between two queries for the state of a job.
 	queryInterval = 40 * time.Millisecond
-	// cancelOneIn: one job in so many is cancelled instead of asked for.
+	// cancelOneIn is the share of queries that are replaced by a cancellation: one in so many.
 	cancelOneIn = 12
 )
 
-// client keeps connections open, as callers do, until the process is gone.
+// client keeps idle connections open for the life of the process, as callers do.
 var client = &http.Client{Timeout: answerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 
-// newCaller gives a caller of the queue with the prefix.
+// newCaller returns a caller of the queue with the given path prefix.
 func newCaller(prefix string) emulator.Caller {
 	return emulator.Caller{Client: client, Host: host, Prefix: prefix}
 }
 
-// isReady tells whether a daemon says that it takes callers.
+// isReady reports whether a daemon's ready listener says that it accepts callers.
 func isReady(ctx context.Context, address string) bool {
-	answer, err := emulator.Ready(ctx, client, address)
-	return err == nil && answer
+	ready, err := emulator.Ready(ctx, client, address)
+	return err == nil && ready
 }
 
-// submitLoop hands in jobs at a steady rate, whether answers come or not.
+// submitLoop starts callers, each with one job, at a steady rate, without waiting for answers.
 func (r *run) submitLoop(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.plan.Seed, submitStream))
-	behaviors := rand.New(rand.NewPCG(r.plan.Seed, behaviorStream))
+	behaviorRandom := rand.New(rand.NewPCG(r.plan.Seed, behaviorStream))
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / r.config.Rate))
 	defer ticker.Stop()
 	var group conc.WaitGroup
 	defer group.Wait()
 	for n := 1; ; n++ {
 		spec := drawJob(random, r.plan.Seed, n)
-		v := newCallerPlan(behaviors, spec, random.IntN(len(r.site.daemons)), len(r.site.daemons))
+		plan := newCallerPlan(behaviorRandom, spec, random.IntN(len(r.site.daemons)), len(r.site.daemons))
 		r.site.emulator.Grid.Expect(spec, maxTaskAttempts)
-		group.Go(func() { r.runCaller(ctx, v) })
+		group.Go(func() { r.runCaller(ctx, plan) })
 		select {
 		case <-ctx.Done():
 			return
@@ -65,62 +65,62 @@
 	}
 }
 
-// runCaller lets a caller hand in its job, and do what it does afterwards.
-func (r *run) runCaller(ctx context.Context, v callerPlan) {
-	j := &job{spec: v.spec}
-	if v.submitsToTwo {
+// runCaller runs one caller: it submits the job, and submits it again or cancels it as planned.
+func (r *run) runCaller(ctx context.Context, plan callerPlan) {
+	j := &job{spec: plan.spec}
+	if plan.submitsToTwo {
 		var group conc.WaitGroup
-		group.Go(func() { r.submitOnce(ctx, j, r.daemon(v.firstDaemon), answerTimeout) })
-		group.Go(func() { r.submitOnce(ctx, j, r.daemon(v.otherDaemon), answerTimeout) })
+		group.Go(func() { r.submitOnce(ctx, j, r.daemon(plan.firstDaemon), answerTimeout) })
+		group.Go(func() { r.submitOnce(ctx, j, r.daemon(plan.otherDaemon), answerTimeout) })
 		group.Wait()
 	} else {
-		r.submitWithRetries(ctx, j, v)
+		r.submitWithRetries(ctx, j, plan)
 	}
 	switch outcome := r.record.decideOutcome(j); {
-	case outcome == outcomeAccepted && v.resubmits && sleep(ctx, v.resubmitDelay):
-		r.submitOnce(ctx, j, r.daemon(v.otherDaemon), answerTimeout)
-		r.submitOnce(ctx, j, r.daemon(v.firstDaemon), answerTimeout)
-	case outcome == outcomeUnknown && v.cancelsUnknown:
-		r.cancelUnknown(ctx, j, v.otherDaemon)
+	case outcome == outcomeAccepted && plan.resubmits && sleep(ctx, plan.resubmitDelay):
+		r.submitOnce(ctx, j, r.daemon(plan.otherDaemon), answerTimeout)
+		r.submitOnce(ctx, j, r.daemon(plan.firstDaemon), answerTimeout)
+	case outcome == outcomeUnknown && plan.cancelsUnknown:
+		r.cancelUnknown(ctx, j, plan.otherDaemon)
 	}
 }
 
-// submitWithRetries hands a job in until it is accepted or its caller has had enough.
-func (r *run) submitWithRetries(ctx context.Context, j *job, v callerPlan) {
-	for n := range v.maxTries {
-		t := r.submitOnce(ctx, j, r.daemon(v.firstDaemon+n*v.daemonStep), v.timeout(n))
-		if t.accepted() || t.refused() && v.acceptsRefusal || !sleep(ctx, retryPause) {
+// submitWithRetries submits a job until it is accepted or its caller makes no further try.
+func (r *run) submitWithRetries(ctx context.Context, j *job, plan callerPlan) {
+	for n := range plan.maxTries {
+		s := r.submitOnce(ctx, j, r.daemon(plan.firstDaemon+n*plan.daemonStep), plan.timeout(n))
+		if s.accepted() || s.refused() && plan.acceptsRefusal || !sleep(ctx, retryPause) {
 			return
 		}
 	}
 }
 
-// daemon gives a daemon by its number, counted on from the first one after the last.
+// daemon returns the daemon with the given number, modulo the number of daemons.
 func (r *run) daemon(number int) *daemon { return r.site.daemons[number%len(r.site.daemons)] }
 
-// submitOnce hands a job in once.
-func (r *run) submitOnce(ctx context.Context, j *job, d *daemon, stay time.Duration) submission {
-	ctx, cancel := context.WithTimeout(ctx, stay)
+// submitOnce submits a job once and records the submission.
+func (r *run) submitOnce(ctx context.Context, j *job, d *daemon, timeout time.Duration) submission {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	t := submission{daemon: d, began: time.Now()}
+	s := submission{daemon: d, began: time.Now()}
 	before, _ := d.running()
 	answer, err := newCaller(prefix).Submit(ctx, d.callers.Listen, j.spec)
-	t.ended = time.Now()
+	s.ended = time.Now()
 	if after, _ := d.running(); before == after {
-		t.incarnation = before
+		s.incarnation = before
 	}
 	if err == nil {
-		t.status = answer.Status
+		s.status = answer.Status
 	}
-	r.record.addSubmission(j, t)
-	if t.refused() {
-		r.checkRefusal(d, answer, t.ended.Sub(t.began))
+	r.record.addSubmission(j, s)
+	if s.refused() {
+		r.checkRefusal(d, answer, s.ended.Sub(s.began))
 	}
-	return t
+	return s
 }
 
-// cancelUnknown cancels a job whose caller does not know what became of it, and does not hand it
-// in again.
+// cancelUnknown cancels a job whose outcome its caller does not know and which is not submitted again.
+// It retries at the next daemons until an answer tells that the job is cancelled or does not exist.
 func (r *run) cancelUnknown(ctx context.Context, j *job, first int) {
 	for n := range maxTries {
 		r.record.noteCancelSent(j)
@@ -139,7 +139,7 @@
 	}
 }
 
-// queryLoop asks for the states of accepted jobs, and cancels some.
+// queryLoop queries the states of accepted jobs, and cancels some of them.
 func (r *run) queryLoop(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.plan.Seed, queryStream))
 	var group conc.WaitGroup
@@ -158,42 +158,42 @@
 	}
 }
 
-// queryState asks for a job's state and checks what is said.
+// queryState queries a job's state and checks the answer.
 func (r *run) queryState(ctx context.Context, j *job, d *daemon) {
 	age := time.Since(j.decided)
 	state, answer, err := newCaller(prefix).State(ctx, d.callers.Listen, j.spec.ID)
 	switch {
 	case err != nil:
 	case answer.Status == http.StatusGone && age > visibleWithin:
-		r.addBreach("%s is not known to %s %s after it was accepted", j.spec.ID, d.name, age)
+		r.addBreach("job %s is unknown to %s %s after it was accepted", j.spec.ID, d.name, age)
 	default:
 		r.checkState(j, d, state)
 	}
 	r.record.noteQuery(err == nil)
 }
 
-// checkState checks a state that a daemon shows against what the workers have seen.
+// checkState checks the state that a daemon shows against what the workers have observed.
 func (r *run) checkState(j *job, d *daemon, state jobs.State) {
 	workers := r.site.emulator.Grid
 	switch {
 	case state == jobs.StateSucceeded && !workers.Succeeded(j.spec.ID):
-		r.addBreach("%s is shown as succeeded by %s and is not done", j.spec.ID, d.name)
+		r.addBreach("job %s is shown as succeeded by %s, but the workers have not finished it", j.spec.ID, d.name)
 	case state == jobs.StateCancelled && !r.record.cancelSent(j):
-		r.addBreach("%s is shown as cancelled by %s, and nobody cancelled it", j.spec.ID, d.name)
+		r.addBreach("job %s is shown as cancelled by %s, but no caller has cancelled it", j.spec.ID, d.name)
 	case state == jobs.StateFailed && !r.mayFail(j):
-		r.addBreach("%s is shown as failed by %s after %d failures and %d crashes", j.spec.ID, d.name,
+		r.addBreach("job %s is shown as failed by %s after %d failures and %d crashes", j.spec.ID, d.name,
 			workers.MostFailures(j.spec.ID), workers.Crashes(j.spec.ID))
 	}
 }
 
-// mayFail tells whether a job has reason to fail: a task that failed as often as is allowed, or
-// that has ended workers.
+// mayFail reports whether a job has reason to fail: one of its tasks has failed in all allowed attempts,
+// or its tasks have crashed enough workers.
 func (r *run) mayFail(j *job) bool {
 	workers := r.site.emulator.Grid
 	return workers.MostFailures(j.spec.ID) >= maxTaskAttempts || workers.Crashes(j.spec.ID) >= minCrashes
 }
 
-// cancel cancels a job and notes whether a daemon has confirmed it.
+// cancel cancels a job and records whether the daemon has confirmed the cancellation.
 func (r *run) cancel(ctx context.Context, j *job, d *daemon) {
 	age := time.Since(j.decided)
 	r.record.noteCancelSent(j)
@@ -202,6 +202,6 @@
 	case err == nil && answer.Status == http.StatusOK:
 		r.record.noteCancelled(j)
 	case err == nil && answer.Status == http.StatusGone && age > visibleWithin:
-		r.addBreach("%s can't be cancelled at %s, which says %s after it was accepted that there is none", j.spec.ID, d.name, age)
+		r.addBreach("job %s can't be cancelled at %s, which answers %s after its acceptance that there is no such job", j.spec.ID, d.name, age)
 	}
 }
--- a/tests/soak/check.go
+++ b/tests/soak/check.go
@@ -15,52 +15,53 @@
 	"rillsail.example/rillsail/platform/emulator"
 )
 
-// maxRefusalTime is when a refusal must have come from a daemon that runs: all calls to the
-// platform are given up by then.
+// maxRefusalTime bounds how long a running daemon takes to refuse a job: all its calls to the platform
+// have timed out by then.
 const maxRefusalTime = 2500 * time.Millisecond
 
-// addBreach notes a promise that callers saw broken.
+// addBreach records a broken guarantee that callers have observed.
 func (r *run) addBreach(format string, args ...any) {
 	r.record.addBreach(time.Since(r.begin), "callers", format, args...)
 }
 
-// checkRefusal checks that a refusal says when to come back, and counts those that came late
-// while no fault had the daemon's process.
+// checkRefusal checks that a refusal has a Retry-After header, and counts refusals that came late
+// while no fault affected the daemon's process.
 func (r *run) checkRefusal(d *daemon, answer emulator.Answer, took time.Duration) {
 	if answer.RetryAfter == "" {
-		r.addBreach("%s refuses a job with %d and does not say when to come back", d.name, answer.Status)
+		r.addBreach("%s refuses a job with status %d and without Retry-After", d.name, answer.Status)
 	}
 	if took > maxRefusalTime && !r.site.isReserved(d.processTarget()) {
 		r.record.noteLateRefusal()
 	}
 }
 
-// checkPlannedStop checks a planned stop: the process must have ended by itself, in time.
+// checkPlannedStop checks that a planned stop succeeded: the process must have exited by itself in time.
 func (r *run) checkPlannedStop(d *daemon) {
-	exit, life := d.lastExit()
+	exit, incarnation := d.lastExit()
 	if !exit.Success() {
-		r.record.addBreach(time.Since(r.begin), d.name, "life %d did not end as planned within %s: %s", life, stopGrace, exit)
+		r.record.addBreach(time.Since(r.begin), d.name, "incarnation %d did not complete its planned stop within %s: %s", incarnation, stopGrace, exit)
 	}
 }
 
-// checkUnplannedExits checks the daemons that have ended unasked.
+// checkUnplannedExits records a breach for each daemon that is not running although no fault has stopped it.
 func (r *run) checkUnplannedExits() {
 	for _, d := range r.site.daemons {
 		if _, up := d.running(); !up {
 			exit, _ := d.lastExit()
-			r.record.addBreach(time.Since(r.begin), d.name, "the process ended by itself: %s", exit)
+			r.record.addBreach(time.Since(r.begin), d.name, "the process exited unexpectedly: %s", exit)
 		}
 	}
 }
 
-// maxConcurrentChecks bounds how many jobs are looked after at the same time at the end.
+// maxConcurrentChecks bounds how many jobs are checked concurrently at the end.
 const maxConcurrentChecks = 32
 
-// checkFinalStates waits, with all faults mended, until every job is as its caller was told.
+// checkFinalStates waits, after all faults are cleared, until the state of every job agrees with what its
+// caller was told.
 func (r *run) checkFinalStates(ctx context.Context) {
 	for _, d := range r.site.daemons {
 		if err := r.site.waitReady(ctx, d); err != nil {
-			r.addBreach("after all faults: %v", err)
+			r.addBreach("after all faults were cleared: %v", err)
 			return
 		}
 	}
@@ -74,55 +75,55 @@
 	checks.Wait()
 }
 
-// checkFinalState waits until one job is as it must be in the end.
+// checkFinalState waits until one job has reached its expected final state.
 func (r *run) checkFinalState(ctx context.Context, j *job) {
 	workers := r.site.emulator.Grid
 	switch {
 	case j.cancelled, !j.notFound.IsZero():
-		r.waitFor(ctx, j, "nothing of it runs after its cancellation", func() bool { return workers.Running(j.spec.ID) == 0 })
+		r.waitFor(ctx, j, "none of its tasks runs after its cancellation", func() bool { return workers.Running(j.spec.ID) == 0 })
 	case j.outcome != outcomeAccepted:
-		return // checkGuarantees says what may not happen
+		return // checkGuarantees checks these jobs
 	case j.cancelSent:
-		return // nobody knows whether the cancellation came about
+		return // it is unknown whether the cancellation took effect
 	case j.spec.Steps[0].Lasts && !r.site.config.hasCrashingTask(j.spec.ID):
 		r.waitFor(ctx, j, "all its tasks run", func() bool { return workers.Running(j.spec.ID) == j.spec.Steps[0].Count })
 	default:
-		r.waitFor(ctx, j, "it is shown as ended, and rightly", func() bool { return r.endConfirmed(ctx, j) })
+		r.waitFor(ctx, j, "all daemons show the end that the workers saw", func() bool { return r.endConfirmed(ctx, j) })
 	}
 }
 
-// endConfirmed tells whether all daemons show the end that the workers saw.
+// endConfirmed reports whether all daemons show the end of the job that the workers saw.
 func (r *run) endConfirmed(ctx context.Context, j *job) bool {
 	workers := r.site.emulator.Grid
 	for _, d := range r.site.daemons {
 		state, _, err := newCaller(prefix).State(ctx, d.callers.Listen, j.spec.ID)
-		rightly := state == jobs.StateSucceeded && workers.Succeeded(j.spec.ID) ||
+		correct := state == jobs.StateSucceeded && workers.Succeeded(j.spec.ID) ||
 			state == jobs.StateFailed && r.mayFail(j)
-		if err != nil || !rightly {
+		if err != nil || !correct {
 			return false
 		}
 	}
 	return true
 }
 
-// waitFor waits for a condition, or notes that it did not come about.
+// waitFor waits until the condition holds, or records a breach when ctx ends.
 func (r *run) waitFor(ctx context.Context, j *job, what string, condition func() bool) {
 	for !condition() {
 		if !sleep(ctx, pollInterval) {
-			r.addBreach("%s, %s: %s did not come about", j.spec.ID, j.outcome, what)
+			r.addBreach("job %s, outcome %s: condition not reached: %s", j.spec.ID, j.outcome, what)
 			return
 		}
 	}
 }
 
 const (
-	// heldWriteStartDelay is when a job has begun whose write was held up, once all faults are mended.
+	// heldWriteStartDelay is how long after a delayed write its job has started, once all faults are cleared.
 	heldWriteStartDelay = 1500 * time.Millisecond
-	// maxStartAfterCancel is how long tasks may be started after a cancellation was answered.
+	// maxStartAfterCancel bounds how long tasks may be started after a cancellation was answered.
 	maxStartAfterCancel = 3 * time.Second
 )
 
-// checkGuarantees checks, at the very end, what daemons have said would not happen.
+// checkGuarantees checks, at the very end, that nothing has happened that daemons' answers had ruled out.
 func (r *run) checkGuarantees() {
 	for _, j := range r.record.jobs {
 		r.checkNeverRan(j)
@@ -130,46 +131,46 @@
 	}
 }
 
-// checkNeverRan checks that a job that was refused each time has not run, and that nothing of
-// one that was said not to be there was started much later.
+// checkNeverRan checks that a job that was refused each time has not run, and that no task was started
+// much later than a cancellation was answered with "no such job".
 func (r *run) checkNeverRan(j *job) {
 	last := r.site.emulator.Grid.LastStart(j.spec.ID)
 	if j.outcome == outcomeRefused && !last.IsZero() {
-		r.addBreach("%s was refused each time and has run", j.spec.ID)
+		r.addBreach("job %s was refused each time, but has run", j.spec.ID)
 	}
 	if late := last.Sub(j.notFound); !j.notFound.IsZero() && late > maxStartAfterCancel {
-		r.addBreach("%s was said not to be there when it was cancelled, and was started %s later", j.spec.ID, late)
+		r.addBreach("the cancellation of job %s was answered with no such job, but a task was started %s later", j.spec.ID, late)
 	}
 }
 
-// checkRefuserDidNotAccept checks that no daemon has refused a job that the same process of it has
-// written, before or afterwards, without having been asked anew.
+// checkRefuserDidNotAccept checks that no daemon has refused a job that the same process has written,
+// before the refusal or afterwards, unless the job was submitted to the daemon again in between.
 func (r *run) checkRefuserDidNotAccept(j *job) {
-	for _, t := range j.submissions {
-		if !t.refused() {
+	for _, s := range j.submissions {
+		if !s.refused() {
 			continue
 		}
 		for _, w := range r.site.storeFaults.accepted.writesOf(j.spec.ID) {
-			if w.daemon == t.daemon && w.incarnation == t.incarnation && w.arrived.Before(j.nextSubmission(t)) && !r.mayBeReadAfterRefusal(j, t, w) {
-				r.addBreach("%s is refused by %s with %d at %s, which %s", j.spec.ID, t.daemon.name, t.status, r.sinceBegin(t.ended), r.describeAcceptance(j, t, w))
+			if w.daemon == s.daemon && w.incarnation == s.incarnation && w.arrived.Before(j.nextSubmission(s)) && !r.mayBeReadAfterRefusal(j, s, w) {
+				r.addBreach("job %s was refused by %s with status %d at %s, but the daemon %s", j.spec.ID, s.daemon.name, s.status, r.sinceBegin(s.ended), r.describeAcceptance(j, s, w))
 			}
 		}
 	}
 }
 
-// mayBeReadAfterRefusal tells whether a daemon may have written a job for a try without answer whose
-// request it read only after it had refused another: it was paused in between, and reads what
-// has gathered meanwhile on several connections in any order.
+// mayBeReadAfterRefusal reports whether a daemon may have written a job for an unanswered submission whose
+// request it read only after it had refused another one. That is possible if the daemon was paused in
+// between: it then reads the requests that wait on several connections in any order.
 func (r *run) mayBeReadAfterRefusal(j *job, refusal submission, w acceptance) bool {
 	if w.arrived.Before(refusal.ended) {
 		return false
 	}
-	return slices.ContainsFunc(j.submissions, func(t submission) bool {
-		return t.daemon == refusal.daemon && t.status == 0 && r.pausedBetween(t.daemon, t.began, refusal.ended)
+	return slices.ContainsFunc(j.submissions, func(s submission) bool {
+		return s.daemon == refusal.daemon && s.status == 0 && r.pausedBetween(s.daemon, s.began, refusal.ended)
 	})
 }
 
-// pausedBetween tells whether a daemon's process was paused at some time between two.
+// pausedBetween reports whether a daemon's process was paused at any time between from and to.
 func (r *run) pausedBetween(d *daemon, from, to time.Time) bool {
 	return slices.ContainsFunc(r.record.faults, func(f injectedFault) bool {
 		paused := f.fault.Kind == PauseDaemon && r.daemon(f.fault.Target) == d
@@ -177,27 +178,27 @@
 	})
 }
 
-// nextSubmission is when the job was handed in again at the daemon of a try.
-func (j *job) nextSubmission(t submission) time.Time {
+// nextSubmission returns when the job was next submitted to the daemon of s; now, if it was not.
+func (j *job) nextSubmission(s submission) time.Time {
 	next := time.Now()
 	for _, other := range j.submissions {
-		if other.daemon == t.daemon && other.began.After(t.began) && other.began.Before(next) {
+		if other.daemon == s.daemon && other.began.After(s.began) && other.began.Before(next) {
 			next = other.began
 		}
 	}
 	return next
 }
 
-// describeAcceptance says how the daemon of a refusal has written the job.
+// describeAcceptance describes how the daemon of a refusal has written the job.
 func (r *run) describeAcceptance(j *job, refusal submission, w acceptance) string {
-	text := fmt.Sprintf("wrote it itself (received at %s, done at %s, answered by the store: %t)", r.sinceBegin(w.arrived), r.sinceBegin(w.committed), w.answered)
-	for _, t := range j.submissions {
-		if t.accepted() && t.daemon == refusal.daemon && t.ended.Before(refusal.began) {
-			return text + fmt.Sprintf(" and accepted it at %s", r.sinceBegin(t.ended))
+	text := fmt.Sprintf("has written the job itself (write received at %s, committed at %s, answered by the store: %t)", r.sinceBegin(w.arrived), r.sinceBegin(w.committed), w.answered)
+	for _, s := range j.submissions {
+		if s.accepted() && s.daemon == refusal.daemon && s.ended.Before(refusal.began) {
+			return text + fmt.Sprintf(" and accepted it at %s", r.sinceBegin(s.ended))
 		}
 	}
 	return text
 }
 
-// sinceBegin is a time since the run began.
+// sinceBegin returns the time since the run began.
 func (r *run) sinceBegin(t time.Time) time.Duration { return t.Sub(r.begin).Round(time.Millisecond) }
--- a/tests/soak/daemon.go
+++ b/tests/soak/daemon.go
@@ -17,29 +17,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// daemon is a rillsaild in a process of its own, with the proxies around it.
+// daemon is a rillsaild process with the proxies for its connections.
 type daemon struct {
 	name         string
 	program      string
-	settingsFile string // settings
+	settingsFile string
 	log          *os.File
-	readyAddress string // address that says whether it takes callers
+	readyAddress string // listener that reports whether the daemon accepts callers
 
-	callers *toxiproxy.Proxy // before its callers' listener
-	peers   *toxiproxy.Proxy // before its peers' listener
-	store   *toxiproxy.Proxy // on its way to the store
+	callers *toxiproxy.Proxy // in front of the callers' listener
+	peers   *toxiproxy.Proxy // in front of the peers' listener
+	store   *toxiproxy.Proxy // between the daemon and the store
 
 	mu          sync.Mutex
 	process     *os.Process
 	exited      chan struct{}
-	exitState   *os.ProcessState // of the life that ended last
-	incarnation int              // how often it was started
+	exitState   *os.ProcessState // of the incarnation that exited last
+	incarnation int              // how often the daemon was started
 }
 
-// stopGrace is what daemons are given for a planned stop.
+// stopGrace is the time that daemons have for a planned stop.
 const stopGrace = 4 * time.Second
 
-// start starts the process.
+// start starts the next incarnation of the daemon.
 func (d *daemon) start() error {
 	command := exec.Command(d.program, "--config", d.settingsFile)
 	command.Stdout, command.Stderr = d.log, d.log
@@ -54,23 +54,23 @@
 	return nil
 }
 
-// waitForExit takes the end of one life.
-func (d *daemon) waitForExit(command *exec.Cmd, ended chan struct{}) {
-	_ = command.Wait() // the state says how it ended
+// waitForExit waits for the exit of one incarnation, records its state and closes exited.
+func (d *daemon) waitForExit(command *exec.Cmd, exited chan struct{}) {
+	_ = command.Wait() // the process state tells how the process exited
 	d.mu.Lock()
 	d.exitState = command.ProcessState
 	d.mu.Unlock()
-	close(ended)
+	close(exited)
 }
 
-// signal sends a signal to the process that this daemon started last.
+// signal sends a signal to the incarnation that was started last.
 func (d *daemon) signal(signal syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_ = d.process.Signal(signal) // it may have ended
+	_ = d.process.Signal(signal) // the process may have exited
 }
 
-// stop ends the process: as planned, or at once when it takes longer than its grace.
+// stop makes a planned stop, and kills the process if that takes longer than stopGrace.
 func (d *daemon) stop() {
 	d.signal(syscall.SIGTERM)
 	select {
@@ -80,14 +80,14 @@
 	}
 }
 
-// kill ends the process at once and waits for its end.
+// kill kills the process and waits for its exit.
 func (d *daemon) kill() {
 	d.signal(syscall.SIGKILL)
 	<-d.exited
 }
 
-// running tells whether the process runs, and in which life.
-func (d *daemon) running() (life int, up bool) {
+// running reports whether the process runs, and which incarnation is the latest.
+func (d *daemon) running() (incarnation int, up bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	select {
@@ -98,17 +98,17 @@
 	}
 }
 
-// processTarget names the daemon's process among what faults disturb.
+// processTarget names the daemon's process among the targets of faults.
 func (d *daemon) processTarget() string { return "process of " + d.name }
 
-// lastExit tells how the life that ended last has ended, and how many there were.
-func (d *daemon) lastExit() (exit *os.ProcessState, lives int) {
+// lastExit returns the exit state of the incarnation that exited last, and the number of incarnations.
+func (d *daemon) lastExit() (exit *os.ProcessState, incarnations int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.exitState, d.incarnation
 }
 
-// newDaemon writes the daemon's settings and opens its log and its proxies.
+// newDaemon writes the settings of a daemon, creates its log and starts its proxies.
 func (s *site) newDaemon(number int) (*daemon, error) {
 	d := &daemon{name: fmt.Sprintf("front-%d", number), program: s.config.Daemon}
 	addresses, err := s.takeAddresses("caller", "ready", "peer", "metrics")
@@ -120,13 +120,13 @@
 		return nil, err
 	}
 	if d.log, err = os.Create(filepath.Join(s.config.Folder, d.name+".log")); err != nil {
-		return nil, errors.Wrap(err, "log")
+		return nil, errors.Wrap(err, "create log")
 	}
 	d.settingsFile = filepath.Join(s.config.Folder, d.name+".ini")
-	return d, errors.Wrap(os.WriteFile(d.settingsFile, []byte(s.settingsINI(d, addresses)), 0o600), "settings")
+	return d, errors.Wrap(os.WriteFile(d.settingsFile, []byte(s.settingsINI(d, addresses)), 0o600), "write settings")
 }
 
-// takeAddresses takes an address for each listener.
+// takeAddresses allocates an address for each listener.
 func (s *site) takeAddresses(listeners ...string) (map[string]string, error) {
 	addresses := map[string]string{}
 	for _, listener := range listeners {
@@ -139,7 +139,7 @@
 	return addresses, nil
 }
 
-// startProxies opens the daemon's proxies.
+// startProxies starts the daemon's proxies.
 func (s *site) startProxies(d *daemon, addresses map[string]string) (err error) {
 	if d.callers, err = s.newProxy(d.name+" callers", addresses["caller"]); err != nil {
 		return err
@@ -147,24 +147,24 @@
 	if d.peers, err = s.newProxy(d.name+" peers", addresses["peer"]); err != nil {
 		return err
 	}
-	atStore, err := s.listenForStore(d)
+	storeAddress, err := s.listenForStore(d)
 	if err != nil {
 		return err
 	}
-	d.store, err = s.newProxy(d.name+" store", atStore)
+	d.store, err = s.newProxy(d.name+" store", storeAddress)
 	return err
 }
 
-// Times of the daemons' settings, as on the users' platform (platform/settings.ini).
+// Times in the daemons' settings, as on the users' platform (platform/settings.ini).
 const (
 	callTimeout   = 700 * time.Millisecond
 	workerTimeout = 400 * time.Millisecond
 	dialTimeout   = 300 * time.Millisecond
 	watchWait     = 800 * time.Millisecond
-	workerLease   = 4500 * time.Millisecond // less than the longest that workers grant
+	workerLease   = 4500 * time.Millisecond // less than maxWorkerLease, the longest lease that workers grant
 )
 
-// settingsINI is the daemon's INI.
+// settingsINI returns the daemon's settings as INI.
 func (s *site) settingsINI(d *daemon, addresses map[string]string) string {
 	return strings.Join([]string{
 		"[daemon]", "id = " + d.name, "domain = south/a",
--- a/tests/soak/inject.go
+++ b/tests/soak/inject.go
@@ -17,8 +17,8 @@
 	"rillsail.example/rillsail/services/standin/grid"
 )
 
-// injectLoop brings the planned faults about. Each is mended by a goroutine of its own,
-// so that faults overlap.
+// injectLoop injects the planned faults. Each fault has its own goroutine, which also clears it, so that
+// faults can overlap.
 func (r *run) injectLoop(ctx context.Context, group *conc.WaitGroup) {
 	for _, fault := range r.plan.Faults {
 		if !sleep(ctx, time.Until(r.begin.Add(fault.At))) {
@@ -28,18 +28,18 @@
 	}
 }
 
-// inject brings one fault about and mends it. It doesn't begin when another fault has what
-// it would disturb: the first of them to end would mend both. Those that go over
-// others are mended each for itself.
+// inject applies one fault and clears it again. The fault is skipped if another fault has reserved the
+// same target: the first of the two to end would clear both. Overlapping faults are cleared independently
+// and need no reservation.
 func (r *run) inject(ctx context.Context, fault Fault) {
 	d := r.site.daemons[fault.Target%len(r.site.daemons)]
 	place := fault.Target % r.config.Workers
-	what := faultTarget(fault, d, place)
+	target := faultTarget(fault, d, place)
 	if !fault.Overlapping {
-		if !r.site.reserve(what) {
+		if !r.site.reserve(target) {
 			return
 		}
-		defer r.site.release(what)
+		defer r.site.release(target)
 	}
 	began := time.Since(r.begin)
 	if r.applyFault(ctx, fault, d, place) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// faultTarget names what a fault disturbs.
+// faultTarget names the target of a fault, by which faults reserve it.
 func faultTarget(fault Fault, d *daemon, place int) string {
 	switch fault.Kind {
 	case KillDaemon, PauseDaemon, StopDaemon, Hangup:
@@ -69,7 +69,7 @@
 	}
 }
 
-// applyFault lets the fault happen until it is mended; false: it didn't happen.
+// applyFault applies a fault for its duration and clears it; false: the fault could not be applied.
 func (r *run) applyFault(ctx context.Context, fault Fault, d *daemon, place int) bool {
 	switch fault.Kind {
 	case KillDaemon, PauseDaemon, StopDaemon, Hangup:
@@ -95,7 +95,7 @@
 	return true
 }
 
-// applyProcessFault sends signals to a daemon.
+// applyProcessFault kills, pauses or stops a daemon's process, or sends it SIGHUP.
 func (r *run) applyProcessFault(ctx context.Context, fault Fault, d *daemon) {
 	switch fault.Kind {
 	case Hangup:
@@ -118,7 +118,7 @@
 	}
 }
 
-// applyConnectionFault lets a proxy misbehave.
+// applyConnectionFault disturbs the connections through one proxy.
 func (r *run) applyConnectionFault(ctx context.Context, fault Fault, d *daemon, place int) {
 	switch fault.Kind {
 	case CutStore:
@@ -136,45 +136,45 @@
 	}
 }
 
-// The proxy's words for what it does to a connection. Silence without an end holds bytes
-// back and drops them; the connection stays open.
+// Types of the proxy's toxics. A "timeout" toxic without a timeout withholds and drops all bytes while
+// the connection stays open.
 const (
 	toxicSilence = "timeout"
 	toxicReset   = "reset_peer"
 	toxicDelay   = "latency"
 )
 
-// The delay of slow connections, in milliseconds: both ways together it is at most
+// The delay of slow connections, in milliseconds: both directions together are delayed by at most
 // callTimeout.
 const (
 	delayMs       = 200
 	delayJitterMs = 150
 )
 
-// applyToxic adds a toxic to the streams of a proxy and removes it again.
+// applyToxic adds a toxic to the streams of a proxy and removes it after the fault's duration.
 func (r *run) applyToxic(ctx context.Context, fault Fault, p *toxiproxy.Proxy, toxic string, streams ...string) {
 	for _, stream := range streams {
 		name := toxic + " " + stream
 		if r.addToxic(p, name, toxic, stream, map[string]int{"latency": delayMs, "jitter": delayJitterMs}) {
-			defer func() { _ = p.Toxics.RemoveToxic(context.Background(), name) }() // mend may have removed it
+			defer func() { _ = p.Toxics.RemoveToxic(context.Background(), name) }() // clearFaults may have removed the toxic
 		}
 	}
 	sleep(ctx, fault.For)
 }
 
-// addToxic adds a toxic of some type to a stream of a proxy.
+// addToxic adds a toxic of the given type to a stream of a proxy, and reports whether that succeeded.
 func (r *run) addToxic(p *toxiproxy.Proxy, name, toxic, stream string, attributes any) bool {
 	body, err := json.Marshal(map[string]any{"name": name, "type": toxic, "stream": stream, "attributes": attributes})
 	if err == nil {
 		_, err = p.Toxics.AddToxicJson(bytes.NewReader(body))
 	}
 	if err != nil {
-		r.record.addBreach(time.Since(r.begin), "soak", "%s can't be disturbed: %v", p.Name, err)
+		r.record.addBreach(time.Since(r.begin), "soak", "toxic can't be added to proxy %s: %v", p.Name, err)
 	}
 	return err == nil
 }
 
-// applyWorkerFault lets a worker misbehave.
+// applyWorkerFault applies a fault to a worker. A crash has no duration; a drain ends with a crash.
 func (r *run) applyWorkerFault(ctx context.Context, fault Fault, place int) {
 	g := r.site.emulator.Grid
 	switch fault.Kind {
--- a/tests/soak/jobs.go
+++ b/tests/soak/jobs.go
@@ -13,45 +13,47 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// What the jobs' tasks declare.
+// Declared properties of the jobs' tasks.
 const (
 	estimatedTime = 300 * time.Millisecond
-	minCPU        = 200 // thousandths of a processor
+	minCPU        = 200 // thousandths of a core
 	cpuSpread     = 800
 	taskMemory    = 100 // MB
-	servingTarget = 100 // ms, the target
+	servingTarget = 100 // target latency of serving tasks, in ms
 )
 
-// How many different images there are.
+// Numbers of different images.
 const (
 	servingImages = 3
 	fillerImages  = 4
 )
 
-// Of so many jobs, on average, one lasts and some fill; the others need room and end.
+// Weights of the kinds of jobs: of jobKindWeights jobs, on average, longRunningWeight are long-running and
+// fillerWeight are fillers; the others are ordinary jobs, which need capacity of their own and end.
 const (
 	jobKindWeights    = 8
 	longRunningWeight = 1
 	fillerWeight      = 3
 )
 
-// noCheckpointOneIn: the tasks of all jobs but one in so many save; those that fill as drawn.
+// noCheckpointOneIn is the share of jobs whose tasks take no checkpoints: one in so many. For filler jobs
+// it is drawn instead.
 const noCheckpointOneIn = 3
 
-// failOneIn: one run in so many fails.
+// failOneIn is the share of runs that fail: one in so many.
 const failOneIn = 20
 
-// longRunningDivisor is how much smaller tasks that last are than others: they gather, and must
-// leave room.
+// longRunningDivisor is how many times smaller long-running tasks are than others: they accumulate during
+// a run and must leave free capacity.
 const longRunningDivisor = 5
 
-// drawJob draws a job: most have two steps, some fill, some last.
+// drawJob draws a job: most jobs have two steps, some are fillers, some are long-running.
 func drawJob(random *rand.Rand, seed uint64, n int) jobs.Spec {
 	spec := jobs.Spec{ID: jobID(seed, n), Payload: jobs.Text(fmt.Sprint("payload ", n))}
 	step := jobs.Step{
 		Size:     models.Resources{CPU: models.MilliCPU(minCPU + random.IntN(cpuSpread)), Memory: taskMemory},
 		Estimate: models.MilliOf(estimatedTime),
-		// Not drawn, so that the jobs of a seed are as before otherwise.
+		// Derived from the job's number instead of drawn, so that the seed's other draws stay the same.
 		Checkpoints: n%noCheckpointOneIn != 0,
 	}
 	switch kind := random.IntN(jobKindWeights); {
@@ -65,10 +67,10 @@
 	return spec
 }
 
-// jobID names the job with a number.
+// jobID returns the id of the job with the given number.
 func jobID(seed uint64, n int) jobs.ID { return jobs.ID(fmt.Sprintf("%08x%08x", uint32(seed), n)) }
 
-// jobNumber is the number of a job; 0 if it has none.
+// jobNumber returns the number in a job's id; 0 if the id has none.
 func jobNumber(id jobs.ID) uint64 {
 	n, err := strconv.ParseUint(string(id[len(id)/2:]), 16, 32)
 	if err != nil {
@@ -77,25 +79,26 @@
 	return n
 }
 
-// crashSpread bounds how long after its start a task ends its worker, in milliseconds.
+// crashSpread bounds how long after its start a task crashes its worker, in milliseconds.
 const crashSpread = 200
 
-// hasCrashingTask tells whether a job has a task that ends its workers.
+// hasCrashingTask reports whether a job has a task that crashes its workers.
 func (c Config) hasCrashingTask(id jobs.ID) bool {
 	n := jobNumber(id)
 	return c.CrashingOneIn > 0 && n > 0 && n%uint64(c.CrashingOneIn) == 0
 }
 
-// crashDelay lets the first task of such a job end each of its workers, always as long after its start.
+// crashDelay returns how long after its start a run crashes its worker, and whether it does so. The first
+// task of a job with a crashing task crashes each of its workers, always after the same delay.
 func (c Config) crashDelay(task jobs.TaskID, _ jobs.RunID) (time.Duration, bool) {
 	after := time.Duration(1+jobNumber(task.Job)%crashSpread) * time.Millisecond
 	return after, c.hasCrashingTask(task.Job) && task.Step == 0 && task.Index == 0
 }
 
-// minCrashes is how many workers a task must have ended before its job may fail for it.
+// minCrashes is how many workers a task must have crashed before its job may fail for that reason.
 const minCrashes = 2
 
-// longRunningSteps is one step of serving tasks.
+// longRunningSteps returns one step of serving tasks.
 func longRunningSteps(random *rand.Rand, step jobs.Step) []jobs.Step {
 	step.Size.CPU /= longRunningDivisor
 	step.Lasts, step.Target = true, servingTarget
@@ -104,7 +107,7 @@
 	return []jobs.Step{step}
 }
 
-// fillerSteps are two alike, one after the other.
+// fillerSteps returns two identical steps of filler tasks; the second depends on the first.
 func fillerSteps(random *rand.Rand, step jobs.Step) []jobs.Step {
 	step.Fills = true
 	step.Image = jobs.ImageName(fmt.Sprint("filling-", random.IntN(fillerImages)))
@@ -115,7 +118,8 @@
 	return []jobs.Step{step, after}
 }
 
-// ordinarySteps are two, one after the other; some bound the tasks on a worker.
+// ordinarySteps returns two steps, of which the second depends on the first; some steps bound the number of
+// their tasks per worker.
 func ordinarySteps(random *rand.Rand, step jobs.Step) []jobs.Step {
 	first, second := step, step
 	first.Count = 1 + random.IntN(4)
@@ -125,8 +129,8 @@
 	return []jobs.Step{first, second}
 }
 
-// taskOutcome lets one run in failOneIn fail half way, and others take up to half as long again as
-// estimated. It is always the same for a task and a run.
+// taskOutcome returns the duration and end of a run: one run in failOneIn fails half way, the others take up
+// to half as long again as estimated. The outcome is always the same for the same task and run.
 func taskOutcome(task jobs.TaskID, run jobs.RunID) (time.Duration, jobs.End) {
 	draw := (uint64(task.Index)*31 + uint64(run)*17 + uint64(len(task.Job))) % failOneIn
 	if draw == 0 {
--- a/tests/soak/plan.go
+++ b/tests/soak/plan.go
@@ -13,11 +13,11 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The kinds of faults. Those of daemons, connections and workers hit one of them.
+// The kinds of faults. A fault of a daemon, connection or worker affects a single one.
 const (
-	KillDaemon           Kind = "kill daemon"            // and start it again
-	PauseDaemon          Kind = "pause daemon"           // and let it go on
-	StopDaemon           Kind = "stop daemon as planned" // and start it again
+	KillDaemon           Kind = "kill daemon"            // and restart it
+	PauseDaemon          Kind = "pause daemon"           // and resume it
+	StopDaemon           Kind = "stop daemon as planned" // and restart it
 	Hangup               Kind = "hang up"
 	Reconfigure          Kind = "change configuration"
 	StoreDown            Kind = "store is down"
@@ -50,8 +50,8 @@
 	RestartWorkers       Kind = "all workers start again at once"
 )
 
-// weightedKinds lists those that come by themselves with their weights: what daemons must survive
-// most often comes most often.
+// weightedKinds lists the kinds that drawFault draws, with their weights: the faults that daemons must
+// survive most often are the most frequent.
 var weightedKinds = []struct {
 	kind   Kind
 	weight int
@@ -83,7 +83,7 @@
 // Fault is one planned fault.
 type Fault struct {
 	At     time.Duration `json:"at"`  // since the run began
-	For    time.Duration `json:"for"` // until it is mended; for a daemon, until it runs again
+	For    time.Duration `json:"for"` // until the fault is cleared; for a daemon, until it runs again
 	Kind   Kind          `json:"kind"`
 	Target int           `json:"target"` // number of the daemon or worker
 	// Overlapping says that a fault of the store comes over its other ones.
@@ -92,14 +92,14 @@
 	Every int `json:"every,omitempty"`
 }
 
-// Plan is what one seed brings.
+// Plan is the plan of faults that one seed yields.
 type Plan struct {
 	Seed   uint64  `json:"seed"`
 	Faults []Fault `json:"faults"`
 }
 
-// Times of the plan. Faults come singly, in series and one over the other: some pauses
-// are far shorter than the faults last.
+// Times of the plan. Faults occur one at a time, in series and overlapping, since some pauses are far
+// shorter than the faults.
 const (
 	firstFaultAt     = 2 * time.Second
 	maxFaultPause    = 2500 * time.Millisecond
@@ -107,10 +107,10 @@
 	maxFaultDuration = 6 * time.Second // longer than the leases of daemons and workers
 	seriesLength     = 3
 	seriesPause      = 300 * time.Millisecond
-	seriesOneIn      = 5 // one fault in so many is a series of the same kind
+	seriesOneIn      = 5 // share of faults that are repeated as a series of the same kind: one in so many
 )
 
-// newPlan draws the faults of a run that lasts so long.
+// newPlan draws the faults of a run.
 func newPlan(config Config) Plan {
 	seed, length, daemons, workers := config.Seed, config.Length, config.Daemons, config.Workers
 	random := rand.New(rand.NewPCG(seed, uint64(length)))
@@ -141,13 +141,13 @@
 
 // drawFault draws one fault.
 func drawFault(random *rand.Rand, at time.Duration, daemons, workers int) Fault {
-	all := 0
+	totalWeight := 0
 	for _, k := range weightedKinds {
-		all += k.weight
+		totalWeight += k.weight
 	}
 	fault := Fault{At: at, Target: random.IntN(daemons * workers)}
 	fault.For = minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration-minFaultDuration)))
-	n := random.IntN(all)
+	n := random.IntN(totalWeight)
 	for _, k := range weightedKinds {
 		if n -= k.weight; n < 0 {
 			fault.Kind = k.kind
@@ -157,8 +157,8 @@
 	return fault
 }
 
-// Faults of the store that come one over the other: one that leaves a daemon without an
-// answer, and, beside it or right behind it, one that turns it away.
+// Kinds of store faults that overlap in pairs: the first fault leaves a daemon without an answer; the
+// second, during the first or right after it, rejects the daemon's calls.
 var (
 	unansweredKinds = []Kind{StoreLossy, StoreLate}
 	rejectingKinds  = []Kind{StoreDown, StoreBusy, StoreLimited, StoreReadsFail}
@@ -167,24 +167,24 @@
 const (
 	maxOverlapPause    = 2 * time.Second // between two overlaps
 	maxOverlapDuration = 3 * time.Second // of either fault
-	maxOverlapEvery    = 3               // an overlap hits at least one daemon in so many
+	maxOverlapEvery    = 3               // an overlap affects at least one daemon in so many
 )
 
-// drawOverlaps draws them from a stream of its own.
+// drawOverlaps draws the overlapping store faults from a stream of their own.
 func drawOverlaps(seed uint64, length time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, overlapStream))
-	lasts := func() time.Duration {
+	drawDuration := func() time.Duration {
 		return minFaultDuration + time.Duration(random.Int64N(int64(maxOverlapDuration-minFaultDuration)))
 	}
 	var faults []Fault
 	for at := firstFaultAt; at < length; at += time.Duration(random.Int64N(int64(maxOverlapPause))) {
 		first := Fault{
-			At: at, For: lasts(), Kind: unansweredKinds[random.IntN(len(unansweredKinds))], Overlapping: true,
+			At: at, For: drawDuration(), Kind: unansweredKinds[random.IntN(len(unansweredKinds))], Overlapping: true,
 			Target: random.IntN(maxOverlapEvery), Every: 1 + random.IntN(maxOverlapEvery),
 		}
 		second := first
 		second.At += time.Duration(random.Int64N(int64(first.For)))
-		second.For, second.Kind = lasts(), rejectingKinds[random.IntN(len(rejectingKinds))]
+		second.For, second.Kind = drawDuration(), rejectingKinds[random.IntN(len(rejectingKinds))]
 		faults = append(faults, first, second)
 		at = second.At
 	}
--- a/tests/soak/plot.go
+++ b/tests/soak/plot.go
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// sampleInterval is the time between two points of the plots.
+// sampleInterval is the time between two samples of the plot.
 const sampleInterval = 250 * time.Millisecond
 
-// sampleLoop notes what the plots show.
+// sampleLoop records the samples of the plot.
 func (r *run) sampleLoop(ctx context.Context) {
 	for sleep(ctx, sampleInterval) {
 		r.record.addSample(time.Since(r.begin), r.site.emulator.Grid.WorstTail())
 	}
 }
 
-// Sizes of the plot, in its own units: a second is plotSecond wide.
+// Dimensions of the plot, in SVG units: a second is plotSecond wide.
 const (
 	plotSecond = 40
 	plotHeight = 120
-	plotRow    = 12 // of one fault
-	plotBar    = 8  // within it
+	plotRow    = 12 // height of a fault's row
+	plotBar    = 8  // height of the bar in a row
 	plotMargin = 20
-	maxTail    = 3 // times the target, the top of the plot
+	maxTail    = 3 // tail latency at the top of the plot, as a multiple of the target
 )
 
-// renderPlot draws jobs a second and the worst tail over time, with the faults below.
+// renderPlot returns an SVG of the jobs per second and the worst tail latency over time, with the faults below.
 func (r *run) renderPlot() string {
 	var b strings.Builder
 	width := int(r.config.Length.Seconds()*plotSecond) + 2*plotMargin
@@ -42,35 +42,35 @@
 	b.WriteString(r.svgLine("blue", func(_, z sample) float64 { return z.tail / maxTail }))
 	fmt.Fprintf(&b, `<text x="%d" y="12">jobs accepted (green), refused (orange), without answer (red) of %g a second; worst tail (blue), top: %d times its target</text>`+"\n",
 		plotMargin, r.config.Rate, maxTail)
-	for i, h := range r.record.faults {
-		b.WriteString(h.svgRow(plotMargin + plotHeight + plotMargin + i*plotRow))
+	for i, f := range r.record.faults {
+		b.WriteString(f.svgRow(plotMargin + plotHeight + plotMargin + i*plotRow))
 	}
 	b.WriteString("</svg>\n")
 	return b.String()
 }
 
-// svgRow draws a fault at a height, for as long as it lasted.
-func (h injectedFault) svgRow(y int) string {
+// svgRow draws a fault as a bar at height y, from its beginning to its end.
+func (f injectedFault) svgRow(y int) string {
 	return fmt.Sprintf(`<rect x="%d" y="%d" width="%d" height="%d" fill="gray"/><text x="%d" y="%d">%s</text>`+"\n",
-		plotX(h.from), y, max(1, plotX(h.to)-plotX(h.from)), plotBar, plotX(h.from), y+plotBar, h.fault.Kind)
+		plotX(f.from), y, max(1, plotX(f.to)-plotX(f.from)), plotBar, plotX(f.from), y+plotBar, f.fault.Kind)
 }
 
-// rateFraction is a count within a sample's time as a part of the rate.
+// rateFraction converts a count per sample interval to a height in the plot.
 func (r *run) rateFraction(count int) float64 {
-	return float64(count) / (r.config.Rate * sampleInterval.Seconds()) / 2 // the rate itself is half way up
+	return float64(count) / (r.config.Rate * sampleInterval.Seconds()) / 2 // the configured rate is at half height
 }
 
-// svgLine draws a figure that follows from each two samples; 1 is the top.
-func (r *run) svgLine(colour string, figure func(before, now sample) float64) string {
+// svgLine draws a value computed from each two successive samples; 1 is the top of the plot.
+func (r *run) svgLine(colour string, value func(before, now sample) float64) string {
 	var points []string
 	var before sample
 	for _, now := range r.record.samples {
-		y := plotMargin + plotHeight*(1-min(1, figure(before, now)))
+		y := plotMargin + plotHeight*(1-min(1, value(before, now)))
 		points = append(points, fmt.Sprintf("%d,%.0f", plotX(now.at), y))
 		before = now
 	}
 	return fmt.Sprintf(`<polyline points="%s" fill="none" stroke="%s"/>`+"\n", strings.Join(points, " "), colour)
 }
 
-// plotX is where a time stands in the plot.
+// plotX returns the horizontal position of a time in the plot.
 func plotX(at time.Duration) int { return plotMargin + int(at.Seconds()*plotSecond) }
--- a/tests/soak/record.go
+++ b/tests/soak/record.go
@@ -13,93 +13,94 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// job is a job as its caller knows it.
+// job is a job with what its caller knows about it.
 type job struct {
 	spec      jobs.Spec
 	outcome   outcome
 	decided   time.Time // when the outcome was known
-	cancelled bool      // a cancellation was confirmed
-	// cancelSent says that a cancellation was sent, confirmed or not.
+	cancelled bool      // a daemon has confirmed a cancellation
+	// cancelSent tells that a cancellation was sent, whether confirmed or not.
 	cancelSent  bool
-	notFound    time.Time // when a daemon answered a cancellation with "no such job"; zero: none did
+	notFound    time.Time // when a daemon answered a cancellation with "no such job"; zero: never
 	submissions []submission
 }
 
-// submission is one time that a job was handed in.
+// submission is one submission of a job to a daemon.
 type submission struct {
 	daemon       *daemon
-	incarnation  int // of the daemon's process; 0: more than one
+	incarnation  int // of the daemon; 0: the daemon was restarted during the submission
 	began, ended time.Time
 	status       int // 0: no answer
 }
 
-// accepted tells whether the job was accepted.
-func (t submission) accepted() bool { return t.status == http.StatusOK }
+// accepted reports whether the daemon accepted the job.
+func (s submission) accepted() bool { return s.status == http.StatusOK }
 
-// refused tells whether the job was refused.
-func (t submission) refused() bool {
-	return t.status == http.StatusTooManyRequests || t.status == http.StatusServiceUnavailable
+// refused reports whether the daemon refused the job.
+func (s submission) refused() bool {
+	return s.status == http.StatusTooManyRequests || s.status == http.StatusServiceUnavailable
 }
 
-// outcome is what a caller knows of a job that it handed in.
+// outcome is what a caller knows about the result of submitting a job.
 type outcome string
 
 // The outcomes.
 const (
 	outcomeAccepted outcome = "accepted"
-	outcomeRefused  outcome = "refused" // each time
-	outcomeUnknown  outcome = "unknown" // a call was not answered; it may have been accepted
+	outcomeRefused  outcome = "refused" // by each submission
+	outcomeUnknown  outcome = "unknown" // a submission was not answered; the job may have been accepted
 )
 
-// callerRecord is what callers know. It is safe for concurrent use.
+// callerRecord records what callers have observed, and the faults and breaches of the run. It is safe for
+// concurrent use.
 type callerRecord struct {
 	mu                sync.Mutex
 	jobs              []*job
 	accepted          []*job
 	counts            map[outcome]int
 	queries           int
-	unansweredQueries int // asks without answer
-	lateRefusals      int // refusals
+	unansweredQueries int
+	lateRefusals      int
 	notFoundCancels   int // cancellations answered with "no such job"
 	samples           []sample
 	faults            []injectedFault
 	breaches          []Breach
 }
 
-// sample is a point of the plots; counts are those so far.
+// sample is a point of the plot; the counts are cumulative.
 type sample struct {
 	at                         time.Duration
 	accepted, refused, unknown int
 	tail                       float64
 }
 
-// injectedFault is a fault that came about.
+// injectedFault is a fault that was applied.
 type injectedFault struct {
 	from, to time.Duration
 	fault    Fault
 }
 
-// newCallerRecord makes an empty record.
+// newCallerRecord returns an empty record.
 func newCallerRecord() *callerRecord { return &callerRecord{counts: map[outcome]int{}} }
 
-// addSubmission notes a try.
-func (r *callerRecord) addSubmission(j *job, t submission) {
+// addSubmission records a submission.
+func (r *callerRecord) addSubmission(j *job, s submission) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	j.submissions = append(j.submissions, t)
+	j.submissions = append(j.submissions, s)
 }
 
-// decideOutcome notes and gives what came of a job by the tries so far.
+// decideOutcome derives the outcome of a job from its submissions so far, records and returns it.
 func (r *callerRecord) decideOutcome(j *job) outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j.decided, j.outcome = time.Now(), outcomeRefused
-	for _, t := range j.submissions {
+	for _, s := range j.submissions {
 		switch {
-		case t.accepted():
+		case s.accepted():
 			j.outcome = outcomeAccepted
-		case !t.refused() && j.outcome != outcomeAccepted:
-			j.outcome = outcomeUnknown // it may have been accepted
+		case !s.refused() && j.outcome != outcomeAccepted:
+			j.outcome = outcomeUnknown // the job may have been accepted
 		}
 	}
 	r.jobs = append(r.jobs, j)
@@ -110,7 +111,7 @@
 	return j.outcome
 }
 
-// randomAccepted draws an accepted job; nil: there is none yet.
+// randomAccepted draws an accepted job; nil if there is none yet.
 func (r *callerRecord) randomAccepted(random *rand.Rand) *job {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,21 +121,21 @@
 	return r.accepted[random.IntN(len(r.accepted))]
 }
 
-// noteCancelSent notes that a cancellation is sent.
+// noteCancelSent records that a cancellation is about to be sent.
 func (r *callerRecord) noteCancelSent(j *job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j.cancelSent = true
 }
 
-// noteCancelled notes that a cancellation was confirmed.
+// noteCancelled records that a daemon has confirmed a cancellation.
 func (r *callerRecord) noteCancelled(j *job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j.cancelled = true
 }
 
-// noteNotFound notes that a cancellation was answered with "no such job".
+// noteNotFound records that a cancellation was answered with "no such job".
 func (r *callerRecord) noteNotFound(j *job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -142,14 +143,14 @@
 	r.notFoundCancels++
 }
 
-// cancelSent tells whether a cancellation was sent.
+// cancelSent reports whether a cancellation was sent.
 func (r *callerRecord) cancelSent(j *job) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return j.cancelSent
 }
 
-// noteQuery notes that a state was asked for.
+// noteQuery records a query for the state of a job.
 func (r *callerRecord) noteQuery(answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -159,30 +160,30 @@
 	}
 }
 
-// noteLateRefusal notes a refusal that took too long.
+// noteLateRefusal records a refusal that took longer than maxRefusalTime.
 func (r *callerRecord) noteLateRefusal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lateRefusals++
 }
 
-// addSample notes the counts so far and the worst tail.
+// addSample records the counts so far and the worst tail latency.
 func (r *callerRecord) addSample(at time.Duration, tail float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.samples = append(r.samples, sample{at, r.counts[outcomeAccepted], r.counts[outcomeRefused], r.counts[outcomeUnknown], tail})
 }
 
-// addFault notes a fault that came about.
+// addFault records a fault that was applied.
 func (r *callerRecord) addFault(from, to time.Duration, fault Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = append(r.faults, injectedFault{from, to, fault})
 }
 
-// addBreach notes a promise that somebody saw broken.
-func (r *callerRecord) addBreach(at time.Duration, who, format string, args ...any) {
+// addBreach records a broken guarantee and which side has observed it.
+func (r *callerRecord) addBreach(at time.Duration, seenBy, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.breaches = append(r.breaches, Breach{At: at, SeenBy: who, What: fmt.Sprintf(format, args...)})
+	r.breaches = append(r.breaches, Breach{At: at, SeenBy: seenBy, What: fmt.Sprintf(format, args...)})
 }
--- a/tests/soak/report.go
+++ b/tests/soak/report.go
@@ -12,37 +12,37 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Breach is a promise that was broken.
+// Breach is a guarantee that was broken.
 type Breach struct {
 	At     time.Duration `json:"at"` // since the run began
 	SeenBy string        `json:"seen_by"`
 	What   string        `json:"what"`
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Seed                 uint64          `json:"seed"`
-	Faults               map[Kind]int    `json:"faults"` // that came about
+	Faults               map[Kind]int    `json:"faults"` // how often each kind was applied
 	Jobs                 map[outcome]int `json:"jobs"`
-	Queries              int             `json:"asked"`    // for states
-	UnansweredQueries    int             `json:"unheard"`  // of them, without answer
-	Checked              int             `json:"checked"`  // jobs, at the end
-	LateRefusals         int             `json:"late"`     // refusals that took longer than they should
-	NotFoundCancels      int             `json:"gone"`     // cancellations of jobs without answer that were told there is no such job
-	LostAnswers          int             `json:"lost"`     // writes of jobs that the store did without answering
+	Queries              int             `json:"asked"`    // queries for the state of a job
+	UnansweredQueries    int             `json:"unheard"`  // queries without answer
+	Checked              int             `json:"checked"`  // jobs checked at the end
+	LateRefusals         int             `json:"late"`     // refusals that took longer than maxRefusalTime
+	NotFoundCancels      int             `json:"gone"`     // cancellations of jobs of unknown outcome that were answered with "no such job"
+	LostAnswers          int             `json:"lost"`     // writes of jobs that the store committed without answering
 	Duration             time.Duration   `json:"took"`     // from the first fault to the last check
-	StartsWithCheckpoint int             `json:"resumed"`  // starts that brought a checkpoint
-	StartsBehind         int             `json:"behind"`   // starts with less work than a report had shown
-	WorkRedone           time.Duration   `json:"redone"`   // the work that these began anew
-	Breaches             []Breach        `json:"breaches"` // none: all promises were kept
+	StartsWithCheckpoint int             `json:"resumed"`  // starts with a checkpoint
+	StartsBehind         int             `json:"behind"`   // starts with less work done than a report had shown
+	WorkRedone           time.Duration   `json:"redone"`   // work that the starts behind had to redo
+	Breaches             []Breach        `json:"breaches"` // empty: all guarantees were kept
 }
 
-// fillReport puts the report together.
+// fillReport fills the report from the record and the workers' counts.
 func (r *run) fillReport() {
 	r.record.mu.Lock()
 	defer r.record.mu.Unlock()
-	for _, h := range r.record.faults {
-		r.report.Faults[h.fault.Kind]++
+	for _, f := range r.record.faults {
+		r.report.Faults[f.fault.Kind]++
 	}
 	r.report.Jobs = r.record.counts
 	r.report.Queries, r.report.UnansweredQueries = r.record.queries, r.record.unansweredQueries
@@ -55,7 +55,7 @@
 	r.report.Breaches = r.record.breaches
 }
 
-// writeResults writes plan, report and plot beside the daemons' logs.
+// writeResults writes plan, report and plot to the folder that also holds the daemons' logs.
 func (r *run) writeResults() error {
 	for name, value := range map[string]any{"plan.json": r.plan, "report.json": r.report} {
 		data, err := json.MarshalIndent(value, "", "  ")
--- a/tests/soak/restart.go
+++ b/tests/soak/restart.go
@@ -16,36 +16,36 @@
 // Naming is how the workers of a run name their incarnations.
 type Naming string
 
-// The ways of naming.
+// The ways of naming incarnations.
 const (
-	// NewIDs: each incarnation has an id of its own and doesn't say when it started.
+	// NewIDs gives each incarnation an id of its own; the worker doesn't report its start time.
 	NewIDs Naming = "new"
-	// SameID: a worker that starts again has the id that it had, and says when it started.
+	// SameID keeps the id of a worker that restarts; the worker reports its start time.
 	SameID Naming = "same"
-	// NewIDsWithStartTime: each incarnation has an id of its own, and says when it started.
+	// NewIDsWithStartTime gives each incarnation an id of its own; the worker reports its start time.
 	NewIDsWithStartTime Naming = "born"
 )
 
-// gridNamings are the stand-in's values for them.
+// gridNamings maps namings to the stand-in's values.
 var gridNamings = map[Naming]grid.Naming{"": grid.NewIDs, NewIDs: grid.NewIDs, SameID: grid.SameID, NewIDsWithStartTime: grid.NewIDsAndBorn}
 
-// check rejects a way that isn't known; left out, it is NewIDs.
+// check rejects an unknown naming; the empty naming means NewIDs.
 func (n Naming) check() error {
 	if _, ok := gridNamings[n]; !ok {
-		return errors.Newf("unknown naming of workers %q: new, same or born", n)
+		return errors.Newf("unknown naming of workers %q, must be new, same or born", n)
 	}
 	return nil
 }
 
 const (
-	restartStream       = 0x7e_57_a7_7    // of the random numbers of restarts
+	restartStream       = 0x7e_57_a7_7    // stream of random numbers
 	maxRestartPause     = 2 * time.Second // between two restarts
-	maxRestartFault     = 3 * time.Second // of the fault behind which a worker starts again
-	allWorkersOneIn     = 6               // one restart in so many is of all workers
-	maxRestartsPerFault = 3               // at most, while a fault lasts
+	maxRestartFault     = 3 * time.Second // duration of the fault that hides the restarts of a worker
+	allWorkersOneIn     = 6               // share of restarts that are of all workers: one in so many
+	maxRestartsPerFault = 3               // while one fault lasts
 )
 
-// drawRestarts draws workers that start again while calls to them go wrong, from a stream of its own.
+// drawRestarts draws restarts of workers while calls to them fail, from a stream of random numbers of its own.
 func drawRestarts(seed uint64, length time.Duration, workers int) []Fault {
 	random := rand.New(rand.NewPCG(seed, restartStream))
 	var faults []Fault
@@ -60,8 +60,8 @@
 	return faults
 }
 
-// restartWorker lets the worker in a place start again, several times, behind a cut or with calls that
-// are carried out late, whatever else goes wrong with it.
+// restartWorker restarts the worker in a place several times while its calls are cut or carried out late,
+// in addition to any other fault of the worker.
 func (r *run) restartWorker(ctx context.Context, fault Fault, place int) {
 	g := r.site.emulator.Grid
 	late := fault.Target%2 == 0
@@ -73,16 +73,16 @@
 	g.ChangeFaults(place, func(f *grid.Faults) { setRestartFault(f, late, 0) })
 }
 
-// setRestartFault begins the fault behind which a worker starts again, or ends it, for no time.
-func setRestartFault(f *grid.Faults, late bool, lasts time.Duration) {
+// setRestartFault sets the fault during which a worker restarts; a duration of 0 clears the fault.
+func setRestartFault(f *grid.Faults, late bool, duration time.Duration) {
 	if late {
-		f.Late = lasts
+		f.Late = duration
 		return
 	}
-	f.Cut = lasts > 0
+	f.Cut = duration > 0
 }
 
-// restartWorkers lets all workers start again at once.
+// restartWorkers restarts all workers at once.
 func (r *run) restartWorkers() {
 	for place := range r.config.Workers {
 		r.site.emulator.Grid.CrashBehind(place)
--- a/tests/soak/silence.go
+++ b/tests/soak/silence.go
@@ -12,25 +12,25 @@
 	"github.com/Shopify/toxiproxy/v2/toxics"
 )
 
-// Connections may go silent for good, without a reset, while new ones work: only a time limit
-// shows it. The proxy's own toxics change all connections alike, so this is one of ours.
+// Open connections may go silent for good, without a reset, while new connections work; only a timeout
+// detects that. The proxy's own toxics affect all connections alike, so this file adds a toxic for it.
 
-// toxicSilentConnections is its name for the proxy.
+// toxicSilentConnections is the type under which the toxic is registered with the proxy.
 const toxicSilentConnections = "silent_connections"
 
 func init() { toxics.Register(toxicSilentConnections, new(silentConnections)) }
 
-// silentConnections drops all bytes of the connections that were there when it was added, and
-// lets those of later ones pass.
+// silentConnections is a toxic that drops all bytes of the connections that were open when it was added,
+// and passes the bytes of later connections.
 type silentConnections struct {
-	Added int64 `json:"added"` // milliseconds since 1970
+	Added int64 `json:"added"` // in Unix milliseconds
 }
 
-// toxicSpreadTime is how soon after the toxic was added the proxy has given it to the
-// connections that were there.
+// toxicSpreadTime bounds how long after the toxic was added the proxy takes to apply it to the connections
+// that were open. A connection whose state is made later is regarded as new.
 const toxicSpreadTime = 50 * time.Millisecond
 
-// NewState implements toxics.StatefulToxic: it tells of a connection whether it is silent.
+// NewState implements toxics.StatefulToxic. The state of a connection is whether it is silent.
 func (s *silentConnections) NewState() any {
 	return time.Since(time.UnixMilli(s.Added)) < toxicSpreadTime
 }
@@ -54,14 +54,14 @@
 	}
 }
 
-// Cleanup implements toxics.CleanupToxic: bytes are missing in a connection that was silent.
+// Cleanup implements toxics.CleanupToxic. It closes a connection that was silent, since bytes of it are missing.
 func (s *silentConnections) Cleanup(stub *toxics.ToxicStub) {
 	if silent, _ := stub.State.(bool); silent {
 		stub.Close()
 	}
 }
 
-// silenceProxy lets all connections through a proxy go silent for good.
+// silenceProxy makes all open connections through a proxy silent for good.
 func (r *run) silenceProxy(p *toxiproxy.Proxy) {
 	now := time.Now()
 	for _, stream := range []string{"upstream", "downstream"} {
@@ -70,8 +70,8 @@
 	}
 }
 
-// silenceTarget silences the connections of a daemon to the store and from its peers, or those of
-// a worker.
+// silenceTarget silences the connections of a daemon to the store and from its peers, or the connections
+// to a worker.
 func (r *run) silenceTarget(fault Fault, d *daemon, place int) {
 	if fault.Kind == SilenceWorker {
 		r.silenceProxy(r.site.workerProxies[place])
@@ -82,14 +82,14 @@
 }
 
 const (
-	silenceStream      = 0x51_1e_4c_e0           // of the random numbers of silences
-	maxSilencePause    = 4 * time.Second         // between two of them
-	daemonSilenceOneIn = 3                       // kinds of draws: a daemon, or, twice as often, a worker
-	silenceDuration    = 1500 * time.Millisecond // until the time limits of all calls have passed
+	silenceStream      = 0x51_1e_4c_e0           // stream of random numbers
+	maxSilencePause    = 4 * time.Second         // between two silences
+	daemonSilenceOneIn = 3                       // share of silences that affect a daemon: one in so many; the others affect a worker
+	silenceDuration    = 1500 * time.Millisecond // until all calls have timed out
 )
 
-// drawSilences draws them from a stream of its own, so that the other faults of a seed are as
-// before.
+// drawSilences draws silences from a stream of random numbers of its own, so that the other faults of a
+// seed stay the same.
 func drawSilences(seed uint64, length time.Duration, targets int) []Fault {
 	random := rand.New(rand.NewPCG(seed, silenceStream))
 	var faults []Fault
--- a/tests/soak/site.go
+++ b/tests/soak/site.go
@@ -23,28 +23,28 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// What the emulated platform is like.
+// Properties of the emulated platform.
 const (
 	maxWorkerLease  = 6 * time.Second
-	stopTime        = 200 * time.Millisecond // of a run
-	clockSlowdown   = 0.02                   // the workers' clocks run so much slow
+	stopTime        = 200 * time.Millisecond // that stopping a run takes
+	clockSlowdown   = 0.02                   // share by which the workers' clocks are slow
 	perRack         = 4
 	heartbeat       = 500 * time.Millisecond
-	maxTaskAttempts = 3 // of a task
+	maxTaskAttempts = 3 // per task
 	host            = "jobs.example"
 	prefix          = "/jobs/"
 	workerPool      = "pool"
-	workerCPU       = 4000 // thousandths of a processor
+	workerCPU       = 4000 // thousandths of a core
 	workerMemory    = 8000 // MB
-	// checkpointTime is short against the tasks' work of 300 ms and more, so that most runs that end early
-	// leave a checkpoint.
+	// checkpointTime is short compared to the tasks' work of 300 ms and more, so that most runs that end
+	// early leave a checkpoint.
 	checkpointTime = 50 * time.Millisecond
 	restoreTime    = 30 * time.Millisecond
-	// workerDowntime is how long it takes until another incarnation is there after a crash.
+	// workerDowntime is the time from a worker's crash to the start of its next incarnation.
 	workerDowntime = 3 * time.Second
 )
 
-// site is the emulated platform in this process and the daemons in theirs.
+// site is the emulated platform, which runs in this process, with the daemons, which run as processes.
 type site struct {
 	config        Config
 	ports         portblock.Block
@@ -61,12 +61,12 @@
 
 	mu             sync.Mutex
 	storeListeners map[string]*daemon // by address
-	reserved       map[string]bool    // what a fault has now
-	version        int                // of the configuration that was written last
+	reserved       map[string]bool    // targets that faults have reserved
+	version        int                // version of the configuration that was written last
 }
 
-// newSite starts the platform and the daemons, and waits until they take callers. With an
-// error it gives what was started, which must be closed as well; nil: nothing was.
+// newSite starts the platform and the daemons, and waits until the daemons accept callers. On an error it
+// also returns the site if anything was started, which must be closed; nil: nothing was started.
 func newSite(ctx context.Context, config Config) (*site, error) {
 	s := &site{reserved: map[string]bool{}, storeListeners: map[string]*daemon{}, config: config, proxies: toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop()), version: 1}
 	var err error
@@ -84,11 +84,11 @@
 	s.startStore()
 	running, cancel := context.WithCancel(ctx)
 	s.cancel = cancel
-	s.group.Go(func() { _ = s.emulator.Run(running) }) // its first write can't fail in this process
+	s.group.Go(func() { _ = s.emulator.Run(running) }) // Run fails only if its first write fails, which can't happen within one process
 	return s, s.startDaemons(ctx)
 }
 
-// expose puts a proxy before the worker in a place.
+// expose starts a proxy in front of the worker in a place and returns the proxy's address.
 func (s *site) expose(place int, address string) (string, error) {
 	p, err := s.newProxy(fmt.Sprint("worker ", place), address)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return p.Listen, nil
 }
 
-// startDaemons starts all daemons and waits until they take callers.
+// startDaemons starts all daemons and waits until they accept callers.
 func (s *site) startDaemons(ctx context.Context) error {
 	for number := range s.config.Daemons {
 		d, err := s.newDaemon(number)
@@ -118,26 +118,26 @@
 	return nil
 }
 
-// waitTimeout is how long something that must come about in the end is waited for, also on a
-// machine that is busy with other work.
+// waitTimeout bounds the wait for an event that must happen; it is long enough for a machine that is
+// busy with other work.
 const waitTimeout = 90 * time.Second
 
-// pollInterval is how often it is looked for.
+// pollInterval is the pause between two checks of a condition that is waited for.
 const pollInterval = 50 * time.Millisecond
 
-// waitReady waits until the daemon takes callers.
+// waitReady waits until the daemon accepts callers.
 func (s *site) waitReady(ctx context.Context, d *daemon) error {
 	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	for !isReady(ctx, d.readyAddress) {
 		if !sleep(ctx, pollInterval) {
-			return errors.Newf("%s did not get ready", d.name)
+			return errors.Newf("%s did not become ready", d.name)
 		}
 	}
 	return nil
 }
 
-// newProxy puts a proxy before an address.
+// newProxy starts a proxy in front of an address.
 func (s *site) newProxy(name, upstream string) (*toxiproxy.Proxy, error) {
 	address, err := s.ports.Take()
 	if err != nil {
@@ -145,15 +145,15 @@
 	}
 	p := toxiproxy.NewProxy(s.proxies, name, address, upstream)
 	s.allProxies = append(s.allProxies, p)
-	return p, errors.Wrapf(p.Start(), "proxy before %s", name)
+	return p, errors.Wrapf(p.Start(), "start proxy for %s", name)
 }
 
-// clearFaults ends all faults: connections are whole, workers are well, daemons run.
+// clearFaults clears all faults of store, connections and workers, and resumes or restarts the daemons.
 func (s *site) clearFaults() {
 	s.storeFaults.clear()
 	for _, p := range s.allProxies {
 		p.Toxics.ResetToxics(context.Background())
-		_ = p.Start() // it may run
+		_ = p.Start() // fails if the proxy runs
 	}
 	for place := range s.config.Workers {
 		s.emulator.Grid.SetFaults(place, grid.Faults{})
@@ -163,12 +163,12 @@
 	for _, d := range s.daemons {
 		d.signal(syscall.SIGCONT)
 		if _, up := d.running(); !up {
-			_ = d.start() // waitReady tells
+			_ = d.start() // if that fails, waitReady reports it
 		}
 	}
 }
 
-// close ends all that the site started.
+// close stops everything that the site has started.
 func (s *site) close() {
 	for _, d := range s.daemons {
 		d.signal(syscall.SIGCONT)
@@ -183,7 +183,7 @@
 	s.group.Wait()
 }
 
-// sleep waits; false: ctx has ended.
+// sleep waits for the duration; false: ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -195,25 +195,25 @@
 	}
 }
 
-// reserve reserves something for a fault; false: another one has it.
-func (s *site) reserve(what string) bool {
+// reserve reserves a target for a fault; false: another fault has reserved it.
+func (s *site) reserve(target string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	free := !s.reserved[what]
-	s.reserved[what] = true
+	free := !s.reserved[target]
+	s.reserved[target] = true
 	return free
 }
 
-// isReserved tells whether a fault has something.
-func (s *site) isReserved(what string) bool {
+// isReserved reports whether a fault has reserved a target.
+func (s *site) isReserved(target string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reserved[what]
+	return s.reserved[target]
 }
 
-// release lets other faults have it.
-func (s *site) release(what string) {
+// release makes a target available to other faults.
+func (s *site) release(target string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.reserved, what)
+	delete(s.reserved, target)
 }
--- a/tests/soak/soak.go
+++ b/tests/soak/soak.go
@@ -2,20 +2,18 @@
 // Copyright The Rillsail Authors
 
 // Package soak runs real daemons as processes of their own against an emulated platform,
-// lets faults happen to them from outside, and checks what callers and workers see. One
-// seed makes one plan of faults. A run that breaks a promise leaves its seed, plan, logs
-// and what was seen in a folder.
+// injects faults from outside, and checks what callers and workers observe. A seed determines
+// the plan of faults. A run leaves its plan, report, plot and the daemons' logs in a folder.
 //
 // # Usage
 //
 //	report, err := soak.Run(ctx, soak.Config{Daemon: "bin/rillsaild", Seed: 7, Length: 30 * time.Second, Folder: dir, …})
 //
-// Where to look: what may go wrong and when in plan.go, what is started in site.go and
-// daemon.go, how faults are brought about in inject.go, those of the store in store.go and
-// what it sees of acceptances in acceptances.go, workers that do wrong in trouble.go, what jobs
-// are like in jobs.go, callers in callers.go, how they behave in behaviors.go and what they know
-// in record.go, versions of the configuration in configuration.go, what must hold in check.go and races.go,
-// what a run leaves in report.go and plot.go.
+// The files: plan.go draws the faults, site.go and daemon.go start platform and daemons, inject.go
+// applies faults, store.go applies the store's faults, acceptances.go records the acceptances that the
+// store sees, trouble.go has workers misbehave, jobs.go draws jobs, callers.go runs callers, behaviors.go
+// draws how they behave, record.go records what they observe, configuration.go changes and checks the
+// configuration, check.go and races.go check the guarantees, report.go and plot.go write the results.
 package soak
 
 import (
@@ -26,28 +24,28 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Config says what to run.
+// Config configures a run.
 type Config struct {
-	Daemon  string // the program
+	Daemon  string // path of the rillsaild program
 	Seed    uint64
 	Length  time.Duration // in which faults begin
 	Daemons int
 	Workers int
 	// WorkersPerCell divides the workers into cells.
 	WorkersPerCell int
-	// Rate is how many jobs callers hand in each second.
+	// Rate is how many jobs callers submit per second.
 	Rate float64
-	// CrashingOneIn lets one job in so many have a task that ends its workers; 0: none has.
+	// CrashingOneIn is the share of jobs that have a task that crashes its workers: one in so many; 0: none.
 	CrashingOneIn int
-	// Naming is how workers name their incarnations; left out: NewIDs.
+	// Naming is how workers name their incarnations; NewIDs if empty.
 	Naming Naming
-	// Restarts lets workers start again while calls to them go wrong, and all of them at once.
+	// Restarts enables restarts of workers while calls to them fail, and of all workers at once.
 	Restarts bool
-	// Folder takes logs, plan and report.
+	// Folder gets the logs, plan, report and plot.
 	Folder string
 }
 
-// Check rejects a configuration that can't be run.
+// Check rejects an invalid configuration.
 func (c Config) Check() error {
 	if c.Daemon == "" || c.Folder == "" {
 		return errors.New("daemon and folder must be given")
@@ -58,15 +56,15 @@
 	return c.Naming.check()
 }
 
-// Run plays one seed and reports. The error says that the run itself failed; broken
-// promises are in the report.
+// Run runs one seed. An error means that the run itself failed; broken guarantees are in the
+// report.
 func Run(ctx context.Context, config Config) (*Report, error) {
 	if err := config.Check(); err != nil {
 		return nil, err
 	}
 	s, err := newSite(ctx, config)
 	if s != nil {
-		defer s.close() // also what was started of one that didn't get ready
+		defer s.close() // also the parts that were started if the site did not become ready
 	}
 	if err != nil {
 		return nil, err
@@ -81,18 +79,18 @@
 	return r.report, r.writeResults()
 }
 
-// Random numbers other than the plan's come from streams of their own, so that one use
-// doesn't change what another one draws.
+// Streams of random numbers. Each use other than the plan's has a stream of its own, so that it doesn't
+// change what another use draws.
 const (
 	storeStream    = 1
 	submitStream   = 2
 	queryStream    = 3
 	behaviorStream = 4
-	// overlapStream is not the length of any run, which is the plan's stream.
+	// overlapStream differs from the length of any run, which is the plan's stream.
 	overlapStream = 1<<63 + 5
 )
 
-// run is one seed being played.
+// run is the state of a run of one seed.
 type run struct {
 	config Config
 	site   *site
@@ -102,7 +100,7 @@
 	report *Report
 }
 
-// play lets callers work and faults happen until the plan is over.
+// play runs callers, checks and faults for the length of the run.
 func (r *run) play(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.config.Length)
 	defer cancel()
@@ -115,7 +113,7 @@
 	group.Wait()
 }
 
-// finish mends everything and checks what must hold then.
+// finish clears all faults, checks the final states and the guarantees, and fills the report.
 func (r *run) finish(ctx context.Context) {
 	r.site.clearFaults()
 	r.checkFinalStates(ctx)
--- a/tests/soak/store.go
+++ b/tests/soak/store.go
@@ -18,15 +18,15 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// startStore serves the store until close; each daemon has an address of its own there, so
-// that faults know whose call they have.
+// startStore creates the store's HTTP server, which close ends. Each daemon has an address of its own at
+// the store, so that faults can tell which daemon a call comes from.
 func (s *site) startStore() {
 	s.storeFaults.accepted = newAcceptanceLog()
 	s.emulator.SetFault(s.storeFaults.fault)
 	s.store = &http.Server{Handler: withArrivalTime(s.emulator.Handler()), ReadHeaderTimeout: time.Minute, ConnContext: s.connContext}
 }
 
-// listenForStore opens a daemon's address at the store.
+// listenForStore opens a listener of the store for one daemon.
 func (s *site) listenForStore(d *daemon) (address string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,11 +36,11 @@
 	s.mu.Lock()
 	s.storeListeners[address] = d
 	s.mu.Unlock()
-	s.group.Go(func() { _ = s.store.Serve(listener) }) // ends with close
+	s.group.Go(func() { _ = s.store.Serve(listener) }) // returns after close
 	return address, nil
 }
 
-// The keys under which a call's context says where it comes from, and when it arrived.
+// Keys of the context values that hold the connection and the arrival time of a call.
 type (
 	connectionKey struct{}
 	arrivalKey    struct{}
@@ -49,34 +49,34 @@
 // connection is a daemon's connection to the store.
 type connection struct {
 	daemon      *daemon
-	incarnation int // of the daemon's process
+	incarnation int // of the daemon when the connection was opened
 }
 
-// connContext finds whose a new connection is.
+// connContext adds to the context of a new connection which daemon has opened it.
 func (s *site) connContext(ctx context.Context, c net.Conn) context.Context {
 	s.mu.Lock()
 	d := s.storeListeners[c.LocalAddr().String()]
 	s.mu.Unlock()
-	life, _ := d.running()
-	return context.WithValue(ctx, connectionKey{}, connection{d, life})
+	incarnation, _ := d.running()
+	return context.WithValue(ctx, connectionKey{}, connection{d, incarnation})
 }
 
-// withArrivalTime notes when calls arrive.
+// withArrivalTime adds the arrival time to the context of each call.
 func withArrivalTime(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		handler.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), arrivalKey{}, time.Now())))
 	})
 }
 
-// storeFaults are the store's faults in force. It is safe for concurrent use.
+// storeFaults holds the active faults of the store. It is safe for concurrent use.
 type storeFaults struct {
-	accepted      *acceptanceLog // that the store has seen
+	accepted      *acceptanceLog
 	mu            sync.Mutex
 	active        []*kv.Fault // the newest first
-	lastHeldUntil time.Time   // when the last of the writes that are held up is done
+	lastHeldUntil time.Time   // when the last delayed write is committed
 }
 
-// add puts a fault beside the others until it is removed.
+// add activates a fault in addition to the others, until remove is called.
 func (f *storeFaults) add(fault kv.Fault) (remove func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -95,13 +95,13 @@
 	f.active = nil
 }
 
-// fault implements kv.Fault: all faults in force are asked, until one has something to say.
+// fault implements kv.Fault: it returns the error of the first active fault that has one.
 func (f *storeFaults) fault(ctx context.Context, write, after bool, key string) error {
 	f.mu.Lock()
-	all := f.active
+	active := f.active
 	f.mu.Unlock()
 	var err error
-	for _, fault := range all {
+	for _, fault := range active {
 		if err = (*fault)(ctx, write, after, key); err != nil {
 			break
 		}
@@ -112,7 +112,7 @@
 	return err
 }
 
-// delayWrite holds a write up.
+// delayWrite blocks a write for the given time before it takes effect.
 func (f *storeFaults) delayWrite(d time.Duration) {
 	f.mu.Lock()
 	if until := time.Now().Add(d); until.After(f.lastHeldUntil) {
@@ -122,15 +122,15 @@
 	time.Sleep(d)
 }
 
-// heldUntil is when no write is held up any more.
+// heldUntil returns when the last delayed write takes effect.
 func (f *storeFaults) heldUntil() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lastHeldUntil
 }
 
-// Figures of the store's faults: slow answers come within callTimeout, late writes
-// are done after it.
+// Parameters of the store's faults: slow answers arrive within callTimeout, late writes
+// take effect after it.
 const (
 	slowDelay    = 150 * time.Millisecond
 	loseOneIn    = 3 // calls
@@ -139,7 +139,7 @@
 	maxLateDelay = 5 * time.Second
 )
 
-// applyStoreFault lets calls to the store go wrong.
+// applyStoreFault applies a fault to calls to the store for the fault's duration.
 func (r *run) applyStoreFault(ctx context.Context, fault Fault) {
 	if fault.Kind == StoreForgets {
 		r.site.emulator.Store.Forget()
@@ -149,29 +149,29 @@
 	sleep(ctx, fault.For)
 }
 
-// restrictToDaemons restricts a fault to the calls of the daemons that it is planned for.
+// restrictToDaemons restricts a fault to the calls of the daemons that the plan selects.
 func (r *run) restrictToDaemons(planned Fault, fault kv.Fault) kv.Fault {
 	if planned.Every <= 1 {
 		return fault
 	}
-	hit := map[*daemon]bool{}
+	affected := map[*daemon]bool{}
 	for n, d := range r.site.daemons {
-		hit[d] = n%planned.Every == planned.Target%planned.Every
+		affected[d] = n%planned.Every == planned.Target%planned.Every
 	}
 	return func(ctx context.Context, write, after bool, key string) error {
-		if from, _ := ctx.Value(connectionKey{}).(connection); !hit[from.daemon] {
+		if from, _ := ctx.Value(connectionKey{}).(connection); !affected[from.daemon] {
 			return nil
 		}
 		return fault(ctx, write, after, key)
 	}
 }
 
-// newStoreFault is what the emulator asks before and after each call.
+// newStoreFault returns the fault that the emulator consults before and after each call.
 func (r *run) newStoreFault(planned Fault) kv.Fault {
 	var mu sync.Mutex
 	stream := uint64(storeStream)
 	if planned.Overlapping {
-		stream += uint64(planned.At) // faults that overlap must not draw the same
+		stream += uint64(planned.At) // overlapping faults must not draw the same numbers
 	}
 	random := rand.New(rand.NewPCG(r.plan.Seed, stream))
 	draw := func(n int64) int64 {
@@ -189,7 +189,7 @@
 		case kind == StoreSlow:
 			time.Sleep(slowDelay)
 		case kind == StoreLate && write && draw(loseOneIn) == 0:
-			r.site.storeFaults.delayWrite(minLateDelay + time.Duration(draw(int64(maxLateDelay-minLateDelay)))) // then it is done, and nobody waits any more
+			r.site.storeFaults.delayWrite(minLateDelay + time.Duration(draw(int64(maxLateDelay-minLateDelay)))) // the write takes effect after the daemon's call has timed out
 		case kind == StoreDown, kind == StoreReadsFail && !write, kind == StoreBusy && draw(busyOneIn) == 0:
 			return platform.ErrUnavailable
 		case kind == StoreLimited && draw(busyOneIn) == 0:
--- a/tests/soak/trouble.go
+++ b/tests/soak/trouble.go
@@ -11,11 +11,11 @@
 	"rillsail.example/rillsail/services/standin/grid"
 )
 
-// Troubles are faults of workers that answer: what they do is wrong, or comes late, so that runs
-// end and are started again. They go over other faults of the worker, and each is mended
-// by itself.
+// Misbehaviors are faults of workers that still answer: the workers act wrongly or late, so that runs end
+// and are started again. Misbehaviors overlap with other faults of the worker, and each is cleared
+// independently.
 
-// weightedMisbehaviors lists them with their weights.
+// weightedMisbehaviors lists the misbehaviors with their weights.
 var weightedMisbehaviors = []struct {
 	kind   Kind
 	weight int
@@ -27,31 +27,32 @@
 }
 
 const (
-	misbehaviorStream      = 0x7_20_0b_1e    // of the random numbers of troubles
-	maxMisbehaviorPause    = 3 * time.Second // between two of them
+	misbehaviorStream      = 0x7_20_0b_1e    // stream of random numbers
+	maxMisbehaviorPause    = 3 * time.Second // between two misbehaviors
 	maxMisbehaviorDuration = 4 * time.Second
-	// maxAnswerDelay is by how much answers are late at most: less than calls to workers wait.
+	// maxAnswerDelay bounds the delay of answers; it is shorter than the timeout of calls to workers.
 	maxAnswerDelay = 300 * time.Millisecond
-	// repeatAfter is when an order is done once more: newer ones for the task have come by then.
+	// repeatAfter is how long after its arrival an order is carried out once more; by then newer orders for
+	// the task have arrived.
 	repeatAfter = 1200 * time.Millisecond
 )
 
-// drawMisbehaviors draws them from a stream of its own, so that the other faults of a seed are as
-// before.
+// drawMisbehaviors draws misbehaviors from a stream of random numbers of its own, so that the other faults
+// of a seed stay the same.
 func drawMisbehaviors(seed uint64, length time.Duration, workers int) []Fault {
-	all := 0
-	for _, t := range weightedMisbehaviors {
-		all += t.weight
+	totalWeight := 0
+	for _, m := range weightedMisbehaviors {
+		totalWeight += m.weight
 	}
 	random := rand.New(rand.NewPCG(seed, misbehaviorStream))
 	var faults []Fault
 	for at := firstFaultAt; at < length; at += time.Duration(random.Int64N(int64(maxMisbehaviorPause))) {
 		fault := Fault{At: at, Target: random.IntN(workers), Overlapping: true}
 		fault.For = minFaultDuration + time.Duration(random.Int64N(int64(maxMisbehaviorDuration-minFaultDuration)))
-		n := random.IntN(all)
-		for _, t := range weightedMisbehaviors {
-			if n -= t.weight; n < 0 {
-				fault.Kind = t.kind
+		n := random.IntN(totalWeight)
+		for _, m := range weightedMisbehaviors {
+			if n -= m.weight; n < 0 {
+				fault.Kind = m.kind
 				break
 			}
 		}
@@ -60,7 +61,7 @@
 	return faults
 }
 
-// applyMisbehavior lets a worker be in trouble for a time.
+// applyMisbehavior has a worker misbehave for the fault's duration.
 func (r *run) applyMisbehavior(ctx context.Context, fault Fault, place int) {
 	g := r.site.emulator.Grid
 	g.ChangeFaults(place, func(f *grid.Faults) { setMisbehavior(f, fault.Kind, true) })
@@ -68,7 +69,7 @@
 	g.ChangeFaults(place, func(f *grid.Faults) { setMisbehavior(f, fault.Kind, false) })
 }
 
-// setMisbehavior begins or ends a trouble.
+// setMisbehavior begins or ends a misbehavior.
 func setMisbehavior(f *grid.Faults, kind Kind, begins bool) {
 	switch kind {
 	case FailWorker:
