--- a/tests/integration/bad_input_test.go
+++ b/tests/integration/bad_input_test.go
@@ -18,8 +18,8 @@
 	"rillsail.example/rillsail/models"
 )
 
-// TestBadInputChangesNothing sends malformed, oversized and unauthorised calls to
-// every listener.
+// TestBadInputChangesNothing sends malformed, oversized and unauthorized calls to every listener, and checks
+// that they are rejected without any effect.
 func TestBadInputChangesNothing(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 1, fleetFlags: []string{"--workers", "2", "--upstreams", "1"}, extraSettings: map[string]string{"listen.max_body": "4096"}})
 	d := c.daemons[0]
@@ -70,7 +70,8 @@
 	assert.Zero(t, status.Revision)
 }
 
-// TestSlowBodiesEnd sends half a body to each listener and then nothing more.
+// TestSlowBodiesEnd sends an incomplete body to each listener and then nothing more. The daemon must close
+// the connection after the body timeout.
 func TestSlowBodiesEnd(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 1, fleetFlags: []string{"--workers", "2", "--upstreams", "1"}, extraSettings: map[string]string{"listen.body_timeout": "300ms"}})
 	d := c.daemons[0]
@@ -81,7 +82,7 @@
 		require.NoError(t, err)
 		require.NoError(t, connection.SetReadDeadline(time.Now().Add(waitTimeout)))
 		answer, err := io.ReadAll(connection)
-		require.NoError(t, err, "the daemon ends the connection")
+		require.NoError(t, err, "the daemon closes the connection")
 		assert.NotContains(t, string(answer), "200 OK")
 		_ = connection.Close()
 	}
--- a/tests/integration/cluster_test.go
+++ b/tests/integration/cluster_test.go
@@ -19,15 +19,15 @@
 	"rillsail.example/rillsail/modules/rendezvous"
 )
 
-// clusterConfig says what to start.
+// clusterConfig configures the programs of a cluster.
 type clusterConfig struct {
 	daemons       int
-	fleetFlags    []string          // flags of the fleet
-	storeFlags    []string          // flags of the store
-	extraSettings map[string]string // settings of all daemons, "section.key"
+	fleetFlags    []string          // flags of the stand-in fleet
+	storeFlags    []string          // flags of the stand-in store
+	extraSettings map[string]string // settings of all daemons, by "section.key"
 }
 
-// cluster is everything that runs.
+// cluster is the set of running programs: the daemons and the stand-in store and fleet, with proxies.
 type cluster struct {
 	t            *testing.T
 	config       clusterConfig
@@ -39,14 +39,14 @@
 	daemons      []*daemonProcess
 }
 
-// daemonProcess is a daemon with the addresses of its listeners.
+// daemonProcess is a daemon's process with the addresses of its listeners.
 type daemonProcess struct {
 	*process
 	id, caller, operator, peer string
 	number                     int
 }
 
-// newCluster starts everything and waits until all cells are owned.
+// newCluster starts all programs and waits until all cells are owned.
 func newCluster(t *testing.T, config clusterConfig) *cluster {
 	t.Helper()
 	c := &cluster{t: t, config: config}
@@ -60,14 +60,14 @@
 	return c
 }
 
-// startProxies puts proxies before the store and the VM list.
+// startProxies starts proxies in front of the store and the VM list.
 func (c *cluster) startProxies() {
 	c.proxies = toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
 	c.storeProxy = c.newProxy("store", c.storeAddress)
 	c.listProxy = c.newProxy("list", c.fleetAddress)
 }
 
-// newProxy puts a fault-injecting proxy before an address.
+// newProxy starts a fault-injecting proxy in front of an address.
 func (c *cluster) newProxy(name, upstream string) *toxiproxy.Proxy {
 	p := toxiproxy.NewProxy(c.proxies, name, freeAddress(c.t), upstream)
 	require.NoError(c.t, p.Start())
@@ -75,7 +75,7 @@
 	return p
 }
 
-// startDaemon starts daemon number i with settings of its own over the cluster's.
+// startDaemon starts daemon number i. Its own settings override those of the cluster.
 func (c *cluster) startDaemon(i int, own map[string]string) *daemonProcess {
 	c.t.Helper()
 	d := &daemonProcess{
@@ -91,7 +91,7 @@
 	return d
 }
 
-// defaultSettings are the settings of a daemon that the cluster's and its own go over.
+// defaultSettings returns the settings of a daemon before those of the cluster and its own are applied.
 func (c *cluster) defaultSettings(d *daemonProcess) map[string]string {
 	return map[string]string{
 		"daemon.id": d.id, "daemon.domain": []string{"south/a", "south/b"}[d.number%2],
@@ -104,7 +104,7 @@
 	}
 }
 
-// formatINI writes settings, named "section.key", as a file.
+// formatINI formats settings, keyed by "section.key", as INI.
 func formatINI(settings map[string]string) string {
 	sections := map[string][]string{}
 	for name, value := range settings {
@@ -118,8 +118,8 @@
 	return b.String()
 }
 
-// waitCellsOwned waits until every daemon knows that each cell has the owner that hashing
-// gives, so that nothing moves any more.
+// waitCellsOwned waits until every daemon knows that each cell has the owner that rendezvous hashing
+// selects, so that no cell moves any more.
 func (c *cluster) waitCellsOwned() {
 	c.t.Helper()
 	var ids []models.MemberID
@@ -127,7 +127,7 @@
 		ids = append(ids, models.MemberID(d.id))
 	}
 	for _, d := range c.daemons {
-		eventually(c.t, "every cell has an owner, as "+d.id+" sees it", func() bool {
+		eventually(c.t, "every cell has its owner, as "+d.id+" sees it", func() bool {
 			s, err := statusOf(d)
 			if err != nil || len(s.Cells) == 0 || len(s.Upstream) == 0 || len(s.Members) < len(c.daemons) {
 				return false
--- a/tests/integration/config_faults_test.go
+++ b/tests/integration/config_faults_test.go
@@ -19,8 +19,7 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// waitRevision waits until every daemon has at least the revision, and tells how long
-// that took.
+// waitRevision waits until every daemon has at least the given revision, and returns how long that took.
 func (c *cluster) waitRevision(revision models.Revision) time.Duration {
 	c.t.Helper()
 	began := time.Now()
@@ -39,9 +38,9 @@
 	return change
 }
 
-// TestOperatorsRace lets operators change the same object and different ones at the
-// same time through different daemons: of those on the same base one wins, and no
-// accepted change is lost.
+// TestOperatorsRace has operators change the same object and different objects concurrently through
+// different daemons. Of the changes to the same object with the same base, exactly one must win, and no
+// accepted change may be lost.
 func TestOperatorsRace(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: smallFleet})
 	accepted := c.apply(c.daemons[0], models.Team{Name: "shared"})
@@ -63,19 +62,19 @@
 	group.Wait()
 	won := 0
 	for i, err := range outcomes {
-		var refused *wire.StatusError
+		var statusErr *wire.StatusError
 		switch {
 		case i%2 == 1:
 			require.NoError(t, err, "a change of another object")
 		case err == nil:
 			won++
 		default:
-			require.ErrorAs(t, err, &refused)
-			assert.Equal(t, http.StatusConflict, refused.Status)
-			assert.Contains(t, refused.Problem.Error, "team/shared")
+			require.ErrorAs(t, err, &statusErr)
+			assert.Equal(t, http.StatusConflict, statusErr.Status)
+			assert.Contains(t, statusErr.Problem.Error, "team/shared")
 		}
 	}
-	assert.Equal(t, 1, won, "of the operators on the same base one wins")
+	assert.Equal(t, 1, won, "exactly one of the changes with the same base wins")
 	c.waitRevision(accepted.Revision + operators/2 + 1)
 	got, err := call[models.Configuration](c.daemons[2], http.MethodGet, operator.PathConfig, nil)
 	require.NoError(t, err)
@@ -83,16 +82,16 @@
 	assert.Equal(t, accepted.Revision+operators/2+1, got.Revision)
 }
 
-// TestConfigurationOutlivesOutage takes the store away right after a change was
-// accepted, and replaces every daemon in and after the outage: the change is in
-// force everywhere within seconds and never reverts.
+// TestConfigurationOutlivesOutage begins an outage of the store right after a change was accepted, and
+// replaces every daemon during and after the outage. The change must be in force at all daemons within
+// seconds and never revert.
 func TestConfigurationOutlivesOutage(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: smallFleet})
 	// The store is gone for all but the daemon that accepts: the peers have it from there.
-	slow := c.startDaemon(3, nil)
-	c.daemons = append(c.daemons, slow)
-	eventually(t, "the fourth daemon is there", func() bool {
-		s, err := statusOf(slow)
+	fourth := c.startDaemon(3, nil)
+	c.daemons = append(c.daemons, fourth)
+	eventually(t, "the fourth daemon knows all members", func() bool {
+		s, err := statusOf(fourth)
 		return err == nil && len(s.Members) == 4
 	})
 	result, err := call[models.ConfigResult](c.daemons[0], http.MethodPost, operator.PathConfig, teamChange(0, "office"))
@@ -100,9 +99,9 @@
 	c.setStoreFaults(kv.Faults{Outage: true})
 	assert.Less(t, c.waitRevision(result.Revision), 7*time.Second)
 	_, err = call[models.ConfigResult](c.daemons[1], http.MethodPost, operator.PathConfig, teamChange(0, "never"))
-	var refused *wire.StatusError
-	require.ErrorAs(t, err, &refused)
-	assert.Equal(t, operator.KindNotRun, refused.Kind)
+	var statusErr *wire.StatusError
+	require.ErrorAs(t, err, &statusErr)
+	assert.Equal(t, operator.KindNotRun, statusErr.Kind)
 	for i := range c.daemons {
 		next := c.startDaemon(10+i, map[string]string{"member.seeds": c.daemons[(i+1)%len(c.daemons)].peer})
 		eventually(t, "a daemon that starts has the revision", func() bool { return revisionAt(next) >= result.Revision })
@@ -116,8 +115,8 @@
 	assert.Less(t, c.waitRevision(again.Revision), 7*time.Second)
 }
 
-// TestLostAnswerOfAConfigurationWrite lets the store swap the head and lose the
-// answer: the operator hears that the change was accepted, once.
+// TestLostAnswerOfAConfigurationWrite has the store swap the head of the configuration and lose the answer.
+// The operator must be told that the change was accepted, and the change must be applied only once.
 func TestLostAnswerOfAConfigurationWrite(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 2, fleetFlags: smallFleet})
 	c.setStoreFaults(kv.Faults{LoseAnswers: 1, LosePrefix: "config/head"})
@@ -128,12 +127,12 @@
 	c.setStoreFaults(kv.Faults{Delay: 300})
 	slow, err := call[models.ConfigResult](c.daemons[1], http.MethodPost, operator.PathConfig, teamChange(0, "second"))
 	require.NoError(t, err)
-	assert.EqualValues(t, 2, slow.Revision, "a slow store changes nothing but the time")
+	assert.EqualValues(t, 2, slow.Revision, "a slow store only delays the change")
 	assert.Less(t, c.waitRevision(2), 7*time.Second)
 }
 
-// TestStoreAtItsLimit submits far more than the store takes in single writes; the
-// stand-in enforces 100 writes and 2,000 reads a second.
+// TestStoreAtItsLimit submits far more jobs and tasks than the store could take as single writes; the
+// stand-in enforces limits of 100 writes and 2,000 reads per second.
 func TestStoreAtItsLimit(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: smallFleet})
 	c.apply(c.daemons[0], testTeam)
--- a/tests/integration/counters_test.go
+++ b/tests/integration/counters_test.go
@@ -20,7 +20,7 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// clockTicksPerSecond is the unit of processor times in /proc, a hundredth of a second.
+// clockTicksPerSecond converts CPU times in /proc, which are in hundredths of a second.
 const clockTicksPerSecond = 100
 
 func processorTime(t *testing.T, p *process) float64 {
@@ -49,7 +49,7 @@
 	return 0
 }
 
-// peerCounts is the part of a dump that tells what calls to peers have cost.
+// peerCounts is the part of a daemon's dump that counts the traffic of calls to peers.
 type peerCounts struct {
 	PeerCalls struct {
 		BytesSent float64 `json:"bytes_sent"`
@@ -70,7 +70,7 @@
 	return counts.PeerCalls.BytesSent + counts.PeerCalls.BytesGot
 }
 
-// counterReading is what the counters say at one moment.
+// counterReading holds the values of all counters at one moment.
 type counterReading struct {
 	at    time.Time
 	cpu   []float64
--- a/tests/integration/harness_test.go
+++ b/tests/integration/harness_test.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package integration runs the real programs as processes on the loopback: daemons,
-// the stand-in store behind a fault-injecting proxy, and the stand-in fleet, and
-// checks what must always hold while it kills, freezes and cuts them.
+// Package integration runs the real programs as processes on the loopback interface:
+// daemons, the stand-in store behind a fault-injecting proxy, and the stand-in fleet. Its
+// tests kill, freeze and disconnect processes and check that all guarantees still hold.
 package integration
 
 import (
@@ -24,7 +24,7 @@
 const (
 	operatorToken = "test-operator"
 	peerToken     = "test-peer"
-	// waitTimeout bounds every wait for an event; only a failure takes so long.
+	// waitTimeout bounds every wait for an event; it is only reached when a test fails.
 	waitTimeout   = 60 * time.Second
 	pollInterval  = 20 * time.Millisecond
 	maxAnswerSize = 64 << 20
@@ -48,12 +48,12 @@
 	os.Exit(code)
 }
 
-// sourceFolders are the folders of what the programs are built from.
+// sourceFolders are the folders that the programs are built from.
 var sourceFolders = []string{"cmd", "models", "modules", "platform", "routers", "services"}
 
-// programPath is the path of a program, whose sources are looked at. Go keeps a verdict for as long
-// as the test's own code and the files that it has looked at are unchanged, and doesn't know that
-// programs are built here: a change of theirs would pass by the verdict on their predecessors.
+// programPath returns the path of a program and calls stat on all sources. Go caches a test result while
+// the test's own code and the files that it has accessed are unchanged, and does not know that the tests
+// build programs: without the calls, a changed program would get the cached result of the previous one.
 func programPath(t *testing.T, name string) string {
 	t.Helper()
 	statSourcesOnce.Do(func() {
@@ -66,7 +66,7 @@
 
 var statSourcesOnce sync.Once
 
-// statFile looks at a file, as Go notes it.
+// statFile calls stat on a file, which Go records as an input of the test.
 func statFile(path string, _ fs.DirEntry, err error) error {
 	if err == nil {
 		_, err = os.Stat(path)
@@ -80,7 +80,7 @@
 	require.Eventually(t, condition, waitTimeout, pollInterval, what)
 }
 
-// Objects that most tests use.
+// Configuration objects that most tests use.
 var (
 	testTeam    = models.Team{Name: "office"}
 	testClass   = models.Class{Name: "quote", Selector: "app=quote", Priority: models.PriorityOrdinary, Deadline: 10_000}
--- a/tests/integration/jobs_test.go
+++ b/tests/integration/jobs_test.go
@@ -24,12 +24,12 @@
 	"rillsail.example/rillsail/services/standin/grid"
 )
 
-// site is the users' platform, emulated in this process behind a proxy, and daemons as
-// processes.
+// site is the users' platform, which is emulated in this process with a proxy in front of the store, with
+// the daemons, which run as processes.
 type site struct {
 	t          *testing.T
 	emulator   *emulator.Emulator
-	storeProxy *toxiproxy.Proxy // before the store
+	storeProxy *toxiproxy.Proxy // in front of the store
 	daemons    []*siteDaemon
 }
 
@@ -60,7 +60,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	store := &http.Server{Handler: e.Handler(), ReadHeaderTimeout: time.Minute}
-	go func() { _ = store.Serve(listener) }() // ends with Close
+	go func() { _ = store.Serve(listener) }() // returns after Close
 	ctx, cancel := context.WithCancel(context.Background())
 	ran := make(chan error, 1)
 	go func() { ran <- e.Run(ctx) }()
@@ -84,7 +84,7 @@
 }
 
 func statusCodeOf(url string) int {
-	response, err := http.Get(url) //nolint:noctx // the test's own time limit counts
+	response, err := http.Get(url) //nolint:noctx // the test's own timeout applies
 	if err != nil {
 		return 0
 	}
@@ -106,10 +106,10 @@
 	return d
 }
 
-// siteCaller hands in jobs as the platform's callers do.
+// siteCaller submits jobs as the platform's callers do.
 var siteCaller = emulator.Caller{Client: http.DefaultClient, Host: siteHost, Prefix: sitePrefix}
 
-// isReady tells whether the daemon takes callers.
+// isReady reports whether the daemon accepts callers.
 func (d *siteDaemon) isReady(t *testing.T) bool {
 	ready, err := emulator.Ready(t.Context(), http.DefaultClient, d.ready)
 	return err == nil && ready
@@ -208,8 +208,8 @@
 	first := s.submit(s.daemons[0], 1, false)
 	s.waitState(s.daemons[0], first, jobs.StateSucceeded)
 	s.storeProxy.Stop()
-	// Each try hands in another job: one that was on its way when the store went may be
-	// accepted for all that is known, and is never refused.
+	// Each try submits another job: the outcome of a job that was being written when the outage began is
+	// unknown, so that job is never refused.
 	n := 100
 	eventually(t, "a job is refused at once", func() bool {
 		n++
@@ -246,7 +246,7 @@
 	s.storeProxy.Stop()
 	began := time.Now()
 	s.daemons[0].stop()
-	require.Less(t, time.Since(began), 2*time.Second, "the time for a planned stop is 2 s")
+	require.Less(t, time.Since(began), 2*time.Second, "a planned stop may take 2 s")
 	require.True(t, s.daemons[0].cmd.ProcessState.Success())
 }
 
--- a/tests/integration/measure_test.go
+++ b/tests/integration/measure_test.go
@@ -23,33 +23,33 @@
 )
 
 var (
-	measureTo      = flag.String("measure", "", "file to write the figures of the whole measurement to")
+	measureTo      = flag.String("measure", "", "file to write the results of the full measurement to")
 	measureSeconds = flag.Int("seconds", 30, "length of each run of the measurement")
 )
 
-// fleetSize is a fleet of a size with the load that belongs to it.
+// fleetSize is a size of the fleet with the corresponding load.
 type fleetSize struct {
 	name     string
 	daemons  int
 	workers  int
-	services int     // replicas that run
-	batch    int     // batch tasks that run all the time
-	starts   float64 // tasks started a second
-	changes  float64 // configurations a second
+	services int     // running replicas of services
+	batch    int     // batch tasks that run throughout the measurement
+	starts   float64 // task starts per second
+	changes  float64 // configuration changes per second
 }
 
-// cost is what a daemon spent over a run.
+// cost is the resource usage of a daemon during a run.
 type cost struct {
 	cpu      float64 // percent of a core
 	memory   float64 // MB
-	peerRate float64 // bytes a second to and from peers
+	peerRate float64 // bytes per second to and from peers
 }
 
-// capacity is what a run has cost in all.
+// capacity is the result of one run of the measurement.
 type capacity struct {
 	fleetSize
 	daemon        cost // mean of the daemons
-	worst         cost // each figure of the worst daemon
+	worst         cost // maximum of each value over the daemons
 	writes        float64
 	reads         float64
 	storeBytes    float64
@@ -60,7 +60,8 @@
 	bytesPerStart float64
 }
 
-// measure runs a fleet under its load for a time and reads the counters around it.
+// measure runs a fleet under its load for the given time and computes the result from the counters before
+// and after.
 func measure(t *testing.T, s fleetSize, length time.Duration) capacity {
 	t.Helper()
 	c := newCluster(t, clusterConfig{
@@ -77,7 +78,7 @@
 	c.apply(c.daemons[0], testTeam, service)
 	filling := batchJob("filling", s.batch, 3_600_000)
 	c.submit(c.daemons[0], filling)
-	eventually(t, "the fleet is filled", func() bool { return c.audit().Running >= s.services+s.batch })
+	eventually(t, "all services and batch tasks run", func() bool { return c.audit().Running >= s.services+s.batch })
 	before := c.readCounters()
 	c.generateLoad(s, length)
 	after := c.readCounters()
@@ -85,8 +86,8 @@
 	return c.computeCapacity(s, before, after)
 }
 
-// generateLoad submits jobs of ten tasks and changes the configuration at the size's rates,
-// without waiting for the answers before the next.
+// generateLoad submits jobs of ten tasks and changes the configuration at the rates of the fleet size,
+// without waiting for an answer before the next call.
 func (c *cluster) generateLoad(s fleetSize, length time.Duration) {
 	const perJob = 10
 	end := time.Now().Add(length)
@@ -114,7 +115,7 @@
 	}
 }
 
-// submitTimed submits an urgent job whose tasks carry when that was.
+// submitTimed submits an urgent job whose id carries the time of submission.
 func (c *cluster) submitTimed(n, tasks int) {
 	job := batchJob(fleet.TimedJob(time.Now(), n), tasks, 2000)
 	job.Urgent = true
@@ -151,15 +152,15 @@
 	return sum
 }
 
-// row is one line of the table.
+// row formats the result as a line of the table.
 func (c capacity) row() string {
 	return fmt.Sprintf("| %s | %d | %d | %d + %d | %.1f (%.1f) | %.2f (%.2f) | %.0f (%.0f) | %.0f (%.0f) | %.1f (cells %.1f, config %.1f) | %.1f | %.0f | %.0f | %d / %d |\n",
 		c.name, c.daemons, c.workers, c.services, c.batch, c.started, c.starts, c.daemon.cpu, c.worst.cpu, c.daemon.memory, c.worst.memory,
 		c.daemon.peerRate, c.worst.peerRate, c.writes, c.byKind["cells"], c.byKind["config"], c.reads, c.storeBytes, c.bytesPerStart, c.startP50, c.startP99)
 }
 
-// sizes are fleets in the proportions of the one that is planned for: 2.9 services
-// and 9.3 batch tasks a worker, and starts and changes by the number of workers.
+// sizes returns fleets in the proportions of the planned fleet: 2.9 services and 9.3 batch tasks per
+// worker, and starts and changes by the number of workers.
 func sizes() []fleetSize {
 	var all []fleetSize
 	for _, workers := range []int{64, 160, 320} {
@@ -174,8 +175,8 @@
 		fleetSize{name: "more daemons", daemons: 12, workers: 160, services: 469, batch: 1493, starts: 11.7, changes: 0.1})
 }
 
-// TestMeasureCapacity is the whole measurement; "make measure" asks for it. Without
-// that it runs one small size, for a few seconds, to keep the measurement working.
+// TestMeasureCapacity runs the full measurement if the flag -measure is given, as by "make measure".
+// Without the flag it runs one small size for a few seconds, to keep the measurement working.
 func TestMeasureCapacity(t *testing.T) {
 	if *measureTo == "" {
 		small := measure(t, fleetSize{name: "small", daemons: 2, workers: 16, services: 8, batch: 20, starts: 10, changes: 1}, 4*time.Second)
--- a/tests/integration/operator_test.go
+++ b/tests/integration/operator_test.go
@@ -14,7 +14,7 @@
 	"rillsail.example/rillsail/routers/operator"
 )
 
-// call makes an operator's call to a daemon.
+// call makes a call to a daemon's operators' listener.
 func call[T wire.Checker](d *daemonProcess, method, path string, body any) (T, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
@@ -23,12 +23,12 @@
 	}, body)
 }
 
-// statusOf is the status that a daemon shows.
+// statusOf returns the status that a daemon reports.
 func statusOf(d *daemonProcess) (models.Status, error) {
 	return call[models.Status](d, http.MethodGet, operator.PathStatus, nil)
 }
 
-// revisionAt is the revision that a daemon has, 0 when it doesn't answer.
+// revisionAt returns the revision of the configuration that a daemon has, or 0 if the daemon does not answer.
 func revisionAt(d *daemonProcess) models.Revision {
 	s, err := statusOf(d)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return s.Revision
 }
 
-// apply puts objects of the configuration in force.
+// apply changes the configuration to contain the objects.
 func (c *cluster) apply(d *daemonProcess, objects ...models.Object) models.ConfigResult {
 	c.t.Helper()
 	var change models.ConfigChange
@@ -49,7 +49,7 @@
 	return result
 }
 
-// submit sends a job until it is accepted.
+// submit submits a job repeatedly until it is accepted.
 func (c *cluster) submit(d *daemonProcess, job models.JobSpec) {
 	c.t.Helper()
 	var results models.JobResults
@@ -65,7 +65,7 @@
 	})
 }
 
-// job is a job as a daemon knows it, without id when it doesn't.
+// job returns a job as a daemon knows it, or an empty job if the daemon does not know it.
 func (c *cluster) job(d *daemonProcess, id models.JobID) models.Job {
 	l, err := call[models.Listing](d, http.MethodGet, operator.PathJobs, nil)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return models.Job{}
 }
 
-// waitEnded waits until a job has ended.
+// waitEnded waits until a job has ended and returns it.
 func (c *cluster) waitEnded(d *daemonProcess, id models.JobID) models.Job {
 	c.t.Helper()
 	var job models.Job
@@ -95,7 +95,7 @@
 	return job
 }
 
-// logState logs what the daemons know when a wait has failed.
+// logState logs what the daemons know about tasks and workers after a wait has failed.
 func (c *cluster) logState(d *daemonProcess, job models.Job) {
 	l, err := call[models.Listing](d, http.MethodGet, operator.PathTasks, nil)
 	c.t.Logf("job %+v\nmissing %v, %v", job, l.Missing, err)
@@ -108,7 +108,7 @@
 	}
 }
 
-// runningReplicas counts the replicas of a service that the daemons know to run.
+// runningReplicas returns how many replicas of a service run according to the daemons.
 func (c *cluster) runningReplicas(d *daemonProcess, service models.ServiceName) int {
 	l, err := call[models.Listing](d, http.MethodGet, operator.PathTasks, nil)
 	if err != nil {
--- a/tests/integration/process_test.go
+++ b/tests/integration/process_test.go
@@ -16,26 +16,26 @@
 	"rillsail.example/rillsail/modules/portblock"
 )
 
-// process is one running program.
+// process is a process of one of the programs.
 type process struct {
 	t      *testing.T
 	cmd    *exec.Cmd
 	stderr bytes.Buffer
 }
 
-// newProcess makes a process of one of the programs, not started yet.
+// newProcess creates a process of one of the programs without starting it.
 func newProcess(t *testing.T, program string, args ...string) *process {
 	return &process{t: t, cmd: exec.Command(programPath(t, program), args...)}
 }
 
-// start starts the process, which is killed at the end of the test.
+// start starts the process. It is killed at the end of the test.
 func (p *process) start() {
 	p.t.Helper()
 	require.NoError(p.t, p.cmd.Start())
 	p.t.Cleanup(p.kill)
 }
 
-// startDaemonProcess starts a rillsaild; what it logs is kept with its errors.
+// startDaemonProcess starts a rillsaild. Its log and its error output are both collected in stderr.
 func startDaemonProcess(t *testing.T, file string) *process {
 	t.Helper()
 	p := newProcess(t, "rillsaild", "--config", file)
@@ -44,14 +44,15 @@
 	return p
 }
 
-// reap waits for the process to end.
+// reap waits for the process to exit.
 func (p *process) reap() {
 	if p.cmd.ProcessState == nil {
 		_ = p.cmd.Wait()
 	}
 }
 
-// kill ends the process at once, also when it is frozen.
+// kill kills the process, even if it is frozen, and waits for its exit. If the test has failed, kill logs
+// the process's output.
 func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
 	p.reap()
@@ -62,13 +63,13 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// stop is a planned stop; it waits for the process to end.
+// stop makes a planned stop and waits for the process to exit.
 func (p *process) stop() {
 	p.signal(syscall.SIGTERM)
 	p.reap()
 }
 
-// startStandin starts a stand-in and reads the address it prints.
+// startStandin starts a stand-in and returns the address that it prints.
 func startStandin(t *testing.T, args ...string) (*process, string) {
 	t.Helper()
 	p := newProcess(t, "rillsail-standin", args...)
@@ -83,10 +84,10 @@
 	return p, ready.Address
 }
 
-// ports is where the addresses come from that daemons are told to listen on.
+// ports allocates the addresses that daemons listen on.
 var ports portblock.Block
 
-// freeAddress is an address on the loopback that nothing else uses.
+// freeAddress returns an unused address on the loopback interface.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	address, err := ports.Take()
--- a/tests/integration/race_on_test.go
+++ b/tests/integration/race_on_test.go
@@ -11,10 +11,10 @@
 	"rillsail.example/rillsail/tests/soak"
 )
 
-// buildFlags builds the programs with the race detector when the tests have it.
+// buildFlags builds the programs with the race detector if the tests are built with it.
 var buildFlags = []string{"-race"}
 
-// TestSoakWithRaceDetector plays one seed: what the detector says of a daemon is a broken promise.
+// TestSoakWithRaceDetector runs one seed; a data race that the detector reports in a daemon is a breach.
 func TestSoakWithRaceDetector(t *testing.T) {
 	for _, seed := range soakSeeds(t)[:1] {
 		playSoak(t, soak.Config{Seed: seed})
--- a/tests/integration/refusals_test.go
+++ b/tests/integration/refusals_test.go
@@ -21,31 +21,31 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// refusalCase is what the store does with the record of one job, and when the job is handed in.
+// refusalCase describes how the store answers calls for the record of one job, and when the job is submitted.
 type refusalCase struct {
 	Name   string       `json:"name"`
-	Writes []storeReply `json:"writes"` // to the first writes
-	Then   storeReply   `json:"then"`   // to the writes after them
-	Reads  storeReply   `json:"reads"`  // once there has been a write
+	Writes []storeReply `json:"writes"` // replies to the first writes
+	Then   storeReply   `json:"then"`   // reply to all later writes
+	Reads  storeReply   `json:"reads"`  // reply to reads after the first write
 	Tries  []refusalTry `json:"tries"`
 }
 
-// refusalTry is one time that the job is handed in.
+// refusalTry is one submission of the job.
 type refusalTry struct {
-	After  int `json:"after_ms"`  // since the try before has ended
-	Leaves int `json:"leaves_ms"` // the caller closes the connection then; 0: it waits
+	After  int `json:"after_ms"`  // pause after the end of the previous try
+	Leaves int `json:"leaves_ms"` // time until the caller closes the connection; 0: the caller waits for the answer
 }
 
-// storeReply is how the store answers.
+// storeReply is how the store answers a call.
 type storeReply string
 
 const (
-	replyLost        storeReply = "lost" // it is done, and the answer never comes
+	replyLost        storeReply = "lost" // the call takes effect, and its answer is lost
 	replyUnavailable storeReply = "unavailable"
 	replyLimited     storeReply = "limited"
 )
 
-// err is the error of a reply, before or after the call takes effect.
+// err returns the error of a reply, before or after the call takes effect.
 func (r storeReply) err(after bool) error {
 	switch {
 	case r == replyLost && after:
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// refusalFault plays a case to the calls for a job's record.
+// refusalFault applies a case to the store's calls for a job's record.
 type refusalFault struct {
 	refusalCase
 	id     string
@@ -89,20 +89,14 @@
 	return reply.err(after)
 }
 
-// TestRefusedJobNeverRuns hands in jobs whose record is written without an answer.
+// TestRefusedJobNeverRuns submits jobs whose record the store writes without answering.
 //
-// Seen: callers were refused with "unavailable, come back later", which says that the job
-// will not run, and tasks of it ran. The store had done the write and lost its answer, and
-// turned the daemon away when it repeated the write.
-//
-// Cause: the error of all tries together was that of the last one with "may have taken
-// effect" marked over it. It was both "nothing changed" and "nobody knows", and the answer to
-// the caller went by the first. That a job's fate was unknown was forgotten besides as soon
-// as the daemon had registered anew.
-//
-// Proof: the daemons' logs named 37 jobs of unknown fate in one run, each with "answered
-// Service Unavailable" as the error of all; 36 of them started. The cases here are answered
-// the same way each time.
+// It guards against a refusal, which says that the job will not run, of a job that then runs: the store
+// commits the write, loses its answer and rejects the repeated write. The combined error of both writes
+// was that of the last one marked as "may have taken effect", so it meant both "nothing changed" and
+// "unknown outcome", and the caller's answer followed the former. In addition, a daemon forgot that the
+// outcome of a job was unknown once it had registered again. In one run, the logs named 37 such jobs, of
+// which 36 started.
 func TestRefusedJobNeverRuns(t *testing.T) {
 	data, err := os.ReadFile(filepath.Join("testdata", "refusals.json"))
 	require.NoError(t, err)
@@ -111,7 +105,7 @@
 	s := newSite(t, 4, 2)
 	for i, c := range cases {
 		t.Run(c.Name, func(t *testing.T) {
-			s.submit(s.daemons[0], 400+i, false) // the daemon is registered in the store
+			s.submit(s.daemons[0], 400+i, false) // ensures that the daemon is registered in the store
 			spec := siteJob(500+i, false)
 			s.emulator.Grid.Expect(spec, siteMaxAttempts)
 			fault := &refusalFault{refusalCase: c, id: string(spec.ID)}
@@ -121,7 +115,7 @@
 				<-time.After(time.Duration(try.After) * time.Millisecond)
 				status := submitOnce(t, s.daemons[0], spec, try)
 				require.NotContains(t, []int{http.StatusServiceUnavailable, http.StatusTooManyRequests}, status,
-					"the job is written, and must not be refused")
+					"the job has been written and must not be refused")
 			}
 			s.emulator.SetFault(kv.NoFault)
 			s.waitState(s.daemons[1], spec.ID, "succeeded")
@@ -130,7 +124,7 @@
 	s.requireNoBreaches()
 }
 
-// submitOnce hands a job in once and gives the status of the answer; 0: none came.
+// submitOnce submits a job once and returns the status of the answer; 0: no answer.
 func submitOnce(t *testing.T, d *siteDaemon, spec jobs.Spec, try refusalTry) int {
 	ctx := t.Context()
 	if try.Leaves > 0 {
--- a/tests/integration/request_faults_test.go
+++ b/tests/integration/request_faults_test.go
@@ -43,7 +43,7 @@
 	return callers
 }
 
-// runsOf is how often upstreams ran a request.
+// runsOf returns how often upstreams ran a request.
 func (c *cluster) runsOf(id string) int {
 	c.t.Helper()
 	response, err := http.Get("http://" + c.fleetAddress + fleet.PathRuns + "?id=" + id)
@@ -57,15 +57,16 @@
 	return runs
 }
 
-// TestAnswersAreOwnAndWhole lets upstreams cut answers in the middle, answer with
-// another request's id and hang up after running, under load from many callers.
+// TestAnswersAreOwnAndWhole has upstreams truncate answers, answer with another request's id and close the
+// connection after running a request, under load from many callers. No caller may get the answer to another
+// request or, unless answers are streamed, a truncated answer.
 func TestAnswersAreOwnAndWhole(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 2, fleetFlags: []string{"--workers", "2", "--upstreams", "4"}})
 	c.apply(c.daemons[0], testClass, testMatch, testContract)
 	for i, action := range []fleet.Action{fleet.ActionHalf, fleet.ActionForeign, fleet.ActionHangUp} {
 		c.controlWith(fleet.Control{VM: models.VMID(fmt.Sprint("upstream-", i)), Action: action, Count: 15})
 	}
-	// Too long to be held back, these are streamed: a cut one ends the connection.
+	// Answers of this size are streamed instead of buffered: a truncated answer ends the connection.
 	large := load.Kind{Name: "large", Weight: 10, Labels: "app=quote", Deadline: 5 * time.Second, Bytes: 400_000}
 	report, err := load.Run(context.Background(), load.Config{
 		Targets: c.callerAddresses(), Rate: 200, For: 3 * time.Second, Mix: append(testMix(), large), Seed: 1, Run: "whole",
@@ -77,15 +78,15 @@
 			assert.Zero(t, k.Broken, "%s: %+v", name, k)
 		}
 	}
-	assert.Positive(t, report.Kinds[large.Name].Broken, "some streamed answers were cut")
+	assert.Positive(t, report.Kinds[large.Name].Broken, "some streamed answers were truncated")
 	quotes := report.Kinds["quote"]
 	assert.Equal(t, quotes.Sent, quotes.Right+quotes.Unknown+quotes.NotRun, "%+v", quotes)
-	assert.Positive(t, report.Kinds["match"].Unknown, "an unrepeatable one whose answer was cut is not tried again")
+	assert.Positive(t, report.Kinds["match"].Unknown, "an unrepeatable request whose answer was truncated is not retried")
 	c.requireNoViolations()
 }
 
-// TestNotRunIsTrue refuses requests for many reasons; none that was refused as not
-// run may have reached an upstream, and no unrepeatable one runs twice.
+// TestNotRunIsTrue has requests refused for many reasons. A request that was refused as not run must not
+// have reached an upstream, and no unrepeatable request may run twice.
 func TestNotRunIsTrue(t *testing.T) {
 	c := newCluster(t, clusterConfig{
 		daemons: 1, fleetFlags: []string{"--workers", "2", "--upstreams", "2", "--slots", "2", "--median", "20ms"},
@@ -128,12 +129,12 @@
 	for _, id := range refused {
 		assert.Zero(t, c.runsOf(id), "%s was refused as not run", id)
 	}
-	assert.NotEmpty(t, unknown, "some ran without answer")
+	assert.NotEmpty(t, unknown, "the outcome of some requests is unknown")
 	c.requireNoViolations()
 }
 
-// TestUnreachableUpstreamsAreNotRun ends the upstreams' process: connections are
-// never made, so even unrepeatable requests are refused as not run.
+// TestUnreachableUpstreamsAreNotRun kills the upstreams' process. Since no connection can be opened, even
+// unrepeatable requests must be refused as not run.
 func TestUnreachableUpstreamsAreNotRun(t *testing.T) {
 	c := &cluster{t: t, config: clusterConfig{daemons: 1}}
 	p, fleetAt := startStandin(t, "fleet", "--workers", "2", "--upstreams", "2")
@@ -149,8 +150,8 @@
 	assert.NotEmpty(t, response.Header.Get("Retry-After"))
 }
 
-// TestUnrepeatableThroughAnotherDaemon kills the daemon that took an unrepeatable
-// request while an upstream runs it; its caller sends it again through the others.
+// TestUnrepeatableThroughAnotherDaemon kills the daemon that forwarded unrepeatable requests while upstreams
+// run them; the callers send the requests again through the other daemons. No request may run twice.
 func TestUnrepeatableThroughAnotherDaemon(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: []string{"--workers", "2", "--upstreams", "3", "--median", "300ms", "--sigma", "0"}})
 	c.apply(c.daemons[0], testMatch)
@@ -170,11 +171,11 @@
 			}
 		}()
 	}
-	eventually(t, "upstreams run some", func() bool { return c.audit().Requests >= 10 })
+	eventually(t, "upstreams run some of the requests", func() bool { return c.audit().Requests >= 10 })
 	c.daemons[0].kill()
 	group.Wait()
-	// While the dead daemon still counts as live, keys of which it is a home are
-	// refused as not run; then its place is taken.
+	// While the killed daemon still counts as live, requests with keys of which it is a home are refused as
+	// not run; after that another daemon replaces it as a home.
 	tried := 0
 	eventually(t, "a fresh key is granted", func() bool {
 		tried++
@@ -195,14 +196,14 @@
 	assert.Equal(t, http.StatusConflict, response.StatusCode, "the key was used")
 }
 
-// TestLeavingUpstreamGetsNothingNew lets an upstream leave by the list, and another
-// by its own word alone while the list can't be read.
+// TestLeavingUpstreamGetsNothingNew has one upstream leave by way of the VM list, and another only by its
+// own announcement while the list can't be read. Neither may get new requests for more than a few seconds.
 func TestLeavingUpstreamGetsNothingNew(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: []string{"--workers", "2", "--upstreams", "4", "--list-lag", "1s"}})
 	c.apply(c.daemons[0], testClass)
-	quiet := func(vm models.VMID) {
+	waitIdle := func(vm models.VMID) {
 		t.Helper()
-		eventually(t, string(vm)+" gets nothing more", func() bool {
+		eventually(t, string(vm)+" gets no more requests", func() bool {
 			before := c.audit().ByUpstream[vm]
 			for i := range 60 {
 				send(t, c.daemons[i%3], "app=quote", fmt.Sprint("leave-", i), "")
@@ -212,17 +213,17 @@
 	}
 	c.control("upstream-0", fleet.ActionLeave)
 	began := time.Now()
-	quiet("upstream-0")
+	waitIdle("upstream-0")
 	assert.Less(t, time.Since(began), 5*time.Second, "a few seconds at most")
 	c.listProxy.Stop()
 	c.control("upstream-1", fleet.ActionLeave)
 	began = time.Now()
-	quiet("upstream-1")
+	waitIdle("upstream-1")
 	assert.Less(t, time.Since(began), 5*time.Second, "a few seconds at most")
 }
 
-// TestPlannedStopUnderLoad stops a daemon while short requests, long ones and
-// standing watchers are in flight and more arrive on kept connections.
+// TestPlannedStopUnderLoad stops a daemon while short requests, long requests and watchers are in flight
+// and more requests arrive on keep-alive connections. All requests must be answered correctly.
 func TestPlannedStopUnderLoad(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 2, fleetFlags: []string{"--workers", "2", "--upstreams", "4"}})
 	c.apply(c.daemons[0], testClass, testMatch, testContract, testWatcher)
@@ -238,7 +239,7 @@
 		assert.NoError(t, err)
 		done <- report
 	}()
-	eventually(t, "watchers and others are under way", func() bool { return c.audit().Requests > 30 })
+	eventually(t, "watchers and other requests are in flight", func() bool { return c.audit().Requests > 30 })
 	stopping.signal(syscall.SIGTERM)
 	eventually(t, "the health check fails", func() bool {
 		return statusCodeOf("http://"+stopping.caller+"/healthz") == http.StatusServiceUnavailable
@@ -252,9 +253,9 @@
 	c.requireNoViolations()
 }
 
-// TestDaemonCutFromItsPeers runs a daemon whose calls its peers refuse and who
-// refuses theirs: it takes no cell, its requests are answered, and an upstream that
-// leaves gets nothing new from it.
+// TestDaemonCutFromItsPeers runs a daemon whose calls the peers refuse and which refuses the peers' calls.
+// The daemon must not take over a cell, must answer requests, and must send no new requests to an upstream
+// that leaves.
 func TestDaemonCutFromItsPeers(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: []string{"--workers", "4", "--per-rack", "2", "--upstreams", "4"}})
 	c.apply(c.daemons[0], testClass)
@@ -266,7 +267,7 @@
 	})
 	c.control("upstream-0", fleet.ActionLeave)
 	began := time.Now()
-	eventually(t, "the leaving upstream gets nothing more", func() bool {
+	eventually(t, "the leaving upstream gets no more requests", func() bool {
 		got := c.audit().ByUpstream["upstream-0"]
 		for i := range 40 {
 			response, _ := send(t, cut, "app=quote", fmt.Sprint("cut-", i), "")
@@ -275,7 +276,7 @@
 		return c.audit().ByUpstream["upstream-0"] == got
 	})
 	assert.Less(t, time.Since(began), 5*time.Second, "a few seconds at most")
-	eventually(t, "it has had time to take cells", func() bool {
+	eventually(t, "the cut daemon has had time to take over cells", func() bool {
 		status, err := statusOf(cut)
 		return err == nil && len(status.Cells) == len(before.Cells) && time.Since(began) > 2*time.Second
 	})
@@ -283,6 +284,6 @@
 	after, err := statusOf(c.daemons[0])
 	require.NoError(t, err)
 	for i, cell := range after.Cells {
-		assert.Equal(t, before.Cells[i].Epoch, cell.Epoch, "%s has the owner it had", cell.Cell)
+		assert.Equal(t, before.Cells[i].Epoch, cell.Epoch, "%s has kept its owner", cell.Cell)
 	}
 }
--- a/tests/integration/soak_test.go
+++ b/tests/integration/soak_test.go
@@ -17,11 +17,10 @@
 	"rillsail.example/rillsail/tests/soak"
 )
 
-// soakLength is how long faults begin in a run of CI; by hand runs are longer.
+// soakLength is the time in which faults begin in a run of CI; runs by hand are longer.
 const soakLength = 6 * time.Second
 
-// TestSoak plays the seeds of testdata/soak_seeds.txt: those that once failed, and one
-// that is always played.
+// TestSoak runs the seeds of testdata/soak_seeds.txt: seeds that once failed, and one that is always run.
 func TestSoak(t *testing.T) {
 	resumed := 0
 	for _, seed := range soakSeeds(t) {
@@ -29,14 +28,14 @@
 			resumed += playSoak(t, soak.Config{Seed: seed}).StartsWithCheckpoint
 		})
 	}
-	require.NotZero(t, resumed, "starts that brought a checkpoint, in all runs together")
+	require.NotZero(t, resumed, "starts with a checkpoint, in all runs together")
 }
 
-// restartSeed is that of the runs in which workers start again.
+// restartSeed is the seed of the runs in which workers restart.
 const restartSeed = 504
 
-// TestSoakOfRestarts plays workers that start again behind cuts, while calls are carried out late, and
-// all at once, in the ways in which they name their incarnations.
+// TestSoakOfRestarts restarts workers while they are cut off, while calls to them are carried out late, and
+// all at once, for each naming of incarnations with a start time.
 func TestSoakOfRestarts(t *testing.T) {
 	for _, naming := range []soak.Naming{soak.SameID, soak.NewIDsWithStartTime} {
 		t.Run(string(naming), func(t *testing.T) {
@@ -45,7 +44,7 @@
 	}
 }
 
-// playSoak plays one seed, and gives what came of it.
+// playSoak runs one seed and returns its report.
 func playSoak(t *testing.T, config soak.Config) *soak.Report {
 	t.Helper()
 	config.Daemon, config.Folder, config.Length = programPath(t, "rillsaild"), t.TempDir(), soakLength
@@ -61,7 +60,7 @@
 	return report
 }
 
-// soakSeeds reads the seeds; what follows a seed in its line says why it is there.
+// soakSeeds reads the seeds; the text after a seed in its line is the reason why the seed is listed.
 func soakSeeds(t *testing.T) []uint64 {
 	t.Helper()
 	file, err := os.Open(filepath.Join("testdata", "soak_seeds.txt"))
@@ -81,7 +80,7 @@
 	return seeds
 }
 
-// logFolder prints what a run has left.
+// logFolder logs the files that a run has written.
 func logFolder(t *testing.T, folder string) {
 	t.Helper()
 	entries, err := os.ReadDir(folder)
--- a/tests/integration/standin_test.go
+++ b/tests/integration/standin_test.go
@@ -15,7 +15,7 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// callStandin calls the stand-in at an address; a read has no body.
+// callStandin calls the stand-in at an address; the body is nil for a GET.
 func callStandin[T wire.Checker](c *cluster, method, address, path string, body any) T {
 	c.t.Helper()
 	answer, err := wire.Do[T](context.Background(), wire.Call{
@@ -25,19 +25,19 @@
 	return answer
 }
 
-// audit is what the fleet has seen.
+// audit returns what the fleet has observed.
 func (c *cluster) audit() fleet.Audit {
 	c.t.Helper()
 	return callStandin[fleet.Audit](c, http.MethodGet, c.fleetAddress, fleet.PathAudit, nil)
 }
 
-// requireNoViolations checks what the fleet itself has seen.
+// requireNoViolations checks that the fleet has observed no violation.
 func (c *cluster) requireNoViolations() {
 	c.t.Helper()
 	require.Empty(c.t, c.audit().Violations)
 }
 
-// control does something to a VM of the fleet.
+// control performs an action on a VM of the fleet.
 func (c *cluster) control(vm models.VMID, action fleet.Action) {
 	c.t.Helper()
 	c.controlWith(fleet.Control{VM: vm, Action: action})
@@ -48,13 +48,13 @@
 	callStandin[fleet.Control](c, http.MethodPost, c.fleetAddress, fleet.PathControl, control)
 }
 
-// setStoreFaults sets the faults of the store; no faults end those that were set.
+// setStoreFaults replaces the faults of the store; empty faults clear them.
 func (c *cluster) setStoreFaults(faults kv.Faults) {
 	c.t.Helper()
 	callStandin[kv.Faults](c, http.MethodPost, c.storeAddress, kv.PathFaults, faults)
 }
 
-// storeStats is what the store has counted.
+// storeStats returns the store's counters.
 func (c *cluster) storeStats() kv.Stats {
 	c.t.Helper()
 	return callStandin[kv.Stats](c, http.MethodGet, c.storeAddress, kv.PathStats, nil)
--- a/tests/integration/task_faults_test.go
+++ b/tests/integration/task_faults_test.go
@@ -19,10 +19,10 @@
 	"rillsail.example/rillsail/services/standin/kv"
 )
 
-// smallFleet is eight workers in four racks and three upstreams.
+// smallFleet has eight workers in four racks, and three upstreams.
 var smallFleet = []string{"--workers", "8", "--per-rack", "2", "--upstreams", "3", "--cpu", "4000", "--memory", "4096"}
 
-// ownedCells lists the cells that a daemon owns, as another sees it.
+// ownedCells returns the cells that one daemon owns according to another.
 func ownedCells(by, asked *daemonProcess) []models.CellID {
 	s, err := statusOf(asked)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return cells
 }
 
-// busiest is the daemon that owns the most cells; the tests bring it down.
+// busiest returns the daemon that owns the most cells, as the victim of a fault, and another daemon.
 func (c *cluster) busiest() (victim, other *daemonProcess) {
 	c.t.Helper()
 	most := -1
@@ -55,8 +55,8 @@
 	return nil, nil
 }
 
-// TestOwnerFrozenAndContinued freezes the owner of cells with SIGSTOP until others
-// have taken them, and lets it go on while it believes that it owns them.
+// TestOwnerFrozenAndContinued freezes the owner of cells with SIGSTOP until other daemons have taken the
+// cells over, and resumes it while it still believes that it owns them.
 func TestOwnerFrozenAndContinued(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: smallFleet})
 	victim, other := c.busiest()
@@ -64,13 +64,13 @@
 	for i := range 4 {
 		c.submit(other, batchJob(models.JobID(fmt.Sprint("before-", i)), 6, 2000))
 	}
-	for range 2 { // twice, for the second time meets its own former self
+	for range 2 { // twice: the second time, the victim meets state of its own earlier ownership
 		victim.signal(syscall.SIGSTOP)
-		eventually(t, "others own the cells", func() bool {
+		eventually(t, "other daemons own the cells", func() bool {
 			return len(ownedCells(victim, other)) == 0 && len(ownedCells(other, other)) > 0
 		})
 		victim.signal(syscall.SIGCONT)
-		eventually(t, "it works again", func() bool { return len(ownedCells(victim, other)) > 0 })
+		eventually(t, "the resumed daemon owns cells again", func() bool { return len(ownedCells(victim, other)) > 0 })
 	}
 	for i := range 4 {
 		job := c.waitEnded(other, models.JobID(fmt.Sprint("before-", i)))
@@ -79,8 +79,8 @@
 	c.requireNoViolations()
 }
 
-// TestOwnerKilled kills the owner of cells at different moments of evictions and
-// starts; what was evicted resumes once.
+// TestOwnerKilled kills the owner of cells while evictions and starts are at different stages. Each evicted
+// task must be resumed exactly once.
 func TestOwnerKilled(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: smallFleet})
 	victim, other := c.busiest()
@@ -104,8 +104,8 @@
 	assert.EqualValues(t, audit.Starts, audit.Finished+audit.Stopped, "each stop was followed by one start")
 }
 
-// TestContractsOnAVMThatVanishes kills a worker under unrepeatable tasks: none runs
-// a second time, and the job says so.
+// TestContractsOnAVMThatVanishes kills a worker that runs unrepeatable tasks. None of them may run a second
+// time, and the job must count them as tasks that may have run.
 func TestContractsOnAVMThatVanishes(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 2, fleetFlags: smallFleet})
 	d := c.daemons[0]
@@ -124,9 +124,9 @@
 	c.requireNoViolations()
 }
 
-// TestStoreOutage takes the store away for longer than every lease, with a daemon
-// killed and one stopped as planned meanwhile: what runs goes on, requests are
-// answered, submissions are refused as not run, and everything catches up after.
+// TestStoreOutage makes the store unavailable for longer than every lease; meanwhile one daemon is killed
+// and one is stopped as planned. Running tasks must continue, requests must be answered, submissions must be
+// refused as not run, and after the outage all work must be completed.
 func TestStoreOutage(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 4, fleetFlags: smallFleet})
 	victim, other := c.busiest()
@@ -144,29 +144,29 @@
 	}
 	leftCells := len(ownedCells(leaving, other))
 	leaving.stop()
-	assert.Equal(t, leftCells, strings.Count(leaving.stderr.String(), "cell is handed over"), "each cell went to one peer")
+	assert.Equal(t, leftCells, strings.Count(leaving.stderr.String(), "cell is handed over"), "each cell was handed over to one peer")
 	fresh := c.startDaemon(victim.number, map[string]string{"member.seeds": other.peer})
-	eventually(t, "a daemon that starts in the outage has the configuration", func() bool {
+	eventually(t, "a daemon that starts during the outage gets the configuration", func() bool {
 		s, err := statusOf(fresh)
 		return err == nil && s.Revision == accepted.Revision
 	})
 	refused := 0
-	eventually(t, "submissions are refused as not run, or unknown at first", func() bool {
+	eventually(t, "submissions are refused as not run, after some of unknown outcome", func() bool {
 		refused++
 		outage := batchJob(models.JobID(fmt.Sprint("in-outage-", refused)), 1, 100)
 		results, err := call[models.JobResults](other, http.MethodPost, operator.PathJobs, models.Submission{Jobs: []models.JobSpec{outage}})
 		require.NoError(t, err)
-		require.Nil(t, results.Results[0].Job, "accepted without store")
+		require.Nil(t, results.Results[0].Job, "the job was accepted although the store is unavailable")
 		return results.Results[0].Outcome == models.RequestNotRun
 	})
 	for i := range 20 {
 		response, body := send(t, other, "app=quote", fmt.Sprint("outage-", i), "")
 		require.Equal(t, http.StatusOK, response.StatusCode, body)
 	}
-	// The batch tasks end only if their leases were renewed all through the outage,
-	// for they run three times as long as a lease.
+	// The batch tasks run three times as long as a lease, so they end only if their leases are renewed
+	// throughout the outage.
 	eventually(t, "batch tasks end during the outage", func() bool { return c.audit().Finished == 8 })
-	assert.Equal(t, stopped, c.audit().Stopped, "no lease lapsed")
+	assert.Equal(t, stopped, c.audit().Stopped, "no lease has lapsed")
 
 	c.setStoreFaults(kv.Faults{})
 	job := c.waitEnded(fresh, "long")
@@ -177,8 +177,8 @@
 	c.requireNoViolations()
 }
 
-// TestRackAndFailureDomainGone kills a rack and then a failure domain: services have
-// their replicas again, and batch work ends.
+// TestRackAndFailureDomainGone kills the workers of a rack and then of a failure domain. Services must get
+// their replicas again, and batch jobs must complete.
 func TestRackAndFailureDomainGone(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: smallFleet})
 	d := c.daemons[0]
@@ -193,7 +193,7 @@
 	for _, vm := range []models.VMID{"worker-4", "worker-5"} { // the rest of domain a
 		c.control(vm, fleet.ActionKill)
 	}
-	eventually(t, "three replicas run on what is left", func() bool {
+	eventually(t, "three replicas run on the remaining workers", func() bool {
 		return c.runningReplicas(d, "quotes") == 3 && c.audit().Running == 3
 	})
 	c.submit(d, batchJob("after", 4, 100))
@@ -201,8 +201,8 @@
 	c.requireNoViolations()
 }
 
-// TestCancellationsInWaves cancels many jobs at once; what has not started never
-// does, and what runs is stopped.
+// TestCancellationsInWaves cancels many jobs at once. Tasks that have not started must never start, and
+// running tasks must be stopped.
 func TestCancellationsInWaves(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 2, fleetFlags: smallFleet})
 	d := c.daemons[0]
@@ -227,8 +227,8 @@
 	c.requireNoViolations()
 }
 
-// TestHalfTheDaemonsReplaced kills two of four daemons at once, starts two others,
-// and then replaces the rest one after the other.
+// TestHalfTheDaemonsReplaced kills two of four daemons at once, starts two new daemons, and then replaces
+// the other two one after the other. Configuration, job and service must survive.
 func TestHalfTheDaemonsReplaced(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 4, fleetFlags: smallFleet})
 	accepted := c.apply(c.daemons[0], testTeam, testService)
@@ -243,7 +243,7 @@
 		c.daemons[i] = c.startDaemon(4+i, nil)
 	}
 	last := c.daemons[3]
-	eventually(t, "the last one has the accepted configuration", func() bool {
+	eventually(t, "the last daemon has the accepted configuration", func() bool {
 		s, err := statusOf(last)
 		return err == nil && s.Revision == accepted.Revision
 	})
--- a/tests/integration/whole_path_test.go
+++ b/tests/integration/whole_path_test.go
@@ -19,7 +19,7 @@
 	"rillsail.example/rillsail/services/standin/fleet"
 )
 
-// send sends one request to a daemon and reads the whole answer.
+// send sends one request to a daemon and returns the response and its body.
 func send(t *testing.T, d *daemonProcess, labels, id, key string) (*http.Response, string) {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+d.caller+"/", strings.NewReader("body"))
@@ -38,7 +38,7 @@
 	return response, string(body)
 }
 
-// TestWholePath drives a request, a service and a job from one end to the other.
+// TestWholePath runs a request, a service and a job through the whole system.
 func TestWholePath(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: []string{"--workers", "6", "--per-rack", "2", "--upstreams", "3"}})
 	first, last := c.daemons[0], c.daemons[2]
@@ -80,7 +80,7 @@
 	require.Equal(t, 0, code, out)
 	c.waitEnded(d, "j1")
 	out, code = tool(`{"jobs":[{"id":"j2","team":"office","tasks":1}]}`, "jobs", "submit")
-	assert.Equal(t, 1, code, "neither job nor team says the size: %s", out)
+	assert.Equal(t, 1, code, "neither job nor team gives the size: %s", out)
 	out, code = tool(`{"put":[{"kind":"team","spec":{"name":"office","quota":{"cpu_milli":0,"memory_mib":0},"jobs":{"labels":{"app":"report"},"size":{"cpu_milli":50,"memory_mib":1},"work_ms":50}}}]}`, "config", "apply")
 	require.Equal(t, 0, code, out)
 	out, code = tool(`{"jobs":[{"id":"j2","team":"office","tasks":1}]}`, "jobs", "submit")
@@ -107,11 +107,11 @@
 	assert.Equal(t, 0, code)
 	assert.Regexp(t, "j1 +office +done", out)
 	_, code = tool(`{"put":[{"kind":"rule","spec":{"name":"r","kind":"apart","selector":"a=b"}}]}`, "config", "apply")
-	assert.Equal(t, 2, code, "a rule without its other side is wrong input")
+	assert.Equal(t, 2, code, "a rule without its second selector is invalid input")
 	_, code = tool("", "status", "too", "many")
 	assert.Equal(t, 2, code)
 	cmd := exec.Command(programPath(t, "rillsail"), "--daemon", d.operator, "--token", "wrong", "status")
-	said, _ := cmd.CombinedOutput()
+	output, _ := cmd.CombinedOutput()
 	assert.Equal(t, 1, cmd.ProcessState.ExitCode())
-	assert.Contains(t, string(said), "token")
+	assert.Contains(t, string(output), "token")
 }
