--- a/cmd/rillsail/change.go
+++ b/cmd/rillsail/change.go
@@ -21,16 +21,16 @@
 	return &ffcli.Command{
 		Name: "config", ShortUsage: "rillsail config <get|apply|diff|delete>", ShortHelp: "the configuration in force",
 		Subcommands: []*ffcli.Command{
-			t.simple("get", "print the configuration in force", t.getConfig),
+			t.noArgCommand("get", "print the configuration in force", t.getConfig),
 			t.fileCommand("apply", "put a change in force", func(ctx context.Context, file string) error { return t.applyFile(ctx, file, false) }),
 			t.fileCommand("diff", "say what a change would do", func(ctx context.Context, file string) error { return t.applyFile(ctx, file, true) }),
-			t.named("delete", "<kind/[team/]name>", "delete one object", t.deleteObject),
+			t.oneArgCommand("delete", "<kind/[team/]name>", "delete one object", t.deleteObject),
 		},
 		Exec: func(context.Context, []string) error { return flag.ErrHelp },
 	}
 }
 
-// fileCommand is a subcommand that reads a file named by -f.
+// fileCommand returns a subcommand that reads the file given by -f.
 func (t *tool) fileCommand(name, help string, do func(context.Context, string) error) *ffcli.Command {
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	file := flags.String("f", "-", "file in JSON; - reads standard input")
@@ -93,7 +93,7 @@
 	return t.apply(ctx, models.ConfigChange{Delete: []models.ObjectKey{key}})
 }
 
-// parseKey reads "kind/name" or "kind/team/name".
+// parseKey parses "kind/name" or "kind/team/name".
 func parseKey(name string) (models.ObjectKey, error) {
 	parts := strings.Split(name, "/")
 	switch len(parts) {
@@ -123,8 +123,8 @@
 	}
 }
 
-// label changes labels of one object as it is in force; a change by somebody else
-// meanwhile is a conflict.
+// label changes labels of one object of the configuration in force. It bases the change on the revision
+// that it has read, so that a concurrent change of the object is reported as a conflict.
 func (t *tool) label(ctx context.Context, key models.ObjectKey, changes []string) error {
 	c, err := get[models.Configuration](ctx, t.client, operator.PathConfig)
 	if err != nil {
@@ -133,10 +133,10 @@
 	object := findObject(c, key)
 	switch o := object.(type) {
 	case models.Service:
-		o.Labels, err = relabel(o.Labels, changes)
+		o.Labels, err = applyLabelChanges(o.Labels, changes)
 		object = o
 	case models.VMLabels:
-		o.Labels, err = relabel(o.Labels, changes)
+		o.Labels, err = applyLabelChanges(o.Labels, changes)
 		object = o
 	default:
 		return usageError{fmt.Errorf("%s is no service or vm in revision %d", key, c.Revision)}
@@ -159,7 +159,7 @@
 	return nil
 }
 
-func relabel(labels map[string]string, changes []string) (map[string]string, error) {
+func applyLabelChanges(labels map[string]string, changes []string) (map[string]string, error) {
 	labels = maps.Clone(labels)
 	if labels == nil {
 		labels = map[string]string{}
--- a/tests/soak/acceptances_test.go
+++ b/tests/soak/acceptances_test.go
@@ -15,8 +15,8 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// TestAcceptanceIsToldFromOtherWrites keeps the check of refusals honest: only the write that
-// stores a job for the first time speaks for the daemon that made it.
+// TestAcceptanceIsToldFromOtherWrites checks that only the write that stores a job for the first time
+// counts as an acceptance. Otherwise checkRefuserDidNotAccept would miss or invent breaches.
 func TestAcceptanceIsToldFromOtherWrites(t *testing.T) {
 	const id, here, there = "0000000100000001", "job/0/0000000100000001", "job/1/0000000100000001"
 	daemon := platform.Precondition{Key: "daemon/front-0", Version: 7}
@@ -38,20 +38,20 @@
 			value, err := json.Marshal(jobs.Record{Spec: jobs.Spec{ID: id}, Ended: test.ended})
 			require.NoError(t, err)
 			txn := platform.Txn{Require: test.require, Put: []platform.Write{{Key: test.put, Value: value}}}
-			require.Equal(t, test.want, accepted(txn))
+			require.Equal(t, test.want, acceptedJob(txn))
 		})
 	}
 }
 
-// TestRefusalBesideARequestThatIsReadLater holds what seed 502012 showed: three tries of a job
-// waited at a daemon that was paused, which refused the last of them first and accepted another
-// 4 ms later. Without the pause, or with a write that came before the refusal, it is a fault.
+// TestRefusalBesideARequestThatIsReadLater covers what seed 502012 showed: three submissions of a job
+// waited at a paused daemon, which refused the last one first and accepted another 4 ms later. That is
+// no breach. Without the pause, or if the write arrived before the refusal, it is one.
 func TestRefusalBesideARequestThatIsReadLater(t *testing.T) {
 	begin := time.Now().Add(-time.Minute)
 	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
 	d, other := &daemon{name: "front-0"}, &daemon{name: "front-1"}
 	tests := map[string]struct {
-		pause            int // when the daemon's process goes on; it was paused at 4,600
+		pause            int // when the daemon's process is resumed, in ms; it was paused at 4,600; 0: never paused
 		unanswered       *daemon
 		arrived          int
 		breaches, status int
@@ -66,35 +66,35 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := &run{begin: begin, record: newRecord(), site: &site{daemons: []*daemon{d, other}}}
-			r.site.storeFaults.accepted = newAcceptances()
+			r := &run{begin: begin, record: newCallerRecord(), site: &site{daemons: []*daemon{d, other}}}
+			r.site.storeFaults.accepted = newAcceptanceLog()
 			if test.pause > 0 {
-				r.record.fault(at(4600).Sub(begin), at(test.pause).Sub(begin), Fault{Kind: PauseDaemon})
+				r.record.addFault(at(4600).Sub(begin), at(test.pause).Sub(begin), Fault{Kind: PauseDaemon})
 			}
 			j := &job{spec: jobs.Spec{ID: "0000000100000001"}}
-			j.tries = []try{
-				{daemon: test.unanswered, life: 1, began: at(7000), ended: at(7300), status: test.status},
-				{daemon: d, life: 1, began: at(7600), ended: at(8129), status: http.StatusServiceUnavailable},
+			j.submissions = []submission{
+				{daemon: test.unanswered, incarnation: 1, began: at(7000), ended: at(7300), status: test.status},
+				{daemon: d, incarnation: 1, began: at(7600), ended: at(8129), status: http.StatusServiceUnavailable},
 			}
-			write := acceptance{connection: connection{d, 1}, arrived: at(test.arrived), done: at(test.arrived), answered: true}
+			write := acceptance{connection: connection{d, 1}, arrived: at(test.arrived), committed: at(test.arrived), answered: true}
 			r.site.storeFaults.accepted.writes[j.spec.ID] = []acceptance{write}
-			r.checkKnownToRefuser(j)
+			r.checkRefuserDidNotAccept(j)
 			require.Len(t, r.record.breaches, test.breaches)
 		})
 	}
 }
 
-// TestOverlapsFollowFromTheSeed checks that a seed brings the same overlaps again, in pairs.
+// TestOverlapsFollowFromTheSeed checks that a seed always yields the same overlapping faults, in pairs.
 func TestOverlapsFollowFromTheSeed(t *testing.T) {
 	const seed = 31001
-	length := 10 * longestOverlap
-	faults := overlaps(seed, length)
+	length := 10 * maxOverlapDuration
+	faults := drawOverlaps(seed, length)
 	require.NotEmpty(t, faults)
-	require.Equal(t, faults, overlaps(seed, length))
+	require.Equal(t, faults, drawOverlaps(seed, length))
 	for n := 0; n < len(faults); n += 2 {
 		first, second := faults[n], faults[n+1]
-		require.Contains(t, unanswered, first.Kind)
-		require.Contains(t, turnedAway, second.Kind)
-		require.LessOrEqual(t, second.At, first.At+first.For, "it comes beside the first or right behind it")
+		require.Contains(t, unansweredKinds, first.Kind)
+		require.Contains(t, rejectingKinds, second.Kind)
+		require.LessOrEqual(t, second.At, first.At+first.For, "the second fault begins during the first or right at its end")
 	}
 }
--- a/tests/soak/daemon.go
+++ b/tests/soak/daemon.go
@@ -17,117 +17,117 @@
 	"github.com/cockroachdb/errors"
 )
 
-// daemon is a rillsaild in a process of its own, with the proxies around it.
+// daemon is a rillsaild process with the proxies for its connections.
 type daemon struct {
-	name    string
-	program string
-	file    string // settings
-	log     *os.File
-	ready   string // address that says whether it takes callers
-
-	callers *toxiproxy.Proxy // before its callers' listener
-	peers   *toxiproxy.Proxy // before its peers' listener
-	store   *toxiproxy.Proxy // on its way to the store
-
-	mu      sync.Mutex
-	process *os.Process
-	ended   chan struct{}
-	exit    *os.ProcessState // of the life that ended last
-	life    int              // how often it was started
+	name         string
+	program      string
+	settingsFile string
+	log          *os.File
+	readyAddress string // listener that reports whether the daemon accepts callers
+
+	callers *toxiproxy.Proxy // in front of the callers' listener
+	peers   *toxiproxy.Proxy // in front of the peers' listener
+	store   *toxiproxy.Proxy // between the daemon and the store
+
+	mu          sync.Mutex
+	process     *os.Process
+	exited      chan struct{}
+	exitState   *os.ProcessState // of the incarnation that exited last
+	incarnation int              // how often the daemon was started
 }
 
-// grace is what daemons are given for a planned stop.
-const grace = 4 * time.Second
+// stopGrace is the time that daemons have for a planned stop.
+const stopGrace = 4 * time.Second
 
-// start starts the process.
+// start starts the next incarnation of the daemon.
 func (d *daemon) start() error {
-	command := exec.Command(d.program, "--config", d.file)
+	command := exec.Command(d.program, "--config", d.settingsFile)
 	command.Stdout, command.Stderr = d.log, d.log
 	if err := command.Start(); err != nil {
 		return errors.Wrapf(err, "start %s", d.name)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.process, d.ended = command.Process, make(chan struct{})
-	d.life++
-	go d.waitLoop(command, d.ended)
+	d.process, d.exited = command.Process, make(chan struct{})
+	d.incarnation++
+	go d.waitForExit(command, d.exited)
 	return nil
 }
 
-// waitLoop takes the end of one life.
-func (d *daemon) waitLoop(command *exec.Cmd, ended chan struct{}) {
-	_ = command.Wait() // the state says how it ended
+// waitForExit waits for the exit of one incarnation, records its state and closes exited.
+func (d *daemon) waitForExit(command *exec.Cmd, exited chan struct{}) {
+	_ = command.Wait() // the process state tells how the process exited
 	d.mu.Lock()
-	d.exit = command.ProcessState
+	d.exitState = command.ProcessState
 	d.mu.Unlock()
-	close(ended)
+	close(exited)
 }
 
-// signal sends a signal to the process that this daemon started last.
+// signal sends a signal to the incarnation that was started last.
 func (d *daemon) signal(signal syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_ = d.process.Signal(signal) // it may have ended
+	_ = d.process.Signal(signal) // the process may have exited
 }
 
-// stop ends the process: as planned, or at once when it takes longer than its grace.
+// stop makes a planned stop, and kills the process if that takes longer than stopGrace.
 func (d *daemon) stop() {
 	d.signal(syscall.SIGTERM)
 	select {
-	case <-d.ended:
-	case <-time.After(grace):
+	case <-d.exited:
+	case <-time.After(stopGrace):
 		d.kill()
 	}
 }
 
-// kill ends the process at once and waits for its end.
+// kill kills the process and waits for its exit.
 func (d *daemon) kill() {
 	d.signal(syscall.SIGKILL)
-	<-d.ended
+	<-d.exited
 }
 
-// running tells whether the process runs, and in which life.
-func (d *daemon) running() (life int, up bool) {
+// running reports whether the process runs, and which incarnation is the latest.
+func (d *daemon) running() (incarnation int, up bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	select {
-	case <-d.ended:
-		return d.life, false
+	case <-d.exited:
+		return d.incarnation, false
 	default:
-		return d.life, true
+		return d.incarnation, true
 	}
 }
 
-// processName names the daemon's process among what faults disturb.
-func (d *daemon) processName() string { return "process of " + d.name }
+// processTarget names the daemon's process among the targets of faults.
+func (d *daemon) processTarget() string { return "process of " + d.name }
 
-// lastExit tells how the life that ended last has ended, and how many there were.
-func (d *daemon) lastExit() (exit *os.ProcessState, lives int) {
+// lastExit returns the exit state of the incarnation that exited last, and the number of incarnations.
+func (d *daemon) lastExit() (exit *os.ProcessState, incarnations int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.exit, d.life
+	return d.exitState, d.incarnation
 }
 
-// newDaemon writes the daemon's settings and opens its log and its proxies.
+// newDaemon writes the settings of a daemon, creates its log and starts its proxies.
 func (s *site) newDaemon(number int) (*daemon, error) {
 	d := &daemon{name: fmt.Sprintf("front-%d", number), program: s.config.Daemon}
-	addresses, err := s.addresses("caller", "ready", "peer", "metrics")
+	addresses, err := s.takeAddresses("caller", "ready", "peer", "metrics")
 	if err != nil {
 		return nil, err
 	}
-	d.ready = addresses["ready"]
-	if err := s.surround(d, addresses); err != nil {
+	d.readyAddress = addresses["ready"]
+	if err := s.startProxies(d, addresses); err != nil {
 		return nil, err
 	}
 	if d.log, err = os.Create(filepath.Join(s.config.Folder, d.name+".log")); err != nil {
-		return nil, errors.Wrap(err, "log")
+		return nil, errors.Wrap(err, "create log")
 	}
-	d.file = filepath.Join(s.config.Folder, d.name+".ini")
-	return d, errors.Wrap(os.WriteFile(d.file, []byte(s.settings(d, addresses)), 0o600), "settings")
+	d.settingsFile = filepath.Join(s.config.Folder, d.name+".ini")
+	return d, errors.Wrap(os.WriteFile(d.settingsFile, []byte(s.settingsINI(d, addresses)), 0o600), "write settings")
 }
 
-// addresses takes an address for each listener.
-func (s *site) addresses(listeners ...string) (map[string]string, error) {
+// takeAddresses allocates an address for each listener.
+func (s *site) takeAddresses(listeners ...string) (map[string]string, error) {
 	addresses := map[string]string{}
 	for _, listener := range listeners {
 		address, err := s.ports.Take()
@@ -139,33 +139,33 @@
 	return addresses, nil
 }
 
-// surround opens the daemon's proxies.
-func (s *site) surround(d *daemon, addresses map[string]string) (err error) {
-	if d.callers, err = s.proxy(d.name+" callers", addresses["caller"]); err != nil {
+// startProxies starts the daemon's proxies.
+func (s *site) startProxies(d *daemon, addresses map[string]string) (err error) {
+	if d.callers, err = s.newProxy(d.name+" callers", addresses["caller"]); err != nil {
 		return err
 	}
-	if d.peers, err = s.proxy(d.name+" peers", addresses["peer"]); err != nil {
+	if d.peers, err = s.newProxy(d.name+" peers", addresses["peer"]); err != nil {
 		return err
 	}
-	atStore, err := s.listenForStore(d)
+	storeAddress, err := s.listenForStore(d)
 	if err != nil {
 		return err
 	}
-	d.store, err = s.proxy(d.name+" store", atStore)
+	d.store, err = s.newProxy(d.name+" store", storeAddress)
 	return err
 }
 
-// Times of the daemons' settings, as on the users' platform (platform/settings.ini).
+// Times in the daemons' settings, as on the users' platform (platform/settings.ini).
 const (
 	callTimeout   = 700 * time.Millisecond
 	workerTimeout = 400 * time.Millisecond
 	dialTimeout   = 300 * time.Millisecond
 	watchWait     = 800 * time.Millisecond
-	workerLease   = 4500 * time.Millisecond // less than the longest that workers grant
+	workerLease   = 4500 * time.Millisecond // less than maxWorkerLease, the longest lease that workers grant
 )
 
-// settings is the daemon's INI.
-func (s *site) settings(d *daemon, addresses map[string]string) string {
+// settingsINI returns the daemon's settings as INI.
+func (s *site) settingsINI(d *daemon, addresses map[string]string) string {
 	return strings.Join([]string{
 		"[daemon]", "id = " + d.name, "domain = south/a",
 		"[listen]", "caller = " + addresses["caller"], "ready = " + addresses["ready"], "peer = " + addresses["peer"],
@@ -173,7 +173,7 @@
 		"[platform]", "adapter = users", "store = " + d.store.Listen,
 		fmt.Sprintf("call_timeout = %s", callTimeout), fmt.Sprintf("dial_timeout = %s", dialTimeout),
 		fmt.Sprintf("worker_timeout = %s", workerTimeout), fmt.Sprintf("watch_wait = %s", watchWait),
-		"[jobs]", fmt.Sprintf("worker_lease = %s", workerLease), fmt.Sprintf("longest_lease = %s", longestLease), fmt.Sprintf("stop_grace = %s", grace),
+		"[jobs]", fmt.Sprintf("worker_lease = %s", workerLease), fmt.Sprintf("longest_lease = %s", maxWorkerLease), fmt.Sprintf("stop_grace = %s", stopGrace),
 		fmt.Sprintf("workers_per_cell = %d", s.config.WorkersPerCell), "",
 	}, "\n")
 }
