--- a/cmd/rillsail-standin/demo.go
+++ b/cmd/rillsail-standin/demo.go
@@ -22,13 +22,13 @@
 	return &ffcli.Command{
 		Name: "demo", ShortHelp: "run store, fleet and three daemons in one process and show the main job", FlagSet: flags,
 		Exec: func(ctx context.Context, _ []string) error {
-			return demo.Run(ctx, demo.Config{Out: os.Stdout, Once: *once, Next: printNext, Routers: routers.For})
+			return demo.Run(ctx, demo.Config{Out: os.Stdout, Once: *once, PrintNextSteps: printNext, Routers: routers.For})
 		},
 	}
 }
 
 // printNext prints the commands to try next.
-func printNext(w io.Writer, d demo.Running) {
+func printNext(w io.Writer, d demo.Endpoints) {
 	fmt.Fprintf(w, `
 The platform is embedded; three daemons are running. In another terminal:
 
--- a/cmd/rillsail-standin/load.go
+++ b/cmd/rillsail-standin/load.go
@@ -29,9 +29,9 @@
 func loadCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("load", flag.ExitOnError)
 	targets := flags.String("target", "", "addresses of callers' listeners, separated by commas")
-	config := load.Config{Mix: standardMix, Run: fmt.Sprintf("load-%d", os.Getpid())}
+	config := load.Config{Mix: standardMix, IDPrefix: fmt.Sprintf("load-%d", os.Getpid())}
 	flags.Float64Var(&config.Rate, "rate", 100, "requests per second")
-	flags.DurationVar(&config.For, "for", 10*time.Second, "duration of the load")
+	flags.DurationVar(&config.Duration, "for", 10*time.Second, "duration of the load")
 	flags.Uint64Var(&config.Seed, "seed", 1, "seed of the random numbers")
 	flags.IntVar(&config.Retries, "retries", 0, "how often a refused request is retried at once")
 	asJSON := flags.Bool("json", false, "print JSON instead of a table")
--- a/cmd/rillsail-standin/platform.go
+++ b/cmd/rillsail-standin/platform.go
@@ -36,18 +36,18 @@
 	flags := flag.NewFlagSet("fleet", flag.ExitOnError)
 	listen := flags.String("listen", "127.0.0.1:0", "address of VM list, control and audit")
 	domains := flags.String("domains", "south/a,south/b,south/c,south/d", "failure domains")
-	config := fleet.Config{Run: fmt.Sprint(os.Getpid())}
+	config := fleet.Config{RunName: fmt.Sprint(os.Getpid())}
 	flags.IntVar(&config.Workers, "workers", 16, "worker VMs")
 	flags.IntVar(&config.PerRack, "per-rack", 8, "workers per rack")
 	flags.IntVar(&config.Upstreams, "upstreams", 8, "upstream VMs")
 	flags.IntVar(&config.Slots, "slots", 8, "slots per upstream")
 	flags.IntVar(&config.Conns, "connections", 64, "connections per upstream")
-	flags.BoolVar(&config.Guards, "guards", true, "workers refuse tasks that exceed their free capacity")
+	flags.BoolVar(&config.RejectOvercommit, "guards", true, "workers refuse tasks that exceed their free capacity")
 	flags.DurationVar(&config.ListLag, "list-lag", 2*time.Second, "lag of the VM list")
 	flags.DurationVar(&config.ReportLag, "report-lag", 2*time.Second, "lag of latencies in reports")
 	flags.Float64Var(&config.SizeError, "size-error", 0, "declared run times are off by up to 1+e times")
-	flags.DurationVar(&config.Service.Median, "median", 10*time.Millisecond, "median service time of upstreams")
-	flags.Float64Var(&config.Service.Sigma, "sigma", 0.6, "spread of service times")
+	flags.DurationVar(&config.UpstreamServiceTimes.Median, "median", 10*time.Millisecond, "median service time of upstreams")
+	flags.Float64Var(&config.UpstreamServiceTimes.Sigma, "sigma", 0.6, "spread of service times")
 	flags.DurationVar(&config.Tick, "tick", 20*time.Millisecond, "interval at which simulated tasks advance")
 	cpu := flags.Int64("cpu", 16_000, "capacity of a worker, in thousandths of a core")
 	memory := flags.Int64("memory", 61_440, "capacity of a worker, in MiB")
@@ -56,7 +56,7 @@
 		Exec: func(ctx context.Context, _ []string) error {
 			config.Domains = strings.Split(*domains, ",")
 			config.Worker = models.Resources{CPU: models.MilliCPU(*cpu), Memory: models.MiB(*memory)}
-			config.Service.Most = maxServiceTimeFactor * config.Service.Median
+			config.UpstreamServiceTimes.Max = maxServiceTimeFactor * config.UpstreamServiceTimes.Median
 			f, err := fleet.New(config)
 			if err != nil {
 				return err
--- a/cmd/rillsail/client.go
+++ b/cmd/rillsail/client.go
@@ -55,7 +55,7 @@
 func call[T wire.Checker](ctx context.Context, c client, method, path string, body any) (T, error) {
 	answer, err := wire.Do[T](ctx, wire.Call{
 		Client: http.DefaultClient, Method: method, URL: "http://" + c.daemon + path, Token: c.token, Limit: maxAnswer,
-		Timeouts: stall.Evenly(c.timeout),
+		Timeouts: stall.Uniform(c.timeout),
 	}, body)
 	if err != nil {
 		return answer, c.explain(err, method == http.MethodPost)
--- a/cmd/rillsail/jobs.go
+++ b/cmd/rillsail/jobs.go
@@ -50,7 +50,7 @@
 	return t.table("JOB\tTEAM\tSTATE\tTASKS\tSTARTED\tSUCCEEDED\tFAILED\tMAY HAVE RUN\tSTOPPED\tEVICTIONS\tREASON", func(w *tabwriter.Writer) {
 		for _, j := range jobs {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n",
-				j.ID, j.Team, j.State, j.Tasks, j.Next, j.Succeeded, j.Failed, j.MayHaveRun, j.Stopped, j.Evictions, j.Reason)
+				j.ID, j.Team, j.State, j.Tasks, j.NextIndex, j.Succeeded, j.Failed, j.MayHaveRun, j.Stopped, j.Evictions, j.Reason)
 		}
 	})
 }
--- a/cmd/rillsail/show.go
+++ b/cmd/rillsail/show.go
@@ -76,8 +76,8 @@
 
 func (t *tool) upstreamTable(s models.Status) error {
 	return t.table("UPSTREAM\tSTATE\tOWN\tPEERS\tSHARE\tSLOTS\tLATENCY MS", func(w *tabwriter.Writer) {
-		for _, u := range s.Upstream {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\n", u.VM, u.State, u.Own, u.Peers, u.Share, u.Slots, u.Latency)
+		for _, u := range s.Upstreams {
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\n", u.VM, u.State, u.OwnInFlight, u.PeersInFlight, u.Share, u.Slots, u.Latency)
 		}
 	})
 }
--- a/cmd/rillsaild/main.go
+++ b/cmd/rillsaild/main.go
@@ -124,7 +124,7 @@
 
 // newScheduler creates a daemon that uses the users' platform through the platform adapter.
 func newScheduler(settings *setting.Settings, logger *zap.Logger) (runner, error) {
-	workerCalls := control.NewWorkerCalls(settings.Platform.WorkerTimeout)
+	workerCalls := control.NewWorkerCallLimit(settings.Platform.WorkerTimeout)
 	client := platform.NewClient(platform.ClientConfig{
 		CallTimeout: settings.Platform.CallTimeout, DialTimeout: settings.Platform.DialTimeout,
 		WorkerTimeout: workerCalls.Current,
@@ -136,9 +136,9 @@
 	return daemon.NewScheduler(daemon.SchedulerConfig{
 		Settings: settings, Logger: logger, Store: store, List: list, Feed: list,
 		Workers: platform.NewWorkers(client), WorkerCalls: workerCalls, Connections: client.Connections,
-		Callers: func(callers interfaces.Callers) http.Handler {
+		Callers: func(callers interfaces.JobService) http.Handler {
 			return platform.CallerHandler(platform.CallerConfig{
-				Callers: callers, MaxBody: int64(settings.Listen.MaxBody), Patience: settings.Entry.Deadline,
+				Callers: callers, MaxBody: int64(settings.Listen.MaxBody), MaxTimeout: settings.Entry.Deadline,
 			})
 		},
 		Ready: platform.ReadyHandler,
--- a/models/cell.go
+++ b/models/cell.go
@@ -106,9 +106,9 @@
 	return nil
 }
 
-// With returns a copy of the map that also holds the racks of the list's workers; changed reports whether
+// WithRacks returns a copy of the map that also holds the racks of the list's workers; changed reports whether
 // any of them was missing.
-func (m CellMap) With(list VMList) (next CellMap, changed bool) {
+func (m CellMap) WithRacks(list VMList) (next CellMap, changed bool) {
 	next = CellMap{Racks: maps.Clone(m.Racks), Cells: maps.Clone(m.Cells)}
 	if next.Racks == nil {
 		next = CellMap{Racks: map[RackID]CellID{}, Cells: map[CellID]FailureDomain{}}
--- a/models/config_head.go
+++ b/models/config_head.go
@@ -70,8 +70,8 @@
 	Buckets  map[BucketName]BucketHash `json:"buckets"`
 	// The revisions of the most recent changes by write ID. A writer that got no answer from the store finds
 	// its write ID here if its change took effect.
-	Writes  map[string]Revision `json:"writes"`
-	Retired []RetiredBucket     `json:"retired,omitempty"`
+	RecentWrites map[string]Revision `json:"writes"`
+	Retired      []RetiredBucket     `json:"retired,omitempty"`
 }
 
 // RetiredBucket is a bucket that is no longer in force. It is kept for daemons that still read an older head.
--- a/models/job.go
+++ b/models/job.go
@@ -57,16 +57,16 @@
 // and have never run, so a job of thousands of tasks takes only one record until its tasks start.
 type Job struct {
 	JobSpec
-	Submitted  UnixMilli `json:"submitted"`
-	State      JobState  `json:"state"`
-	Next       int       `json:"next"` // index of the first task without a record; no later task has one
-	Succeeded  int       `json:"succeeded,omitempty"`
-	Failed     int       `json:"failed,omitempty"`
-	MayHaveRun int       `json:"may_have_run,omitempty"`
-	Stopped    int       `json:"stopped,omitempty"`
-	Evictions  int       `json:"evictions,omitempty"`
-	Ended      UnixMilli `json:"ended,omitempty"`
-	Reason     string    `json:"reason,omitempty"`
+	SubmittedAt UnixMilli `json:"submitted"`
+	State       JobState  `json:"state"`
+	NextIndex   int       `json:"next"` // index of the first task without a record; no later task has one
+	Succeeded   int       `json:"succeeded,omitempty"`
+	Failed      int       `json:"failed,omitempty"`
+	MayHaveRun  int       `json:"may_have_run,omitempty"`
+	Stopped     int       `json:"stopped,omitempty"`
+	Evictions   int       `json:"evictions,omitempty"`
+	EndedAt     UnixMilli `json:"ended,omitempty"`
+	Reason      string    `json:"reason,omitempty"`
 }
 
 // Check validates the spec and that the task counts are consistent.
@@ -74,7 +74,7 @@
 	if err := j.JobSpec.Check(); err != nil {
 		return err
 	}
-	if j.Next < 0 || j.Next > j.Tasks || j.endedTasks() > j.Next {
+	if j.NextIndex < 0 || j.NextIndex > j.Tasks || j.endedTasks() > j.NextIndex {
 		return errors.Newf("job %s: counts don't add up", j.ID)
 	}
 	return nil
@@ -91,13 +91,13 @@
 func (j Job) NewTask(index int) Task {
 	return Task{
 		ID: JobTaskID(j.ID, index), Kind: TaskBatch, Job: j.ID, Index: index, Team: j.Team, Labels: j.Labels,
-		Size: j.Size, Urgent: j.Urgent, Unrepeatable: j.Unrepeatable, Work: j.Work, Queued: j.Submitted,
+		Size: j.Size, Urgent: j.Urgent, Unrepeatable: j.Unrepeatable, Work: j.Work, QueuedAt: j.SubmittedAt,
 		State: TaskQueued,
 	}
 }
 
-// Count adds an ended task to the job's counts, and ends the job if this was its last task.
-func (j Job) Count(t Task, now UnixMilli) Job {
+// CountEnded adds an ended task to the job's counts, and ends the job if this was its last task.
+func (j Job) CountEnded(t Task, now UnixMilli) Job {
 	switch {
 	case t.State == TaskStopped:
 		j.Stopped++
@@ -122,17 +122,17 @@
 		return j
 	}
 	j.State = JobCancelled
-	j.Stopped += j.Tasks - j.Next
-	j.Next = j.Tasks
+	j.Stopped += j.Tasks - j.NextIndex
+	j.NextIndex = j.Tasks
 	return j.endIfComplete(now)
 }
 
 // endIfComplete sets the end time and the final state once no task remains.
 func (j Job) endIfComplete(now UnixMilli) Job {
-	if j.Remaining() > 0 || j.Ended != 0 {
+	if j.Remaining() > 0 || j.EndedAt != 0 {
 		return j
 	}
-	j.Ended = now
+	j.EndedAt = now
 	if j.State == JobActive {
 		j.State = JobDone
 	}
--- a/models/jobs/knowledge.go
+++ b/models/jobs/knowledge.go
@@ -9,32 +9,32 @@
 	"rillsail.example/rillsail/models"
 )
 
-// Knowledge holds the parameters that the owner of a cell has learned from reports, as they are stored for its
+// LearnedParameters holds the parameters that the owner of a cell has learned from reports, as they are stored for its
 // successor. Loads and interference factors are fractions of a whole worker.
-type Knowledge struct {
+type LearnedParameters struct {
 	// At is when the parameters were saved, by the owner's clock.
 	At models.UnixMilli `json:"at"`
 	// Filling lists the images of filler tasks, in the order of the coefficients in Factors.
-	Filling []ImageName      `json:"filling,omitempty"`
-	Factors []ImageKnowledge `json:"factors,omitempty"`
-	Loads   []StepLoad       `json:"loads,omitempty"`
-	Speeds  []QueueSpeed     `json:"speeds,omitempty"`
+	Filling []ImageName       `json:"filling,omitempty"`
+	Factors []ImageParameters `json:"factors,omitempty"`
+	Loads   []StepLoad        `json:"loads,omitempty"`
+	Speeds  []QueueSpeed      `json:"speeds,omitempty"`
 }
 
-// ImageKnowledge holds the interference factors of all filler images on one serving image.
-type ImageKnowledge struct {
+// ImageParameters holds the interference factors of all filler images on one serving image.
+type ImageParameters struct {
 	Serving      ImageName `json:"serving"`
 	Mean         []float64 `json:"mean"`
 	Covariance   []float64 `json:"covariance"` // in row-major order
 	Observations int       `json:"observations"`
-	// Idle is the assumed tail latency without load, as a fraction of the target. The fraction is
+	// IdleTail is the assumed tail latency without load, as a fraction of the target. The fraction is
 	// computed from the two sums below.
-	Idle float64 `json:"idle"`
-	// Free is the sum of the target divided by the tail latency over tails without filler tasks
+	IdleTail float64 `json:"idle"`
+	// TargetRatioSum is the sum of the target divided by the tail latency over tails without filler tasks
 	// beside, weighted by seconds.
-	Free float64 `json:"free"`
-	// Watched is the sum of these seconds.
-	Watched float64 `json:"watched"`
+	TargetRatioSum float64 `json:"free"`
+	// ObservedSeconds is the sum of these seconds.
+	ObservedSeconds float64 `json:"watched"`
 }
 
 // StepLoad is the estimated baseline load of a serving step: the load of its tasks without filler tasks.
@@ -56,12 +56,12 @@
 }
 
 // Check rejects parameters whose dimensions don't match, and sums, variances or weights out of range.
-func (k Knowledge) Check() error {
+func (k LearnedParameters) Check() error {
 	for _, f := range k.Factors {
 		if len(f.Mean) != len(k.Filling) || len(f.Covariance) != len(k.Filling)*len(k.Filling) {
 			return errors.Newf("interference factors of %s do not match the %d filler images", f.Serving, len(k.Filling))
 		}
-		if !(f.Idle > 0) || !(f.Free > 0) || !(f.Watched > 0) {
+		if !(f.IdleTail > 0) || !(f.TargetRatioSum > 0) || !(f.ObservedSeconds > 0) {
 			return errors.Newf("interference factors of %s: idle tail or one of its sums is not positive", f.Serving)
 		}
 		for i := range f.Mean {
--- a/models/jobs/part.go
+++ b/models/jobs/part.go
@@ -63,8 +63,8 @@
 	return all
 }
 
-// Held returns the tasks of an active job that belong to the record's cell.
-func (r *Record) Held() TaskSet {
+// HeldTasks returns the tasks of an active job that belong to the record's cell.
+func (r *Record) HeldTasks() TaskSet {
 	if r.Part {
 		return r.Tasks
 	}
@@ -74,13 +74,13 @@
 // Holds reports whether a task belongs to the record's cell.
 func (r *Record) Holds(step, index int) bool { return !r.Part || r.Tasks.Has(step, index) }
 
-// Left reports whether the job is active and the record's cell has moved all of its tasks to other cells.
-func (r *Record) Left() bool { return r.Ended == "" && r.Part && len(r.Tasks) == 0 }
+// AllTasksMoved reports whether the job is active and the record's cell has moved all of its tasks to other cells.
+func (r *Record) AllTasksMoved() bool { return r.Ended == "" && r.Part && len(r.Tasks) == 0 }
 
-// Without returns the record after tasks have been moved to another cell.
-func (r *Record) Without(tasks TaskSet) Record {
+// WithoutTasks returns the record after tasks have been moved to another cell.
+func (r *Record) WithoutTasks(tasks TaskSet) Record {
 	rest := *r
-	rest.Part, rest.Tasks, rest.Moved = true, r.Held().difference(tasks), true
+	rest.Part, rest.Tasks, rest.Rewritten = true, r.HeldTasks().difference(tasks), true
 	return rest
 }
 
@@ -88,11 +88,11 @@
 // tasks had numbers up to highestRun.
 func (r *Record) WithTasks(tasks TaskSet, highestRun RunID) Record {
 	sum := *r
-	sum.Tasks, sum.Moved = r.Held().union(tasks), true
+	sum.Tasks, sum.Rewritten = r.HeldTasks().union(tasks), true
 	if sum.Part = sum.Tasks.Len() < r.Spec.allTasks().Len(); !sum.Part {
 		sum.Tasks = nil
 	}
-	sum.LeastRun = max(r.LeastRun, highestRun)
+	sum.HighestRun = max(r.HighestRun, highestRun)
 	return sum
 }
 
@@ -101,9 +101,9 @@
 func (r *Record) NewPart(tasks TaskSet, highestRun RunID) Record {
 	empty := *r
 	empty.Part, empty.Tasks = true, nil
-	empty.Further, empty.Home = nil, ""
+	empty.AdditionalCells, empty.Home = nil, ""
 	part := empty.WithTasks(tasks, highestRun)
-	part.Moved, part.Came = false, true
+	part.Rewritten, part.Transferred = false, true
 	return part
 }
 
@@ -111,6 +111,6 @@
 // and all of its tasks are long-running and need not share a rack.
 func (s *Spec) Divisible() bool {
 	return s.Repeat.Count == 0 && !slices.ContainsFunc(s.Steps, func(step Step) bool {
-		return !step.Lasts || step.SameRack
+		return !step.LongRunning || step.SameRack
 	})
 }
--- a/models/jobs/part_test.go
+++ b/models/jobs/part_test.go
@@ -13,7 +13,7 @@
 )
 
 func longRunningSpec(count int) Spec {
-	step := Step{Count: count, Lasts: true, Size: models.Resources{CPU: 10, Memory: 1}}
+	step := Step{Count: count, LongRunning: true, Size: models.Resources{CPU: 10, Memory: 1}}
 	return Spec{ID: "00000000000000aa", Queue: "q", Steps: []Step{step}}
 }
 
@@ -22,15 +22,15 @@
 		spec := longRunningSpec(rapid.IntRange(1, 10).Draw(rt, "count"))
 		whole := Record{Spec: spec}
 		moved := TaskSet{0: rapid.SliceOfNDistinct(rapid.IntRange(0, spec.Steps[0].Count-1), 1, spec.Steps[0].Count, rapid.ID).Draw(rt, "moved")}
-		rest, part := whole.Without(moved), whole.NewPart(moved, 7)
+		rest, part := whole.WithoutTasks(moved), whole.NewPart(moved, 7)
 		for i := range spec.Steps[0].Count {
 			require.NotEqual(rt, rest.Holds(0, i), part.Holds(0, i))
 		}
-		require.Equal(rt, moved.Len() == spec.Steps[0].Count, rest.Left())
+		require.Equal(rt, moved.Len() == spec.Steps[0].Count, rest.AllTasksMoved())
 		require.Equal(rt, moved.Len() < spec.Steps[0].Count, part.Part)
 		back := rest.WithTasks(moved, 9)
 		require.False(rt, back.Part, "the record holds all tasks again")
-		require.True(rt, back.Moved)
-		require.EqualValues(rt, 9, back.LeastRun)
+		require.True(rt, back.Rewritten)
+		require.EqualValues(rt, 9, back.HighestRun)
 	})
 }
--- a/models/jobs/query.go
+++ b/models/jobs/query.go
@@ -43,40 +43,40 @@
 
 // Answer is the answer to a Query.
 type Answer struct {
-	// Owner is set if the daemon owns the cell and has recovered its jobs. Otherwise the other
+	// IsOwner is set if the daemon owns the cell and has recovered its jobs. Otherwise the other
 	// fields are empty.
-	Owner  bool         `json:"owner"`
-	States map[ID]State `json:"states,omitempty"` // jobs that the owner does not know are left out
-	// Further lists, by job, the cells with tasks of the job to which its id does not lead. Jobs whose tasks
+	IsOwner bool         `json:"owner"`
+	States  map[ID]State `json:"states,omitempty"` // jobs that the owner does not know are left out
+	// AdditionalCells lists, by job, the cells with tasks of the job to which its id does not lead. Jobs whose tasks
 	// have all been moved away from this cell are included.
-	Further map[ID][]CellName `json:"further,omitempty"`
-	Pending map[QueueName]int `json:"pending,omitempty"`
-	Learned []Learned         `json:"learned,omitempty"`
-	Load    CellLoad          `json:"load"`
-	Places  []int             `json:"places,omitempty"` // one count per demand, in their order
+	AdditionalCells map[ID][]CellName `json:"further,omitempty"`
+	Pending         map[QueueName]int `json:"pending,omitempty"`
+	Learned         []LearnedFactor   `json:"learned,omitempty"`
+	Load            CellLoad          `json:"load"`
+	Places          []int             `json:"places,omitempty"` // one count per demand, in their order
 }
 
 // Check rejects factors whose idle tail is not positive, as they can't be converted to another unit of load.
 func (a Answer) Check() error {
 	for _, l := range a.Learned {
-		if !(l.Idle > 0) {
+		if !(l.IdleTail > 0) {
 			return errors.Newf("factor of %s beside %s has no unit", l.Filling, l.Serving)
 		}
 	}
 	return nil
 }
 
-// Learned is the estimated interference factor of a pair of images.
-type Learned struct {
+// LearnedFactor is the estimated interference factor of a pair of images.
+type LearnedFactor struct {
 	Serving ImageName `json:"serving"`
 	Filling ImageName `json:"filling"`
 	// Factor is the load that the filler image adds to the serving image when it uses a whole worker.
 	Factor float64 `json:"factor"`
-	// Spread is the standard deviation of the factor.
-	Spread float64 `json:"spread"`
-	// Idle is the assumed tail latency without load, as a fraction of the target. It sets the unit of
+	// StdDev is the standard deviation of the factor.
+	StdDev float64 `json:"spread"`
+	// IdleTail is the assumed tail latency without load, as a fraction of the target. It sets the unit of
 	// loads and factors.
-	Idle         float64 `json:"idle"`
+	IdleTail     float64 `json:"idle"`
 	Observations int     `json:"observations"` // of the serving image
 }
 
@@ -104,15 +104,15 @@
 // outcome can't take effect after the lease is over.
 type Daemon struct {
 	ID string `json:"id"`
-	// Processor is the number of cores that the daemon may use. Daemons with fewer cores leave cells to it.
-	Processor float64 `json:"processor,omitempty"`
-	// Link is the bandwidth in Mbit/s with which the VM may send and receive; 0: not known.
-	Link float64 `json:"link,omitempty"`
+	// Cores is the number of cores that the daemon may use. Daemons with fewer cores leave cells to it.
+	Cores float64 `json:"processor,omitempty"`
+	// LinkMbps is the bandwidth in Mbit/s with which the VM may send and receive; 0: not known.
+	LinkMbps float64 `json:"link,omitempty"`
 }
 
 // Check rejects negative amounts.
 func (d Daemon) Check() error {
-	if d.Processor < 0 || d.Link < 0 {
+	if d.Cores < 0 || d.LinkMbps < 0 {
 		return errors.Newf("daemon %s: number of cores or bandwidth is negative", d.ID)
 	}
 	return nil
@@ -123,12 +123,12 @@
 type Owner struct {
 	Daemon  string `json:"daemon"`
 	Address string `json:"address"` // at which other daemons call the owner
-	Claim   string `json:"claim"`   // unique per claim
+	ClaimID string `json:"claim"`   // unique per claim
 }
 
 // Check rejects an owner without address or claim.
 func (o Owner) Check() error {
-	if o.Address == "" || o.Claim == "" {
+	if o.Address == "" || o.ClaimID == "" {
 		return errors.New("owner has no address or claim")
 	}
 	return nil
--- a/models/jobs/record.go
+++ b/models/jobs/record.go
@@ -54,25 +54,25 @@
 	// Part is set if the cell has only the tasks of the job that are listed in Tasks.
 	Part  bool    `json:"part,omitempty"`
 	Tasks TaskSet `json:"tasks,omitempty"`
-	// Moved is set if an active record has been rewritten. The age of such a record does not tell
+	// Rewritten is set if an active record has been rewritten. The age of such a record does not tell
 	// which owners may have started the tasks.
-	Moved bool `json:"moved,omitempty"`
-	// Came is set if the tasks come from another cell, where they have already waited.
-	Came bool `json:"came,omitempty"`
-	// LeastRun is the highest run number that a cell had assigned before it moved tasks away. Later runs
+	Rewritten bool `json:"moved,omitempty"`
+	// Transferred is set if the tasks come from another cell, where they have already waited.
+	Transferred bool `json:"came,omitempty"`
+	// HighestRun is the highest run number that a cell had assigned before it moved tasks away. Later runs
 	// get higher numbers.
-	LeastRun RunID `json:"least_run,omitempty"`
+	HighestRun RunID `json:"least_run,omitempty"`
 	// Suspected holds the suspicions against tasks when they came from another cell.
 	Suspected Suspicions `json:"suspected,omitempty"`
 
-	// Further lists cells that have tasks of the job and to which the job's id does not lead. A cell is listed if
+	// AdditionalCells lists cells that have tasks of the job and to which the job's id does not lead. A cell is listed if
 	// it received its tasks by way of this record, and is listed in one record only.
-	Further []CellName `json:"further,omitempty"`
+	AdditionalCells []CellName `json:"further,omitempty"`
 	// Home is set in the record of a cell to which the job's id does not lead: the cell whose record lists it.
 	Home CellName `json:"home,omitempty"`
-	// Closed is set if the job is cancelled while it has tasks in more cells than one transaction can change. From
+	// MovesClosed is set if the job is cancelled while it has tasks in more cells than one transaction can change. From
 	// then on none of its tasks moves between cells.
-	Closed bool `json:"closed,omitempty"`
+	MovesClosed bool `json:"closed,omitempty"`
 
 	// Version is the version of the record's key, set when the record is read; 0: not known.
 	Version uint64 `json:"-"`
--- a/models/jobs/spec.go
+++ b/models/jobs/spec.go
@@ -29,19 +29,19 @@
 	Estimate models.Milli     `json:"estimate_ms,omitempty"`
 	After    []int            `json:"after,omitempty"` // numbers of earlier steps of the job
 
-	Checkpoints bool      `json:"checkpoints,omitempty"`  // a run can resume from the checkpoint of an earlier run
-	Gang        bool      `json:"gang,omitempty"`         // the tasks make progress only together
-	SameRack    bool      `json:"same_rack,omitempty"`    // the tasks are slower when spread over racks
-	Requires    string    `json:"requires,omitempty"`     // label that the task's worker must have
-	DataRack    RackLabel `json:"data_rack,omitempty"`    // rack of the data; tasks are slower elsewhere
-	PerWorker   int       `json:"per_worker,omitempty"`   // maximum number of the step's tasks on a worker; 0: no limit
-	SideBySide  bool      `json:"side_by_side,omitempty"` // copies of a task may run at once; the first to end counts
-
-	Lasts   bool         `json:"lasts,omitempty"` // tasks run until the job is cancelled
-	Image   ImageName    `json:"image,omitempty"`
-	Target  models.Milli `json:"target_ms,omitempty"` // tail latency target of a long-running task; 0: none
-	Fills   bool         `json:"fills,omitempty"`     // filler tasks: they use processor time that others leave unused
-	MayMiss int          `json:"may_miss,omitempty"`  // maximum number of tasks that the scheduler may take down at once
+	Checkpoints     bool      `json:"checkpoints,omitempty"`  // a run can resume from the checkpoint of an earlier run
+	Gang            bool      `json:"gang,omitempty"`         // the tasks make progress only together
+	SameRack        bool      `json:"same_rack,omitempty"`    // the tasks are slower when spread over racks
+	Requires        string    `json:"requires,omitempty"`     // label that the task's worker must have
+	DataRack        RackLabel `json:"data_rack,omitempty"`    // rack of the data; tasks are slower elsewhere
+	PerWorker       int       `json:"per_worker,omitempty"`   // maximum number of the step's tasks on a worker; 0: no limit
+	AllowDuplicates bool      `json:"side_by_side,omitempty"` // copies of a task may run at once; the first to end counts
+
+	LongRunning    bool         `json:"lasts,omitempty"` // tasks run until the job is cancelled
+	Image          ImageName    `json:"image,omitempty"`
+	Target         models.Milli `json:"target_ms,omitempty"` // tail latency target of a long-running task; 0: none
+	Filler         bool         `json:"fills,omitempty"`     // filler tasks: they use processor time that others leave unused
+	MaxUnavailable int          `json:"may_miss,omitempty"`  // maximum number of tasks that the scheduler may take down at once
 }
 
 // Repeat is the schedule of a repeated job.
@@ -104,7 +104,7 @@
 		return errors.Newf("estimate of %d ms is out of bounds", s.Estimate)
 	case s.Target < 0 || s.Target > maxEstimate:
 		return errors.Newf("target of %d ms is out of bounds", s.Target)
-	case s.PerWorker < 0 || s.MayMiss < 0:
+	case s.PerWorker < 0 || s.MaxUnavailable < 0:
 		return errors.New("a limit is negative")
 	case len(s.Requires) > maxLabel || len(s.DataRack) > maxLabel || len(s.Image) > maxLabel:
 		return errors.Newf("a label has more than %d bytes", maxLabel)
@@ -128,16 +128,16 @@
 	return s.Repeat.First + models.UnixMilli(occurrence)*models.UnixMilli(s.Repeat.Every)
 }
 
-// Chain returns the length of the critical path: the largest sum of estimates along a chain of dependent steps.
+// CriticalPath returns the length of the critical path: the largest sum of estimates along a chain of dependent steps.
 // Long-running steps count as 0.
-func (s Spec) Chain() time.Duration {
+func (s Spec) CriticalPath() time.Duration {
 	var longest models.Milli
 	ends := make([]models.Milli, len(s.Steps))
 	for i, step := range s.Steps {
 		for _, after := range step.After {
 			ends[i] = max(ends[i], ends[after])
 		}
-		if !step.Lasts {
+		if !step.LongRunning {
 			ends[i] += step.Estimate
 		}
 		longest = max(longest, ends[i])
@@ -146,7 +146,7 @@
 }
 
 // Serves reports whether the step is a serving step: its tasks are long-running and have a tail latency target.
-func (s *Step) Serves() bool { return s.Lasts && s.Target > 0 }
+func (s *Step) Serves() bool { return s.LongRunning && s.Target > 0 }
 
 // Unsupported returns the reason why the job can't be run yet under its queue's terms, or an empty
 // string if it can.
--- a/models/jobs/worker.go
+++ b/models/jobs/worker.go
@@ -21,9 +21,9 @@
 	Draining bool                 `json:"-"`
 	// Remaining is the minimum time for which a draining worker stays; 0: not known.
 	Remaining time.Duration `json:"-"`
-	// Leaves is the earliest time at which a draining worker may leave, by the owner's clock. The
+	// LeavesAt is the earliest time at which a draining worker may leave, by the owner's clock. The
 	// roster stores the time, so that a successor knows why the worker is no longer listed.
-	Leaves models.UnixMilli `json:"leaves,omitempty"`
+	LeavesAt models.UnixMilli `json:"leaves,omitempty"`
 	// Born is the incarnation's start time by the worker's own time of day; 0: not reported. The time
 	// distinguishes incarnations with the same id, but does not order them.
 	Born models.UnixMilli `json:"born,omitempty"`
@@ -49,11 +49,11 @@
 // runs.
 type Roster struct {
 	Workers []Worker `json:"workers"`
-	// Lease is the longest lease that owners of the cell have granted to workers; 0: not known.
-	Lease models.Milli `json:"lease_ms,omitempty"`
-	// Unseen are the latest epochs whose owners found workers lost that had never answered them. Each
+	// MaxLease is the longest lease that owners of the cell have granted to workers; 0: not known.
+	MaxLease models.Milli `json:"lease_ms,omitempty"`
+	// UnobservedEpochs are the latest epochs whose owners found workers lost that had never answered them. Each
 	// task accepted before such an epoch may have lost a run with them that no owner knows of.
-	Unseen []Epoch `json:"unseen,omitempty"`
+	UnobservedEpochs []Epoch `json:"unseen,omitempty"`
 }
 
 // Check validates the capacity of each worker.
@@ -71,12 +71,12 @@
 
 // The ends of a run.
 const (
-	EndSucceeded End = "succeeded"
-	EndFailed    End = "failed"     // by a fault of the task or of the worker
-	EndStopped   End = "stopped"    // by an order of the owner
-	EndLapsed    End = "lapsed"     // the worker's lease was not renewed in time
-	EndBroken    End = "broken"     // another task of its gang ended
-	EndUngrouped End = "incomplete" // its gang was not complete in time
+	EndSucceeded      End = "succeeded"
+	EndFailed         End = "failed"     // by a fault of the task or of the worker
+	EndStopped        End = "stopped"    // by an order of the owner
+	EndLapsed         End = "lapsed"     // the worker's lease was not renewed in time
+	EndGangBroken     End = "broken"     // another task of its gang ended
+	EndGangIncomplete End = "incomplete" // its gang was not complete in time
 )
 
 // Run is a run in progress as its worker reports it.
@@ -155,10 +155,10 @@
 
 // The reasons for which a worker refuses a call.
 const (
-	RefusedFence  Refusal = "fence"  // a call with a higher fence has arrived: from a later owner or for a later incarnation
-	RefusedRun    Refusal = "run"    // this run or a later run of the task was stopped or has ended on the worker
-	RefusedLate   Refusal = "late"   // the lease in the call is over
-	RefusedRoom   Refusal = "room"   // the worker has no free capacity
-	RefusedTicket Refusal = "ticket" // the adviser's ticket is missing or no longer valid
-	RefusedOther  Refusal = "other"  // the refusal is malformed or names an unknown reason
+	RefusedFence    Refusal = "fence"  // a call with a higher fence has arrived: from a later owner or for a later incarnation
+	RefusedStaleRun Refusal = "run"    // this run or a later run of the task was stopped or has ended on the worker
+	RefusedLate     Refusal = "late"   // the lease in the call is over
+	RefusedCapacity Refusal = "room"   // the worker has no free capacity
+	RefusedTicket   Refusal = "ticket" // the adviser's ticket is missing or no longer valid
+	RefusedOther    Refusal = "other"  // the refusal is malformed or names an unknown reason
 )
--- a/models/member.go
+++ b/models/member.go
@@ -32,11 +32,11 @@
 
 // CellBeat is the summary of a cell that its owner sends in heartbeats.
 type CellBeat struct {
-	Epoch Epoch                  `json:"epoch"`
-	Free  Resources              `json:"free"`    // sum over the cell's workers
-	Room  Resources              `json:"room"`    // largest free capacity on one worker
-	Teams map[TeamName]Resources `json:"teams"`   // resources committed to batch tasks
-	Waits int                    `json:"waiting"` // queued tasks
+	Epoch       Epoch                  `json:"epoch"`
+	Free        Resources              `json:"free"`    // sum over the cell's workers
+	LargestFree Resources              `json:"room"`    // largest free capacity on one worker
+	Teams       map[TeamName]Resources `json:"teams"`   // resources committed to batch tasks
+	Waiting     int                    `json:"waiting"` // queued tasks
 }
 
 // Heartbeat is the state that daemons exchange. The response to a heartbeat is the receiver's own heartbeat.
--- a/models/operate.go
+++ b/models/operate.go
@@ -5,12 +5,12 @@
 
 // Status summarizes a daemon and what it knows of the other daemons, the cells and the upstreams.
 type Status struct {
-	Self     Member             `json:"self"`
-	Revision Revision           `json:"revision"`
-	Members  []MemberStatus     `json:"members"`
-	Cells    []CellStatus       `json:"cells"`
-	Upstream []UpstreamStatus   `json:"upstreams"`
-	Figures  map[string]float64 `json:"figures"`
+	Self      Member             `json:"self"`
+	Revision  Revision           `json:"revision"`
+	Members   []MemberStatus     `json:"members"`
+	Cells     []CellStatus       `json:"cells"`
+	Upstreams []UpstreamStatus   `json:"upstreams"`
+	Metrics   map[string]float64 `json:"figures"`
 }
 
 // Check implements wire.Checker; every value is valid.
@@ -37,13 +37,13 @@
 
 // UpstreamStatus is the state of an upstream as seen by one daemon.
 type UpstreamStatus struct {
-	VM      VMID   `json:"vm"`
-	State   string `json:"state"` // live, leaving, drained or ejected
-	Own     int    `json:"own"`   // requests in flight from this daemon
-	Peers   int    `json:"peers"` // requests in flight from the other daemons, as last reported by them
-	Share   int    `json:"share"` // slots that this daemon may use
-	Slots   int    `json:"slots"`
-	Latency Milli  `json:"latency_ms"`
+	VM            VMID   `json:"vm"`
+	State         string `json:"state"` // live, leaving, drained or ejected
+	OwnInFlight   int    `json:"own"`   // requests in flight from this daemon
+	PeersInFlight int    `json:"peers"` // requests in flight from the other daemons, as last reported by them
+	Share         int    `json:"share"` // slots that this daemon may use
+	Slots         int    `json:"slots"`
+	Latency       Milli  `json:"latency_ms"`
 }
 
 // Submission is the request body of a job submission.
@@ -64,7 +64,7 @@
 		return newCountError("jobs", len(s.Jobs), maxJobsPerCall)
 	}
 	for _, job := range s.Jobs {
-		if err := placeholderDefaults.Fill(job).Check(); err != nil {
+		if err := placeholderDefaults.ApplyTo(job).Check(); err != nil {
 			return err
 		}
 	}
@@ -105,11 +105,11 @@
 // Check implements wire.Checker; every value is valid.
 func (r JobResults) Check() error { return nil }
 
-// AnyCell replaces the cell IDs in a listing while it is not known which cells exist.
-const AnyCell CellID = "*"
+// UnknownCells replaces the cell IDs in a listing while it is not known which cells exist.
+const UnknownCells CellID = "*"
 
 // Listing is the response to the calls that list records of all cells. Missing holds the cells that did not
-// answer, with the reason; AnyCell is listed there if it is not known which cells exist.
+// answer, with the reason; UnknownCells is listed there if it is not known which cells exist.
 type Listing struct {
 	Jobs      []Job             `json:"jobs,omitempty"`
 	Tasks     []Task            `json:"tasks,omitempty"`
--- a/models/peer.go
+++ b/models/peer.go
@@ -60,10 +60,10 @@
 
 // The actions of a claim call.
 const (
-	ClaimTake  ClaimAction = "take"  // acquire the key and with it the right to send the request
-	ClaimEnd   ClaimAction = "end"   // the request has ended
-	ClaimFree  ClaimAction = "free"  // the request was not run; the key may be claimed again
-	ClaimCarry ClaimAction = "carry" // a home daemon that leaves transfers its records
+	ClaimAcquire  ClaimAction = "take"  // acquire the key and with it the right to send the request
+	ClaimComplete ClaimAction = "end"   // the request has ended
+	ClaimRelease  ClaimAction = "free"  // the request was not run; the key may be claimed again
+	ClaimTransfer ClaimAction = "carry" // a home daemon that leaves transfers its records
 )
 
 // ClaimRecord is the record of one idempotency key at a home daemon of the key.
@@ -74,34 +74,34 @@
 }
 
 // ClaimCall asks a home daemon of an idempotency key for the right to send the request, or reports the end of
-// the request to it. Only a call with ClaimCarry has several records.
+// the request to it. Only a call with ClaimTransfer has several records.
 type ClaimCall struct {
 	Action  ClaimAction   `json:"action"`
 	Records []ClaimRecord `json:"records"`
 }
 
-// MaxIdempotencyKey bounds the length of an idempotency key in bytes.
-const MaxIdempotencyKey = 200
+// MaxIdempotencyKeyLength bounds the length of an idempotency key in bytes.
+const MaxIdempotencyKeyLength = 200
 
-// MaxCarried bounds the records of one ClaimCall.
-const MaxCarried = 1000
+// MaxClaimRecords bounds the records of one ClaimCall.
+const MaxClaimRecords = 1000
 
 // Check rejects unknown actions, a wrong number of records, and records without a valid key and holder.
 func (c ClaimCall) Check() error {
 	switch c.Action {
-	case ClaimTake, ClaimEnd, ClaimFree, ClaimCarry:
+	case ClaimAcquire, ClaimComplete, ClaimRelease, ClaimTransfer:
 	default:
 		return errors.Newf("claim: unknown action %q", c.Action)
 	}
-	if len(c.Records) == 0 || len(c.Records) > MaxCarried || c.Action != ClaimCarry && len(c.Records) != 1 {
+	if len(c.Records) == 0 || len(c.Records) > MaxClaimRecords || c.Action != ClaimTransfer && len(c.Records) != 1 {
 		return errors.Newf("claim: %s with %d records", c.Action, len(c.Records))
 	}
 	for _, r := range c.Records {
 		if err := checkName("holder", r.Holder); err != nil {
 			return err
 		}
-		if r.Key == "" || len(r.Key) > MaxIdempotencyKey {
-			return errors.Newf("idempotency key must have 1 to %d bytes", MaxIdempotencyKey)
+		if r.Key == "" || len(r.Key) > MaxIdempotencyKeyLength {
+			return errors.Newf("idempotency key must have 1 to %d bytes", MaxIdempotencyKeyLength)
 		}
 	}
 	return nil
@@ -135,17 +135,17 @@
 
 // ForwardCall forwards an operator's call to the owner of a cell, such as the home cell of a job.
 type ForwardCall struct {
-	Cell   CellID    `json:"cell"`
-	Submit []JobSpec `json:"submit,omitempty"`
-	Cancel []JobID   `json:"cancel,omitempty"`
-	Jobs   bool      `json:"jobs,omitempty"`    // list jobs
-	Tasks  bool      `json:"tasks,omitempty"`   // list tasks
-	Task   TaskID    `json:"task,omitempty"`    // explain one task
-	Worker bool      `json:"workers,omitempty"` // list workers
+	Cell        CellID    `json:"cell"`
+	Submit      []JobSpec `json:"submit,omitempty"`
+	Cancel      []JobID   `json:"cancel,omitempty"`
+	ListJobs    bool      `json:"jobs,omitempty"`    // list jobs
+	ListTasks   bool      `json:"tasks,omitempty"`   // list tasks
+	ExplainTask TaskID    `json:"task,omitempty"`    // explain one task
+	ListWorkers bool      `json:"workers,omitempty"` // list workers
 }
 
-// Changes reports whether the call submits or cancels jobs.
-func (c ForwardCall) Changes() bool { return len(c.Submit)+len(c.Cancel) > 0 }
+// HasChanges reports whether the call submits or cancels jobs.
+func (c ForwardCall) HasChanges() bool { return len(c.Submit)+len(c.Cancel) > 0 }
 
 // Check validates every submitted job.
 func (c ForwardCall) Check() error {
--- a/models/peer_config.go
+++ b/models/peer_config.go
@@ -28,29 +28,29 @@
 // HandoverCall passes a cell to its next owner while the store can't be written. The sender stops acting for
 // the cell whatever the response is.
 type HandoverCall struct {
-	Cell     CellID    `json:"cell"`
-	Epoch    Epoch     `json:"epoch"`
-	Sequence Sequence  `json:"sequence"`
-	Snapshot uint64    `json:"snapshot"`    // version of the snapshot key
-	SnapSeq  Sequence  `json:"snapshot_at"` // sequence of the last entry that the snapshot holds
-	Versions []uint64  `json:"versions"`    // versions of the journal's ring slots
-	State    CellState `json:"state"`
+	Cell             CellID    `json:"cell"`
+	Epoch            Epoch     `json:"epoch"`
+	Sequence         Sequence  `json:"sequence"`
+	SnapshotVersion  uint64    `json:"snapshot"`    // version of the snapshot key
+	SnapshotSequence Sequence  `json:"snapshot_at"` // sequence of the last entry that the snapshot holds
+	SlotVersions     []uint64  `json:"versions"`    // versions of the journal's ring slots
+	State            CellState `json:"state"`
 	// The encoded journal entry whose append has an unknown outcome; the next owner goes on settling it under
 	// the same write ID.
-	Pending []byte `json:"pending,omitempty"`
+	PendingEntry []byte `json:"pending,omitempty"`
 }
 
 // Check rejects a call without an epoch or slot versions, and validates the state.
 func (c HandoverCall) Check() error {
-	if c.Epoch == 0 || len(c.Versions) == 0 {
-		return errors.Newf("handover of %s: epoch %d, %d slots", c.Cell, c.Epoch, len(c.Versions))
+	if c.Epoch == 0 || len(c.SlotVersions) == 0 {
+		return errors.Newf("handover of %s: epoch %d, %d slots", c.Cell, c.Epoch, len(c.SlotVersions))
 	}
 	return c.State.Check()
 }
 
 // HandoverAnswer tells whether the peer has become the owner of the cell.
 type HandoverAnswer struct {
-	Taken bool `json:"taken"`
+	Accepted bool `json:"taken"`
 }
 
 // Check implements wire.Checker; every value is valid.
--- a/models/task.go
+++ b/models/task.go
@@ -63,7 +63,7 @@
 	Urgent       bool              `json:"urgent,omitempty"`
 	Unrepeatable bool              `json:"unrepeatable,omitempty"`
 	Work         Milli             `json:"work_ms,omitempty"` // declared run time; 0: the task runs until it is stopped
-	Queued       UnixMilli         `json:"queued"`
+	QueuedAt     UnixMilli         `json:"queued"`
 
 	State       TaskState   `json:"state"`
 	Attempt     Attempt     `json:"attempt"`
@@ -104,9 +104,9 @@
 	return errors.Wrapf(t.Size.Check(), "task %s", t.ID)
 }
 
-// HoldsRoom reports whether the task may be running in this cell. If so, its size counts against the capacity
+// HoldsCapacity reports whether the task may be running in this cell. If so, its size counts against the capacity
 // of its worker.
-func (t Task) HoldsRoom() bool {
+func (t Task) HoldsCapacity() bool {
 	switch t.State {
 	case TaskPlaced, TaskRunning, TaskEvicting, TaskLost:
 		return true
@@ -121,8 +121,8 @@
 // Foreign reports whether the task was taken over from another cell, its home cell.
 func (t Task) Foreign() bool { return t.Home != "" }
 
-// ToReport reports whether the task is a foreign task whose outcome or return must be reported to its home cell.
-func (t Task) ToReport() bool {
+// NeedsReport reports whether the task is a foreign task whose outcome or return must be reported to its home cell.
+func (t Task) NeedsReport() bool {
 	return t.Foreign() && (t.Ended() || t.State == TaskQueued)
 }
 
--- a/models/task_event.go
+++ b/models/task_event.go
@@ -46,9 +46,9 @@
 	}
 	// EventUnreachable says that the worker has been silent for longer than a lease.
 	EventUnreachable struct{}
-	// EventWorkerGone means that the attempt is proved not to run any more: its VM left the VM list at least
+	// EventWorkerTerminated means that the attempt is proved not to run any more: its VM left the VM list at least
 	// a lease ago, or the worker's process was restarted as a new incarnation.
-	EventWorkerGone struct{ Reason string }
+	EventWorkerTerminated struct{ Reason string }
 )
 
 // Events from the other cell, to which the task was offered.
@@ -75,17 +75,17 @@
 	}
 )
 
-func (EventPlace) taskEvent()         {}
-func (EventEvict) taskEvent()         {}
-func (EventCancel) taskEvent()        {}
-func (EventOffer) taskEvent()         {}
-func (EventStarted) taskEvent()       {}
-func (EventNeverBegan) taskEvent()    {}
-func (EventStopped) taskEvent()       {}
-func (EventFinished) taskEvent()      {}
-func (EventUnreachable) taskEvent()   {}
-func (EventWorkerGone) taskEvent()    {}
-func (EventOfferAccepted) taskEvent() {}
-func (EventOfferRefused) taskEvent()  {}
-func (EventReturned) taskEvent()      {}
-func (EventRemoteDone) taskEvent()    {}
+func (EventPlace) taskEvent()            {}
+func (EventEvict) taskEvent()            {}
+func (EventCancel) taskEvent()           {}
+func (EventOffer) taskEvent()            {}
+func (EventStarted) taskEvent()          {}
+func (EventNeverBegan) taskEvent()       {}
+func (EventStopped) taskEvent()          {}
+func (EventFinished) taskEvent()         {}
+func (EventUnreachable) taskEvent()      {}
+func (EventWorkerTerminated) taskEvent() {}
+func (EventOfferAccepted) taskEvent()    {}
+func (EventOfferRefused) taskEvent()     {}
+func (EventReturned) taskEvent()         {}
+func (EventRemoteDone) taskEvent()       {}
--- a/models/task_step.go
+++ b/models/task_step.go
@@ -28,7 +28,7 @@
 		return stepFinished(t, e)
 	case EventUnreachable:
 		return stepUnreachable(t)
-	case EventWorkerGone:
+	case EventWorkerTerminated:
 		return stepWorkerTerminated(t, e)
 	case EventOfferAccepted:
 		return stepOfferAccepted(t, e)
@@ -113,14 +113,14 @@
 }
 
 func stepNeverBegan(t Task, e EventNeverBegan) (Task, []TaskAction, bool) {
-	if !t.HoldsRoom() || t.Attempt != e.Attempt {
+	if !t.HoldsCapacity() || t.Attempt != e.Attempt {
 		return t, nil, false
 	}
 	return requeue(t, e.Reason), nil, true
 }
 
 func stepStopped(t Task, e EventStopped) (Task, []TaskAction, bool) {
-	if !t.HoldsRoom() || t.Attempt != e.Attempt {
+	if !t.HoldsCapacity() || t.Attempt != e.Attempt {
 		return t, nil, false
 	}
 	if e.Checkpoint != "" {
@@ -134,7 +134,7 @@
 }
 
 func stepFinished(t Task, e EventFinished) (Task, []TaskAction, bool) {
-	if !t.HoldsRoom() || t.Attempt != e.Attempt {
+	if !t.HoldsCapacity() || t.Attempt != e.Attempt {
 		return t, nil, false
 	}
 	actions := []TaskAction{ActionAcknowledge}
@@ -163,8 +163,8 @@
 	}
 }
 
-func stepWorkerTerminated(t Task, e EventWorkerGone) (Task, []TaskAction, bool) {
-	if !t.HoldsRoom() {
+func stepWorkerTerminated(t Task, e EventWorkerTerminated) (Task, []TaskAction, bool) {
+	if !t.HoldsCapacity() {
 		return t, nil, false
 	}
 	t.Reason = e.Reason
--- a/models/team.go
+++ b/models/team.go
@@ -50,8 +50,8 @@
 	return d.Size.Check()
 }
 
-// Fill returns the job with the defaults filled in for the fields that it doesn't set.
-func (d JobDefaults) Fill(job JobSpec) JobSpec {
+// ApplyTo returns the job with the defaults filled in for the fields that it doesn't set.
+func (d JobDefaults) ApplyTo(job JobSpec) JobSpec {
 	if len(d.Labels) > 0 {
 		labels := maps.Clone(d.Labels)
 		maps.Copy(labels, job.Labels)
--- a/models/worker.go
+++ b/models/worker.go
@@ -24,11 +24,11 @@
 
 // The reasons for which a worker refuses a call.
 const (
-	RefusedEpoch       Refusal = "epoch"       // an owner with a later epoch has called the worker
-	RefusedIncarnation Refusal = "incarnation" // the call is for another incarnation of the worker
-	RefusedBarred      Refusal = "barred"      // the attempt was stopped before its start call arrived
-	RefusedRoom        Refusal = "room"        // the worker counts too little free capacity; it bars the attempt
-	RefusedAttempt     Refusal = "attempt"     // the worker has seen a later attempt of the task
+	RefusedEpoch        Refusal = "epoch"       // an owner with a later epoch has called the worker
+	RefusedIncarnation  Refusal = "incarnation" // the call is for another incarnation of the worker
+	RefusedBarred       Refusal = "barred"      // the attempt was stopped before its start call arrived
+	RefusedCapacity     Refusal = "room"        // the worker counts too little free capacity; it bars the attempt
+	RefusedStaleAttempt Refusal = "attempt"     // the worker has seen a later attempt of the task
 )
 
 // StartCall asks a worker to run an attempt under a lease.
@@ -96,13 +96,13 @@
 // AttemptReport is the report on one attempt in a worker's answer.
 type AttemptReport struct {
 	AttemptRef
-	Status     AttemptStatus `json:"status"`
-	Checkpoint string        `json:"checkpoint,omitempty"`
-	Reason     string        `json:"reason,omitempty"`
-	Usage      Resources     `json:"usage"`              // measured, with a delay
-	P99        Milli         `json:"p99_ms,omitempty"`   // measured, with a delay; services only
-	Observed   uint64        `json:"observed,omitempty"` // number of the measurement that the delayed values are from
-	Progress   int           `json:"progress,omitempty"` // percent of the task's work
+	Status       AttemptStatus `json:"status"`
+	Checkpoint   string        `json:"checkpoint,omitempty"`
+	Reason       string        `json:"reason,omitempty"`
+	Usage        Resources     `json:"usage"`              // measured, with a delay
+	P99          Milli         `json:"p99_ms,omitempty"`   // measured, with a delay; services only
+	SampleNumber uint64        `json:"observed,omitempty"` // number of the measurement that the delayed values are from
+	Progress     int           `json:"progress,omitempty"` // percent of the task's work
 }
 
 // Check rejects an unknown status and a usage that is out of range.
@@ -132,7 +132,7 @@
 type StopCall struct {
 	Guard
 	AttemptRef
-	Checkpoint bool `json:"checkpoint"` // take a checkpoint first
+	TakeCheckpoint bool `json:"checkpoint"` // take a checkpoint first
 }
 
 // Check implements wire.Checker; every value is valid.
--- a/modules/calltime/calltime.go
+++ b/modules/calltime/calltime.go
@@ -22,8 +22,8 @@
 
 // Config bounds the limit.
 type Config struct {
-	Least time.Duration // lower bound and initial limit
-	Most  time.Duration // upper bound
+	Min time.Duration // lower bound and initial limit
+	Max time.Duration // upper bound
 }
 
 // Limit is an adaptive time limit of calls. It is safe for concurrent use.
@@ -52,11 +52,11 @@
 
 // New returns a limit that starts at its lower bound.
 func New(config Config) *Limit {
-	return &Limit{config: config, current: config.Least, adjustedAt: time.Now()}
+	return &Limit{config: config, current: config.Min, adjustedAt: time.Now()}
 }
 
-// Least returns the lower bound, which is the limit while peers answer quickly.
-func (l *Limit) Least() time.Duration { return l.config.Least }
+// Min returns the lower bound, which is the limit while peers answer quickly.
+func (l *Limit) Min() time.Duration { return l.config.Min }
 
 // Current returns the present limit.
 func (l *Limit) Current() time.Duration {
@@ -73,8 +73,8 @@
 	minCalls       = 20
 )
 
-// Note adds the outcome of a call and adjusts the limit when that is due.
-func (l *Limit) Note(call Call) {
+// Record adds the outcome of a call and adjusts the limit when that is due.
+func (l *Limit) Record(call Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.outcomes.add(call, l.current)
@@ -117,9 +117,9 @@
 	answered := float64(l.outcomes.all - l.outcomes.lost)
 	switch {
 	case float64(l.outcomes.lost) >= lostShare*float64(l.outcomes.all), float64(l.outcomes.late) > lateShare*answered:
-		return min(growFactor*l.current, l.config.Most)
+		return min(growFactor*l.current, l.config.Max)
 	case float64(l.outcomes.quick) >= quickShare*answered:
-		return max(time.Duration(float64(l.current)/shrinkFactor), l.config.Least)
+		return max(time.Duration(float64(l.current)/shrinkFactor), l.config.Min)
 	default:
 		return l.current
 	}
--- a/modules/calltime/calltime_test.go
+++ b/modules/calltime/calltime_test.go
@@ -37,7 +37,7 @@
 }
 
 func (c limitCase) run(t *testing.T) {
-	limit := calltime.New(calltime.Config{Least: 400 * time.Millisecond, Most: 2 * time.Second})
+	limit := calltime.New(calltime.Config{Min: 400 * time.Millisecond, Max: 2 * time.Second})
 	for _, p := range c.Phases {
 		p.run(limit)
 		require.Equal(t, time.Duration(p.Limit)*time.Millisecond, limit.Current())
@@ -70,5 +70,5 @@
 		took = timeout
 	}
 	time.Sleep(took)
-	limit.Note(calltime.Call{Took: took, Answered: answered})
+	limit.Record(calltime.Call{Took: took, Answered: answered})
 }
--- a/modules/clock/suspension.go
+++ b/modules/clock/suspension.go
@@ -19,14 +19,14 @@
 
 // Config holds the time sources of a Clock and its callbacks.
 type Config struct {
-	// Steady is the clock that stops while the VM is suspended; time.Now if nil.
-	Steady func() time.Time
-	Meter  Meter // the meter of this VM if nil
-	// Note is called with the result of each reading of the meter; optional. While the meter
+	// Monotonic is the clock that stops while the VM is suspended; time.Now if nil.
+	Monotonic func() time.Time
+	Meter     Meter // the meter of this VM if nil
+	// OnReading is called with the result of each reading of the meter; optional. While the meter
 	// returns an error, suspensions of the VM are not counted.
-	Note func(err error)
-	// Seen is called with the time for which the VM has been suspended since the last reading; optional.
-	Seen func(suspended time.Duration)
+	OnReading func(err error)
+	// OnSuspension is called with the time for which the VM has been suspended since the last reading; optional.
+	OnSuspension func(suspended time.Duration)
 }
 
 // Clock is the clock that leases, proofs and the age of learned parameters are checked against. It advances
@@ -43,29 +43,29 @@
 
 // New returns a clock; unset fields of config get their defaults.
 func New(config Config) *Clock {
-	if config.Steady == nil {
-		config.Steady = time.Now
+	if config.Monotonic == nil {
+		config.Monotonic = time.Now
 	}
 	if config.Meter == nil {
 		config.Meter = newVMMeter()
 	}
-	if config.Note == nil {
-		config.Note = func(error) {}
+	if config.OnReading == nil {
+		config.OnReading = func(error) {}
 	}
-	if config.Seen == nil {
-		config.Seen = func(time.Duration) {}
+	if config.OnSuspension == nil {
+		config.OnSuspension = func(time.Duration) {}
 	}
 	return &Clock{config: config}
 }
 
 // Now returns the time, including the suspensions that earlier calls of Read have counted.
-func (c *Clock) Now() time.Time { return c.config.Steady().Add(c.Suspended()) }
+func (c *Clock) Now() time.Time { return c.config.Monotonic().Add(c.Suspended()) }
 
 // Read reads the meter and returns the time, including every suspension so far. It costs two system calls.
 // Call it right before an action that depends on a lease; elsewhere Now suffices.
 func (c *Clock) Read() time.Time {
 	suspended, err := c.config.Meter.Suspended()
-	c.config.Note(err)
+	c.config.OnReading(err)
 	if err == nil {
 		c.addSuspension(suspended)
 	}
@@ -80,7 +80,7 @@
 			return
 		}
 		if c.suspendedNanos.CompareAndSwap(before, int64(suspended)) {
-			c.config.Seen(suspended - time.Duration(before))
+			c.config.OnSuspension(suspended - time.Duration(before))
 			return
 		}
 	}
--- a/modules/clock/suspension_test.go
+++ b/modules/clock/suspension_test.go
@@ -23,7 +23,7 @@
 	start := time.Unix(1_000_000, 0)
 	meter := &fakeMeter{}
 	var seen []time.Duration
-	c := New(Config{Steady: func() time.Time { return start }, Meter: meter, Seen: func(d time.Duration) { seen = append(seen, d) }})
+	c := New(Config{Monotonic: func() time.Time { return start }, Meter: meter, OnSuspension: func(d time.Duration) { seen = append(seen, d) }})
 	before := c.Read()
 	meter.suspended = 5 * time.Second
 	require.Equal(t, before, c.Now(), "the meter has not been read yet")
@@ -35,7 +35,7 @@
 
 func TestClockNeverGoesBack(t *testing.T) {
 	meter := &fakeMeter{suspended: time.Second}
-	c := New(Config{Steady: func() time.Time { return time.Unix(7, 0) }, Meter: meter})
+	c := New(Config{Monotonic: func() time.Time { return time.Unix(7, 0) }, Meter: meter})
 	first := c.Read()
 	// Two threads that read the meter concurrently may store their readings in reverse order.
 	meter.suspended = time.Second - 3*time.Millisecond
@@ -45,8 +45,8 @@
 func TestClockWithoutMeterGoesOn(t *testing.T) {
 	readings := 0
 	c := New(Config{
-		Steady: func() time.Time { return time.Unix(7, 0) }, Meter: &fakeMeter{err: errors.New("suspensions are not reported")},
-		Note: func(error) { readings++ },
+		Monotonic: func() time.Time { return time.Unix(7, 0) }, Meter: &fakeMeter{err: errors.New("suspensions are not reported")},
+		OnReading: func(error) { readings++ },
 	})
 	require.Equal(t, time.Unix(7, 0), c.Read())
 	require.Equal(t, 1, readings)
--- a/modules/idleconn/idleconn.go
+++ b/modules/idleconn/idleconn.go
@@ -72,17 +72,19 @@
 
 // Counts are numbers of connections.
 type Counts struct {
-	Opened  int64 // including failed attempts to open a connection
-	GivenUp int64 // closed because they were probably silent
+	Opened       int64 // including failed attempts to open a connection
+	ClosedSilent int64 // closed because they were probably silent
 }
 
 // Counts returns the numbers for all connections so far.
-func (s *Set) Counts() Counts { return Counts{Opened: s.dialed.Load(), GivenUp: s.closedSilent.Load()} }
+func (s *Set) Counts() Counts {
+	return Counts{Opened: s.dialed.Load(), ClosedSilent: s.closedSilent.Load()}
+}
 
-// Stalled handles a call to address that was sent at the given time and got no answer in time: it closes the
+// OnStall handles a call to address that was sent at the given time and got no answer in time: it closes the
 // idle connections that are probably silent too. If the transport assigns a call to such a connection
 // meanwhile, nothing can be written to the connection, and the transport uses another connection for the call.
-func (s *Set) Stalled(address string, sent time.Time) {
+func (s *Set) OnStall(address string, sent time.Time) {
 	for _, c := range s.suspects(address, sent) {
 		if c.state.CompareAndSwap(idle, closed) {
 			s.closedSilent.Add(1)
@@ -91,9 +93,9 @@
 	}
 }
 
-// Passes reports whether data arrived over a connection to address that was opened at the given time or later.
+// NewerConnWorks reports whether data arrived over a connection to address that was opened at the given time or later.
 // If so, an unanswered call that was sent at that time is lost, not late.
-func (s *Set) Passes(address string, since time.Time) bool {
+func (s *Set) NewerConnWorks(address string, since time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.peers[address] {
--- a/modules/idleconn/idleconn_test.go
+++ b/modules/idleconn/idleconn_test.go
@@ -63,8 +63,8 @@
 	}
 	sleepUntil(began, c.Stalled)
 	sent := began.Add(milliseconds(c.Sent))
-	require.Equal(t, c.Passes, set.Passes(testPeer, sent))
-	set.Stalled(testPeer, sent)
+	require.Equal(t, c.Passes, set.NewerConnWorks(testPeer, sent))
+	set.OnStall(testPeer, sent)
 	group.Wait()
 	closed := int64(0)
 	for i, each := range c.Conns {
@@ -73,7 +73,7 @@
 			closed++
 		}
 	}
-	require.Equal(t, idleconn.Counts{Opened: int64(len(c.Conns)), GivenUp: closed}, set.Counts())
+	require.Equal(t, idleconn.Counts{Opened: int64(len(c.Conns)), ClosedSilent: closed}, set.Counts())
 }
 
 // run opens a connection and replays its history.
--- a/modules/inflight/inflight.go
+++ b/modules/inflight/inflight.go
@@ -25,9 +25,9 @@
 
 // Config bounds the limit and sets the latencies that change it.
 type Config struct {
-	Least int // lower bound
-	First int // initial limit
-	Most  int // upper bound
+	Min     int // lower bound
+	Initial int // initial limit
+	Max     int // upper bound
 	// Quick is the latency up to which an answer shows that the caller keeps up with its calls.
 	Quick time.Duration
 	// Late is the latency above which an answer shows that the caller does not keep up.
@@ -61,7 +61,7 @@
 
 // New returns a limit with its initial value.
 func New(config Config) *Limit {
-	return &Limit{config: config, current: config.First, adjustedAt: time.Now()}
+	return &Limit{config: config, current: config.Initial, adjustedAt: time.Now()}
 }
 
 // Free returns how many calls may begin now.
@@ -81,8 +81,8 @@
 // latencyMaxAge is how long after the last adjustment the mean latency is valid.
 const latencyMaxAge = time.Second
 
-// Typical returns the mean latency of recent answers, or 0 if there were too few.
-func (l *Limit) Typical() time.Duration {
+// MeanLatency returns the mean latency of recent answers, or 0 if there were too few.
+func (l *Limit) MeanLatency() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if time.Since(l.adjustedAt) > latencyMaxAge {
@@ -155,9 +155,9 @@
 	}
 	switch {
 	case float64(outcomes.lost) >= lostShare*float64(outcomes.all), float64(outcomes.late) > lateShare*float64(answered):
-		l.current = max(l.config.Least, int(decreaseFactor*float64(l.current)))
+		l.current = max(l.config.Min, int(decreaseFactor*float64(l.current)))
 	case l.reached && float64(outcomes.quick) >= quickShare*float64(answered):
-		l.current = min(l.config.Most, l.current+increaseStep)
+		l.current = min(l.config.Max, l.current+increaseStep)
 	}
 	l.adjustedAt, l.outcomes, l.reached = now, counts{}, l.inFlight >= l.current
 }
--- a/modules/inflight/inflight_test.go
+++ b/modules/inflight/inflight_test.go
@@ -26,7 +26,7 @@
 	} `json:"steps"`
 }
 
-var testConfig = inflight.Config{Least: 8, First: 64, Most: 90, Quick: 100 * time.Millisecond, Late: 200 * time.Millisecond}
+var testConfig = inflight.Config{Min: 8, Initial: 64, Max: 90, Quick: 100 * time.Millisecond, Late: 200 * time.Millisecond}
 
 func TestLimitFollowsAnswers(t *testing.T) {
 	for _, c := range casefile.Read[[]limitCase](t, "testdata/limits.json") {
@@ -52,7 +52,7 @@
 
 func TestFreeIsWhatIsNotUnderWay(t *testing.T) {
 	limit := inflight.New(testConfig)
-	for range testConfig.First - 1 {
+	for range testConfig.Initial - 1 {
 		limit.Begin()
 	}
 	require.Equal(t, 1, limit.Free())
@@ -72,8 +72,8 @@
 		for range 10 {
 			limit.End(inflight.Call{Took: 30 * time.Millisecond, Answered: true})
 		}
-		require.Equal(t, 30*time.Millisecond, limit.Typical())
+		require.Equal(t, 30*time.Millisecond, limit.MeanLatency())
 		time.Sleep(2 * time.Second)
-		require.Zero(t, limit.Typical(), "latencies older than latencyMaxAge are not reported")
+		require.Zero(t, limit.MeanLatency(), "latencies older than latencyMaxAge are not reported")
 	})
 }
--- a/modules/pack/pack.go
+++ b/modules/pack/pack.go
@@ -25,9 +25,9 @@
 
 // Config sets the parameters of compression. Packing and unpacking must use the same dictionary.
 type Config struct {
-	Dictionary string // common substrings of values; may be empty
-	From       int    // size of a value's JSON in bytes from which it is deflated
-	Limit      int64  // maximum size of an inflated value in bytes
+	Dictionary  string // common substrings of values; may be empty
+	MinDeflate  int    // size of a value's JSON in bytes from which it is deflated
+	MaxInflated int64  // maximum size of an inflated value in bytes
 }
 
 // Formats of a packed value, given by its first byte.
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode value")
 	}
-	if len(data) < p.config.From {
+	if len(data) < p.config.MinDeflate {
 		return append([]byte{formatPlain}, data...), nil
 	}
 	var out bytes.Buffer
@@ -96,12 +96,12 @@
 
 func (p *Packer) inflate(data []byte) ([]byte, error) {
 	r := flate.NewReaderDict(bytes.NewReader(data), []byte(p.config.Dictionary))
-	plain, err := io.ReadAll(io.LimitReader(r, p.config.Limit+1))
+	plain, err := io.ReadAll(io.LimitReader(r, p.config.MaxInflated+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "inflate value")
 	}
-	if int64(len(plain)) > p.config.Limit {
-		return nil, errors.Newf("value inflates to more than %d bytes", p.config.Limit)
+	if int64(len(plain)) > p.config.MaxInflated {
+		return nil, errors.Newf("value inflates to more than %d bytes", p.config.MaxInflated)
 	}
 	return plain, nil
 }
--- a/modules/pack/pack_test.go
+++ b/modules/pack/pack_test.go
@@ -16,7 +16,7 @@
 const limit = 1 << 16
 
 func packer() *pack.Packer {
-	return pack.New(pack.Config{Dictionary: "abcabc", From: 100, Limit: limit})
+	return pack.New(pack.Config{Dictionary: "abcabc", MinDeflate: 100, MaxInflated: limit})
 }
 
 // TestRoundTrip packs and unpacks short and long values, and checks that a value that inflates beyond the limit is
--- a/modules/peerrpc/pack.go
+++ b/modules/peerrpc/pack.go
@@ -24,7 +24,7 @@
 	maxBody     = 64 << 20 // bytes that a body may inflate to
 )
 
-var packer = pack.New(pack.Config{Dictionary: dictionary, From: deflateFrom, Limit: maxBody})
+var packer = pack.New(pack.Config{Dictionary: dictionary, MinDeflate: deflateFrom, MaxInflated: maxBody})
 
 // Pack encodes a domain type as the body of a call.
 func Pack(value any) ([]byte, error) { return packer.Pack(value) }
--- a/modules/stall/stall.go
+++ b/modules/stall/stall.go
@@ -42,8 +42,8 @@
 	Silence time.Duration
 }
 
-// Evenly returns limits that allow the same time for each part of a call.
-func Evenly(limit time.Duration) Limits { return Limits{Answer: limit, Silence: limit} }
+// Uniform returns limits that allow the same time for each part of a call.
+func Uniform(limit time.Duration) Limits { return Limits{Answer: limit, Silence: limit} }
 
 // maxCallTime bounds the total time of a call, even if it makes steady progress. 8 MB, the largest answer that
 // any caller reads, takes 30 s at 2 Mbit/s, which is a fifth of the narrowest link in use.
@@ -100,7 +100,7 @@
 // expire ends the call. It notifies the connections first, because the next call may follow immediately.
 func (w *watchdog) expire() {
 	if w.conns != nil {
-		w.conns.Stalled(w.host, w.sent)
+		w.conns.OnStall(w.host, w.sent)
 	}
 	w.cancel(ErrStalled)
 }
--- a/routers/operator/operator.go
+++ b/routers/operator/operator.go
@@ -57,11 +57,11 @@
 	router.GET(PathStatus, h.status)
 	router.GET(PathConfig, h.getConfig)
 	router.POST(PathConfig, h.applyConfig)
-	router.GET(PathJobs, h.list(models.ForwardCall{Jobs: true}))
+	router.GET(PathJobs, h.list(models.ForwardCall{ListJobs: true}))
 	router.POST(PathJobs, h.submit)
 	router.POST(PathCancel, h.cancel)
-	router.GET(PathTasks, h.list(models.ForwardCall{Tasks: true}))
-	router.GET(PathWorkers, h.list(models.ForwardCall{Worker: true}))
+	router.GET(PathTasks, h.list(models.ForwardCall{ListTasks: true}))
+	router.GET(PathWorkers, h.list(models.ForwardCall{ListWorkers: true}))
 	router.GET(PathExplain, h.explain)
 	router.GET(PathRefused, h.refusals)
 	router.GET(PathDump, h.dump)
@@ -170,7 +170,7 @@
 		wire.Write(w, http.StatusBadRequest, wire.Problem{Error: "query parameter task is missing"})
 		return
 	}
-	h.list(models.ForwardCall{Task: task})(w, r, p)
+	h.list(models.ForwardCall{ExplainTask: task})(w, r, p)
 }
 
 func (h *handlers) refusals(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
--- a/routers/peer/peer.go
+++ b/routers/peer/peer.go
@@ -33,8 +33,8 @@
 	Cells     *cell.Manager
 	Claims    *claim.Service
 	Inventory *inventory.Service
-	// Heard is called with each heartbeat received.
-	Heard func(models.Heartbeat)
+	// OnHeartbeat is called with each heartbeat received.
+	OnHeartbeat func(models.Heartbeat)
 }
 
 // New returns the handler of the peers' listener.
@@ -46,7 +46,7 @@
 func (s *server) Heartbeat(_ context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
 	return serve(s, in, func(beat models.Heartbeat) (models.Heartbeat, error) {
 		answer := s.Members.Receive(beat)
-		s.Heard(beat)
+		s.OnHeartbeat(beat)
 		return answer, nil
 	})
 }
@@ -62,12 +62,12 @@
 
 // Offer implements peerrpc.Peer.
 func (s *server) Offer(ctx context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
-	return serve(s, in, func(call models.OfferCall) (models.OfferAnswer, error) { return s.Cells.OfferHere(ctx, call) })
+	return serve(s, in, func(call models.OfferCall) (models.OfferAnswer, error) { return s.Cells.ServeOffer(ctx, call) })
 }
 
 // Report implements peerrpc.Peer.
 func (s *server) Report(ctx context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
-	return serve(s, in, func(call models.ReportCall) (models.ReportAnswer, error) { return s.Cells.ReportHere(ctx, call) })
+	return serve(s, in, func(call models.ReportCall) (models.ReportAnswer, error) { return s.Cells.ServeReport(ctx, call) })
 }
 
 // Claim implements peerrpc.Peer.
@@ -77,12 +77,12 @@
 
 // Forward implements peerrpc.Peer.
 func (s *server) Forward(ctx context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
-	return serve(s, in, func(call models.ForwardCall) (models.ForwardAnswer, error) { return s.Cells.ForwardHere(ctx, call) })
+	return serve(s, in, func(call models.ForwardCall) (models.ForwardAnswer, error) { return s.Cells.ServeForward(ctx, call) })
 }
 
 // Handover implements peerrpc.Peer.
 func (s *server) Handover(_ context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
-	return serve(s, in, s.Cells.AdoptHere)
+	return serve(s, in, s.Cells.ServeHandover)
 }
 
 // serve decodes and performs one call, and converts its error to a twirp error that carries the refusal.
--- a/routers/routers.go
+++ b/routers/routers.go
@@ -32,7 +32,7 @@
 		}),
 		Peer: peer.New(peer.Config{
 			Self: models.MemberID(d.Settings.Daemon.ID), Members: d.Members, Settings: d.Config, Cells: d.Cells,
-			Claims: d.Claims, Inventory: d.Inventory, Heard: d.Heard,
+			Claims: d.Claims, Inventory: d.Inventory, OnHeartbeat: d.HandleHeartbeat,
 		}),
 	}
 }
--- a/services/cell/act.go
+++ b/services/cell/act.go
@@ -85,7 +85,7 @@
 	}
 	call := models.StopCall{
 		Guard:      models.Guard{Cell: o.config.Cell, Epoch: o.config.Epoch, Incarnation: l.incarnation},
-		AttemptRef: ref, Checkpoint: checkpoint,
+		AttemptRef: ref, TakeCheckpoint: checkpoint,
 	}
 	if !l.enqueue(stopCall{call}) {
 		delete(o.inFlight, key)
--- a/services/cell/calls.go
+++ b/services/cell/calls.go
@@ -20,10 +20,10 @@
 	switch {
 	case o.frozen || o.superseded:
 		m.reply <- o.refuseCall(m.call)
-	case !m.call.Changes():
+	case !m.call.HasChanges():
 		m.reply <- forwardReply{answer: o.query(m.call)}
 	case o.storeFails.Load():
-		m.reply <- o.changeReply(m.call, ErrNoStore)
+		m.reply <- o.changeReply(m.call, ErrStoreUnavailable)
 	default:
 		o.stage(m)
 	}
@@ -31,7 +31,7 @@
 
 // refuseCall answers a call that this owner can no longer execute.
 func (o *Owner) refuseCall(call models.ForwardCall) forwardReply {
-	if !call.Changes() {
+	if !call.HasChanges() {
 		return forwardReply{err: ErrNotOwner}
 	}
 	return o.changeReply(call, ErrNotOwner)
@@ -43,7 +43,7 @@
 	now := models.UnixMilliOf(time.Now())
 	for _, spec := range m.call.Submit {
 		if !o.knownJob(spec.ID) {
-			s.jobs = append(s.jobs, models.Job{JobSpec: spec, State: models.JobActive, Submitted: now})
+			s.jobs = append(s.jobs, models.Job{JobSpec: spec, State: models.JobActive, SubmittedAt: now})
 		}
 	}
 	o.staged = append(o.staged, s)
@@ -57,24 +57,24 @@
 // query answers calls that change nothing.
 func (o *Owner) query(call models.ForwardCall) models.ForwardAnswer {
 	var answer models.ForwardAnswer
-	if call.Jobs {
+	if call.ListJobs {
 		answer.Jobs = slices.SortedFunc(maps.Values(o.working.Jobs), func(a, b models.Job) int {
-			return cmp.Or(cmp.Compare(a.Submitted, b.Submitted), strings.Compare(string(a.ID), string(b.ID)))
+			return cmp.Or(cmp.Compare(a.SubmittedAt, b.SubmittedAt), strings.Compare(string(a.ID), string(b.ID)))
 		})
 	}
-	if call.Tasks {
+	if call.ListTasks {
 		answer.Tasks = slices.SortedFunc(maps.Values(o.working.Tasks), func(a, b models.Task) int {
 			return strings.Compare(string(a.ID), string(b.ID))
 		})
 	}
-	if call.Worker {
+	if call.ListWorkers {
 		answer.Workers = o.workerStatuses()
 	}
-	if call.Task != "" {
-		if t, ok := o.working.Tasks[call.Task]; ok {
+	if call.ExplainTask != "" {
+		if t, ok := o.working.Tasks[call.ExplainTask]; ok {
 			answer.Tasks = []models.Task{t}
 		}
-		answer.Decisions = o.decisions.of(call.Task)
+		answer.Decisions = o.decisions.of(call.ExplainTask)
 	}
 	return answer
 }
@@ -93,7 +93,7 @@
 			}
 		}
 		if !w.Usable {
-			status.State = w.Why
+			status.State = w.UnusableReason
 		}
 		statuses = append(statuses, status)
 	}
@@ -144,7 +144,7 @@
 		}
 	}
 	for _, job := range o.working.Jobs {
-		n += job.Tasks - job.Next
+		n += job.Tasks - job.NextIndex
 	}
 	return n
 }
@@ -155,14 +155,14 @@
 		return
 	}
 	o.publishedAt = time.Now()
-	beat := models.CellBeat{Epoch: o.config.Epoch, Teams: o.localUsage(), Waits: o.countWaiting()}
+	beat := models.CellBeat{Epoch: o.config.Epoch, Teams: o.localUsage(), Waiting: o.countWaiting()}
 	for _, w := range o.workers() {
 		if !w.Usable {
 			continue
 		}
 		beat.Free = beat.Free.Add(w.Free)
-		if w.Free.CPU > beat.Room.CPU {
-			beat.Room = w.Free
+		if w.Free.CPU > beat.LargestFree.CPU {
+			beat.LargestFree = w.Free
 		}
 	}
 	o.beat.Store(&beat)
--- a/services/cell/commit.go
+++ b/services/cell/commit.go
@@ -168,7 +168,7 @@
 	}
 	o.working.Apply(change) // the append is written in the end, or this owner is superseded
 	o.unsettled = true
-	o.beginAppend(ctx, change, func(ctx context.Context, _ models.CellChange) error { return o.journal.Settle(ctx) })
+	o.beginAppend(ctx, change, func(ctx context.Context, _ models.CellChange) error { return o.journal.ResolvePending(ctx) })
 }
 
 // retryAppend is the interval between two attempts to settle an append.
@@ -187,7 +187,7 @@
 			return
 		}
 		clock.Sleep(appendContext, retryAppend)
-		result = appendResultOf(o.journal.Settle(appendContext))
+		result = appendResultOf(o.journal.ResolvePending(appendContext))
 	}
 	o.send(ctx, appendedMessage{change: change, result: result})
 }
@@ -230,7 +230,7 @@
 	o.unsettled = true
 	var sent []staged
 	for _, s := range o.staged {
-		o.answer(s, ErrNoStore)
+		o.answer(s, ErrStoreUnavailable)
 		if s.sent {
 			s.reply = nil
 			sent = append(sent, s)
@@ -260,7 +260,7 @@
 	case appendFailed:
 		o.endAppend()
 		o.recordStoreFailure(r.err)
-		o.answerStaged(ErrNoStore)
+		o.answerStaged(ErrStoreUnavailable)
 		o.restoreDirty(m.change)
 		o.nextAppend = time.Now().Add(max(o.config.Settings.Append, retryAppend))
 	case appendUnknown:
--- a/services/cell/cycle.go
+++ b/services/cell/cycle.go
@@ -38,7 +38,7 @@
 // placeOne places one candidate on a worker of this cell, offers it to another cell, or preempts
 // batch tasks for it.
 func (o *Owner) placeOne(c candidate) {
-	if c.virtual && c.task.Index != o.working.Jobs[c.task.Job].Next {
+	if c.virtual && c.task.Index != o.working.Jobs[c.task.Job].NextIndex {
 		return // an earlier task of the job found no place in this cycle
 	}
 	workers := o.workers()
@@ -56,7 +56,7 @@
 			return
 		}
 	}
-	if choice.Never && !o.anyWorkerCouldHold(c.task) {
+	if choice.NeverFits && !o.anyWorkerCouldHold(c.task) {
 		choice.Reason = "no worker of any cell could hold it even if empty"
 	}
 	o.recordDecision(c.task.ID, "waits", "", choice.Reason)
@@ -64,9 +64,9 @@
 }
 
 func (o *Owner) request(t models.Task, workers []place.Worker) place.Request {
-	if _, pairs := o.policy.(place.Pairs); pairs && t.Kind == models.TaskBatch {
+	if _, pairs := o.policy.(place.PairPrediction); pairs && t.Kind == models.TaskBatch {
 		for i := range workers {
-			workers[i].Trying = o.hasUnknownPair(workers[i])
+			workers[i].TryingUnknownPair = o.hasUnknownPair(workers[i])
 		}
 	}
 	return place.Request{
@@ -93,7 +93,7 @@
 		return
 	}
 	job := o.working.Jobs[c.task.Job]
-	job.Next++
+	job.NextIndex++
 	o.putJob(job)
 	o.putTask(c.task)
 }
@@ -106,17 +106,17 @@
 	index := make(map[models.VMID]int, len(o.links))
 	for _, id := range o.sortedLinks() {
 		l := o.links[id]
-		w := place.Worker{VM: l.vm, Free: l.vm.Capacity, OverNow: o.overTarget(l)}
-		w.Why = o.unusableReason(l, view.Drained(id), now)
-		w.Usable = w.Why == ""
+		w := place.Worker{VM: l.vm, Free: l.vm.Capacity, ServiceOverTarget: o.overTarget(l)}
+		w.UnusableReason = o.unusableReason(l, view.Drained(id), now)
+		w.Usable = w.UnusableReason == ""
 		if h, ok := o.holds[id]; ok && now.Before(h.until) {
-			w.Held = h.task
+			w.ReservedFor = h.task
 		}
 		index[id] = len(workers)
 		workers = append(workers, w)
 	}
 	for _, t := range o.working.Tasks {
-		if i, ok := index[t.Worker]; ok && t.HoldsRoom() {
+		if i, ok := index[t.Worker]; ok && t.HoldsCapacity() {
 			workers[i].Free = workers[i].Free.Sub(t.Size)
 			workers[i].Tasks = append(workers[i].Tasks, t)
 		}
@@ -166,11 +166,11 @@
 		var oldest models.Job
 		ended := 0
 		for _, job := range o.working.Jobs {
-			if job.Ended == 0 {
+			if job.EndedAt == 0 {
 				continue
 			}
 			ended++
-			if oldest.Ended == 0 || job.Ended < oldest.Ended || job.Ended == oldest.Ended && job.ID < oldest.ID {
+			if oldest.EndedAt == 0 || job.EndedAt < oldest.EndedAt || job.EndedAt == oldest.EndedAt && job.ID < oldest.ID {
 				oldest = job
 			}
 		}
--- a/services/cell/fate.go
+++ b/services/cell/fate.go
@@ -41,11 +41,11 @@
 	case journalled && reflect.DeepEqual(job.JobSpec, spec):
 		return accepted{o.latestRecord(job)}
 	case journalled, isPending && !reflect.DeepEqual(pending.JobSpec, spec):
-		return refused{errors.Wrapf(ErrOtherSpec, "job %s", spec.ID)}
+		return refused{errors.Wrapf(ErrJobIDConflict, "job %s", spec.ID)}
 	case isPending:
 		return unknown{}
 	case cause == nil: // the job was part of an earlier append, which failed
-		return refused{ErrNoStore}
+		return refused{ErrStoreUnavailable}
 	default:
 		return refused{cause}
 	}
@@ -66,7 +66,7 @@
 	case journalled: // the job's submission was part of the same append
 		return unknown{}
 	default:
-		return refused{errors.Wrapf(ErrNoJob, "job %s", id)}
+		return refused{errors.Wrapf(ErrJobNotFound, "job %s", id)}
 	}
 }
 
@@ -131,7 +131,7 @@
 	case len(r.refused) == jobs && len(slices.Compact(r.refused)) == 1:
 		return forwardReply{err: r.refused[0]}
 	case len(r.refused)+len(r.answer.Submitted)+len(r.answer.Cancelled) == 0:
-		return forwardReply{err: ErrMaybe}
+		return forwardReply{err: ErrUnknownOutcome}
 	default:
 		return forwardReply{answer: r.answer}
 	}
--- a/services/cell/handover.go
+++ b/services/cell/handover.go
@@ -87,7 +87,7 @@
 	// The state is sent only once and to one peer, also when the call fails: two peers must not adopt it.
 	answer, err := m.config.Client.Handover(ctx, successor.PeerAddress, state)
 	m.config.Logger.Info("cell is handed over", append(log.Err(err), zap.String("cell", string(cell)),
-		zap.String("to", string(successorID)), zap.Bool("taken", answer.Taken))...)
+		zap.String("to", string(successorID)), zap.Bool("taken", answer.Accepted))...)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if running := m.owners[cell]; running != nil && running.owner == owner {
@@ -96,9 +96,9 @@
 	}
 }
 
-// AdoptHere serves a handover. This daemon continues in the sender's epoch until the store can be
+// ServeHandover serves a handover. This daemon continues in the sender's epoch until the store can be
 // written again, and then takes over the cell in an epoch of its own.
-func (m *Manager) AdoptHere(call models.HandoverCall) (models.HandoverAnswer, error) {
+func (m *Manager) ServeHandover(call models.HandoverCall) (models.HandoverAnswer, error) {
 	m.mu.Lock()
 	ctx := m.runContext
 	refuse := ctx == nil || m.releasing || m.owners[call.Cell] != nil || m.epochs[call.Cell] > call.Epoch
@@ -109,9 +109,9 @@
 	j := journal.New(journal.Config{
 		Store: m.config.Store, Cell: call.Cell, Writer: m.config.Self, Slots: m.config.Settings.RingSlots, NewID: m.config.NewID,
 	})
-	if err := j.Adopt(call); err != nil {
+	if err := j.Import(call); err != nil {
 		return models.HandoverAnswer{}, errstep.Wrap(err, "adopt cell "+string(call.Cell), string(m.config.Self))
 	}
 	m.startOwner(ctx, call.Cell, j, true)
-	return models.HandoverAnswer{Taken: true}, nil
+	return models.HandoverAnswer{Accepted: true}, nil
 }
--- a/services/cell/manager.go
+++ b/services/cell/manager.go
@@ -127,7 +127,7 @@
 	m.removeSuperseded()
 	m.recordEpochs()
 	members := m.config.Members
-	if !members.Settled() || !members.HearsMost() {
+	if !members.Settled() || !members.HearsAtLeastHalf() {
 		return
 	}
 	live := members.LiveIDs()
@@ -174,7 +174,7 @@
 }
 
 func (m *Manager) recordEpochs() {
-	beats := m.config.Members.Beats()
+	beats := m.config.Members.Heartbeats()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, beat := range beats {
@@ -202,11 +202,11 @@
 	j := journal.New(journal.Config{
 		Store: m.config.Store, Cell: cell, Writer: m.config.Self, Slots: m.config.Settings.RingSlots, NewID: m.config.NewID,
 	})
-	err := j.Take(ctx)
+	err := j.Acquire(ctx)
 	for errors.Is(err, journal.ErrPending) && ctx.Err() == nil {
 		m.renewAllWorkers(ctx, cell)
 		clock.Sleep(ctx, retryAppend)
-		err = j.Settle(ctx)
+		err = j.ResolvePending(ctx)
 	}
 	switch {
 	case err == nil:
@@ -249,7 +249,7 @@
 	m.config.Logger.Info("this daemon owns the cell now", zap.String("cell", string(cell)),
 		zap.Uint64("epoch", uint64(j.Epoch())), zap.Int("tasks", len(j.State().Tasks)))
 	m.group.Go(func() { owner.Run(ownerContext) })
-	m.config.Members.Nudge()
+	m.config.Members.RequestRound()
 }
 
 // localOwner returns the owner of a cell if it runs in this daemon and has not ended.
@@ -268,8 +268,8 @@
 	}
 }
 
-// Beat fills in the cells that this daemon owns, with their published state.
-func (m *Manager) Beat(beat *models.Heartbeat) {
+// FillHeartbeat fills in the cells that this daemon owns, with their published state.
+func (m *Manager) FillHeartbeat(beat *models.Heartbeat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	beat.Cells = make(map[models.CellID]models.CellBeat, len(m.owners))
@@ -285,7 +285,7 @@
 // Cells implements Peers. Of several entries for a cell, the one of the latest epoch counts.
 func (m *Manager) Cells() map[models.CellID]models.CellBeat {
 	cells := map[models.CellID]models.CellBeat{}
-	for _, beat := range m.config.Members.Beats() {
+	for _, beat := range m.config.Members.Heartbeats() {
 		for cell, c := range beat.Cells {
 			if c.Epoch > cells[cell].Epoch {
 				cells[cell] = c
@@ -293,7 +293,7 @@
 		}
 	}
 	var own models.Heartbeat
-	m.Beat(&own)
+	m.FillHeartbeat(&own)
 	for cell, c := range own.Cells {
 		if c.Epoch > cells[cell].Epoch {
 			cells[cell] = c
--- a/services/cell/measure_table_test.go
+++ b/services/cell/measure_table_test.go
@@ -13,10 +13,10 @@
 
 // drawTable draws by how much each batch app slows down each service: most pairs by little, some by
 // much. A service is over its target when the slowdowns of its neighbours sum up to more than 1.
-func drawTable(seed uint64) fleet.PairTable {
+func drawTable(seed uint64) fleet.SlowdownTable {
 	random := rand.New(rand.NewPCG(seed, 3))
 	levels := []float64{0, 0.02, 0.05, 0.1, 0.3, 0.7, 1.3}
-	table := fleet.PairTable{}
+	table := fleet.SlowdownTable{}
 	for s := range trialServices {
 		for b := range trialApps {
 			table[fleet.Pair{Service: fmt.Sprint("s", s), Batch: fmt.Sprint("b", b)}] = levels[random.IntN(len(levels))]
@@ -28,7 +28,7 @@
 // trialTable holds the current table. The table is replaced as a whole, because the workers read it
 // concurrently.
 type trialTable struct {
-	table atomic.Pointer[fleet.PairTable]
+	table atomic.Pointer[fleet.SlowdownTable]
 }
 
 func newTable(seed uint64) *trialTable {
@@ -37,6 +37,6 @@
 	return t
 }
 
-func (t *trialTable) set(table fleet.PairTable) { t.table.Store(&table) }
+func (t *trialTable) set(table fleet.SlowdownTable) { t.table.Store(&table) }
 
-func (t *trialTable) now() fleet.PairTable { return *t.table.Load() }
+func (t *trialTable) now() fleet.SlowdownTable { return *t.table.Load() }
--- a/services/cell/measure_test.go
+++ b/services/cell/measure_test.go
@@ -57,7 +57,7 @@
 // oracle predicts slowdowns from the table itself.
 type oracle struct {
 	*interference.Learner
-	table func() fleet.PairTable
+	table func() fleet.SlowdownTable
 }
 
 // Slowdown implements place.Predictor.
@@ -86,9 +86,9 @@
 		settings := trialSettings
 		settings.Policy = t.policy
 		w := newWorldOf(tt, v, settings, fleet.Config{
-			Run: "trial", Workers: trialWorkers, PerRack: trialWorkers, Worker: models.Resources{CPU: 16_000, Memory: 61_440},
-			Domains: []string{"south/a"}, ListLag: 2 * time.Second, ReportLag: 3 * time.Second, Unserved: true,
-			Pairs: table.now, SizeError: t.sizeError, Tick: 100 * time.Millisecond,
+			RunName: "trial", Workers: trialWorkers, PerRack: trialWorkers, Worker: models.Resources{CPU: 16_000, Memory: 61_440},
+			Domains: []string{"south/a"}, ListLag: 2 * time.Second, ReportLag: 3 * time.Second, NoListeners: true,
+			Slowdowns: table.now, SizeError: t.sizeError, Tick: 100 * time.Millisecond,
 		})
 		if t.oracle {
 			w.learner = func() Learner {
--- a/services/cell/message.go
+++ b/services/cell/message.go
@@ -93,30 +93,30 @@
 func (offeredMessage) message()   {}
 func (reportedMessage) message()  {}
 
-// Errors of an operator's call. All but ErrMaybe mean that nothing was done. An error is of
+// Errors of an operator's call. All but ErrUnknownOutcome mean that nothing was done. An error is of
 // at most one of these classes, see asRefusal and asUnknownOutcome.
 var (
 	// ErrNotOwner means that this daemon doesn't own the cell, or no longer does.
 	ErrNotOwner = errors.New("not run: this daemon doesn't own the cell; ask again in a second")
-	// ErrNoStore means that the store can't be written.
-	ErrNoStore = errors.New("not run: the platform's store can't be written, so nothing is accepted; ask again in 10 seconds")
-	// ErrMaybe means that the outcome of the call is unknown, such as when the store's answer is
+	// ErrStoreUnavailable means that the store can't be written.
+	ErrStoreUnavailable = errors.New("not run: the platform's store can't be written, so nothing is accepted; ask again in 10 seconds")
+	// ErrUnknownOutcome means that the outcome of the call is unknown, such as when the store's answer is
 	// missing.
-	ErrMaybe = errors.New("unknown: the store hasn't confirmed the write; submit again with the same id, it is taken only once")
-	// ErrWrong means that the job specification is invalid.
-	ErrWrong = errors.New("not run: the job is wrong")
-	// ErrOtherSpec means that the job's id is in use by a job with another specification.
-	ErrOtherSpec = errors.New("not run: a job with this id but another content was accepted before")
-	// ErrNoJob means that the cell has no job with the id to be cancelled.
-	ErrNoJob = errors.New("not run: no such job is known in the cell")
+	ErrUnknownOutcome = errors.New("unknown: the store hasn't confirmed the write; submit again with the same id, it is taken only once")
+	// ErrInvalidJob means that the job specification is invalid.
+	ErrInvalidJob = errors.New("not run: the job is wrong")
+	// ErrJobIDConflict means that the job's id is in use by a job with another specification.
+	ErrJobIDConflict = errors.New("not run: a job with this id but another content was accepted before")
+	// ErrJobNotFound means that the cell has no job with the id to be cancelled.
+	ErrJobNotFound = errors.New("not run: no such job is known in the cell")
 )
 
 // refusalErrors lists the errors that mean that nothing was done.
-var refusalErrors = []error{ErrNotOwner, ErrNoStore, ErrOtherSpec, ErrWrong, ErrNoJob}
+var refusalErrors = []error{ErrNotOwner, ErrStoreUnavailable, ErrJobIDConflict, ErrInvalidJob, ErrJobNotFound}
 
 // asRefusal gives err the class of refusal only, which means that nothing was done. The classes
-// that err had are hidden, so that it can't match ErrMaybe or another refusal as well.
+// that err had are hidden, so that it can't match ErrUnknownOutcome or another refusal as well.
 func asRefusal(err, refusal error) error { return errclass.Only(err, refusal) }
 
-// asUnknownOutcome gives err the class ErrMaybe only: the call may have been done.
-func asUnknownOutcome(err error) error { return errclass.Only(err, ErrMaybe) }
+// asUnknownOutcome gives err the class ErrUnknownOutcome only: the call may have been done.
+func asUnknownOutcome(err error) error { return errclass.Only(err, ErrUnknownOutcome) }
--- a/services/cell/observe.go
+++ b/services/cell/observe.go
@@ -23,13 +23,13 @@
 	o.syncLinks(ctx)
 	o.cancelOrphans()
 	for _, t := range o.working.Tasks {
-		if !t.HoldsRoom() {
+		if !t.HoldsCapacity() {
 			continue
 		}
 		l := o.links[t.Worker]
 		switch {
 		case o.provedNotRunning(t.Worker, l, now):
-			o.step(t.ID, models.EventWorkerGone{Reason: "VM " + string(t.Worker) + " is gone"})
+			o.step(t.ID, models.EventWorkerTerminated{Reason: "VM " + string(t.Worker) + " is gone"})
 		case l == nil || o.isSilent(l, now):
 			if o.step(t.ID, models.EventUnreachable{}) {
 				o.recordDecision(t.ID, "lost", t.Worker, "the worker has not answered for "+o.silenceLimit().String())
@@ -72,7 +72,7 @@
 	}
 	holding := map[models.VMID]bool{}
 	for _, t := range o.working.Tasks {
-		if t.HoldsRoom() {
+		if t.HoldsCapacity() {
 			holding[t.Worker] = true
 		}
 	}
@@ -145,8 +145,8 @@
 	}
 	l.incarnation = incarnation
 	for _, t := range o.working.Tasks {
-		if t.Worker == l.vm.ID && t.HoldsRoom() && t.Incarnation != incarnation {
-			o.step(t.ID, models.EventWorkerGone{Reason: "worker " + string(t.Worker) + " was restarted"})
+		if t.Worker == l.vm.ID && t.HoldsCapacity() && t.Incarnation != incarnation {
+			o.step(t.ID, models.EventWorkerTerminated{Reason: "worker " + string(t.Worker) + " was restarted"})
 		}
 	}
 }
@@ -154,7 +154,7 @@
 // handleAttempt handles one attempt of a worker's report.
 func (o *Owner) handleAttempt(l *link, r models.AttemptReport) {
 	t, ok := o.working.Tasks[r.Task]
-	if !ok || t.Attempt != r.Attempt || !t.HoldsRoom() || t.Worker != l.vm.ID {
+	if !ok || t.Attempt != r.Attempt || !t.HoldsCapacity() || t.Worker != l.vm.ID {
 		o.handleStaleAttempt(l, r)
 		return
 	}
@@ -188,7 +188,7 @@
 		return
 	}
 	record, ok := o.journalled.Tasks[r.Task]
-	if !ok || record.Attempt > r.Attempt || !record.HoldsRoom() {
+	if !ok || record.Attempt > r.Attempt || !record.HoldsCapacity() {
 		l.acknowledge(r.AttemptRef)
 	}
 }
@@ -225,10 +225,10 @@
 		o.suspectSuperseded(m.answer.Epoch)
 	case models.RefusedIncarnation:
 		o.updateIncarnation(l, m.answer.Incarnation)
-	case models.RefusedRoom:
+	case models.RefusedCapacity:
 		neverBegan.Reason = "the worker says it has no room"
 		o.step(m.ref.Task, neverBegan)
-	case models.RefusedBarred, models.RefusedAttempt:
+	case models.RefusedBarred, models.RefusedStaleAttempt:
 		o.sendStop(l, m.ref, true) // the answer to the stop tells what became of the attempt
 	}
 }
@@ -246,7 +246,7 @@
 		o.config.Scope.Counter("stops_refused").Inc(1)
 	case models.RefusedIncarnation:
 		o.updateIncarnation(l, m.answer.Incarnation)
-	case models.RefusedBarred, models.RefusedAttempt, models.RefusedRoom:
+	case models.RefusedBarred, models.RefusedStaleAttempt, models.RefusedCapacity:
 	}
 }
 
--- a/services/cell/owner.go
+++ b/services/cell/owner.go
@@ -56,8 +56,8 @@
 type Learner interface {
 	place.Predictor
 	Observe(interference.Sample)
-	// Blame orders batch tasks by their share in a service's slowdown, the largest first.
-	Blame(service map[string]string, batch []interference.Neighbour) []int
+	// RankByImpact orders batch tasks by their share in a service's slowdown, the largest first.
+	RankByImpact(service map[string]string, batch []interference.Neighbour) []int
 }
 
 // OwnerConfig holds the settings and dependencies of an owner.
@@ -358,7 +358,7 @@
 	if t.Kind != models.TaskBatch || !ok {
 		return
 	}
-	o.putJob(job.Count(t, models.UnixMilliOf(time.Now())))
+	o.putJob(job.CountEnded(t, models.UnixMilliOf(time.Now())))
 }
 
 func (o *Owner) putJob(job models.Job) {
--- a/services/cell/pressure.go
+++ b/services/cell/pressure.go
@@ -77,10 +77,10 @@
 		if !ok || t.Kind != models.TaskService || t.Attempt != r.Attempt || r.P99 == 0 || target == 0 {
 			continue
 		}
-		if r.Observed <= l.observed[r.AttemptRef] {
+		if r.SampleNumber <= l.observed[r.AttemptRef] {
 			continue // the measurement has already been handled
 		}
-		l.observed[r.AttemptRef] = r.Observed
+		l.observed[r.AttemptRef] = r.SampleNumber
 		if time.Since(o.neighboursChangedAt[l.vm.ID]) >= o.config.Settings.SettleAfter {
 			o.config.Learner.Observe(interference.Sample{
 				Service: t.Labels, Batch: neighbours, P99: r.P99.Duration(), Target: target.Duration(), At: time.Now(),
@@ -133,8 +133,8 @@
 	for i := range order {
 		order[i] = i
 	}
-	if _, pairs := o.policy.(place.Pairs); pairs {
-		order = o.config.Learner.Blame(service.Labels, neighbours)
+	if _, pairs := o.policy.(place.PairPrediction); pairs {
+		order = o.config.Learner.RankByImpact(service.Labels, neighbours)
 	}
 	for _, i := range order {
 		t := batch[i]
@@ -240,7 +240,7 @@
 // victims lists the batch tasks to evict from a worker for t, in yield order; ok is false when t
 // would not fit even then. Only services preempt urgent tasks.
 func (o *Owner) victims(t models.Task, w place.Worker) (victims []models.Task, ok bool) {
-	if !w.Usable || w.Held != "" || !t.Size.Fits(w.VM.Capacity) {
+	if !w.Usable || w.ReservedFor != "" || !t.Size.Fits(w.VM.Capacity) {
 		return nil, false
 	}
 	candidates := slices.Clone(w.Tasks)
@@ -266,7 +266,7 @@
 	view := o.config.View()
 	for _, t := range o.working.Tasks {
 		l := o.links[t.Worker]
-		if l == nil || !t.HoldsRoom() || l.vm.State == models.VMLive && !view.Drained(t.Worker) {
+		if l == nil || !t.HoldsCapacity() || l.vm.State == models.VMLive && !view.Drained(t.Worker) {
 			continue
 		}
 		if t.Unrepeatable || t.Kind == models.TaskService && !t.Foreign() {
--- a/services/cell/queue.go
+++ b/services/cell/queue.go
@@ -62,8 +62,8 @@
 		}
 	}
 	for _, job := range o.working.Jobs {
-		if job.State == models.JobActive && job.Next < job.Tasks && !o.isSkipped(string(job.ID), now) {
-			queue = append(queue, candidate{task: job.NewTask(job.Next), virtual: true})
+		if job.State == models.JobActive && job.NextIndex < job.Tasks && !o.isSkipped(string(job.ID), now) {
+			queue = append(queue, candidate{task: job.NewTask(job.NextIndex), virtual: true})
 		}
 	}
 	return queue
@@ -102,7 +102,7 @@
 		-compare.Bool(a.Kind == models.TaskService, b.Kind == models.TaskService),
 		-compare.Bool(a.Urgent, b.Urgent),
 		cmp.Compare(o.quotaShare(a.Team, usage), o.quotaShare(b.Team, usage)),
-		cmp.Compare(a.Queued, b.Queued),
+		cmp.Compare(a.QueuedAt, b.QueuedAt),
 		cmp.Compare(a.ID, b.ID),
 	)
 	return order < 0
@@ -146,7 +146,7 @@
 func (o *Owner) localUsage() map[models.TeamName]models.Resources {
 	usage := map[models.TeamName]models.Resources{}
 	for _, t := range o.working.Tasks {
-		if t.Kind == models.TaskBatch && (t.HoldsRoom() || t.State == models.TaskOffered) {
+		if t.Kind == models.TaskBatch && (t.HoldsCapacity() || t.State == models.TaskOffered) {
 			usage[t.Team] = usage[t.Team].Add(t.Size)
 		}
 	}
--- a/services/cell/random_test.go
+++ b/services/cell/random_test.go
@@ -196,7 +196,7 @@
 	blocked := m.faults.lateCalls[daemon] != nil || m.faults.outage
 	m.mu.Unlock()
 	if blocked {
-		return nil, ErrNoStore
+		return nil, ErrStoreUnavailable
 	}
 	return m.takeOver(daemon, cell)
 }
@@ -299,7 +299,7 @@
 		jobs := m.jobs()
 		for id := range m.specs {
 			job, known := jobs[id]
-			if known && job.Ended == 0 || !known && m.accepted[id] {
+			if known && job.EndedAt == 0 || !known && m.accepted[id] {
 				return false
 			}
 		}
@@ -334,7 +334,7 @@
 func (m *machine) runningReplicas() int {
 	n := 0
 	for _, cell := range worldCells {
-		answer, err := m.forward(m.owner(cell), models.ForwardCall{Tasks: true})
+		answer, err := m.forward(m.owner(cell), models.ForwardCall{ListTasks: true})
 		if err != nil {
 			return -1
 		}
--- a/services/cell/refusal_test.go
+++ b/services/cell/refusal_test.go
@@ -79,7 +79,7 @@
 // untilJob waits until the owner holds the job.
 func (w *world) untilJob(o *testOwner, id models.JobID) {
 	w.waitUntil(10*time.Second, "job "+string(id)+" is known to its owner", func() bool {
-		answer, err := w.forward(o, models.ForwardCall{Jobs: true})
+		answer, err := w.forward(o, models.ForwardCall{ListJobs: true})
 		for _, job := range answer.Jobs {
 			if job.ID == id {
 				return err == nil
@@ -162,7 +162,7 @@
 func (w *world) idleOwner(daemon int) *Owner {
 	vms, j, err := w.newDependencies(daemon, worldCells[0])
 	require.NoError(w.t, err)
-	require.NoError(w.t, j.Take(w.ctx))
+	require.NoError(w.t, j.Acquire(w.ctx))
 	return NewOwner(OwnerConfig{
 		Cell: worldCells[0], Epoch: j.Epoch(), Settings: w.settings, Journal: j, Workers: w.workersFor(daemon), Inventory: vms,
 		View: w.config, Peers: &worldPeers{w}, Learner: w.learner(), Logger: zap.NewNop(), Scope: tally.NoopScope,
@@ -223,7 +223,7 @@
 		for range w.settings.RingSlots + 1 {
 			_, j, err := w.newDependencies(1, worldCells[0])
 			require.NoError(t, err)
-			require.NoError(t, j.Take(w.ctx))
+			require.NoError(t, j.Acquire(w.ctx))
 			require.NoError(t, j.Append(w.ctx, models.CellChange{}))
 		}
 		w.resume(0)
@@ -310,7 +310,7 @@
 		o := w.idleOwner(0)
 		_, j, err := w.newDependencies(1, worldCells[0])
 		require.NoError(t, err)
-		require.NoError(t, j.Take(w.ctx))
+		require.NoError(t, j.Acquire(w.ctx))
 		moved := models.Job{JobSpec: testJob("away", 1, 100)}.NewTask(0)
 		moved.State, moved.Attempt, moved.Peer = models.TaskMoved, 1, worldCells[1]
 		require.NoError(t, j.Append(w.ctx, models.CellChange{Tasks: []models.Task{moved}}))
--- a/services/cell/replica.go
+++ b/services/cell/replica.go
@@ -153,7 +153,7 @@
 	if t.State == models.TaskLost || t.Size != service.Size {
 		return false
 	}
-	if !t.HoldsRoom() {
+	if !t.HoldsCapacity() {
 		return true
 	}
 	l := o.links[t.Worker]
@@ -169,7 +169,7 @@
 		ID:   models.ReplicaTaskID(service.Name, replica, generation),
 		Kind: models.TaskService, Service: service.Name, Replica: replica, Generation: generation,
 		Team: service.Team, Labels: service.Labels, Size: service.Size,
-		Queued: models.UnixMilliOf(time.Now()), State: models.TaskQueued,
+		QueuedAt: models.UnixMilliOf(time.Now()), State: models.TaskQueued,
 	}
 	o.putTask(t)
 	o.recordDecision(t.ID, "created", "", "the configuration asks for replica "+key)
--- a/services/cell/route.go
+++ b/services/cell/route.go
@@ -27,8 +27,8 @@
 	return answer, classifyPeerError(call, err)
 }
 
-// ForwardHere serves a peer's Forward. The call is not forwarded again.
-func (m *Manager) ForwardHere(ctx context.Context, call models.ForwardCall) (models.ForwardAnswer, error) {
+// ServeForward serves a peer's Forward. The call is not forwarded again.
+func (m *Manager) ServeForward(ctx context.Context, call models.ForwardCall) (models.ForwardAnswer, error) {
 	owner, ok := m.localOwner(call.Cell)
 	if !ok {
 		return models.ForwardAnswer{}, errstep.Wrap(ErrNotOwner, "serve forwarded call", string(m.config.Self))
@@ -50,7 +50,7 @@
 
 // awaitReply sends a message to an owner and waits for the reply. ErrNotOwner means that the message
 // was not delivered. Once it is delivered, only the reply tells its outcome: every other error
-// is ErrMaybe.
+// is ErrUnknownOutcome.
 func awaitReply[A any](ctx context.Context, owner *Owner, msg message, reply <-chan A) (A, error) {
 	var zero A
 	if !owner.send(ctx, msg) {
@@ -90,7 +90,7 @@
 	if errors.As(err, &dial) && dial.Op == "dial" {
 		return asRefusal(err, ErrNotOwner)
 	}
-	if call.Changes() {
+	if call.HasChanges() {
 		return asUnknownOutcome(err)
 	}
 	return err
@@ -112,22 +112,22 @@
 
 // Offer implements Peers.
 func (m *Manager) Offer(ctx context.Context, call models.OfferCall) (models.OfferAnswer, error) {
-	return callOwner(ctx, m, call.To, call, m.OfferHere, m.config.Client.Offer)
+	return callOwner(ctx, m, call.To, call, m.ServeOffer, m.config.Client.Offer)
 }
 
-// OfferHere serves an offer to a cell that this daemon owns.
-func (m *Manager) OfferHere(ctx context.Context, call models.OfferCall) (models.OfferAnswer, error) {
+// ServeOffer serves an offer to a cell that this daemon owns.
+func (m *Manager) ServeOffer(ctx context.Context, call models.OfferCall) (models.OfferAnswer, error) {
 	reply := make(chan models.OfferAnswer, 1)
 	return askLocalOwner(ctx, m, call.To, offerMessage{call: call, reply: reply}, reply)
 }
 
 // Report implements Peers.
 func (m *Manager) Report(ctx context.Context, call models.ReportCall) (models.ReportAnswer, error) {
-	return callOwner(ctx, m, call.To, call, m.ReportHere, m.config.Client.Report)
+	return callOwner(ctx, m, call.To, call, m.ServeReport, m.config.Client.Report)
 }
 
-// ReportHere serves a report to a cell that this daemon owns.
-func (m *Manager) ReportHere(ctx context.Context, call models.ReportCall) (models.ReportAnswer, error) {
+// ServeReport serves a report to a cell that this daemon owns.
+func (m *Manager) ServeReport(ctx context.Context, call models.ReportCall) (models.ReportAnswer, error) {
 	reply := make(chan models.ReportAnswer, 1)
 	return askLocalOwner(ctx, m, call.To, reportMessage{call: call, reply: reply}, reply)
 }
--- a/services/cell/spill.go
+++ b/services/cell/spill.go
@@ -39,7 +39,7 @@
 	var best models.CellID
 	for _, cell := range slices.Sorted(maps.Keys(cells)) {
 		beat := cells[cell]
-		if cell == o.config.Cell || !t.Size.Fits(beat.Room) || o.offersBlocked(cell) {
+		if cell == o.config.Cell || !t.Size.Fits(beat.LargestFree) || o.offersBlocked(cell) {
 			continue
 		}
 		if best == "" || beat.Free.CPU-o.offeredResources[cell].CPU > cells[best].Free.CPU-o.offeredResources[best].CPU {
@@ -85,7 +85,7 @@
 		case t.State == models.TaskMoved && t.Cancelled:
 			call := reportCallTo(reports, t.Peer)
 			call.Cancel = append(call.Cancel, id)
-		case t.ToReport(), o.reportsLoss(t):
+		case t.NeedsReport(), o.reportsLoss(t):
 			call := reportCallTo(reports, t.Home)
 			call.Tasks = append(call.Tasks, t)
 		}
@@ -327,7 +327,7 @@
 			o.lossReported[id] = true
 			continue
 		}
-		if t.ToReport() {
+		if t.NeedsReport() {
 			delete(o.working.Tasks, id)
 			o.dirty.dropTask(id)
 		}
--- a/services/cell/world_test.go
+++ b/services/cell/world_test.go
@@ -77,8 +77,8 @@
 func newWorld(t *testing.T, verdict require.TestingT, workers int) *world {
 	t.Helper()
 	return newWorldOf(t, verdict, testSettings, fleet.Config{
-		Run: "test", Workers: workers, PerRack: 2, Worker: models.Resources{CPU: 4000, Memory: 4096},
-		Domains: []string{"south/a", "south/b"}, ListLag: time.Second, ReportLag: 200 * time.Millisecond, Unserved: true,
+		RunName: "test", Workers: workers, PerRack: 2, Worker: models.Resources{CPU: 4000, Memory: 4096},
+		Domains: []string{"south/a", "south/b"}, ListLag: time.Second, ReportLag: 200 * time.Millisecond, NoListeners: true,
 	})
 }
 
@@ -150,7 +150,7 @@
 	})
 	for _, vm := range w.fleet.VMs().VMs {
 		_ = w.fleet.Apply(fleet.Control{VM: vm.ID, Action: fleet.ActionHeal})
-		_ = w.fleet.Apply(fleet.Control{VM: vm.ID, Action: fleet.ActionSound})
+		_ = w.fleet.Apply(fleet.Control{VM: vm.ID, Action: fleet.ActionRepair})
 	}
 }
 
@@ -171,9 +171,9 @@
 }
 
 func (w *world) storeFor(daemon int) platform.Store {
-	return &kv.Local{Service: w.store, Wait: time.Second, Fault: func(ctx context.Context, write, after bool, _ string) error {
+	return &kv.Local{Service: w.store, WatchWait: time.Second, Fault: func(ctx context.Context, write, after bool, _ string) error {
 		if err := w.waitWhilePaused(ctx, daemon); err != nil {
-			return errors.Mark(err, platform.ErrUnknown)
+			return errors.Mark(err, platform.ErrUnknownOutcome)
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -182,7 +182,7 @@
 		}
 		if after && write && w.faults.lostAnswers > 0 {
 			w.faults.lostAnswers--
-			return platform.ErrUnknown
+			return platform.ErrUnknownOutcome
 		}
 		return nil
 	}}
@@ -214,7 +214,7 @@
 			}
 			return nil
 		},
-		Late: func() time.Duration {
+		StartDelay: func() time.Duration {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			if w.faults.lateStarts == 0 {
@@ -223,7 +223,7 @@
 			w.faults.lateStarts--
 			return lateDelay
 		},
-		Repeat: func() bool {
+		Duplicate: func() bool {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			return w.faults.repeatCalls
@@ -233,7 +233,7 @@
 
 type listFunc func() models.VMList
 
-// VMs implements platform.List.
+// VMs implements platform.VMList.
 func (l listFunc) VMs(context.Context) (models.VMList, error) { return l(), nil }
 
 // takeOver makes a daemon take over a cell. Previous owners continue until they notice.
@@ -242,10 +242,10 @@
 	if err != nil {
 		return nil, err
 	}
-	err = j.Take(w.ctx)
+	err = j.Acquire(w.ctx)
 	for errors.Is(err, journal.ErrPending) {
 		time.Sleep(retryAppend)
-		err = j.Settle(w.ctx)
+		err = j.ResolvePending(w.ctx)
 	}
 	if err != nil {
 		return nil, err
@@ -257,7 +257,7 @@
 func (w *world) newDependencies(daemon int, cell models.CellID) (*inventory.Service, *journal.Journal, error) {
 	store := w.storeFor(daemon)
 	vms := inventory.New(inventory.Config{
-		List: listFunc(w.fleet.VMs), Store: store, Every: 200 * time.Millisecond,
+		List: listFunc(w.fleet.VMs), Store: store, Interval: 200 * time.Millisecond,
 		Logger: zap.NewNop(), Scope: tally.NoopScope, Changed: func() {},
 	})
 	j := journal.New(journal.Config{
@@ -274,7 +274,7 @@
 	vms, j, err := w.newDependencies(daemon, cell)
 	w.setFaults(func(f *worldFaults) { f.outage = outage })
 	require.NoError(w.t, err)
-	require.NoError(w.t, j.Adopt(call))
+	require.NoError(w.t, j.Import(call))
 	w.startOwner(daemon, cell, j, vms, true)
 }
 
@@ -393,7 +393,7 @@
 func (w *world) jobs() map[models.JobID]models.Job {
 	jobs := map[models.JobID]models.Job{}
 	for _, cell := range slices.Sorted(maps.Keys(w.owners)) {
-		answer, err := w.forward(w.owner(cell), models.ForwardCall{Jobs: true})
+		answer, err := w.forward(w.owner(cell), models.ForwardCall{ListJobs: true})
 		if err != nil {
 			continue
 		}
--- a/services/claim/claim.go
+++ b/services/claim/claim.go
@@ -91,7 +91,7 @@
 	if s.homesLost(key) {
 		return models.ClaimUnknown, false, nil
 	}
-	call := models.ClaimCall{Action: models.ClaimTake, Records: []models.ClaimRecord{{Key: key, Holder: holder}}}
+	call := models.ClaimCall{Action: models.ClaimAcquire, Records: []models.ClaimRecord{{Key: key, Holder: holder}}}
 	established := 0 // granting homes that have run for at least Config.Keep
 	var granted []models.MemberID
 	for _, home := range s.homeOrder(key) {
@@ -100,7 +100,7 @@
 		}
 		answer, err := s.ask(ctx, home, call)
 		if err != nil || answer.State != models.ClaimGranted {
-			s.notify(granted, models.ClaimFree, key, holder)
+			s.notify(granted, models.ClaimRelease, key, holder)
 			return answer.State, answer.Ended, err
 		}
 		granted = append(granted, home)
@@ -173,9 +173,9 @@
 
 // End tells the homes that the request has ended; if notRun is set, the key is freed.
 func (s *Service) End(key, holder string, notRun bool) {
-	action := models.ClaimEnd
+	action := models.ClaimComplete
 	if notRun {
-		action = models.ClaimFree
+		action = models.ClaimRelease
 	}
 	order := s.homeOrder(key)
 	s.notify(order[:min(len(order), s.homesAsked(order))], action, key, holder)
@@ -216,13 +216,13 @@
 	now := time.Now()
 	s.sweep(now)
 	switch call.Action {
-	case models.ClaimTake:
+	case models.ClaimAcquire:
 		return s.take(call.Records[0], now)
-	case models.ClaimEnd:
+	case models.ClaimComplete:
 		s.end(call.Records[0], now)
-	case models.ClaimFree:
+	case models.ClaimRelease:
 		s.free(call.Records[0])
-	case models.ClaimCarry:
+	case models.ClaimTransfer:
 		s.importRecords(call.Records, now)
 	}
 	return models.ClaimAnswer{State: models.ClaimGranted}, nil
@@ -281,8 +281,8 @@
 	}
 }
 
-// Carry passes every key to the homes that the key has after this daemon has left.
-func (s *Service) Carry(ctx context.Context) error {
+// TransferKeys passes every key to the homes that the key has after this daemon has left.
+func (s *Service) TransferKeys(ctx context.Context) error {
 	byHome := map[models.MemberID][]models.ClaimRecord{}
 	s.mu.Lock()
 	for key, r := range s.records {
@@ -294,8 +294,8 @@
 	s.mu.Unlock()
 	var failures error
 	for home, records := range byHome {
-		for batch := range slices.Chunk(records, models.MaxCarried) {
-			_, err := s.ask(ctx, home, models.ClaimCall{Action: models.ClaimCarry, Records: batch})
+		for batch := range slices.Chunk(records, models.MaxClaimRecords) {
+			_, err := s.ask(ctx, home, models.ClaimCall{Action: models.ClaimTransfer, Records: batch})
 			failures = errors.CombineErrors(failures, errstep.Wrap(err, "carry claims", string(home)))
 		}
 	}
--- a/services/claim/claim_test.go
+++ b/services/claim/claim_test.go
@@ -51,7 +51,7 @@
 		})
 		h.claims = claim.New(claim.Config{Self: h.self.ID, Members: h.members, Client: client, Keep: retention})
 		h.server.Config.Handler = routers.New(routers.Config{
-			Self: h.self.ID, Members: h.members, Claims: h.claims, Heard: func(models.Heartbeat) {},
+			Self: h.self.ID, Members: h.members, Claims: h.claims, OnHeartbeat: func(models.Heartbeat) {},
 		})
 		h.server.Start()
 		t.Cleanup(h.server.Close)
@@ -145,7 +145,7 @@
 	for _, leaving := range homes[:2] {
 		leaving.self.Leaving = true
 		_ = leaving.members.Leave(t.Context()) // fails, as there is no store from which to delete the member key
-		require.NoError(t, leaving.claims.Carry(t.Context()))
+		require.NoError(t, leaving.claims.TransferKeys(t.Context()))
 		for _, other := range homes {
 			if other != leaving {
 				other.receive(leaving.self)
@@ -163,7 +163,7 @@
 func TestFullHomeRefuses(t *testing.T) {
 	h := claim.New(claim.Config{Self: "e", Keep: retention, MaxKeys: 2})
 	for i := range 3 {
-		_, err := h.Serve(models.ClaimCall{Action: models.ClaimTake, Records: []models.ClaimRecord{{Key: strings.Repeat("k", i+1), Holder: "h"}}})
+		_, err := h.Serve(models.ClaimCall{Action: models.ClaimAcquire, Records: []models.ClaimRecord{{Key: strings.Repeat("k", i+1), Holder: "h"}}})
 		assert.Equal(t, i == 2, err != nil)
 	}
 	assert.Equal(t, 2, h.Count())
--- a/services/config/apply.go
+++ b/services/config/apply.go
@@ -138,10 +138,10 @@
 func (s *Service) plan(view *View, change models.ConfigChange, writeID string) (plan, error) {
 	p := plan{
 		head: models.ConfigHead{
-			Revision: view.Revision() + 1,
-			Buckets:  maps.Clone(view.Head.Buckets),
-			Writes:   recentWrites(view.Head, writeID),
-			Retired:  slices.Clone(view.Head.Retired),
+			Revision:     view.Revision() + 1,
+			Buckets:      maps.Clone(view.Head.Buckets),
+			RecentWrites: recentWrites(view.Head, writeID),
+			Retired:      slices.Clone(view.Head.Retired),
 		},
 		buckets: maps.Clone(view.buckets),
 		stored:  maps.Clone(view.stored),
@@ -156,7 +156,7 @@
 		if err != nil {
 			return plan{}, asNotApplied(err)
 		}
-		if len(data) > platform.MaxValue {
+		if len(data) > platform.MaxValueSize {
 			return plan{}, &RefusedError{Problems: []string{"bucket " + string(name) + " would outgrow the store's largest value"}}
 		}
 		p.replace(name, bucket, hash, data)
@@ -187,7 +187,7 @@
 
 func recentWrites(head models.ConfigHead, writeID string) map[string]models.Revision {
 	writes := map[string]models.Revision{writeID: head.Revision + 1}
-	for id, revision := range head.Writes {
+	for id, revision := range head.RecentWrites {
 		if revision+maxRecentWrites > head.Revision {
 			writes[id] = revision
 		}
@@ -254,7 +254,7 @@
 	_, err = s.config.Store.Swap(ctx, HeadKey, value, version, 0)
 	switch {
 	case err == nil:
-	case errors.Is(err, platform.ErrUnknown):
+	case errors.Is(err, platform.ErrUnknownOutcome):
 		if err := s.resolveUnknownWrite(ctx, writeID); err != nil {
 			return err
 		}
@@ -298,7 +298,7 @@
 	if err != nil {
 		return false, errstep.Wrap(err, "decode configuration head", "store")
 	}
-	_, ok := head.Writes[writeID]
+	_, ok := head.RecentWrites[writeID]
 	return ok, nil
 }
 
--- a/services/config/apply_test.go
+++ b/services/config/apply_test.go
@@ -40,7 +40,7 @@
 	}
 	s.answerLost = true
 	s.onLost()
-	return 0, platform.ErrUnknown
+	return 0, platform.ErrUnknownOutcome
 }
 
 func serviceOn(store platform.Store) *Service {
--- a/services/config/config.go
+++ b/services/config/config.go
@@ -41,10 +41,10 @@
 
 // Config configures the service.
 type Config struct {
-	Store  platform.Store
-	Logger *zap.Logger
-	Scope  tally.Scope
-	Sync   time.Duration // between retries when the store does not answer
+	Store         platform.Store
+	Logger        *zap.Logger
+	Scope         tally.Scope
+	RetryInterval time.Duration // between retries when the store does not answer
 	// FromPeers requests a configuration newer than the query's revision from the peers. It returns a transfer of
 	// revision 0 when no peer has a newer one.
 	FromPeers func(ctx context.Context, query models.ConfigQuery) models.ConfigTransfer
@@ -96,7 +96,7 @@
 			}
 		}
 		s.config.Scope.Counter("watch_failed").Inc(1)
-		clock.Sleep(ctx, s.config.Sync)
+		clock.Sleep(ctx, s.config.RetryInterval)
 	}
 }
 
@@ -183,8 +183,8 @@
 	s.config.Accepted(view)
 }
 
-// Hint tells the service which revision a peer has in force, so that a newer one is fetched.
-func (s *Service) Hint(revision models.Revision) {
+// ObservePeerRevision tells the service which revision a peer has in force, so that a newer one is fetched.
+func (s *Service) ObservePeerRevision(revision models.Revision) {
 	if revision <= s.View().Revision() {
 		return
 	}
--- a/services/contention/contention.go
+++ b/services/contention/contention.go
@@ -22,7 +22,7 @@
 //	filler := model.Index("filling")
 //	correction := service.Observe(&load, contention.Observation{…})
 //	baseline, variance := load.Predict(at)
-//	added, addedVariance := service.AddedBy(filler, share)
+//	added, addedVariance := service.AddedLoadBy(filler, share)
 package contention
 
 import "rillsail.example/rillsail/models/jobs"
@@ -32,13 +32,13 @@
 	index    map[jobs.ImageName]int // of filler images
 	services map[jobs.ImageName]*Service
 	// remote holds the factors that the owners of other cells have learned from their own reports.
-	remote map[jobs.CellName][]jobs.Learned
+	remote map[jobs.CellName][]jobs.LearnedFactor
 }
 
 // NewModel returns a model without images.
 func NewModel() *Model {
 	return &Model{
-		index: map[jobs.ImageName]int{}, services: map[jobs.ImageName]*Service{}, remote: map[jobs.CellName][]jobs.Learned{},
+		index: map[jobs.ImageName]int{}, services: map[jobs.ImageName]*Service{}, remote: map[jobs.CellName][]jobs.LearnedFactor{},
 	}
 }
 
@@ -76,8 +76,8 @@
 	return images
 }
 
-// Settle makes new observations take effect in predictions and adds drift variance for the seconds passed.
-func (m *Model) Settle(passed float64) {
+// RefreshFactors makes new observations take effect in predictions and adds drift variance for the seconds passed.
+func (m *Model) RefreshFactors(passed float64) {
 	for _, s := range m.services {
 		s.addDrift(passed)
 	}
--- a/services/contention/idle_tail.go
+++ b/services/contention/idle_tail.go
@@ -68,10 +68,10 @@
 // LoadOf returns the load that corresponds to a tail.
 func (s *Service) LoadOf(tail, target int) float64 { return s.idle.loadFromTail(tail, target) }
 
-// SeeAlone adds a tail observed without filler tasks beside, with a weight in seconds. If the unit of the
+// ObserveAlone adds a tail observed without filler tasks beside, with a weight in seconds. If the unit of the
 // service's loads changes, scale is the factor by which the distances of all loads below 1 change, and the caller
 // must convert the loads (Rescaled, Load.Rescale); otherwise scale is 1.
-func (s *Service) SeeAlone(tail, target int, seconds float64) (scale float64) {
+func (s *Service) ObserveAlone(tail, target int, seconds float64) (scale float64) {
 	fraction := s.idle.observe(tail, target, min(maxObservationSeconds, seconds))
 	scale = fraction / s.idle.fraction
 	if math.Abs(scale-1) < minRescale {
@@ -99,7 +99,7 @@
 }
 
 // Rescale converts the estimate to another unit.
-func (l *Load) Rescale(scale float64) {
+func (l *BaselineLoad) Rescale(scale float64) {
 	for i := range l.filters {
 		l.filters[i].rescale(scale)
 	}
--- a/services/contention/knowledge.go
+++ b/services/contention/knowledge.go
@@ -15,13 +15,13 @@
 // successor's own observations soon outweigh the restored estimate.
 const restoredFactorVariance = 0.05 * 0.05
 
-// Knowledge returns the learned parameters of the images; the caller adds the time, the loads and the speeds.
-func (m *Model) Knowledge() jobs.Knowledge {
-	k := jobs.Knowledge{Filling: m.images()}
+// LearnedParameters returns the learned parameters of the images; the caller adds the time, the loads and the speeds.
+func (m *Model) LearnedParameters() jobs.LearnedParameters {
+	k := jobs.LearnedParameters{Filling: m.images()}
 	for serving, s := range m.services {
 		s.grow(len(k.Filling))
-		known := jobs.ImageKnowledge{
-			Serving: serving, Observations: s.observations, Idle: s.idle.fraction, Free: s.idle.targetRatioSum, Watched: s.idle.observedSeconds,
+		known := jobs.ImageParameters{
+			Serving: serving, Observations: s.observations, IdleTail: s.idle.fraction, TargetRatioSum: s.idle.targetRatioSum, ObservedSeconds: s.idle.observedSeconds,
 		}
 		for i, row := range s.covariance {
 			known.Mean = append(known.Mean, rounded(s.mean[i]))
@@ -31,7 +31,7 @@
 		}
 		k.Factors = append(k.Factors, known)
 	}
-	slices.SortFunc(k.Factors, func(a, b jobs.ImageKnowledge) int { return cmp.Compare(a.Serving, b.Serving) })
+	slices.SortFunc(k.Factors, func(a, b jobs.ImageParameters) int { return cmp.Compare(a.Serving, b.Serving) })
 	return k
 }
 
@@ -39,7 +39,7 @@
 func rounded(value float64) float64 { return math.Round(value*1e5) / 1e5 }
 
 // Restore loads the parameters that a previous owner saved, given their age in seconds.
-func (m *Model) Restore(k jobs.Knowledge, passed float64) {
+func (m *Model) Restore(k jobs.LearnedParameters, passed float64) {
 	for _, image := range k.Filling {
 		m.Index(image)
 	}
@@ -47,7 +47,7 @@
 	for _, known := range k.Factors {
 		s := m.Service(known.Serving)
 		s.observations = known.Observations
-		s.idle = idleTail{fraction: known.Idle, targetRatioSum: known.Free, observedSeconds: known.Watched}
+		s.idle = idleTail{fraction: known.IdleTail, targetRatioSum: known.TargetRatioSum, observedSeconds: known.ObservedSeconds}
 		for i := range n {
 			s.mean[i] = known.Mean[i]
 			copy(s.covariance[i], known.Covariance[i*n:(i+1)*n])
--- a/services/contention/load.go
+++ b/services/contention/load.go
@@ -10,12 +10,12 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Load estimates the baseline load of a serving step: the load of its tasks without filler tasks
+// BaselineLoad estimates the baseline load of a serving step: the load of its tasks without filler tasks
 // beside them. The tasks serve the same users, so their loads oscillate together, and the reports of
 // all tasks update one estimate. The period of the oscillation is not known in advance. Therefore
 // a bank of filters runs in parallel, one for each period of a grid and one without a period. The
 // weight of a filter follows from the likelihood of the reports under its predictions.
-type Load struct {
+type BaselineLoad struct {
 	at      time.Time // time of the estimate; zero: there is none yet
 	filters []oscillator
 	weights []float64 // of the filters; their sum is 1
@@ -37,7 +37,7 @@
 )
 
 // Predict returns the mean and variance of the load at a time.
-func (l *Load) Predict(at time.Time) (mean, variance float64) {
+func (l *BaselineLoad) Predict(at time.Time) (mean, variance float64) {
 	if l.at.IsZero() {
 		return priorLoad, priorLoadStdDev * priorLoadStdDev
 	}
@@ -62,7 +62,7 @@
 }
 
 // Advance moves the estimate forward to a later time.
-func (l *Load) Advance(to time.Time) {
+func (l *BaselineLoad) Advance(to time.Time) {
 	if l.at.IsZero() {
 		l.reset(to)
 		return
@@ -81,7 +81,7 @@
 }
 
 // reset discards all observations.
-func (l *Load) reset(at time.Time) {
+func (l *BaselineLoad) reset(at time.Time) {
 	l.at = at
 	l.filters = newFilters()
 	l.weights = make([]float64, len(l.filters))
@@ -91,10 +91,10 @@
 }
 
 // current returns the mean and variance of the load at the time of the estimate.
-func (l *Load) current() (mean, variance float64) { return l.Predict(l.at) }
+func (l *BaselineLoad) current() (mean, variance float64) { return l.Predict(l.at) }
 
 // Correct updates the estimate with an observed load and the variance of the observation.
-func (l *Load) Correct(observed, variance float64) {
+func (l *BaselineLoad) Correct(observed, variance float64) {
 	sum := 0.0
 	for i := range l.filters {
 		s := &l.filters[i]
@@ -113,14 +113,14 @@
 }
 
 // Known reports whether anything has been observed.
-func (l *Load) Known() bool { return !l.at.IsZero() }
+func (l *BaselineLoad) Known() bool { return !l.at.IsZero() }
 
 // At returns when the load was last observed.
-func (l *Load) At() time.Time { return l.at }
+func (l *BaselineLoad) At() time.Time { return l.at }
 
 // Summary returns the state that a successor needs to restore the estimate, besides the time At: the state of the
 // filter with the largest weight, and the weights of all filters.
-func (l *Load) Summary() jobs.StepLoad {
+func (l *BaselineLoad) Summary() jobs.StepLoad {
 	var load jobs.StepLoad
 	most := 0
 	for i, weight := range l.weights {
@@ -140,8 +140,8 @@
 }
 
 // LoadOf restores an estimate from its summary and its time.
-func LoadOf(summary jobs.StepLoad, at time.Time) Load {
-	var l Load
+func LoadOf(summary jobs.StepLoad, at time.Time) BaselineLoad {
+	var l BaselineLoad
 	l.reset(at)
 	for i := range l.filters {
 		s := &l.filters[i]
--- a/services/contention/load_test.go
+++ b/services/contention/load_test.go
@@ -44,7 +44,7 @@
 	} {
 		random := rand.New(rand.NewPCG(1, uint64(load.period)))
 		begin := time.Unix(1_000_000, 0)
-		var baseline Load
+		var baseline BaselineLoad
 		var soon, later, lagged, n float64
 		end := time.Duration(max(60, 5*load.period) * float64(time.Second))
 		for at := time.Duration(0); at < end; at += 100 * time.Millisecond { // reports of six tasks, two per second each
@@ -77,7 +77,7 @@
 	before, after := oscillation{0.45, 0.5, 20}, oscillation{0.5, 0.4, 8}
 	const change = 40 * time.Second
 	begin := time.Unix(1_000_000, 0)
-	var baseline Load
+	var baseline BaselineLoad
 	var squares, n float64
 	for at := time.Duration(0); at < 2*change; at += 100 * time.Millisecond {
 		load := before
@@ -97,7 +97,7 @@
 
 func TestOwnLoadIsForgottenWithoutReports(t *testing.T) {
 	begin := time.Unix(1_000_000, 0)
-	var baseline Load
+	var baseline BaselineLoad
 	baseline.Advance(begin)
 	for range 20 {
 		baseline.Correct(0.7, figureStdDev*figureStdDev)
--- a/services/contention/observe.go
+++ b/services/contention/observe.go
@@ -13,7 +13,7 @@
 	At     time.Time
 	Load   float64
 	Shares []float64 // of the worker, used by the filler images beside the task, by their indexes
-	Apart  float64   // difference between the task's load and the load of its step, as estimated so far
+	Offset float64   // difference between the task's load and the load of its step, as estimated so far
 	// Unsettled is set if the filler tasks beside the task, or their pace, have just changed.
 	Unsettled bool
 }
@@ -33,11 +33,11 @@
 
 // Observe updates the service's factors and the step's baseline load with an observed load.
 // Observe returns the correction of the task's offset.
-func (s *Service) Observe(baseline *Load, o Observation) (correction float64) {
+func (s *Service) Observe(baseline *BaselineLoad, o Observation) (correction float64) {
 	baseline.Advance(o.At)
 	added, addedVariance, gain := s.predictAdded(o.Shares)
 	level, levelVariance := baseline.current()
-	difference := min(o.Load, saturatedLoad) - level - o.Apart - added
+	difference := min(o.Load, saturatedLoad) - level - o.Offset - added
 	if o.Load >= saturatedLoad && difference < 0 {
 		return 0 // a saturated tail gives only a lower bound of the load
 	}
--- a/services/contention/service.go
+++ b/services/contention/service.go
@@ -49,20 +49,20 @@
 // stdDev returns the standard deviation of this cell's own estimate of a factor.
 func (s *Service) stdDev(i int) float64 { return math.Sqrt(max(0, s.covariance[i][i])) }
 
-// Added returns the load that filler images add by using shares of a worker, and its variance. The shares are in
+// AddedLoad returns the load that filler images add by using shares of a worker, and its variance. The shares are in
 // the order of the images' indexes.
-func (s *Service) Added(shares []float64) (mean, variance float64) {
+func (s *Service) AddedLoad(shares []float64) (mean, variance float64) {
 	for i, share := range shares {
-		m, v := s.AddedBy(i, share)
+		m, v := s.AddedLoadBy(i, share)
 		mean += m
 		variance += v
 	}
 	return mean, variance
 }
 
-// AddedBy returns the load that the filler image with index i adds by using a share of a worker, and
+// AddedLoadBy returns the load that the filler image with index i adds by using a share of a worker, and
 // its variance.
-func (s *Service) AddedBy(i int, share float64) (mean, variance float64) {
+func (s *Service) AddedLoadBy(i int, share float64) (mean, variance float64) {
 	if share == 0 {
 		return 0, 0
 	}
--- a/services/contention/sharing.go
+++ b/services/contention/sharing.go
@@ -10,24 +10,24 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Learned lists the factors of all pairs of images that this cell has learned from its own reports.
-func (m *Model) Learned() []jobs.Learned {
-	var list []jobs.Learned
+// LearnedFactors lists the factors of all pairs of images that this cell has learned from its own reports.
+func (m *Model) LearnedFactors() []jobs.LearnedFactor {
+	var list []jobs.LearnedFactor
 	for serving, service := range m.services {
 		for filling, i := range m.index {
 			if i < len(service.mean) {
-				list = append(list, jobs.Learned{Serving: serving, Filling: filling, Factor: max(0, service.mean[i]), Spread: service.stdDev(i), Idle: service.idle.fraction, Observations: service.observations})
+				list = append(list, jobs.LearnedFactor{Serving: serving, Filling: filling, Factor: max(0, service.mean[i]), StdDev: service.stdDev(i), IdleTail: service.idle.fraction, Observations: service.observations})
 			}
 		}
 	}
-	slices.SortFunc(list, func(a, b jobs.Learned) int {
+	slices.SortFunc(list, func(a, b jobs.LearnedFactor) int {
 		return cmp.Or(cmp.Compare(a.Serving, b.Serving), cmp.Compare(a.Filling, b.Filling))
 	})
 	return list
 }
 
-// LearnElsewhere replaces the factors of another cell, which its owner has learned from its own reports.
-func (m *Model) LearnElsewhere(cell jobs.CellName, learned []jobs.Learned) {
+// SetRemoteFactors replaces the factors of another cell, which its owner has learned from its own reports.
+func (m *Model) SetRemoteFactors(cell jobs.CellName, learned []jobs.LearnedFactor) {
 	m.remote[cell] = learned
 	for _, l := range learned {
 		m.Service(l.Serving)
@@ -51,8 +51,8 @@
 	}
 	for _, learned := range m.remote {
 		for _, l := range learned {
-			scale := m.services[l.Serving].idle.fraction / l.Idle
-			precision := 1 / max(l.Spread*l.Spread*scale*scale, minFactorVariance)
+			scale := m.services[l.Serving].idle.fraction / l.IdleTail
+			precision := 1 / max(l.StdDev*l.StdDev*scale*scale, minFactorVariance)
 			s := &sums[l.Serving][m.index[l.Filling]]
 			s.weighted += l.Factor * scale * precision
 			s.weights += precision
--- a/services/control/abandoned.go
+++ b/services/control/abandoned.go
@@ -31,54 +31,54 @@
 	minOwnerAge = 5 * time.Second
 )
 
-// nobodyListens tells whether a call failed because no process listens at the address.
-func nobodyListens(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// connectionRefused tells whether a call failed because no process listens at the address.
+func connectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// suspect marks the owner of a cell as suspected because its address refused a connection, and wakes the loop
+// suspectOwner marks the owner of a cell as suspected because its address refused a connection, and wakes the loop
 // that claims cells.
-func (c *Cells) suspect(cell jobs.CellName, claim string) {
+func (c *Cells) suspectOwner(cell jobs.CellName, claim string) {
 	c.mu.Lock()
 	record, ok := c.owners[cell]
-	changed := ok && record.Claim == claim && !record.suspected && c.config.Clock.Since(record.since) >= minOwnerAge
+	changed := ok && record.ClaimID == claim && !record.suspected && c.config.Clock.Since(record.seenAt) >= minOwnerAge
 	if changed {
 		record.suspected = true
 		c.owners[cell] = record
 	}
 	c.mu.Unlock()
 	if changed {
-		c.nudge()
+		c.wakeClaimLoop()
 	}
 }
 
 // suspectedOwners returns the cells whose owners may have ended, with the versions of their keys. It returns
 // none if this daemon would delay its claim of a free cell, and so leaves the removal to other daemons.
 func (c *Cells) suspectedOwners() map[jobs.CellName]platform.Version {
-	if c.holdBack(0) > 0 {
+	if c.claimDelay(0) > 0 {
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cells := map[jobs.CellName]platform.Version{}
 	for cell, record := range c.owners {
-		if record.suspected && !record.asked && !c.stopping {
+		if record.suspected && !record.removalTried && !c.stopping {
 			cells[cell] = record.version
 		}
 	}
 	return cells
 }
 
-// removeAbandoned calls each suspected owner again and, once for each owner, removes its keys if it has ended.
-func (c *Cells) removeAbandoned(ctx context.Context) {
+// removeDeadOwners calls each suspected owner again and, once for each owner, removes its keys if it has ended.
+func (c *Cells) removeDeadOwners(ctx context.Context) {
 	for cell, version := range c.suspectedOwners() {
 		sleep(ctx, confirmPause)
-		_, err := c.ask(ctx, jobs.Query{Cell: cell, Load: true})
-		ended := nobodyListens(err)
+		_, err := c.queryOwner(ctx, jobs.Query{Cell: cell, Load: true})
+		ended := connectionRefused(err)
 		c.recordOwnerCheck(cell, version, ended)
 		if !ended {
 			continue
 		}
 		err = c.removeOwner(ctx, cell, version)
-		c.health.note(err)
+		c.health.record(err)
 		c.config.Logger.Info("owner has ended, its keys are removed", append(log.Err(err), zap.String("cell", string(cell)),
 			zap.Uint64("epoch", uint64(version)))...)
 	}
@@ -92,6 +92,6 @@
 	if !ok || record.version != version {
 		return
 	}
-	record.suspected, record.asked = ended, ended
+	record.suspected, record.removalTried = ended, ended
 	c.owners[cell] = record
 }
--- a/services/control/abandoned_test.go
+++ b/services/control/abandoned_test.go
@@ -20,25 +20,25 @@
 // after the end gets a refused connection.
 func TestCellOfAProcessThatEndedHasAnotherOwnerAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3, 3, nil)
+		w := newTestCluster(t, 3, 3, nil)
 		w.eventually(10*time.Second, "cell has an owner", func() bool { return w.owner() != nil })
 		previous := w.owner()
 		other := w.daemons[0]
 		if other == previous {
 			other = w.daemons[1]
 		}
-		w.submit(other, lasting(1, 3))
+		w.submit(other, longRunningJob(1, 3))
 		w.eventually(10*time.Second, "its tasks are running", func() bool { return w.grid.Running(jobID(1)) == 3 })
 		time.Sleep(minOwnerAge)
-		previous.end()
+		previous.killProcess()
 		ended := time.Now()
 		w.state(other, jobID(1))
 		w.eventually(time.Second, "another owner", func() bool { return w.owner() != nil })
 		require.Less(t, time.Since(ended), 300*time.Millisecond)
-		w.submit(other, twoSteps(2, time.Second))
+		w.submit(other, twoStepJob(2, time.Second))
 		w.eventually(10*time.Second, "job succeeds", func() bool { return w.state(other, jobID(2)) == jobs.StateSucceeded })
 		require.Equal(t, 3, w.grid.Running(jobID(1)))
-		w.noBreach()
+		w.requireNoBreaches()
 	})
 }
 
@@ -46,13 +46,13 @@
 // and the workers: a cell changes its owner seldom, and nothing runs twice.
 func TestOwnerIsNotReplacedAgainAndAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3, 4, nil)
+		w := newTestCluster(t, 3, 4, nil)
 		w.eventually(10*time.Second, "cell has an owner", func() bool { return w.owner() != nil })
-		w.submit(w.daemons[0], lasting(1, 3))
+		w.submit(w.daemons[0], longRunningJob(1, 3))
 		w.eventually(10*time.Second, "its tasks are running", func() bool { return w.grid.Running(jobID(1)) == 3 })
 		time.Sleep(minOwnerAge)
 		for _, d := range w.daemons {
-			d.set(func() { d.ended = true })
+			d.set(func() { d.exited = true })
 		}
 		const cut = 20 * time.Second
 		owners := map[jobs.Epoch]bool{}
@@ -66,7 +66,7 @@
 		}
 		require.LessOrEqual(t, len(owners), int(cut/minOwnerAge)+1)
 		require.Equal(t, 3, w.grid.Running(jobID(1)))
-		w.noBreach()
+		w.requireNoBreaches()
 	})
 }
 
@@ -75,6 +75,6 @@
 	server := httptest.NewServer(nil)
 	address := server.Listener.Addr().(*net.TCPAddr).String()
 	server.Close()
-	_, err := newCaller("self").Jobs(t.Context(), address, jobs.Query{Cell: "0"})
-	require.True(t, nobodyListens(err), "%v", err)
+	_, err := newPeerClient("self").Jobs(t.Context(), address, jobs.Query{Cell: "0"})
+	require.True(t, connectionRefused(err), "%v", err)
 }
--- a/services/control/cancel.go
+++ b/services/control/cancel.go
@@ -38,15 +38,15 @@
 	unknownOutcome := false // an earlier write of this call may have taken effect; the next read tells
 	partial := false        // the job is cancelled in some of its cells
 	for {
-		entries, err := s.entriesOf(ctx, id, layout)
+		entries, err := s.readEntries(ctx, id, layout)
 		switch {
 		case err != nil && (unknownOutcome || partial):
 			return platform.MaybeDone{Cause: err}
 		case err != nil:
 			return platform.NotDone{Reason: "store can't be read: " + err.Error(), RetryAfter: shortRetryAfter}
-		case entries.known() && entries.state().Ended() && len(entries.open()) == 0:
+		case entries.stored() && entries.state().Ended() && len(entries.uncancelled()) == 0:
 			return platform.Done{} // the cancellation is already stored, or the job had ended before
-		case !entries.known() && entries.barred():
+		case !entries.stored() && entries.barred():
 			return noSuchJob
 		}
 		outcome, attempt := s.tryCancel(ctx, id, entries)
@@ -66,7 +66,7 @@
 }
 
 // noSuchJob reports that a job is not stored, and that no earlier write will store it.
-var noSuchJob = platform.NotDone{Reason: "no such job", Why: platform.RefusedNoJob}
+var noSuchJob = platform.NotDone{Reason: "no such job", Refusal: platform.RefusedJobNotFound}
 
 // errConcurrentChange reports that a job changed at each attempt to cancel it.
 var errConcurrentChange = errors.New("job changes while it is cancelled")
@@ -81,7 +81,7 @@
 	var txn platform.Txn
 	var err error
 	var done platform.Outcome = platform.Done{}
-	if entries.known() {
+	if entries.stored() {
 		var more bool
 		txn, more, err = cancellationOf(id, entries)
 		if more {
@@ -92,7 +92,7 @@
 		done = noSuchJob
 	}
 	if err != nil {
-		return platform.NotDone{Reason: err.Error(), Why: platform.RefusedUnfit}, cancelAttempt{}
+		return platform.NotDone{Reason: err.Error(), Refusal: platform.RefusedInvalid}, cancelAttempt{}
 	}
 	if len(txn.Put) == 0 {
 		return nil, cancelAttempt{} // read in the middle of a move
@@ -100,14 +100,14 @@
 	switch w := s.write(ctx, txn).(type) {
 	case committed:
 		return done, cancelAttempt{partial: done == nil}
-	case turnedAway:
+	case rejected:
 		return refusalFor(w), cancelAttempt{}
-	case conflicting:
-		return nil, cancelAttempt{unknownOutcome: w.unsure}
-	case unsettled:
+	case conflicted:
+		return nil, cancelAttempt{unknownOutcome: w.maybeCommitted}
+	case undetermined:
 		return platform.MaybeDone{Cause: w.cause}, cancelAttempt{}
 	}
-	return platform.MaybeDone{Cause: platform.ErrUnknown}, cancelAttempt{} // unreachable: the set of results is closed
+	return platform.MaybeDone{Cause: platform.ErrUnknownOutcome}, cancelAttempt{} // unreachable: the set of results is closed
 }
 
 // cancelAttempt describes an attempt to cancel a job that has no final outcome.
@@ -120,7 +120,7 @@
 // were read. If one transaction can't cover all cells, more tells that further ones have to follow.
 func cancellationOf(id jobs.ID, entries jobEntries) (txn platform.Txn, more bool, err error) {
 	request := jobs.Cancellation{At: models.UnixMilliOf(time.Now())}
-	txn, err = cancelTxn(id, entries, entries.open(), request)
+	txn, err = cancelTxn(id, entries, entries.uncancelled(), request)
 	switch {
 	case err != nil || txn.Entries() <= platform.MaxTxnEntries:
 		return txn, false, err
@@ -128,7 +128,7 @@
 		txn, err = closeMovesTxn(id, entries, request)
 		return txn, true, err
 	default:
-		open := entries.open()
+		open := entries.uncancelled()
 		open = open[:min(len(open), maxCancellationsPerTxn)]
 		txn, err = cancelTxn(id, open, open, request)
 		return txn, true, err
@@ -148,13 +148,13 @@
 			Key: jobKey(entry.cell, id), Version: platform.Version(entry.record.Version),
 		})
 	}
-	var puts []put
+	var puts []keyValue
 	for _, entry := range in {
 		key := cancelKey(entry.cell, id)
 		txn.Require = append(txn.Require, platform.Precondition{Key: key})
-		puts = append(puts, put{key, request})
+		puts = append(puts, keyValue{key, request})
 	}
-	writes, err := encode(puts)
+	writes, err := encodeWrites(puts)
 	txn.Put = writes
 	return txn, err
 }
@@ -165,26 +165,28 @@
 }
 
 // tasksMayMove tells whether the further cells that the entry names may move tasks.
-func (e jobEntry) tasksMayMove() bool { return len(e.record.Further) > 0 && !e.record.Closed }
+func (e jobEntry) tasksMayMove() bool {
+	return len(e.record.AdditionalCells) > 0 && !e.record.MovesClosed
+}
 
 // closeMovesTxn returns a transaction that cancels a job in the cells that its ID maps to and stops further moves
 // of its tasks: each move by a further cell is conditioned on the record that names that cell. The transactions
 // that follow then read entries that no longer change.
 func closeMovesTxn(id jobs.ID, entries jobEntries, request jobs.Cancellation) (platform.Txn, error) {
 	own := slices.DeleteFunc(slices.Clone(entries), func(entry jobEntry) bool { return entry.record.Home != "" })
-	txn, err := cancelTxn(id, own, own.open(), request)
+	txn, err := cancelTxn(id, own, own.uncancelled(), request)
 	if err != nil {
 		return txn, err
 	}
-	var puts []put
+	var puts []keyValue
 	for _, entry := range own {
 		if entry.tasksMayMove() {
 			record := entry.record
-			record.Closed, record.Moved = true, true
-			puts = append(puts, put{jobKey(entry.cell, id), record})
+			record.MovesClosed, record.Rewritten = true, true
+			puts = append(puts, keyValue{jobKey(entry.cell, id), record})
 		}
 	}
-	writes, err := encode(puts)
+	writes, err := encodeWrites(puts)
 	txn.Put = append(txn.Put, writes...)
 	return txn, err
 }
@@ -198,7 +200,7 @@
 		txn.Require = append(txn.Require, platform.Precondition{Key: jobKey(entry.cell, id)})
 	}
 	record := jobs.Record{Spec: jobs.Spec{ID: id}, Ended: jobs.StateBarred, EndedAt: models.UnixMilliOf(time.Now())}
-	writes, err := encode([]put{{jobKey(entries[0].cell, id), record}})
+	writes, err := encodeWrites([]keyValue{{jobKey(entries[0].cell, id), record}})
 	txn.Put = writes
 	return txn, err
 }
--- a/services/control/cancel_test.go
+++ b/services/control/cancel_test.go
@@ -28,7 +28,7 @@
 	s.writes++
 	version, err := s.TxnStore.Commit(ctx, txn)
 	if s.writes == 1 && err == nil {
-		return 0, platform.ErrUnknown
+		return 0, platform.ErrUnknownOutcome
 	}
 	return version, err
 }
@@ -50,11 +50,11 @@
 func TestCancellationThatMeetsItselfIsNotRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, idle, owner := newTwoDaemons(t)
-		w.submit(idle, lasting(2, 1))
+		w.submit(idle, longRunningJob(2, 1))
 		idle.loseFirstAnswer()
 		require.IsType(t, platform.MaybeDone{}, idle.Cancel(w.ctx, jobID(2)))
 		w.eventually(5*time.Second, "the job is cancelled", func() bool { return w.state(owner, jobID(2)) == jobs.StateCancelled })
-		w.noBreach()
+		w.requireNoBreaches()
 	})
 }
 
@@ -72,18 +72,18 @@
 func TestUnsettledCancellationIsNotRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, idle, owner := newTwoDaemons(t)
-		w.submit(idle, lasting(2, 1))
+		w.submit(idle, longRunningJob(2, 1))
 		idle.holdUp(1500 * time.Millisecond)
 		require.IsType(t, platform.MaybeDone{}, idle.Cancel(w.ctx, jobID(2)))
 		w.eventually(5*time.Second, "the delayed cancellation takes effect", func() bool { return w.state(owner, jobID(2)) == jobs.StateCancelled })
-		w.noBreach()
+		w.requireNoBreaches()
 	})
 }
 
 func TestCallerThatLeavesDoesNotCutTheCancellationOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, idle, _ := newTwoDaemons(t)
-		w.submit(idle, lasting(2, 1))
+		w.submit(idle, longRunningJob(2, 1))
 		left, leave := context.WithCancel(w.ctx)
 		idle.mu.Lock()
 		idle.beforeCommit = leave
@@ -97,20 +97,20 @@
 func TestCancellationOfWhatIsNoIDWritesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, idle, owner := newTwoDaemons(t)
-		w.submit(idle, lasting(2, 1))
-		w.cores = 0.001 // without capacity for any worker, it delays its claims of free cells
+		w.submit(idle, longRunningJob(2, 1))
+		w.daemonCores = 0.001 // without capacity for any worker, it delays its claims of free cells
 		weak := w.startDaemon()
 		w.eventually(10*time.Second, "ready", weak.Ready)
 		idle.kill()
 		owner.kill()
-		w.eventually(10*time.Second, "no owner", func() bool { return len(w.store.KeysWith(markerKey(cellName(0)))) == 0 })
-		before := w.store.KeysWith(jobPrefix)
+		w.eventually(10*time.Second, "no owner", func() bool { return len(w.store.KeysWithPrefix(markerKey(cellName(0)))) == 0 })
+		before := w.store.KeysWithPrefix(jobPrefix)
 		for _, id := range []jobs.ID{"owner", jobID(2) + cancelSuffix, "favicon.ico", ""} {
 			require.Equal(t, noSuchJob, weak.Cancel(w.ctx, id), "%q", id)
 			_, err := weak.State(w.ctx, id)
 			require.ErrorIs(t, err, platform.ErrNotFound, "%q", id)
 		}
-		require.ElementsMatch(t, before, w.store.KeysWith(jobPrefix))
+		require.ElementsMatch(t, before, w.store.KeysWithPrefix(jobPrefix))
 		w.eventually(10*time.Second, "the cell has an owner", func() bool { return w.owner() == weak })
 		w.eventually(30*time.Second, "its task runs", func() bool { return w.grid.Running(jobID(2)) == 1 })
 	})
@@ -132,8 +132,8 @@
 	switch key := txn.Put[0].Key; {
 	case isJobKey(key):
 		time.AfterFunc(s.delay, func() { _, _ = s.TxnStore.Commit(context.Background(), txn) }) // the result reaches nobody
-		sleep(ctx, callTime)
-		return 0, platform.ErrUnknown
+		sleep(ctx, testCallTimeout)
+		return 0, platform.ErrUnknownOutcome
 	case strings.HasPrefix(key, daemonPrefix):
 		return 0, platform.ErrUnavailable
 	}
--- a/services/control/carry.go
+++ b/services/control/carry.go
@@ -26,14 +26,14 @@
 	workersPerMbit = 12
 )
 
-// carries returns how many workers a daemon can own, by its processor time and link.
-func carries(d jobs.Daemon) int {
+// workerCapacity returns how many workers a daemon can own, by its processor time and link.
+func workerCapacity(d jobs.Daemon) int {
 	most := math.Inf(1)
-	if d.Processor > 0 {
-		most = workersPerCore * d.Processor
+	if d.Cores > 0 {
+		most = workersPerCore * d.Cores
 	}
-	if d.Link > 0 {
-		most = min(most, workersPerMbit*d.Link)
+	if d.LinkMbps > 0 {
+		most = min(most, workersPerMbit*d.LinkMbps)
 	}
 	return int(min(most, math.MaxInt32))
 }
@@ -42,14 +42,14 @@
 // them may be lost.
 const capableDaemonsPerCell = 2
 
-// cellsFor returns the number of cells for a number of workers: the smallest that the settings allow and for which
+// chooseCellCount returns the number of cells for a number of workers: the smallest that the settings allow and for which
 // enough daemons can own cells of that size. If there is none, the cells are as many as the daemons can share.
-func cellsFor(workers, perCell int, daemons []jobs.Daemon) int {
+func chooseCellCount(workers, perCell int, daemons []jobs.Daemon) int {
 	least := max(1, ceilDiv(workers, perCell))
 	most := max(least, len(daemons)/capableDaemonsPerCell)
 	for cells := least; cells < most; cells++ {
 		size := ceilDiv(workers, cells)
-		able := func(d jobs.Daemon) bool { return carries(d) >= size }
+		able := func(d jobs.Daemon) bool { return workerCapacity(d) >= size }
 		if countDaemons(daemons, able) >= capableDaemonsPerCell*cells {
 			return cells
 		}
@@ -60,7 +60,7 @@
 // self returns this daemon's registration record.
 func (c *Cells) self() jobs.Daemon {
 	s := c.config.Settings
-	return jobs.Daemon{ID: c.config.Self, Processor: s.Processor, Link: s.Link}
+	return jobs.Daemon{ID: c.config.Self, Cores: s.Processor, LinkMbps: s.Link}
 }
 
 // cellSize returns the average number of workers in a cell.
--- a/services/control/carry_test.go
+++ b/services/control/carry_test.go
@@ -37,10 +37,10 @@
 			var daemons []jobs.Daemon
 			for _, d := range c.Daemons {
 				for range d.N {
-					daemons = append(daemons, jobs.Daemon{Processor: d.Processor, Link: d.Link})
+					daemons = append(daemons, jobs.Daemon{Cores: d.Processor, LinkMbps: d.Link})
 				}
 			}
-			require.Equal(t, c.Cells, cellsFor(c.Workers, c.PerCell, daemons))
+			require.Equal(t, c.Cells, chooseCellCount(c.Workers, c.PerCell, daemons))
 		})
 	}
 }
@@ -49,19 +49,19 @@
 // daemon without capacity for any worker has been running for longer.
 func TestFreeCellGoesToADaemonThatCarriesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3, 1, nil)
+		w := newTestCluster(t, 3, 1, nil)
 		first := w.daemons[0]
 		w.eventually(10*time.Second, "the first daemon owns the cell", func() bool { return w.owner() == first })
-		w.cores = 0.001
+		w.daemonCores = 0.001
 		w.startDaemon()
-		w.cores = 0.4
+		w.daemonCores = 0.4
 		able := w.startDaemon()
 		w.eventually(5*time.Second, "ready", able.Ready)
 		time.Sleep(time.Second)
 		ended := time.Now()
 		first.kill()
 		w.eventually(5*time.Second, "the daemon with capacity for the cell owns it", func() bool { return w.owner() == able })
-		require.Less(t, time.Since(ended), testSettings.OwnerLease+claimEvery, "its claim is not delayed")
+		require.Less(t, time.Since(ended), testSettings.OwnerLease+claimInterval, "its claim is not delayed")
 	})
 }
 
@@ -73,7 +73,7 @@
 		workers = append(workers, jobs.Worker{ID: jobs.WorkerID(fmt.Sprint(n)), Rack: rack, Capacity: models.Resources{CPU: 1000}})
 	}
 	for cells := 1; cells <= 8; cells++ {
-		layout := divide(workers, cells)
+		layout := divideRacks(workers, cells)
 		used := map[int]bool{}
 		for _, cell := range layout.Racks {
 			used[cell] = true
@@ -81,5 +81,5 @@
 		require.Len(t, used, layout.Cells, "%d cells", cells)
 		require.Equal(t, min(cells, 3), layout.Cells)
 	}
-	require.Equal(t, 1, divide(nil, 4).Cells)
+	require.Equal(t, 1, divideRacks(nil, 4).Cells)
 }
--- a/services/control/cells.go
+++ b/services/control/cells.go
@@ -42,19 +42,19 @@
 	wakeClaim chan struct{} // signals that cells may be without owner
 	wakeLease chan struct{} // signals that this daemon's key has to be written
 
-	workerCalls atomic.Int64 // calls to workers in flight
-	startLimit  *inflight.Limit
-	cancelAgain func(ctx context.Context, id jobs.ID) platform.Outcome // resumes the cancellation of a job
-	yielded     atomic.Pointer[time.Time]                              // when this daemon last handed a cell over to a daemon with more capacity
+	workerCalls  atomic.Int64 // calls to workers in flight
+	startLimit   *inflight.Limit
+	resumeCancel func(ctx context.Context, id jobs.ID) platform.Outcome // resumes the cancellation of a job
+	lastYield    atomic.Pointer[time.Time]                              // when this daemon last handed a cell over to a daemon with more capacity
 }
 
 // ownerRecord is the owner of a cell as the store names it, and what this daemon has observed about the owner.
 type ownerRecord struct {
 	jobs.Owner
-	version   platform.Version
-	since     time.Time // when this daemon first saw the record
-	suspected bool      // a connection to the owner's address was refused
-	asked     bool      // a second refusal confirmed that, and the removal of the owner's key was tried
+	version      platform.Version
+	seenAt       time.Time // when this daemon first saw the record
+	suspected    bool      // a connection to the owner's address was refused
+	removalTried bool      // a second refusal confirmed that, and the removal of the owner's key was tried
 }
 
 func newCells(c Config, health *storeHealth, configurations *Configurations) *Cells {
@@ -85,14 +85,14 @@
 	return c.currentLayout
 }
 
-// several reports whether the layout has more than one cell.
-func (c *Cells) several() bool {
+// hasMultipleCells reports whether the layout has more than one cell.
+func (c *Cells) hasMultipleCells() bool {
 	layout := c.layout()
 	return layout != nil && layout.Cells > 1
 }
 
-// others returns all cells except one; none before the layout is known.
-func (c *Cells) others(except jobs.CellName) []jobs.CellName {
+// otherCells returns all cells except one; none before the layout is known.
+func (c *Cells) otherCells(except jobs.CellName) []jobs.CellName {
 	layout := c.layout()
 	if layout == nil {
 		return nil
@@ -146,8 +146,8 @@
 	}
 }
 
-// nudge wakes the loop that claims cells.
-func (c *Cells) nudge() { wake(c.wakeClaim) }
+// wakeClaimLoop wakes the loop that claims cells.
+func (c *Cells) wakeClaimLoop() { wake(c.wakeClaim) }
 
 // dropOwner stops running a cell on this daemon. The owner's keys in the store stay.
 func (c *Cells) dropOwner(cell jobs.CellName, owner *Owner, reason string) {
@@ -205,7 +205,7 @@
 func (c *Cells) handOver(ctx context.Context, cell jobs.CellName, owner *Owner, reason string) error {
 	owner.flush(ctx)
 	err := c.removeOwner(ctx, cell, platform.Version(owner.epoch))
-	c.health.note(err)
+	c.health.record(err)
 	if err != nil && !errors.Is(err, platform.ErrConflict) { // a conflict: the lease had expired, and the keys with it
 		return errors.Wrapf(err, "hand over cell %s", cell)
 	}
--- a/services/control/checkpoint_random_test.go
+++ b/services/control/checkpoint_random_test.go
@@ -53,7 +53,7 @@
 )
 
 // scriptServices have a load that varies so much that filler tasks have to be moved.
-var scriptServices = grid.Services{Idle: 0.2, Load: 0.45, Swing: 0.75, Period: 8 * time.Second, Heavy: 4}
+var scriptServices = grid.Services{IdleTail: 0.2, MeanLoad: 0.45, Swing: 0.75, Period: 8 * time.Second, HeavyEvery: 4}
 
 // savingScenario is the configuration in which a script runs.
 type savingScenario struct {
@@ -74,12 +74,12 @@
 	stops                                       map[string]int // by reason
 }
 
-func (s *savingStats) add(w *world) {
+func (s *savingStats) add(w *testCluster) {
 	s.scripts++
-	s.startsWithCheckpoint += w.grid.CheckpointsBrought()
-	s.startsBehind += len(w.grid.StartsBehind())
+	s.startsWithCheckpoint += w.grid.StartsFromCheckpoint()
+	s.startsBehind += len(w.grid.StaleCheckpointStarts())
 	s.workLost += w.grid.WorkLost()
-	for _, entry := range w.written.FilterMessage("run is to stop").All() {
+	for _, entry := range w.logged.FilterMessage("run is to stop").All() {
 		s.stops[fmt.Sprint(entry.ContextMap()["reason"])]++
 	}
 }
@@ -129,8 +129,8 @@
 	outer := t
 	synctest.Test(t, func(t *testing.T) {
 		s := savingRun{&scriptRun{cancelled: map[jobs.ID]bool{}, maybeCancelled: map[jobs.ID]bool{}, crashing: map[jobs.ID]time.Duration{}}}
-		s.world = newWorldWith(t, scriptDaemons, in.perCell, grid.Config{
-			Workers: scriptWorkers, Down: workerDowntime, Save: scriptSave, Restore: scriptRestore, ShowsOwn: in.showsOwn,
+		s.testCluster = newTestClusterWithGrid(t, scriptDaemons, in.perCell, grid.Config{
+			Workers: scriptWorkers, RestartDelay: workerDowntime, CheckpointInterval: scriptSave, RestoreTime: scriptRestore, OwnCheckpointsOnly: in.showsOwn,
 			Services: scriptServices,
 		})
 		time.Sleep(5 * time.Second)
@@ -141,7 +141,7 @@
 		}
 		s.heal()
 		failure = s.check()
-		stats.add(s.world)
+		stats.add(s.testCluster)
 		if failure != "" {
 			failure += "\nscript and log: " + saveFailure(outer, script, failure, s.log())
 		}
@@ -156,11 +156,11 @@
 	work := minSavingWork + remaining
 	switch step.What {
 	case "submit saving":
-		s.submitSaving(d, twoSteps(s.jobCount+1, work))
+		s.submitSaving(d, twoStepJob(s.jobCount+1, work))
 	case "submit saving bound":
-		s.submitSaving(d, s.bindFirstStep(twoSteps(s.jobCount+1, work), step.Place))
+		s.submitSaving(d, s.bindFirstStep(twoStepJob(s.jobCount+1, work), step.Place))
 	case "submit saving repeated":
-		s.submitSaving(d, repeatTwice(twoSteps(s.jobCount+1, work)))
+		s.submitSaving(d, repeatTwice(twoStepJob(s.jobCount+1, work)))
 	case "submit saving filling":
 		s.submitSaving(d, scriptFillerJob(s.jobCount+1, work))
 	case "submit saving lasting":
@@ -169,13 +169,13 @@
 		s.submitSavingLasting(d, wideTasks)
 	case "worker fails all":
 		s.workerFailsAll = true
-		s.grid.SetFaults(step.Place, grid.Faults{FailsAll: true})
+		s.grid.SetFaults(step.Place, grid.Faults{FailRuns: true})
 	case "stalled worker":
 		s.grid.SetFaults(step.Place, grid.Faults{Stalled: true})
 	case "late answers":
 		s.grid.SetFaults(step.Place, grid.Faults{LateAnswers: answerDelay})
 	case "calls again":
-		s.grid.SetFaults(step.Place, grid.Faults{Again: repeatCallAfter})
+		s.grid.SetFaults(step.Place, grid.Faults{RepeatAfter: repeatCallAfter})
 	case "worker leaves":
 		s.grid.Drain(step.Place, remaining)
 		time.AfterFunc(remaining, func() { s.grid.Crash(step.Place) })
@@ -194,7 +194,7 @@
 func (s savingRun) submitSavingLasting(d *testDaemon, tasks int) {
 	if s.longRunningTasks+tasks <= maxLongRunningTasks {
 		s.longRunningTasks += tasks
-		s.submitSaving(d, lasting(s.jobCount+1, tasks))
+		s.submitSaving(d, longRunningJob(s.jobCount+1, tasks))
 	}
 }
 
@@ -227,6 +227,6 @@
 func scriptFillerJob(n int, work time.Duration) jobs.Spec {
 	return jobs.Spec{ID: jobID(n), Payload: jobs.Text(fmt.Sprint("payload ", n)), Steps: []jobs.Step{{
 		Count: fillerTasks, Size: models.Resources{CPU: fillerCPU, Memory: 200}, Estimate: models.MilliOf(work),
-		Fills: true, Image: jobs.ImageName(fmt.Sprint("filling-", n%savingImages)),
+		Filler: true, Image: jobs.ImageName(fmt.Sprint("filling-", n%savingImages)),
 	}}}
 }
--- a/services/control/claim.go
+++ b/services/control/claim.go
@@ -17,12 +17,12 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// claimEvery is the interval at which the claim loop looks for cells without owner even when nothing wakes it.
-const claimEvery = 500 * time.Millisecond
+// claimInterval is the interval at which the claim loop looks for cells without owner even when nothing wakes it.
+const claimInterval = 500 * time.Millisecond
 
 // claimLoop claims cells without owner until ctx ends.
 func (c *Cells) claimLoop(ctx context.Context) {
-	ticker := time.NewTicker(claimEvery)
+	ticker := time.NewTicker(claimInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		c.claimFreeCells(ctx)
@@ -42,13 +42,13 @@
 // outage of the store it takes about a second until all daemons are back.
 const maxShortfallDelay = 1200 * time.Millisecond
 
-// holdBack returns how long this daemon leaves a cell without owner to other daemons. The smaller the
+// claimDelay returns how long this daemon leaves a cell without owner to other daemons. The smaller the
 // share of the cell's workers that this daemon can handle, the longer the delay, so that the cell goes
 // to a daemon that can handle all of them if there is one. A daemon that has just handed a cell over
 // waits as if it could handle none, because it is the first to see that the cell is free.
-func (c *Cells) holdBack(owned int) time.Duration {
-	shortfall := max(0, 1-float64(carries(c.self()))/float64(c.cellSize()))
-	if since := c.yielded.Load(); since != nil && c.config.Clock.Since(*since) < yieldPause {
+func (c *Cells) claimDelay(owned int) time.Duration {
+	shortfall := max(0, 1-float64(workerCapacity(c.self()))/float64(c.cellSize()))
+	if since := c.lastYield.Load(); since != nil && c.config.Clock.Since(*since) < yieldCooldown {
 		shortfall = 1
 	}
 	return time.Duration(owned)*claimDelayPerCell + time.Duration(shortfall*float64(maxShortfallDelay))
@@ -57,7 +57,7 @@
 // claimFreeCells removes the keys of owners that no longer run and claims cells without owner.
 func (c *Cells) claimFreeCells(ctx context.Context) {
 	c.removeStaleClaims(ctx)
-	c.removeAbandoned(ctx)
+	c.removeDeadOwners(ctx)
 	c.mu.Lock()
 	var free []jobs.CellName
 	if c.currentLayout != nil && c.ownersSynced && c.lease != 0 && !c.stopping {
@@ -70,7 +70,7 @@
 	owned := len(c.owned)
 	c.mu.Unlock()
 	for _, cell := range free {
-		if wait := c.holdBack(owned); wait > 0 {
+		if wait := c.claimDelay(owned); wait > 0 {
 			sleep(ctx, wait)
 			if _, taken := c.ownerOf(cell); taken {
 				continue
@@ -96,7 +96,7 @@
 	c.mu.Unlock()
 	for cell, version := range stale {
 		err := c.removeOwner(ctx, cell, version)
-		c.health.note(err)
+		c.health.record(err)
 		c.config.Logger.Info("stale claim removed", append(log.Err(err), zap.String("cell", string(cell)))...)
 	}
 }
@@ -112,7 +112,7 @@
 
 // claim tries to make this daemon the owner of a cell and, if that succeeds, starts running the cell.
 func (c *Cells) claim(ctx context.Context, cell jobs.CellName) bool {
-	owner := jobs.Owner{Daemon: c.config.Self, Address: c.config.Address, Claim: c.config.NewID()}
+	owner := jobs.Owner{Daemon: c.config.Self, Address: c.config.Address, ClaimID: c.config.NewID()}
 	value, err := json.Marshal(owner)
 	if err != nil {
 		c.config.Logger.Error("claim of a cell not written: encoding failed", log.Err(err)...)
@@ -131,10 +131,10 @@
 			{Key: ownerKey(cell), Value: value, Lease: lease}, {Key: markerKey(cell), Value: value, Lease: lease},
 		},
 	})
-	if errors.Is(err, platform.ErrUnknown) {
+	if errors.Is(err, platform.ErrUnknownOutcome) {
 		version, err = c.resolveClaim(ctx, cell, owner)
 	}
-	c.health.note(err)
+	c.health.record(err)
 	if err != nil {
 		if !errors.Is(err, platform.ErrConflict) {
 			c.config.Logger.Warn("claim failed", append(log.Err(err), zap.String("cell", string(cell)))...)
@@ -156,7 +156,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if stored.Claim != owner.Claim {
+	if stored.ClaimID != owner.ClaimID {
 		return 0, platform.ErrConflict
 	}
 	return record.Version, nil
@@ -168,7 +168,7 @@
 	c.config.Scope.Counter("cells_taken").Inc(1)
 	owner := newOwner(c, cell, jobs.Epoch(version), taken)
 	c.mu.Lock()
-	c.owners[cell] = ownerRecord{Owner: claim, version: version, since: taken}
+	c.owners[cell] = ownerRecord{Owner: claim, version: version, seenAt: taken}
 	c.owned[cell] = owner
 	c.mu.Unlock()
 	c.group.Go(func() { c.runOwner(ctx, cell, owner) })
@@ -181,5 +181,5 @@
 		delete(c.owned, cell)
 	}
 	c.mu.Unlock()
-	c.nudge()
+	c.wakeClaimLoop()
 }
--- a/services/control/clock.go
+++ b/services/control/clock.go
@@ -15,12 +15,12 @@
 // newClock creates the clock by which this daemon judges leases, proofs and the age of its data.
 // docs/design/clocks.md says which clock each other use needs.
 func newClock(c Config) *clock.Clock {
-	trouble := log.NewTrouble(log.TroubleConfig{
+	trouble := log.NewOutageLogger(log.OutageLoggerConfig{
 		Logger: c.Logger, Began: "suspensions of the VM cannot be measured", Ended: "suspensions of the VM are measured again",
 	})
 	return clock.New(clock.Config{
-		Note: trouble.Note,
-		Seen: func(suspended time.Duration) {
+		OnReading: trouble.Observe,
+		OnSuspension: func(suspended time.Duration) {
 			c.Scope.Counter("suspensions").Inc(1)
 			c.Logger.Warn("VM was suspended; the age of all known state grows by that time", zap.Duration("for", suspended))
 		},
--- a/services/control/configuration.go
+++ b/services/control/configuration.go
@@ -24,13 +24,13 @@
 	current  atomic.Pointer[jobs.Configuration]
 	onChange func(*jobs.Configuration)
 	version  platform.Version // store version to watch from; 0: read first; used by the loop only
-	trouble  *log.Trouble
+	trouble  *log.OutageLogger
 	// confirmedAt is when the store last returned a configuration, or said that there is no newer one.
 	confirmedAt atomic.Pointer[time.Time]
 }
 
 func newConfigurations(c Config, health *storeHealth) *Configurations {
-	f := &Configurations{config: c, health: health, trouble: log.NewTrouble(log.TroubleConfig{
+	f := &Configurations{config: c, health: health, trouble: log.NewOutageLogger(log.OutageLoggerConfig{
 		Logger: c.Logger, Began: "configuration can't be followed", Ended: "configuration is followed again",
 	})}
 	f.markConfirmed()
@@ -65,9 +65,9 @@
 		if ctx.Err() != nil {
 			return
 		}
-		c.trouble.Note(err)
+		c.trouble.Observe(err)
 		if err != nil {
-			c.health.note(err)
+			c.health.record(err)
 			sleep(ctx, configurationRetryPause)
 		}
 	}
@@ -86,12 +86,12 @@
 	c.version = max(c.version, version)
 	switch {
 	case err == nil:
-		c.health.note(nil)
+		c.health.record(nil)
 		c.markConfirmed()
 		c.apply(&configuration)
 		return nil
 	case version > 0 && errors.Is(err, platform.ErrNotFound):
-		c.health.note(nil)
+		c.health.record(nil)
 		c.markConfirmed()
 		return nil // there is no configuration yet, or no newer one
 	case c.version > 0 && mustReload(err):
--- a/services/control/control.go
+++ b/services/control/control.go
@@ -13,7 +13,7 @@
 //	job/CELL/ID/cancel        jobs.Cancellation
 //	progress/CELL/ID          jobs.Progress, written by the cell's owner
 //	roster/CELL               jobs.Roster
-//	learned/CELL              jobs.Knowledge, the parameters that the owner has learned from reports
+//	learned/CELL              jobs.LearnedParameters, the parameters that the owner has learned from reports
 //	journal/CELL              the last transaction of the cell's owner
 //
 // A job is accepted for one of the cells that follow from its id. An owner whose cell has no
@@ -89,7 +89,7 @@
 	submissions    *submissions
 }
 
-var _ platform.Callers = (*Service)(nil)
+var _ platform.JobService = (*Service)(nil)
 
 // New creates a Service. Its loops run while Configurations.Run and Cells.Run do.
 func New(c Config) *Service {
@@ -97,7 +97,7 @@
 		c.Clock = newClock(c)
 	}
 	if c.Peers == nil {
-		c.Peers = newCaller(c.Self)
+		c.Peers = newPeerClient(c.Self)
 	}
 	meter := storeMeter{c.Scope}
 	c.Store = &meteredStore{c.Store, meter}
@@ -106,14 +106,14 @@
 	s := &Service{config: c, health: newStoreHealth(c.Logger, c.Clock), submissions: newSubmissions()}
 	s.Configurations = newConfigurations(c, s.health)
 	s.Cells = newCells(c, s.health, s.Configurations)
-	s.Cells.cancelAgain = s.Cancel
+	s.Cells.resumeCancel = s.Cancel
 	s.Configurations.onChange = s.Cells.configure
 	return s
 }
 
 // Ready reports whether this daemon should receive calls from callers.
 func (s *Service) Ready() bool {
-	return !s.stopping.Load() && s.Configured() != nil && s.Cells.layout() != nil && s.health.good()
+	return !s.stopping.Load() && s.ActiveConfiguration() != nil && s.Cells.layout() != nil && s.health.available()
 }
 
 // BeginStop marks the daemon as not ready.
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// Configured returns the configuration in force, or nil if there is none yet.
-func (s *Service) Configured() *jobs.Configuration { return s.Configurations.current.Load() }
+// ActiveConfiguration returns the configuration in force, or nil if there is none yet.
+func (s *Service) ActiveConfiguration() *jobs.Configuration { return s.Configurations.current.Load() }
 
 // storeHealth tracks whether the store answers this daemon, so that callers do not wait for
 // store calls that are known to fail.
@@ -143,8 +143,8 @@
 	return &storeHealth{logger: logger, clock: clock, start: clock.Now()}
 }
 
-// note records the result of a call to the store.
-func (h *storeHealth) note(err error) {
+// record records the result of a call to the store.
+func (h *storeHealth) record(err error) {
 	if err == nil || !isOutage(err) {
 		h.lastAnswer.Store(int64(h.clock.Since(h.start)))
 		if since := h.failingSince.Swap(0); since != 0 {
@@ -160,8 +160,8 @@
 // answeredAt returns the time at which the store last answered a call of this daemon.
 func (h *storeHealth) answeredAt() time.Time { return h.start.Add(time.Duration(h.lastAnswer.Load())) }
 
-// good reports whether the store has not been failing for storeDownThreshold or longer.
-func (h *storeHealth) good() bool {
+// available reports whether the store has not been failing for storeDownThreshold or longer.
+func (h *storeHealth) available() bool {
 	since := h.failingSince.Load()
 	return since == 0 || h.clock.Since(h.start)-time.Duration(since) < storeDownThreshold
 }
--- a/services/control/crash_mix_test.go
+++ b/services/control/crash_mix_test.go
@@ -38,7 +38,7 @@
 
 // mixRun is one run of a case.
 type mixRun struct {
-	*world
+	*testCluster
 	mix      crashMix
 	draw     *rand.Rand
 	crashing map[jobs.ID]bool // filled before the first start
@@ -81,8 +81,8 @@
 	for n := range mixShort {
 		p.crashing[jobID(mixFirst+n)] = p.draw.Float64() < mix.Bad
 	}
-	p.world = newWorldWith(t, 2, mixWorkers, grid.Config{
-		Workers: mixWorkers, Down: workerDowntime,
+	p.testCluster = newTestClusterWithGrid(t, 2, mixWorkers, grid.Config{
+		Workers: mixWorkers, RestartDelay: workerDowntime,
 		Crash: func(task jobs.TaskID, _ jobs.RunID) (time.Duration, bool) {
 			return mix.After.Duration(), p.crashing[task.Job] && task.Step == 0 && task.Index == 0
 		},
@@ -94,12 +94,12 @@
 
 func (p *mixRun) run() {
 	for n := range mixLasting {
-		p.submit(p.daemons[0], lasting(1+n, 3))
+		p.submit(p.daemons[0], longRunningJob(1+n, 3))
 	}
 	p.nextLoss = time.Now()
 	for n := range mixShort {
 		// The work takes longer than any crash takes to happen.
-		spec := twoSteps(mixFirst+n, 1100*time.Millisecond+time.Duration(p.draw.IntN(900))*time.Millisecond)
+		spec := twoStepJob(mixFirst+n, 1100*time.Millisecond+time.Duration(p.draw.IntN(900))*time.Millisecond)
 		spec.Steps[0].Count = 6
 		p.submit(p.daemons[0], spec)
 		p.loseWorkers()
@@ -116,13 +116,13 @@
 	p.nextLoss = p.nextLoss.Add(p.mix.LostEvery.Duration())
 	for place := range mixWorkers {
 		if p.draw.Float64() < p.mix.Lost {
-			p.grid.CrashFor(place)
+			p.grid.CrashWithDowntime(place)
 		}
 	}
 }
 
 func (p *mixRun) check() {
-	p.noBreach()
+	p.requireNoBreaches()
 	for n := range mixShort {
 		id := jobID(mixFirst + n)
 		want := jobs.StateSucceeded
--- a/services/control/crash_test.go
+++ b/services/control/crash_test.go
@@ -26,10 +26,10 @@
 const workerDowntime = 3300 * time.Millisecond
 
 // newCrashWorld makes a world in which the first task of each job in bad crashes its worker.
-func newCrashWorld(t *testing.T, workers, daemons int, after time.Duration, bad ...jobs.ID) *world {
+func newCrashWorld(t *testing.T, workers, daemons int, after time.Duration, bad ...jobs.ID) *testCluster {
 	t.Helper()
-	w := newWorldWith(t, daemons, testSettings.WorkersPerCell, grid.Config{
-		Workers: workers, Down: workerDowntime,
+	w := newTestClusterWithGrid(t, daemons, testSettings.WorkersPerCell, grid.Config{
+		Workers: workers, RestartDelay: workerDowntime,
 		Crash: func(task jobs.TaskID, _ jobs.RunID) (time.Duration, bool) {
 			return after, slices.Contains(bad, task.Job) && task.Step == 0 && task.Index == 0
 		},
@@ -50,11 +50,11 @@
 				bad := jobID(1)
 				w := newCrashWorld(t, 8, 2, after, bad)
 				d := w.daemons[0]
-				w.submit(d, twoSteps(1, 2*time.Second))
+				w.submit(d, twoStepJob(1, 2*time.Second))
 				for n := 2; n <= 7; n++ {
-					w.submit(d, twoSteps(n, 2*time.Second))
+					w.submit(d, twoStepJob(n, 2*time.Second))
 				}
-				w.submit(d, lasting(8, 3))
+				w.submit(d, longRunningJob(8, 3))
 				w.eventually(40*time.Second, "crashing job has failed", func() bool { return w.state(d, bad) == jobs.StateFailed })
 				require.Equal(t, jobs.StateFailed, w.state(w.daemons[1], bad), "each daemon reports the failure")
 				for n := 2; n <= 7; n++ {
@@ -64,7 +64,7 @@
 				time.Sleep(20 * time.Second)
 				require.Equal(t, jobs.StateRunning, w.state(d, jobID(8)))
 				require.Zero(t, w.grid.Running(bad))
-				w.noBreach()
+				w.requireNoBreaches()
 			})
 		})
 	}
@@ -77,11 +77,11 @@
 		bad := jobID(1)
 		w := newCrashWorld(t, 6, 1, 10*time.Millisecond, bad)
 		d := w.daemons[0]
-		w.submit(d, lasting(2, 4))
-		w.submit(d, lasting(1, 3))
+		w.submit(d, longRunningJob(2, 4))
+		w.submit(d, longRunningJob(1, 3))
 		w.eventually(40*time.Second, "crashing job has failed", func() bool { return w.state(d, bad) == jobs.StateFailed })
 		w.eventually(20*time.Second, "the other job is running", func() bool { return w.grid.Running(jobID(2)) == 4 })
-		w.noBreach()
+		w.requireNoBreaches()
 	})
 }
 
@@ -104,7 +104,7 @@
 		for n := 2; n <= 6; n++ {
 			w.eventually(30*time.Second, "other job has succeeded", func() bool { return w.state(d, jobID(n)) == jobs.StateSucceeded })
 		}
-		w.noBreach()
+		w.requireNoBreaches()
 	})
 }
 
@@ -114,11 +114,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newCrashWorld(t, 8, 1, 0)
 		d := w.daemons[0]
-		w.submit(d, lasting(100, 4))
+		w.submit(d, longRunningJob(100, 4))
 		for n := 1; n <= 24; n++ {
-			w.submit(d, twoSteps(n, 1500*time.Millisecond))
+			w.submit(d, twoStepJob(n, 1500*time.Millisecond))
 			for place := n % 2; place < 8 && n%3 == 0; place += 2 {
-				w.grid.CrashFor(place)
+				w.grid.CrashWithDowntime(place)
 			}
 			time.Sleep(700 * time.Millisecond)
 		}
@@ -127,7 +127,7 @@
 		}
 		w.eventually(20*time.Second, "long-running job is running", func() bool { return w.grid.Running(jobID(100)) == 4 })
 		require.Equal(t, jobs.StateRunning, w.state(d, jobID(100)))
-		w.noBreach()
+		w.requireNoBreaches()
 	})
 }
 
@@ -139,7 +139,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				bad := jobID(1)
 				w := newCrashWorld(t, 6, 2, 10*time.Millisecond, bad)
-				w.submit(w.daemons[0], twoSteps(1, 2*time.Second))
+				w.submit(w.daemons[0], twoStepJob(1, 2*time.Second))
 				for crashes := 1; crashes <= 3; crashes++ {
 					w.eventually(30*time.Second, "crash, or failure of the job", func() bool {
 						return w.grid.Crashes(bad) >= crashes || w.state(w.daemons[len(w.daemons)-1], bad) == jobs.StateFailed
@@ -149,13 +149,13 @@
 					}
 					time.Sleep(pause)
 					if owner := w.owner(); owner != nil {
-						owner.end()
+						owner.killProcess()
 						w.startDaemon()
 					}
 				}
 				last := w.daemons[len(w.daemons)-1]
 				w.eventually(60*time.Second, "crashing job has failed", func() bool { return w.state(last, bad) == jobs.StateFailed })
-				w.noBreach()
+				w.requireNoBreaches()
 			})
 		})
 	}
--- a/services/control/encoding.go
+++ b/services/control/encoding.go
@@ -20,8 +20,8 @@
 	return value, errors.Wrapf(err, "key %s", record.Key)
 }
 
-// readVersion reads the value and the version of a key; both are zero if the key does not exist.
-func readVersion[T wire.Checker](ctx context.Context, store platform.Store, key string) (T, platform.Version, error) {
+// readWithVersion reads the value and the version of a key; both are zero if the key does not exist.
+func readWithVersion[T wire.Checker](ctx context.Context, store platform.Store, key string) (T, platform.Version, error) {
 	var zero T
 	record, err := store.Get(ctx, key)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -36,7 +36,7 @@
 
 // read reads the value of a key, or the zero value if the key does not exist.
 func read[T wire.Checker](ctx context.Context, store platform.Store, key string) (T, error) {
-	value, _, err := readVersion[T](ctx, store, key)
+	value, _, err := readWithVersion[T](ctx, store, key)
 	return value, err
 }
 
@@ -47,14 +47,14 @@
 	return record, err
 }
 
-// put is a key and the value to be written to it.
-type put struct {
+// keyValue is a key and the value to be written to it.
+type keyValue struct {
 	key   string
 	value any
 }
 
-// encode encodes values as writes.
-func encode(puts []put) ([]platform.Write, error) {
+// encodeWrites encodes values as writes.
+func encodeWrites(puts []keyValue) ([]platform.Write, error) {
 	writes := make([]platform.Write, 0, len(puts))
 	for _, p := range puts {
 		value, err := json.Marshal(p.value)
--- a/services/control/entries.go
+++ b/services/control/entries.go
@@ -21,13 +21,13 @@
 // jobEntries are the entries of a job in all its cells.
 type jobEntries []jobEntry
 
-// entriesOf reads what the store holds about a job: first in the cells that follow from its id, then in the
+// readEntries reads what the store holds about a job: first in the cells that follow from its id, then in the
 // further cells that the records there name.
-func (s *Service) entriesOf(ctx context.Context, id jobs.ID, layout *jobs.Layout) (jobEntries, error) {
-	if !s.health.good() {
+func (s *Service) readEntries(ctx context.Context, id jobs.ID, layout *jobs.Layout) (jobEntries, error) {
+	if !s.health.available() {
 		return nil, platform.ErrUnavailable
 	}
-	entries, err := s.readEntriesIn(ctx, cellsOf(id, layout), id)
+	entries, err := s.readEntriesIn(ctx, cellsForJob(id, layout), id)
 	if err != nil {
 		return nil, err
 	}
@@ -52,7 +52,7 @@
 func (e jobEntries) furtherCells() []jobs.CellName {
 	var cells []jobs.CellName
 	for _, entry := range e {
-		cells = append(cells, entry.record.Further...)
+		cells = append(cells, entry.record.AdditionalCells...)
 	}
 	slices.Sort(cells)
 	return slices.Compact(cells)
@@ -62,7 +62,7 @@
 func (s *Service) readEntry(ctx context.Context, cell jobs.CellName, id jobs.ID) (jobEntry, error) {
 	entry := jobEntry{cell: cell}
 	records, _, err := s.config.Store.List(ctx, jobKey(cell, id))
-	s.health.note(err)
+	s.health.record(err)
 	if err != nil {
 		return entry, err
 	}
@@ -80,11 +80,11 @@
 
 // active reports whether the cell has tasks of the job and the job has not ended there.
 func (e *jobEntry) active() bool {
-	return e.record.Version != 0 && e.record.Ended == "" && !e.record.Left()
+	return e.record.Version != 0 && e.record.Ended == "" && !e.record.AllTasksMoved()
 }
 
-// open returns the entries of the cells that have tasks of the job and no cancellation of it yet.
-func (e jobEntries) open() jobEntries {
+// uncancelled returns the entries of the cells that have tasks of the job and no cancellation of it yet.
+func (e jobEntries) uncancelled() jobEntries {
 	var found jobEntries
 	for _, entry := range e {
 		if entry.active() && !entry.cancelled {
@@ -94,8 +94,8 @@
 	return found
 }
 
-// known reports whether any cell has a record of the job other than one that bars it.
-func (e jobEntries) known() bool {
+// stored reports whether any cell has a record of the job other than one that bars it.
+func (e jobEntries) stored() bool {
 	return slices.ContainsFunc(e, func(entry jobEntry) bool {
 		return entry.record.Version != 0 && entry.record.Ended != jobs.StateBarred
 	})
--- a/services/control/fate.go
+++ b/services/control/fate.go
@@ -44,15 +44,15 @@
 // in the cell that it leaves, and records are removed only long after the job has ended.
 func (s *Service) storedStatusOf(ctx context.Context, id jobs.ID, registered platform.Version) storedStatus {
 	layout := s.Cells.layout()
-	if layout == nil || !s.health.good() {
+	if layout == nil || !s.health.available() {
 		return statusUnknown
 	}
 	settled := s.registrationChanged(ctx, registered)
-	entries, err := s.entriesOf(ctx, id, layout)
+	entries, err := s.readEntries(ctx, id, layout)
 	switch {
 	case err != nil:
 		return statusUnknown
-	case entries.known():
+	case entries.stored():
 		return statusStored
 	case entries.barred():
 		return statusBarred
@@ -66,7 +66,7 @@
 // registrationChanged tells whether this daemon's own key certainly no longer has the given version.
 func (s *Service) registrationChanged(ctx context.Context, registered platform.Version) bool {
 	record, err := s.config.Store.Get(ctx, daemonKey(s.config.Self))
-	s.health.note(err)
+	s.health.record(err)
 	if err != nil {
 		return errors.Is(err, platform.ErrNotFound)
 	}
--- a/services/control/fated_store_test.go
+++ b/services/control/fated_store_test.go
@@ -95,7 +95,7 @@
 func (r *commitRecorder) records(id jobs.ID) []string {
 	local := &kv.Local{Service: r.store, Fault: kv.NoFault}
 	var keys []string
-	for _, key := range r.store.KeysWith(jobPrefix) {
+	for _, key := range r.store.KeysWithPrefix(jobPrefix) {
 		if !strings.HasSuffix(key, "/"+string(id)) {
 			continue
 		}
@@ -111,7 +111,7 @@
 func (r *commitRecorder) stored(id jobs.ID, layout *jobs.Layout) jobEntries {
 	local := &kv.Local{Service: r.store, Fault: kv.NoFault}
 	reader := &Service{config: Config{Store: local}, health: newStoreHealth(zap.NewNop(), clock.New(clock.Config{}))}
-	entries, err := reader.entriesOf(context.Background(), id, layout)
+	entries, err := reader.readEntries(context.Background(), id, layout)
 	if err != nil {
 		return nil
 	}
@@ -140,7 +140,7 @@
 		if id == "" || strings.HasSuffix(key, cancelSuffix) {
 			continue
 		}
-		if entries := r.stored(id, d.Cells.layout()); entries.known() && !entries.state().Ended() {
+		if entries := r.stored(id, d.Cells.layout()); entries.stored() && !entries.state().Ended() {
 			r.removed = append(r.removed, id)
 		}
 	}
@@ -184,8 +184,8 @@
 
 func newFaultyStore(d *testDaemon, r *commitRecorder) *faultyStore {
 	return &faultyStore{
-		TxnStore: &kv.Local{Service: r.store, Fault: kv.NoFault, Wait: time.Second}, daemon: d, recorder: r,
-		extraLatency:   time.Duration(d.world.made) * daemonLatencyStep,
+		TxnStore: &kv.Local{Service: r.store, Fault: kv.NoFault, WatchWait: time.Second}, daemon: d, recorder: r,
+		extraLatency:   time.Duration(d.cluster.daemonsStarted) * daemonLatencyStep,
 		defaultOutcome: outcomeDone, writes: map[jobs.ID][]plannedCall{}, reads: map[jobs.ID][]plannedCall{},
 	}
 }
@@ -258,7 +258,7 @@
 func callWithOutcome[T any](ctx context.Context, s *faultyStore, planned plannedCall, perform func() (T, error)) (T, error) {
 	var zero T
 	if ctx.Err() != nil {
-		return zero, platform.ErrUnknown
+		return zero, platform.ErrUnknownOutcome
 	}
 	latency := storeLatency + s.extraLatency
 	switch planned.Outcome {
@@ -267,10 +267,10 @@
 		return zero, platform.ErrUnavailable
 	case outcomeLimited:
 		sleep(ctx, 2*storeLatency)
-		return zero, platform.ErrLimited
+		return zero, platform.ErrRateLimited
 	case outcomeSilent:
-		sleep(ctx, callTime)
-		return zero, platform.ErrUnknown
+		sleep(ctx, testCallTimeout)
+		return zero, platform.ErrUnknownOutcome
 	case outcomeLate:
 		latency = planned.Late
 	case outcomeSlow:
@@ -282,14 +282,14 @@
 		time.AfterFunc(latency, func() { answered <- callResult[T]{value, err} })
 	})
 	if planned.Outcome == outcomeLost || planned.Outcome == outcomeLate {
-		sleep(ctx, callTime)
-		return zero, platform.ErrUnknown
+		sleep(ctx, testCallTimeout)
+		return zero, platform.ErrUnknownOutcome
 	}
 	select {
 	case result := <-answered:
 		return result.value, result.err
 	case <-ctx.Done():
-		return zero, platform.ErrUnknown
+		return zero, platform.ErrUnknownOutcome
 	}
 }
 
--- a/services/control/faults_test.go
+++ b/services/control/faults_test.go
@@ -13,5 +13,5 @@
 var (
 	noFaults   = grid.Faults{}
 	faultsCut  = grid.Faults{Cut: true}
-	faultsLate = grid.Faults{Late: 4 * time.Second}
+	faultsLate = grid.Faults{LateOrders: 4 * time.Second}
 )
--- a/services/control/figures.go
+++ b/services/control/figures.go
@@ -15,8 +15,8 @@
 	"rillsail.example/rillsail/services/dispatch"
 )
 
-// ofQueue returns the metrics scope of the jobs of one queue.
-func (s *Service) ofQueue(queue jobs.QueueName) tally.Scope {
+// queueScope returns the metrics scope of the jobs of one queue.
+func (s *Service) queueScope(queue jobs.QueueName) tally.Scope {
 	return s.config.Scope.Tagged(map[string]string{"queue": string(queue)})
 }
 
@@ -123,7 +123,7 @@
 	Epoch   jobs.Epoch             `json:"epoch"`
 	Summary dispatch.Summary       `json:"summary"`
 	Counts  dispatch.Counts        `json:"counts"`
-	Learned []jobs.Learned         `json:"learned,omitempty"`
+	Learned []jobs.LearnedFactor   `json:"learned,omitempty"`
 	Workers []dispatch.WorkerState `json:"workers,omitempty"`
 }
 
@@ -131,10 +131,10 @@
 func (s *Service) Dump() Dump {
 	now := s.config.Clock.Now()
 	d := Dump{
-		Daemon: s.config.Self, Ready: s.Ready(), StoreAnswers: s.health.good(), Layout: s.Cells.layout(),
+		Daemon: s.config.Self, Ready: s.Ready(), StoreAnswers: s.health.available(), Layout: s.Cells.layout(),
 		Owners: s.Cells.knownOwners(), Cells: map[jobs.CellName]CellDump{},
 	}
-	if configuration := s.Configured(); configuration != nil {
+	if configuration := s.ActiveConfiguration(); configuration != nil {
 		d.Configuration = configuration.Version
 	}
 	for cell, owner := range s.Cells.ownedCells() {
--- a/services/control/further_test.go
+++ b/services/control/further_test.go
@@ -19,10 +19,10 @@
 
 // newSpreadWorld makes cells of two workers each, and runs a long-running job with a task on each worker but one, so
 // that most of its tasks are in cells that its ID does not map to.
-func newSpreadWorld(t *testing.T, cells, daemons int) (w *world, spec jobs.Spec) {
+func newSpreadWorld(t *testing.T, cells, daemons int) (w *testCluster, spec jobs.Spec) {
 	t.Helper()
-	w = newWorldOf(t, 2*cells, daemons, 2, nil)
-	spec = lasting(1, 2*cells-1)
+	w = newTestClusterWithCells(t, 2*cells, daemons, 2, nil)
+	spec = longRunningJob(1, 2*cells-1)
 	spec.Steps[0].PerWorker = 1
 	w.submit(w.daemons[0], spec)
 	w.eventually(40*time.Second, "all tasks are running", func() bool { return w.grid.Running(spec.ID) == spec.Steps[0].Count })
@@ -30,7 +30,7 @@
 }
 
 // keysOf lists the keys in the store that name a job.
-func (w *world) keysOf(id jobs.ID) []string {
+func (w *testCluster) keysOf(id jobs.ID) []string {
 	var keys []string
 	for _, prefix := range []string{jobPrefix, progressPrefix} {
 		records, _, err := w.daemons[0].config.Store.List(w.ctx, prefix)
@@ -45,7 +45,7 @@
 }
 
 // everyDaemonShows waits until each daemon reports the given state of a job.
-func (w *world) everyDaemonShows(id jobs.ID, state jobs.State) {
+func (w *testCluster) everyDaemonShows(id jobs.ID, state jobs.State) {
 	w.t.Helper()
 	w.eventually(5*time.Second, "each daemon reports "+string(state), func() bool {
 		for _, d := range w.daemons {
@@ -74,7 +74,7 @@
 				require.Equal(t, platform.Done{}, w.daemons[0].Cancel(w.ctx, spec.ID), "a second time")
 				time.Sleep(170 * time.Second)
 				require.Empty(t, w.keysOf(spec.ID))
-				w.noBreach()
+				w.requireNoBreaches()
 			})
 		})
 	}
@@ -102,7 +102,7 @@
 			w.daemons = w.daemons[:len(w.daemons)-1]
 			w.eventually(20*time.Second, "all tasks are stopped", func() bool { return w.grid.Running(spec.ID) == 0 })
 			w.everyDaemonShows(spec.ID, jobs.StateCancelled)
-			w.noBreach()
+			w.requireNoBreaches()
 		})
 	}
 }
@@ -113,7 +113,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, spec := newSpreadWorld(t, 5, 3)
 		layout := w.daemons[0].Cells.layout()
-		own := cellsOf(spec.ID, layout)
+		own := cellsForJob(spec.ID, layout)
 		further := ""
 		for _, key := range w.keysOf(spec.ID) {
 			if cell := strings.Split(key, "/")[1]; strings.HasPrefix(key, jobPrefix) && cell != string(own[0]) && cell != string(own[1]) && cell != string(own[2]) {
@@ -137,7 +137,7 @@
 		w.eventually(2*time.Second, "all tasks are stopped", func() bool { return w.grid.Running(spec.ID) == 0 })
 		time.Sleep(170 * time.Second)
 		require.Empty(t, w.keysOf(spec.ID))
-		w.noBreach()
+		w.requireNoBreaches()
 	})
 }
 
--- a/services/control/journal.go
+++ b/services/control/journal.go
@@ -47,8 +47,8 @@
 	return err
 }
 
-// chain commits a transaction as the owner's next one in the journal, and returns its version.
-func (o *Owner) chain(ctx context.Context, txn platform.Txn) (platform.Version, error) {
+// commitJournaled commits a transaction as the owner's next one in the journal, and returns its version.
+func (o *Owner) commitJournaled(ctx context.Context, txn platform.Txn) (platform.Version, error) {
 	o.journal.attempts++
 	entry := journalEntry{Epoch: o.epoch, Attempt: o.journal.attempts}
 	value, err := json.Marshal(entry)
@@ -71,7 +71,7 @@
 	default:
 		// The store may reject the reads of resolveCommit, which says nothing about the transaction.
 		version, err = o.resolveCommit(ctx, entry, err)
-		return version, platform.Unknown(err)
+		return version, platform.AsUnknownOutcome(err)
 	}
 }
 
--- a/services/control/keys.go
+++ b/services/control/keys.go
@@ -36,9 +36,9 @@
 // Long-running tasks may be in further cells, which the records in these cells name.
 const cellsPerJob = 3
 
-// cellsOf returns the cells for one of which a job is accepted. They never change, so that a job that is
+// cellsForJob returns the cells for one of which a job is accepted. They never change, so that a job that is
 // submitted again conflicts with its own key.
-func cellsOf(id jobs.ID, layout *jobs.Layout) []jobs.CellName {
+func cellsForJob(id jobs.ID, layout *jobs.Layout) []jobs.CellName {
 	hash := xxhash.Sum64String(string(id))
 	left := make([]int, layout.Cells) // cells not chosen yet, beginning after the last chosen one
 	for n := range left {
@@ -99,5 +99,5 @@
 
 // isOutage reports whether an error says that the store cannot be used at present.
 func isOutage(err error) bool {
-	return errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrUnknown)
+	return errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrUnknownOutcome)
 }
--- a/services/control/keys_test.go
+++ b/services/control/keys_test.go
@@ -19,11 +19,11 @@
 	for cells, want := range map[int][]jobs.CellName{
 		1: {"0"}, 2: {"1", "0"}, 3: {"1", "2", "0"}, 4: {"3", "1", "2"}, 7: {"0", "2", "1"},
 	} {
-		require.Equal(t, want, cellsOf("5c0e7a21d94b36f8", &jobs.Layout{Cells: cells}), "%d cells", cells)
+		require.Equal(t, want, cellsForJob("5c0e7a21d94b36f8", &jobs.Layout{Cells: cells}), "%d cells", cells)
 	}
 	taken := map[jobs.CellName]int{}
 	for n := range 7000 {
-		found := cellsOf(jobID(n), &jobs.Layout{Cells: 7})
+		found := cellsForJob(jobID(n), &jobs.Layout{Cells: 7})
 		require.Len(t, found, cellsPerJob)
 		require.Len(t, slices.Compact(slices.Sorted(slices.Values(found))), cellsPerJob)
 		for _, cell := range found {
--- a/services/control/knowledge_test.go
+++ b/services/control/knowledge_test.go
@@ -22,25 +22,25 @@
 // fillerJob returns a job of short filler tasks of one image.
 func fillerJob(n, tasks int) jobs.Spec {
 	return jobs.Spec{ID: jobID(n), Payload: "filling", Steps: []jobs.Step{{
-		Count: tasks, Size: models.Resources{CPU: 500, Memory: 100}, Image: "filling", Fills: true, Estimate: 500,
+		Count: tasks, Size: models.Resources{CPU: 500, Memory: 100}, Image: "filling", Filler: true, Estimate: 500,
 	}}}
 }
 
 // learnedFactor returns what the owner at a daemon has learned about the only pair of images.
-func learnedFactor(d *testDaemon) (learned jobs.Learned, ok bool) {
+func learnedFactor(d *testDaemon) (learned jobs.LearnedFactor, ok bool) {
 	for _, l := range d.Cells.Answer(jobs.Query{Cell: cellName(0), Learned: true}).Learned {
 		if l.Serving == "serving" && l.Filling == "filling" {
 			return l, true
 		}
 	}
-	return jobs.Learned{}, false
+	return jobs.LearnedFactor{}, false
 }
 
 // newLearningCluster returns a cluster whose owner has observed the pair of images for twenty seconds.
-func newLearningCluster(t *testing.T) *world {
+func newLearningCluster(t *testing.T) *testCluster {
 	t.Helper()
-	w := newWorld(t, 4, 3, nil)
-	w.submit(w.daemons[0], lasting(1, 4))
+	w := newTestCluster(t, 4, 3, nil)
+	w.submit(w.daemons[0], longRunningJob(1, 4))
 	w.eventually(10*time.Second, "the long-running tasks run", func() bool { return w.grid.Running(jobID(1)) == 4 })
 	for n := range 40 {
 		w.submit(w.daemons[0], fillerJob(2+n, 4))
@@ -61,8 +61,8 @@
 		after, ok := learnedFactor(w.owner())
 		require.True(t, ok)
 		require.InDelta(t, before.Factor, after.Factor, 0.1)
-		require.Less(t, after.Spread, 2*before.Spread)
-		w.noBreach()
+		require.Less(t, after.StdDev, 2*before.StdDev)
+		w.requireNoBreaches()
 	})
 }
 
@@ -71,24 +71,24 @@
 		w := newLearningCluster(t)
 		previous := w.owner()
 		previous.kill()
-		store := &kv.Local{Service: w.store, Fault: w.daemons[1].storeFault, Wait: time.Second}
+		store := &kv.Local{Service: w.store, Fault: w.daemons[1].storeFault, WatchWait: time.Second}
 		_, err := store.Commit(w.ctx, platform.Txn{Put: []platform.Write{{Key: learnedKey(cellName(0)), Value: []byte("{")}}})
 		require.NoError(t, err)
 		w.eventually(10*time.Second, "another daemon owns the cell", func() bool { return w.owner() != nil })
 		w.eventually(10*time.Second, "the long-running tasks run", func() bool { return w.grid.Running(jobID(1)) == 4 })
-		w.noBreach()
+		w.requireNoBreaches()
 	})
 }
 
 func TestKnowledgeThatCannotBeEncodedKeepsNothingFromBeingStored(t *testing.T) {
 	o := &Owner{config: Config{Logger: zap.NewNop()}, cell: cellName(0)}
-	knowledge := &jobs.Knowledge{Speeds: []jobs.QueueSpeed{{Queue: testQueue, Mean: math.NaN()}}}
-	txn, err := o.buildTxn(dispatch.Changes{Roster: &jobs.Roster{}, Knowledge: knowledge})
+	knowledge := &jobs.LearnedParameters{Speeds: []jobs.QueueSpeed{{Queue: testQueue, Mean: math.NaN()}}}
+	txn, err := o.buildTxn(dispatch.Changes{Roster: &jobs.Roster{}, LearnedParameters: knowledge})
 	require.NoError(t, err)
 	require.Len(t, txn.Put, 1)
 	require.Equal(t, rosterKey(cellName(0)), txn.Put[0].Key)
 	knowledge.Speeds[0].Mean = 1
-	txn, err = o.buildTxn(dispatch.Changes{Roster: &jobs.Roster{}, Knowledge: knowledge})
+	txn, err = o.buildTxn(dispatch.Changes{Roster: &jobs.Roster{}, LearnedParameters: knowledge})
 	require.NoError(t, err)
 	require.Len(t, txn.Put, 2)
 }
--- a/services/control/late_test.go
+++ b/services/control/late_test.go
@@ -22,12 +22,12 @@
 // meanwhile, after which nothing may start there.
 func TestStartThatIsLateIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 2, 1, nil)
+		w := newTestCluster(t, 2, 1, nil)
 		d := w.daemons[0]
 		w.eventually(10*time.Second, "cell has an owner", func() bool { return w.owner() == d })
 		time.Sleep(time.Second)
-		d.set(func() { d.slowFor = 3 * time.Second })
-		w.submit(d, twoSteps(1, time.Second))
+		d.set(func() { d.orderDelay = 3 * time.Second })
+		w.submit(d, twoStepJob(1, time.Second))
 		time.Sleep(200 * time.Millisecond)
 		for place := range 2 {
 			w.grid.Drain(place, time.Minute)
@@ -36,12 +36,12 @@
 			time.Sleep(100 * time.Millisecond)
 			require.Zero(t, w.grid.Running(jobID(1)), "a start that was three seconds old was executed")
 		}
-		d.set(func() { d.slowFor = 0 })
+		d.set(func() { d.orderDelay = 0 })
 		for place := range 2 {
 			w.grid.StopDraining(place)
 		}
 		w.eventually(20*time.Second, "job succeeds", func() bool { return w.state(d, jobID(1)) == jobs.StateSucceeded })
-		w.noBreach()
+		w.requireNoBreaches()
 	})
 }
 
@@ -50,7 +50,7 @@
 func TestOwnerWithStaleKnowledgeStartsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const whole = 5 * time.Second
-		w := newWorld(t, 1, 2, func(jobs.TaskID, jobs.RunID) (time.Duration, jobs.End) { return whole, jobs.EndSucceeded })
+		w := newTestCluster(t, 1, 2, func(jobs.TaskID, jobs.RunID) (time.Duration, jobs.End) { return whole, jobs.EndSucceeded })
 		w.eventually(10*time.Second, "cell has an owner", func() bool { return w.owner() != nil })
 		owner, other := w.daemons[0], w.daemons[1]
 		if w.owner() == other {
@@ -74,7 +74,7 @@
 		w.submit(other, large(3))
 		w.eventually(5*time.Second, "third job is running", func() bool { return w.grid.Running(jobID(3)) == 1 })
 		require.False(t, w.grid.Ran(jobID(2)))
-		w.noBreach()
+		w.requireNoBreaches()
 	})
 }
 
@@ -82,16 +82,16 @@
 // that an owner would have to read.
 func TestStartsGoOnInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3, 1, func(jobs.TaskID, jobs.RunID) (time.Duration, jobs.End) { return 4 * time.Second, jobs.EndSucceeded })
+		w := newTestCluster(t, 3, 1, func(jobs.TaskID, jobs.RunID) (time.Duration, jobs.End) { return 4 * time.Second, jobs.EndSucceeded })
 		d := w.daemons[0]
 		w.eventually(10*time.Second, "cell has an owner", func() bool { return w.owner() == d })
-		w.submit(d, twoSteps(1, 4*time.Second))
+		w.submit(d, twoStepJob(1, 4*time.Second))
 		w.eventually(5*time.Second, "first step is running", func() bool { return w.grid.Running(jobID(1)) == 3 })
 		w.setOutage(true)
 		w.eventually(6*time.Second, "second step is running", func() bool { return w.grid.Running(jobID(1)) == 2 })
 		w.setOutage(false)
 		w.eventually(10*time.Second, "job succeeds", func() bool { return w.state(d, jobID(1)) == jobs.StateSucceeded })
-		w.noBreach()
+		w.requireNoBreaches()
 	})
 }
 
--- a/services/control/layout.go
+++ b/services/control/layout.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	layout := divide(workers, cellsFor(len(workers), c.config.Settings.WorkersPerCell, daemons))
+	layout := divideRacks(workers, chooseCellCount(len(workers), c.config.Settings.WorkersPerCell, daemons))
 	value, err := json.Marshal(layout)
 	if err != nil {
 		return errors.Wrap(err, "encode layout")
@@ -90,9 +90,9 @@
 	}
 }
 
-// divide assigns the racks to cells so that the CPU capacity is spread evenly. A rack is never split. Each
+// divideRacks assigns the racks to cells so that the CPU capacity is spread evenly. A rack is never split. Each
 // cell gets a rack, so there are at most as many cells as racks.
-func divide(workers []jobs.Worker, cells int) jobs.Layout {
+func divideRacks(workers []jobs.Worker, cells int) jobs.Layout {
 	capacity := map[jobs.RackLabel]int64{}
 	for _, w := range workers {
 		capacity[w.Rack] += int64(w.Capacity.CPU)
--- a/services/control/learn.go
+++ b/services/control/learn.go
@@ -18,7 +18,7 @@
 func (o *Owner) learnLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, learnInterval)
-		for _, cell := range o.cells.others(o.cell) {
+		for _, cell := range o.cells.otherCells(o.cell) {
 			o.learnFrom(ctx, cell)
 		}
 	}
@@ -29,11 +29,11 @@
 	if ctx.Err() != nil {
 		return
 	}
-	answer, err := o.cells.ask(ctx, jobs.Query{Cell: cell, Learned: true})
+	answer, err := o.cells.queryOwner(ctx, jobs.Query{Cell: cell, Learned: true})
 	if err != nil {
 		return // no owner answers for the cell; what was learned from it before stays
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.core.LearnElsewhere(cell, answer.Learned)
+	o.core.LearnFromCell(cell, answer.Learned)
 }
--- a/services/control/lease.go
+++ b/services/control/lease.go
@@ -43,7 +43,7 @@
 	} else {
 		err = c.config.Store.KeepAlive(ctx, lease)
 	}
-	c.health.note(err)
+	c.health.record(err)
 	switch {
 	case err == nil:
 		c.mu.Lock()
@@ -52,7 +52,7 @@
 		c.mu.Unlock()
 		if registered == 0 {
 			c.register(ctx, lease)
-			c.nudge() // cells may have no owner
+			c.wakeClaimLoop() // cells may have no owner
 		}
 	case errors.Is(err, platform.ErrNoLease):
 		c.config.Logger.Warn("lease in the store is over", zap.Duration("after", sent.Sub(c.leaseRenewedAt)))
@@ -76,7 +76,7 @@
 	version, err := c.config.Store.Commit(ctx, platform.Txn{
 		Put: []platform.Write{{Key: daemonKey(c.config.Self), Value: value, Lease: lease}},
 	})
-	c.health.note(err)
+	c.health.record(err)
 	if err != nil {
 		return // retried with the next renewal of the lease
 	}
@@ -87,17 +87,17 @@
 	}
 }
 
-// registration returns the version of this daemon's own key, or 0 if the daemon is not registered.
-func (c *Cells) registration() platform.Version {
+// registrationVersion returns the version of this daemon's own key, or 0 if the daemon is not registered.
+func (c *Cells) registrationVersion() platform.Version {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.registeredVersion
 }
 
-// unregistered records that this daemon's own key no longer has that version, or must not keep it
+// markUnregistered records that this daemon's own key no longer has that version, or must not keep it
 // because a write that depends on it has an unknown outcome. The daemon registers again at once, because
 // it accepts no jobs until then.
-func (c *Cells) unregistered(version platform.Version) {
+func (c *Cells) markUnregistered(version platform.Version) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.registeredVersion == version {
