--- a/services/dispatch/move_test.go
+++ b/services/dispatch/move_test.go
@@ -37,10 +37,10 @@
 	}{
 		"whole job":                         {true, []jobs.Step{oversizedStep}, true},
 		"a former owner may have run it":    {false, []jobs.Step{oversizedStep}, false},
-		"part of it runs":                   {true, []jobs.Step{one, oversizedStep}, false},
-		"its second step waits for a first": {true, []jobs.Step{oversizedStep, {Count: 1, Size: one.Size, After: []int{0}}}, true},
-		"it lasts, whoever had it before":   {false, []jobs.Step{{Count: 2, Size: oversizedStep.Size, Lasts: true}}, true},
-		"it lasts in part":                  {true, []jobs.Step{oversizedStep, {Count: 1, Size: oversizedStep.Size, Lasts: true}}, false},
+		"part of it runs":                   {true, []jobs.Step{singleTaskStep, oversizedStep}, false},
+		"its second step waits for a first": {true, []jobs.Step{oversizedStep, {Count: 1, Size: singleTaskStep.Size, After: []int{0}}}, true},
+		"it lasts, whoever had it before":   {false, []jobs.Step{{Count: 2, Size: oversizedStep.Size, LongRunning: true}}, true},
+		"it lasts in part":                  {true, []jobs.Step{oversizedStep, {Count: 1, Size: oversizedStep.Size, LongRunning: true}}, false},
 		"its tasks want to be on one rack":  {true, []jobs.Step{{Count: 2, Size: oversizedStep.Size, SameRack: true}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -59,14 +59,14 @@
 	require.False(t, b.BeginMove(move), "the move has already begun")
 	b.workers["w0"].info.Capacity.CPU = 20_000
 	require.Empty(t, b.starts())
-	b.KeepMove(move, false)
-	b.now = b.now.Add(scanPause + time.Millisecond)
+	b.CancelMove(move, false)
+	b.now = b.now.Add(scanBackoff + time.Millisecond)
 	require.Len(t, b.starts(), 2, "the move was cancelled")
 }
 
 func TestRunOfATaskThatMovesIsStopped(t *testing.T) {
 	b := newBench(t, 1)
-	b.stuckJob(true, jobs.Step{Count: 1, Size: oversizedStep.Size, Lasts: true})
+	b.stuckJob(true, jobs.Step{Count: 1, Size: oversizedStep.Size, LongRunning: true})
 	require.True(t, b.BeginMove(b.Movable(10, b.now)[0]))
 	b.report(0, jobs.Report{Running: []jobs.Run{{Task: taskOf(0), Run: 3}}})
 	orders := b.Decide(b.now)
@@ -79,20 +79,20 @@
 func movedOut(t *testing.T) (*bench, jobs.Record) {
 	t.Helper()
 	b := newBench(t, 1)
-	b.stuckJob(true, jobs.Step{Count: 2, Size: oversizedStep.Size, Lasts: true})
+	b.stuckJob(true, jobs.Step{Count: 2, Size: oversizedStep.Size, LongRunning: true})
 	move := b.Movable(10, b.now)[0]
 	move.Limit(1)
 	require.True(t, b.BeginMove(move))
 	b.Moved(move, 11)
-	record := b.job(jobs.Step{Count: 2, Size: oversizedStep.Size, Lasts: true})
-	record = record.Without(move.Tasks)
+	record := b.job(jobs.Step{Count: 2, Size: oversizedStep.Size, LongRunning: true})
+	record = record.WithoutTasks(move.Tasks)
 	record.Version = 11
 	return b, record
 }
 
 func TestOldRecordDoesNotBringTasksBack(t *testing.T) {
 	b, record := movedOut(t)
-	old := b.job(jobs.Step{Count: 2, Size: oversizedStep.Size, Lasts: true})
+	old := b.job(jobs.Step{Count: 2, Size: oversizedStep.Size, LongRunning: true})
 	old.Version = 10
 	b.AddJob(old, jobs.Progress{}, true, b.now)
 	b.AddJob(record, jobs.Progress{}, true, b.now)
@@ -106,7 +106,7 @@
 	back.Version = 12
 	b.AddJob(back, jobs.Progress{}, true, b.now)
 	b.workers["w0"].info.Capacity.CPU = 20_000
-	b.now = b.now.Add(scanPause + time.Millisecond)
+	b.now = b.now.Add(scanBackoff + time.Millisecond)
 	starts := b.starts()
 	require.Len(t, starts, 2)
 	require.Greater(t, starts[0].Call.Run, jobs.RunID(1<<40), "above the run ids of the other cell")
@@ -128,11 +128,11 @@
 
 func TestPartIsNotTakenForFreshOnceItWasWrittenAgain(t *testing.T) {
 	b := newBench(t, 2)
-	record := b.job(jobs.Step{Count: 2, Size: one.Size, Lasts: true})
+	record := b.job(jobs.Step{Count: 2, Size: singleTaskStep.Size, LongRunning: true})
 	record = record.NewPart(jobs.TaskSet{0: {0}}, 0)
 	record = record.WithTasks(jobs.TaskSet{0: {1}}, 0)
 	record.Version = 10
-	b.Enrol(jobs.Roster{Workers: b.Workers()}, b.now)
+	b.RestoreRoster(jobs.Roster{Workers: b.Workers()}, b.now)
 	b.AddJob(record, jobs.Progress{}, true, b.now)
 	b.report(0, jobs.Report{})
 	require.Empty(t, b.starts(), "a previous owner may have started the first task on the other worker")
@@ -163,14 +163,14 @@
 	for _, others := range []bool{true, false} {
 		b := newBench(t, 1)
 		b.config.OtherCells = others
-		b.AddJob(b.job(jobs.Step{Count: 5, Size: one.Size, Estimate: 500}), jobs.Progress{}, true, b.now)
+		b.AddJob(b.job(jobs.Step{Count: 5, Size: singleTaskStep.Size, Estimate: 500}), jobs.Progress{}, true, b.now)
 		b.report(0, jobs.Report{})
 		if !others {
 			require.Len(t, b.starts(), 4, "no other cell can run it")
 			continue
 		}
 		require.Empty(t, b.starts(), "only four of five tasks fit")
-		require.True(t, b.TakeHeld())
+		require.True(t, b.TakeJobsHeld())
 		require.Len(t, b.Movable(10, b.now), 1)
 		b.now = b.now.Add(maxHold + time.Millisecond)
 		require.Len(t, b.starts(), 4, "no other cell has taken it")
@@ -179,7 +179,7 @@
 
 func TestPlacesCountWhatTheCellHasOfTheJob(t *testing.T) {
 	b := newBench(t, 2)
-	record := b.job(jobs.Step{Count: 2, Size: one.Size, Lasts: true, PerWorker: 1})
+	record := b.job(jobs.Step{Count: 2, Size: singleTaskStep.Size, LongRunning: true, PerWorker: 1})
 	record = record.NewPart(jobs.TaskSet{0: {0}}, 0)
 	b.AddJob(record, jobs.Progress{}, true, b.now)
 	b.report(0, jobs.Report{})
@@ -195,7 +195,7 @@
 	other := b.job(oversizedStep)
 	other.Spec.ID = "00000000000000bb"
 	b.AddJob(other, jobs.Progress{}, true, b.now)
-	b.now = b.now.Add(scanPause + time.Millisecond)
+	b.now = b.now.Add(scanBackoff + time.Millisecond)
 	b.starts()
 	var listed []jobs.ID
 	for range 2 {
@@ -212,8 +212,8 @@
 func TestJobIsNotHeldWhileTheCellRecovers(t *testing.T) {
 	b := newBench(t, 2)
 	b.config.OtherCells = true
-	b.Enrol(jobs.Roster{Workers: b.Workers()}, b.now)
-	b.AddJob(b.job(jobs.Step{Count: 5, Size: one.Size, Estimate: 500}), jobs.Progress{}, true, b.now)
+	b.RestoreRoster(jobs.Roster{Workers: b.Workers()}, b.now)
+	b.AddJob(b.job(jobs.Step{Count: 5, Size: singleTaskStep.Size, Estimate: 500}), jobs.Progress{}, true, b.now)
 	b.report(0, jobs.Report{})
 	require.Len(t, b.starts(), 4, "nothing is offered while the cell recovers")
 }
@@ -224,7 +224,7 @@
 		b.stuckJob(true, oversizedStep)
 		move := b.Movable(10, b.now)[0]
 		require.True(t, b.BeginMove(move))
-		b.KeepMove(move, forGood)
+		b.CancelMove(move, forGood)
 		b.now = b.now.Add(offerAfter)
 		b.report(0, jobs.Report{})
 		b.starts()
@@ -234,17 +234,17 @@
 
 func TestTryWithoutAnswerIsRecognisedByTheRecord(t *testing.T) {
 	b := newBench(t, 1)
-	b.stuckJob(true, jobs.Step{Count: 2, Size: oversizedStep.Size, Lasts: true})
+	b.stuckJob(true, jobs.Step{Count: 2, Size: oversizedStep.Size, LongRunning: true})
 	move := b.Movable(10, b.now)[0]
 	move.Limit(1)
 	require.True(t, b.BeginMove(move))
-	record := b.job(jobs.Step{Count: 2, Size: oversizedStep.Size, Lasts: true})
+	record := b.job(jobs.Step{Count: 2, Size: oversizedStep.Size, LongRunning: true})
 	record.Version = 10
 	require.True(t, b.StillMoving(move, record))
-	record = record.Without(move.Tasks)
+	record = record.WithoutTasks(move.Tasks)
 	record.Version = 11
 	require.False(t, b.StillMoving(move, record))
-	b.KeepMove(move, false)
+	b.CancelMove(move, false)
 	require.Nil(t, b.find(taskOf(0)), "the task is in the other cell")
 }
 
@@ -254,10 +254,10 @@
 func TestWorkerKeptForASuspectIsNoPlaceForOthers(t *testing.T) {
 	b := newBench(t, 1)
 	b.report(0, jobs.Report{})
-	demand := jobs.Demand{Job: "00000000000000cc", Pool: testPool, Step: one}
+	demand := jobs.Demand{Job: "00000000000000cc", Pool: testPool, Step: singleTaskStep}
 	require.Equal(t, []int{1}, b.Places([]jobs.Demand{demand}, b.now))
-	known := againstFirst(jobs.LostRun{Run: 7, Ran: 10, Doubt: 8, Weight: 8}, nil)
-	b.AddJob(b.job(one), jobs.Progress{Suspected: known}, true, b.now)
+	known := againstFirst(jobs.LostRun{Run: 7, RanAtMost: 10, EvidenceVsChance: 8, EvidenceVsAll: 8}, nil)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{Suspected: known}, true, b.now)
 	require.Len(t, b.starts(), 1)
 	require.Equal(t, []int{0}, b.Places([]jobs.Demand{demand}, b.now))
 }
@@ -277,7 +277,7 @@
 		record.Accepted += models.UnixMilli(n)
 		b.AddJob(record, jobs.Progress{}, true, b.now)
 	}
-	b.now = b.now.Add(scanPause + time.Millisecond)
+	b.now = b.now.Add(scanBackoff + time.Millisecond)
 	b.starts()
 	b.now = b.now.Add(offerAfter)
 	offered := map[jobs.ID]bool{}
--- a/services/dispatch/offer.go
+++ b/services/dispatch/offer.go
@@ -13,7 +13,7 @@
 // Places returns for each demand how many of its tasks could be placed now, with the demands served in order.
 func (c *Core) Places(demands []jobs.Demand, now time.Time) []int {
 	counts := make([]int, len(demands))
-	if c.blind {
+	if c.recovering {
 		return counts
 	}
 	promised := map[*worker]models.Resources{}
@@ -37,14 +37,14 @@
 // and adds them to what is promised.
 func (c *Core) countPlaces(pool jobs.PoolName, s *step, wanted int, promised map[*worker]models.Resources, now time.Time) int {
 	count := 0
-	for _, w := range c.order {
+	for _, w := range c.sortedWorkers {
 		// A worker reserved for a suspect has free capacity that nothing else gets. When it was counted, work
 		// that came for it could not be placed here either, and was handed back and forth between the cells.
 		if !w.suits(pool, s.spec) || !c.usable(w, now) || w.isReserved(now) {
 			continue
 		}
 		for n := w.countFitting(s, wanted-count, promised[w]); n > 0; n-- {
-			if s.spec.Fills && !c.mayRunFiller(w, s) {
+			if s.spec.Filler && !c.mayRunFiller(w, s) {
 				break
 			}
 			count++
@@ -61,7 +61,7 @@
 	if !size.Fits(free) {
 		return 0
 	}
-	if s.spec.Fills {
+	if s.spec.Filler {
 		if promised != (models.Resources{}) {
 			return 0
 		}
--- a/services/dispatch/order.go
+++ b/services/dispatch/order.go
@@ -39,13 +39,13 @@
 
 // Outcomes of an order.
 const (
-	OutcomeDone        Outcome = iota
-	OutcomeRefused             // see Result.Refusal
-	OutcomeNotDone             // the worker answered that it did nothing, because it is not well
-	OutcomeUnreached           // no connection was established; nothing was done
-	OutcomeIncarnation         // another incarnation answered and did nothing
-	OutcomeUnknown             // no answer; the order may have been carried out, or may still be
-	OutcomeNotSent             // the order was never sent
+	OutcomeDone             Outcome = iota
+	OutcomeRefused                  // see Result.Refusal
+	OutcomeNotDone                  // the worker answered that it did nothing, because it is not well
+	OutcomeUnreached                // no connection was established; nothing was done
+	OutcomeOtherIncarnation         // another incarnation answered and did nothing
+	OutcomeUnknown                  // no answer; the order may have been carried out, or may still be
+	OutcomeNotSent                  // the order was never sent
 )
 
 // Result is the outcome of an order with its details.
--- a/services/dispatch/outcome.go
+++ b/services/dispatch/outcome.go
@@ -14,7 +14,7 @@
 
 // Started applies the outcome of a start.
 func (c *Core) Started(order StartOrder, result Result, now time.Time) {
-	if result.Outcome == OutcomeIncarnation {
+	if result.Outcome == OutcomeOtherIncarnation {
 		c.retractRun(order, now)
 	}
 	if c.overtaken(order.Worker, order.Call.Fence, result, now) {
@@ -29,23 +29,23 @@
 		c.handleUnsent(t)
 		return
 	}
-	outcomeKnown := result.Outcome == OutcomeDone || result.Outcome == OutcomeRefused && result.Refusal == jobs.RefusedRun
-	if t.retried && !outcomeKnown {
+	outcomeKnown := result.Outcome == OutcomeDone || result.Outcome == OutcomeRefused && result.Refusal == jobs.RefusedStaleRun
+	if t.startRepeated && !outcomeKnown {
 		w.avoidUntil = now.Add(avoidPause)
 		c.stop(t, "its first start has no answer, and the second was not carried out")
 		return
 	}
 	switch result.Outcome {
 	case OutcomeDone:
-		t.open = t.retried // if repeated, the first start still has no answer
+		t.startUnanswered = t.startRepeated // if repeated, the first start still has no answer
 		c.repeats.earn()
 		c.confirmRunning(t, now)
-		w.failed = time.Time{} // the answer shows that it is alive
+		w.unansweredSince = time.Time{} // the answer shows that it is alive
 	case OutcomeUnknown:
 		c.handleUnanswered(t, order, now)
 	case OutcomeNotDone, OutcomeUnreached:
-		w.unwell = now.Add(notDonePause)
-		c.wait(t)
+		w.noStartsUntil = now.Add(notDonePause)
+		c.requeue(t)
 	default:
 		c.handleRefused(t, w, result.Refusal, now)
 	}
@@ -56,27 +56,27 @@
 func (c *Core) retractRun(order StartOrder, now time.Time) {
 	c.now = now
 	t := c.find(order.Call.Task)
-	if t == nil || t.run != order.Call.Run || t.retried || c.superseded {
+	if t == nil || t.run != order.Call.Run || t.startRepeated || c.superseded {
 		return
 	}
-	t.byChance = slices.DeleteFunc(t.byChance, func(lost jobs.LostRun) bool { return lost.Run == t.run })
-	if t.suspicion.Has(t.run) {
-		t.suspicion = t.suspicion.Without(t.run)
-		c.change(t.step.job)
+	t.chanceLosses = slices.DeleteFunc(t.chanceLosses, func(lost jobs.LostRun) bool { return lost.Run == t.run })
+	if t.suspicion.HasRun(t.run) {
+		t.suspicion = t.suspicion.WithoutRun(t.run)
+		c.markChanged(t.step.job)
 	}
-	if t.state == taskStarting || t.state == taskStopping && t.barred {
-		c.wait(t)
+	if t.state == taskStarting || t.state == taskStopping && t.fromPreviousIncarnation {
+		c.requeue(t)
 	}
 }
 
 // handleUnsent lets a task wait again whose start was not sent. If the unsent start was a repetition, the run
 // is barred, because the first start may have been carried out.
 func (c *Core) handleUnsent(t *task) {
-	if t.retried {
+	if t.startRepeated {
 		c.stop(t, "its first start has no answer, and the second was not sent")
 		return
 	}
-	c.wait(t)
+	c.requeue(t)
 }
 
 // Pauses after which a worker or a step is tried again.
@@ -96,23 +96,23 @@
 	c.config.Logger.Info("start refused", zap.Stringer("task", t.id()), zap.Uint64("run", uint64(t.run)),
 		zap.String("worker", string(w.info.ID)), zap.String("reason", string(reason)))
 	switch reason {
-	case jobs.RefusedRun: // the run is on the worker or has ended; the next report says which
+	case jobs.RefusedStaleRun: // the run is on the worker or has ended; the next report says which
 		t.answeredAt = now
 		return
-	case jobs.RefusedRoom, jobs.RefusedLate: // the next start would be refused as well until the worker reports again
-		w.unwell = now.Add(fullPause)
+	case jobs.RefusedCapacity, jobs.RefusedLate: // the next start would be refused as well until the worker reports again
+		w.noStartsUntil = now.Add(fullPause)
 	default:
 		t.step.backoff = now.Add(stepPause)
 	}
-	c.wait(t)
+	c.requeue(t)
 }
 
 // handleUnanswered repeats an unanswered start once; after that, the run is barred.
 func (c *Core) handleUnanswered(t *task, order StartOrder, now time.Time) {
 	c.counts.Unanswered++
-	mayRepeat := !t.retried && now.Sub(t.worker.heard) < silentAfter && !t.step.job.cancelled && c.mayStart()
+	mayRepeat := !t.startRepeated && now.Sub(t.worker.reportedAt) < silentAfter && !t.step.job.cancelled && c.mayStart()
 	if mayRepeat && c.repeats.take() {
-		t.retried = true
+		t.startRepeated = true
 		t.orderedAt, t.startSentAt = now, now
 		c.orders = append(c.orders, order)
 		return
@@ -131,7 +131,7 @@
 	if t == nil || t.worker == nil || t.worker.info.Incarnation().Differs(order.Worker.Incarnation()) || t.run != order.Call.Run || t.state != taskStopping {
 		return
 	}
-	if result.Outcome == OutcomeDone || result.Outcome == OutcomeRefused && result.Refusal == jobs.RefusedRun {
+	if result.Outcome == OutcomeDone || result.Outcome == OutcomeRefused && result.Refusal == jobs.RefusedStaleRun {
 		t.answeredAt = now
 	}
 }
@@ -170,8 +170,8 @@
 	if c.superseded {
 		return true
 	}
-	if result.Outcome == OutcomeIncarnation {
-		c.OtherAnswers(worker.Incarnation(), result.Born, now)
+	if result.Outcome == OutcomeOtherIncarnation {
+		c.OtherIncarnationAnswered(worker.Incarnation(), result.Born, now)
 		return true
 	}
 	return false
--- a/services/dispatch/pace.go
+++ b/services/dispatch/pace.go
@@ -24,7 +24,7 @@
 		return
 	}
 	c.config.Logger.Info("run is throttled", zap.Stringer("task", t.id()), zap.Int("from", int(t.pace)), zap.Int("to", int(pace)),
-		zap.String("worker", string(w.info.ID)), zap.Float64("load", w.maxLoad), zap.Int64("figure_age_ms", now.Sub(w.heard).Milliseconds()))
+		zap.String("worker", string(w.info.ID)), zap.Float64("load", w.maxLoad), zap.Int64("figure_age_ms", now.Sub(w.reportedAt).Milliseconds()))
 	before := t.pace
 	t.pace, t.pacedAt = pace, now
 	w.throttledAt, w.fillersChangedAt = now, now
@@ -43,7 +43,7 @@
 // that uses little CPU is throttled, by a previous owner or by a late order.
 func inferPace(spec *jobs.Step, figure int) jobs.Percent {
 	used := float64(figure) / float64(max(1, spec.Size.CPU))
-	if !spec.Fills || used >= fullPaceUse {
+	if !spec.Filler || used >= fullPaceUse {
 		return jobs.FullSpeed
 	}
 	return jobs.Percent(used / fillerUse * float64(jobs.FullSpeed))
@@ -59,7 +59,7 @@
 // carried out seconds late, after newer ones. A run found this way is sped up again like other throttled runs.
 func (c *Core) checkPace(w *worker, t *task, now time.Time) {
 	spec := t.step.spec
-	if !spec.Fills || t.state != taskRunning || t.pace < minSampledPace || now.Sub(t.pacedAt) < paceSettleTime {
+	if !spec.Filler || t.state != taskRunning || t.pace < minSampledPace || now.Sub(t.pacedAt) < paceSettleTime {
 		return
 	}
 	if pace := inferPace(spec, t.figure); pace < stalledPace {
--- a/services/dispatch/parts.go
+++ b/services/dispatch/parts.go
@@ -22,7 +22,7 @@
 	}
 	delete(c.jobs, j.spec.ID)
 	c.dirty = slices.DeleteFunc(c.dirty, func(other *job) bool { return other == j })
-	c.movedOut[j.spec.ID] = movedOutJob{version: j.recordVersion, further: j.further}
+	c.movedOut[j.spec.ID] = movedOutJob{version: j.recordVersion, further: j.additionalCells}
 }
 
 // applyRecord applies a newer record of a known job: tasks have come from another cell, or the store has
@@ -32,17 +32,17 @@
 		return
 	}
 	j.recordVersion = record.Version
-	j.home, j.further, j.closed = record.Home, record.Further, record.Closed
-	j.leastRun = max(j.leastRun, record.LeastRun)
+	j.home, j.additionalCells, j.closed = record.Home, record.AdditionalCells, record.MovesClosed
+	j.leastRun = max(j.leastRun, record.HighestRun)
 	arrived, departed := 0, 0
 	for flat, s := range j.steps {
 		for i := range s.tasks {
 			t := &s.tasks[i]
 			switch holds := record.Holds(flat, i); {
 			case holds && t.state == taskElsewhere:
-				t.run = max(t.run, record.LeastRun)
-				t.suspicion, t.unseen = record.Suspected[flat][i], 0
-				c.noteLosses(t)
+				t.run = max(t.run, record.HighestRun)
+				t.suspicion, t.unobservedAtTakeover = record.Suspected[flat][i], 0
+				c.trackLosses(t)
 				t.state = taskWaiting
 				s.waiting++
 				arrived++
@@ -51,7 +51,7 @@
 				departed++
 			}
 		}
-		c.listOpen(s)
+		c.listWaiting(s)
 	}
 	c.config.Logger.Info("work has moved between cells", zap.String("job", string(j.spec.ID)), zap.Int("came", arrived), zap.Int("went", departed))
 	c.forgetIfElsewhere(j)
@@ -61,7 +61,7 @@
 func (j *job) markElsewhere(record jobs.Record) {
 	for flat, s := range j.steps {
 		for i := range s.tasks {
-			s.tasks[i].run = record.LeastRun
+			s.tasks[i].run = record.HighestRun
 			if !record.Holds(flat, i) {
 				s.tasks[i].state = taskElsewhere
 			}
@@ -69,10 +69,10 @@
 	}
 }
 
-// Further returns the further cells that have tasks of a job, as named by the job's record in this cell.
-func (c *Core) Further(id jobs.ID) []jobs.CellName {
+// AdditionalCells returns the further cells that have tasks of a job, as named by the job's record in this cell.
+func (c *Core) AdditionalCells(id jobs.ID) []jobs.CellName {
 	if j, ok := c.jobs[id]; ok {
-		return j.further
+		return j.additionalCells
 	}
 	return c.movedOut[id].further
 }
--- a/services/dispatch/place.go
+++ b/services/dispatch/place.go
@@ -44,7 +44,7 @@
 			continue
 		}
 		kept = append(kept, s)
-		if now.After(s.backoff) && !c.takeovers.bars(s.job) {
+		if now.After(s.backoff) && !c.takeovers.blocksStarts(s.job) {
 			candidates = append(candidates, c.candidate(s, now))
 		}
 	}
@@ -63,37 +63,37 @@
 	return cmp.Or(a.compare(b.urgency), cmp.Compare(a.step.job.spec.ID, b.step.job.spec.ID), cmp.Compare(a.step.flat(), b.step.flat()))
 }
 
-// scanPause is how long a step for whose task no worker was found waits before all workers are examined again.
+// scanBackoff is how long a step for whose task no worker was found waits before all workers are examined again.
 // Without it, most of the processor time would go into these scans when many steps wait.
-const scanPause = 20 * time.Millisecond
+const scanBackoff = 20 * time.Millisecond
 
 // placeStep starts the step's waiting tasks. The tasks are all alike, so the workers are scored once; only a
 // worker that got a task is scored again.
 func (c *Core) placeStep(s *step, now time.Time) {
 	if c.holdsForOffer(s, now) {
-		s.findNone(now)
+		s.recordNoPlace(now)
 		return
 	}
 	c.placeSuspects(s, now)
 	places := c.findPlaces(s, now)
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		if t.state != taskWaiting || t.suspected() || !t.countIsStored() {
+		if t.state != taskWaiting || t.suspected() || !t.lossesAreStored() {
 			continue
 		}
 		if c.startsLeft <= 0 {
 			return
 		}
 		if len(places) == 0 {
-			s.findNone(now)
+			s.recordNoPlace(now)
 			return
 		}
-		if s.spec.Lasts && !c.leavesRoom(t, now) {
-			s.backoff = now.Add(scanPause) // a worker could take the task, so the step is not stuck
-			continue                       // other tasks of the step may have waited longer
+		if s.spec.LongRunning && !c.leavesCapacity(t, now) {
+			s.backoff = now.Add(scanBackoff) // a worker could take the task, so the step is not stuck
+			continue                         // other tasks of the step may have waited longer
 		}
-		s.stuck = time.Time{}
-		c.start(t, places[0].worker, now)
+		s.stuckSince = time.Time{}
+		c.startTask(t, places[0].worker, now)
 		if s.spec.SameRack {
 			places = c.findPlaces(s, now) // the first task makes its rack the preferred one
 			continue
@@ -102,41 +102,41 @@
 	}
 }
 
-// findNone records that no worker can take a waiting task of the step.
-func (s *step) findNone(now time.Time) {
-	s.backoff = now.Add(scanPause)
-	if s.stuck.IsZero() {
-		s.stuck = now
+// recordNoPlace records that no worker can take a waiting task of the step.
+func (s *step) recordNoPlace(now time.Time) {
+	s.backoff = now.Add(scanBackoff)
+	if s.stuckSince.IsZero() {
+		s.stuckSince = now
 	}
 }
 
-// start assigns a task to a worker and orders its run.
-func (c *Core) start(t *task, w *worker, now time.Time) {
+// startTask assigns a task to a worker and orders its run.
+func (c *Core) startTask(t *task, w *worker, now time.Time) {
 	c.beginRun(t, now)
-	if t.step.spec.Fills {
+	if t.step.spec.Filler {
 		w.fillersChangedAt = now
 	}
 	w.add(t)
 	c.takeShortCapacity(t)
 	c.startsLeft--
 	c.counts.Starts++
-	if t.saved != nil {
+	if t.checkpoint != nil {
 		c.counts.StartsFromText++
 	}
 	c.recordFirstStart(t.step.job, now)
 	c.logStart(t, w, now)
 	c.orders = append(c.orders, StartOrder{Worker: w.info, Call: jobs.StartCall{
 		Task: t.id(), Run: t.run, Fence: w.fence, Payload: t.step.job.spec.Payload,
-		Until: c.startDeadline(w, now), Checkpoint: t.text(),
+		Until: c.startDeadline(w, now), Checkpoint: t.checkpointText(),
 	}})
 }
 
 // logStart logs a start with the figures that decided it, and the checkpoint that the run resumes from.
 func (c *Core) logStart(t *task, w *worker, now time.Time) {
-	c.config.Logger.Info("run starts", t.logOrigin([]zap.Field{
+	c.config.Logger.Info("run starts", t.appendCheckpointFields([]zap.Field{
 		zap.Stringer("task", t.id()), zap.Uint64("run", uint64(t.run)),
 		zap.String("worker", string(w.info.ID)), zap.Int64("job_age_ms", int64(c.timeOfDay(now)-t.step.job.accepted)),
-		zap.Int64("report_age_ms", now.Sub(w.heard).Milliseconds()), zap.Float64("load", w.maxLoad),
+		zap.Int64("report_age_ms", now.Sub(w.reportedAt).Milliseconds()), zap.Float64("load", w.maxLoad),
 		zap.Int("lost_before", len(t.suspicion.Lost)),
 	}, now)...)
 }
@@ -146,25 +146,25 @@
 	t.step.waiting--
 	t.step.job.running++
 	t.starts++
-	t.ordered = true
+	t.orderedHere = true
 	t.run = c.nextRun(t)
 	t.state = taskStarting
 	t.answeredAt, t.sampledAt = time.Time{}, time.Time{}
-	t.orderedAt, t.startSentAt, t.began, t.pacedAt = now, now, now, now
-	t.retried, t.open, t.barred, t.paceUncertain = false, true, false, false
+	t.orderedAt, t.startSentAt, t.startedAt, t.pacedAt = now, now, now, now
+	t.startRepeated, t.startUnanswered, t.fromPreviousIncarnation, t.paceUncertain = false, true, false, false
 	t.pace = jobs.FullSpeed
 	t.loadOffset, t.shownLoad, t.averageLoad, t.figure = 0, 0, 0, 0
 }
 
 // nextRun returns a run id above those of all runs of the task by this and by previous owners.
 func (c *Core) nextRun(t *task) jobs.RunID {
-	return max(t.run+1, c.firstRun(t.step.job)+jobs.RunID(t.starts))
+	return max(t.run+1, c.baseRun(t.step.job)+jobs.RunID(t.starts))
 }
 
-// firstRun returns a number below all run ids that this owner assigns to the job's tasks and above those of
+// baseRun returns a number below all run ids that this owner assigns to the job's tasks and above those of
 // previous owners. The run ids assigned by other cells are added rather than merely exceeded: if they were
 // above this cell's epochs, successive owners would start from the same number, and neither a worker nor an
 // owner could tell which run is newer.
-func (c *Core) firstRun(j *job) jobs.RunID {
+func (c *Core) baseRun(j *job) jobs.RunID {
 	return j.leastRun + jobs.RunID(c.config.Epoch)*runsPerEpoch
 }
--- a/services/dispatch/places.go
+++ b/services/dispatch/places.go
@@ -59,7 +59,7 @@
 // findPlaces returns all workers that can take a task of the step now.
 func (c *Core) findPlaces(s *step, now time.Time) placeHeap {
 	list := c.placeBuffer[:0]
-	for _, w := range c.order {
+	for _, w := range c.sortedWorkers {
 		if c.mayTake(w, s, now) {
 			list = append(list, place{w, c.score(w, s)})
 		}
@@ -71,21 +71,21 @@
 
 // mayTake reports whether a task of the step may start on the worker now.
 func (c *Core) mayTake(w *worker, s *step, now time.Time) bool {
-	return !w.isReserved(now) && c.mayTry(w, s, now)
+	return !w.isReserved(now) && c.mayTakeSuspect(w, s, now)
 }
 
 // isReserved reports whether only suspects may start on the worker.
-func (w *worker) isReserved(now time.Time) bool { return w.trials > 0 || !now.After(w.keptUntil) }
+func (w *worker) isReserved(now time.Time) bool { return w.trials > 0 || !now.After(w.reservedUntil) }
 
-// mayTry reports whether a suspect of the step may start on the worker now; it may run beside other suspects on
+// mayTakeSuspect reports whether a suspect of the step may start on the worker now; it may run beside other suspects on
 // trial.
-func (c *Core) mayTry(w *worker, s *step, now time.Time) bool {
+func (c *Core) mayTakeSuspect(w *worker, s *step, now time.Time) bool {
 	return c.usable(w, now) && c.fits(w, s) && c.hasCapacity(w, s)
 }
 
 // hasCapacity reports whether the worker has enough free capacity for a task of the step.
 func (c *Core) hasCapacity(w *worker, s *step) bool {
-	return w.countFitting(s, 1, models.Resources{}) > 0 && (!s.spec.Fills || c.mayRunFiller(w, s))
+	return w.countFitting(s, 1, models.Resources{}) > 0 && (!s.spec.Filler || c.mayRunFiller(w, s))
 }
 
 // countTasks returns how many tasks of the step are on the worker.
--- a/services/dispatch/proof.go
+++ b/services/dispatch/proof.go
@@ -32,38 +32,38 @@
 
 // mayOrder reports whether there is recent proof that this core still is the cell's owner.
 func (c *Core) mayOrder(now time.Time) bool {
-	if now.Sub(c.countedAt) >= answerCountInterval {
-		c.countedAt = now
-		c.obeyed = c.twoThirdsAnsweredSince()
+	if now.Sub(c.quorumCheckedAt) >= answerCountInterval {
+		c.quorumCheckedAt = now
+		c.quorumAskedAt = c.twoThirdsAnsweredSince()
 	}
-	age := now.Sub(latest(c.proved, c.obeyed))
+	age := now.Sub(latest(c.provedAt, c.quorumAskedAt))
 	c.wantsProof = age > proofRefreshAge
 	c.setIdle(age > proofValidity, age)
-	return !c.idle
+	return !c.awaitingProof
 }
 
 // setIdle records whether orders wait for a proof, and logs each change.
 func (c *Core) setIdle(idle bool, age time.Duration) {
-	if idle == c.idle {
+	if idle == c.awaitingProof {
 		return
 	}
-	c.idle = idle
+	c.awaitingProof = idle
 	message := "orders resume"
 	if idle {
 		message = "orders wait for a recent proof of ownership"
 	}
-	c.config.Logger.Info(message, zap.Duration("proof_age", age), zap.Int("workers", len(c.order)))
+	c.config.Logger.Info(message, zap.Duration("proof_age", age), zap.Int("workers", len(c.sortedWorkers)))
 }
 
 // twoThirdsAnsweredSince returns the latest time for which two thirds of the workers have answered calls that were
 // sent then or later.
 func (c *Core) twoThirdsAnsweredSince() time.Time {
-	if len(c.order) == 0 {
+	if len(c.sortedWorkers) == 0 {
 		return time.Time{}
 	}
-	sent := make([]time.Time, 0, len(c.order))
-	for _, w := range c.order {
-		sent = append(sent, w.asked)
+	sent := make([]time.Time, 0, len(c.sortedWorkers))
+	for _, w := range c.sortedWorkers {
+		sent = append(sent, w.reportAskedAt)
 	}
 	slices.SortFunc(sent, time.Time.Compare)
 	return sent[len(sent)/3]
--- a/services/dispatch/proof_test.go
+++ b/services/dispatch/proof_test.go
@@ -30,7 +30,7 @@
 		}
 		require.Empty(t, b.starts())
 		b.now = b.now.Add(4 * time.Second)
-		b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
+		b.AddJob(b.job(singleTaskStep), jobs.Progress{}, true, b.now)
 		b.report(0, jobs.Report{})
 		require.Empty(t, b.starts(), "one worker of three proves nothing")
 		require.True(t, b.HasChanges(), "a transaction is wanted as proof")
@@ -43,7 +43,7 @@
 // is silent, and a successor may have renewed the worker's lease.
 func TestLapsedTasksWaitForAProof(t *testing.T) {
 	b := newBench(t, 4)
-	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, true, b.now)
 	for n := range b.ids {
 		b.report(n, jobs.Report{})
 	}
--- a/services/dispatch/recent.go
+++ b/services/dispatch/recent.go
@@ -38,14 +38,14 @@
 		return
 	}
 	for _, r := range recent.runs {
-		r.task.weighedAt = recent.at.Add(simultaneousLossesKnownAfter)
+		r.task.lossFinalAt = recent.at.Add(simultaneousLossesKnownAfter)
 	}
-	c.recent = append(c.recent, recent)
+	c.recentLosses = append(c.recentLosses, recent)
 }
 
-// weighAgain evaluates recent losses again once simultaneous losses of other workers are known.
-func (c *Core) weighAgain(now time.Time) {
-	c.recent = slices.DeleteFunc(c.recent, func(recent recentLoss) bool {
+// reevaluateLosses evaluates recent losses again once simultaneous losses of other workers are known.
+func (c *Core) reevaluateLosses(now time.Time) {
+	c.recentLosses = slices.DeleteFunc(c.recentLosses, func(recent recentLoss) bool {
 		if now.Sub(recent.at) < simultaneousLossesKnownAfter {
 			return false
 		}
@@ -65,12 +65,12 @@
 func (c *Core) setWeight(r weighedRun) {
 	doubt, weight := r.evidence()
 	of := func(lost jobs.LostRun) bool { return lost.Run == r.run }
-	if at := slices.IndexFunc(r.task.byChance, of); at >= 0 {
-		r.task.byChance = withLoweredEvidence(r.task.byChance, at, roundToHundredths(doubt), roundToHundredths(weight))
+	if at := slices.IndexFunc(r.task.chanceLosses, of); at >= 0 {
+		r.task.chanceLosses = withLoweredEvidence(r.task.chanceLosses, at, roundToHundredths(doubt), roundToHundredths(weight))
 	}
 	suspicion := &r.task.suspicion
 	if at := slices.IndexFunc(suspicion.Lost, of); at >= 0 {
 		suspicion.Lost = withLoweredEvidence(suspicion.Lost, at, roundToHundredths(doubt), roundToHundredths(weight))
-		c.change(r.task.step.job)
+		c.markChanged(r.task.step.job)
 	}
 }
--- a/services/dispatch/recent_test.go
+++ b/services/dispatch/recent_test.go
@@ -26,8 +26,8 @@
 	for n := range b.ids {
 		b.report(n, jobs.Report{Born: firstStartTime})
 	}
-	known := jobs.Suspicions{0: {0: {Lost: []jobs.LostRun{{Run: 1, Ran: 70, Doubt: 6, Weight: 6}}}}}
-	b.AddJob(b.job(one), jobs.Progress{Suspected: known}, true, b.now)
+	known := jobs.Suspicions{0: {0: {Lost: []jobs.LostRun{{Run: 1, RanAtMost: 70, EvidenceVsChance: 6, EvidenceVsAll: 6}}}}}
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{Suspected: known}, true, b.now)
 	starts := b.storedStarts()
 	require.Len(t, starts, 1)
 	b.Started(starts[0], Result{Outcome: OutcomeDone}, b.now)
@@ -56,7 +56,7 @@
 	b.now = b.now.Add(simultaneousLossesKnownAfter)
 	b.Decide(b.now)
 	require.Empty(t, b.jobs[testJob].end)
-	require.Less(t, b.jobs[testJob].steps[0].tasks[0].suspicion.Lost[1].Weight, lost[1].Weight-3)
+	require.Less(t, b.jobs[testJob].steps[0].tasks[0].suspicion.Lost[1].EvidenceVsAll, lost[1].EvidenceVsAll-3)
 }
 
 // TestTaskIsGivenUpOnceNoOthersWent checks that the task is abandoned once the losses of other workers would be
--- a/services/dispatch/repeats.go
+++ b/services/dispatch/repeats.go
@@ -3,10 +3,10 @@
 
 package dispatch
 
-// repeats is a budget for repeated starts that is earned by answered starts. When answers are lost one by one, each
+// retryBudget is a budget for repeated starts that is earned by answered starts. When answers are lost one by one, each
 // start may be repeated; when hardly any answer arrives, repeating would double a load that the owner or its link
 // cannot carry already.
-type repeats struct{ tokens float64 }
+type retryBudget struct{ tokens float64 }
 
 const (
 	// retriesPerAnswer is how many repetitions an answered start pays for. With half of all answers lost one by one,
@@ -16,13 +16,13 @@
 	maxRetryTokens = 50
 )
 
-func newRepeats() repeats { return repeats{tokens: maxRetryTokens} }
+func newRetryBudget() retryBudget { return retryBudget{tokens: maxRetryTokens} }
 
 // earn credits an answered start.
-func (r *repeats) earn() { r.tokens = min(maxRetryTokens, r.tokens+retriesPerAnswer) }
+func (r *retryBudget) earn() { r.tokens = min(maxRetryTokens, r.tokens+retriesPerAnswer) }
 
 // take reports whether a start may be repeated, and debits the budget for it.
-func (r *repeats) take() bool {
+func (r *retryBudget) take() bool {
 	if r.tokens < 1 {
 		return false
 	}
--- a/services/dispatch/repeats_test.go
+++ b/services/dispatch/repeats_test.go
@@ -85,7 +85,7 @@
 // TestRepetitionsArePaidForByAnswers checks that without any answer no more starts are repeated than the saved
 // budget allows, and that each start may be repeated when half of all answers are lost one by one.
 func TestRepetitionsArePaidForByAnswers(t *testing.T) {
-	r := newRepeats()
+	r := newRetryBudget()
 	taken := 0
 	for range 10 * maxRetryTokens {
 		if r.take() {
@@ -93,7 +93,7 @@
 		}
 	}
 	require.Equal(t, maxRetryTokens, taken)
-	r = newRepeats()
+	r = newRetryBudget()
 	for range 1000 { // of four starts two have no answer, nor has one of their repetitions
 		r.earn()
 		r.earn()
--- a/services/dispatch/report.go
+++ b/services/dispatch/report.go
@@ -19,7 +19,7 @@
 	if !ok {
 		return false // the worker was dropped in the meantime
 	}
-	w, later := c.reporting(w, sent, report, now)
+	w, later := c.reportingIncarnation(w, sent, report, now)
 	if !later {
 		c.discardReport(w, report)
 		return false
@@ -31,21 +31,21 @@
 		c.setRetired(w, false)
 	}
 	w.beginReport(report, sent, now)
-	if first && w.former {
+	if first && w.inPreviousRoster {
 		// The worker refuses calls of previous owners from now on, but a lease that they granted remains valid.
-		w.granted = max(w.granted, report.Clock+models.MilliOf(c.formerLease))
+		w.leaseEnd = max(w.leaseEnd, report.Clock+models.MilliOf(c.previousLease))
 	}
 	if first {
-		c.noteAnswered(now)
+		c.updateFenced(now)
 	}
 	newEnds := c.applyRows(w, report, now)
 	if first {
-		c.closeOpenRuns(w)
+		c.resolveOpenRuns(w)
 	}
 	c.releaseMissingRuns(w, sent)
 	w.forgetStrays(sent)
 	if first {
-		c.checkBlind(now)
+		c.tryRecover(now)
 	}
 	c.learn(w, now)
 	w.expectedValid = false
@@ -60,7 +60,7 @@
 	}
 	w.reportDiscarded = true
 	c.config.Logger.Warn("report is discarded, a later one was already applied", zap.String("worker", string(w.info.ID)),
-		zap.Int64("clock", int64(report.Clock)), zap.Int64("of_the_later", int64(w.clock)),
+		zap.Int64("clock", int64(report.Clock)), zap.Int64("of_the_later", int64(w.reportClock)),
 		zap.Int64("born", int64(report.Born)), zap.Int64("born_of_the_later", int64(w.info.Born)),
 		zap.Int("running", len(report.Running)), zap.Int("ended", len(report.Ended)))
 }
@@ -81,10 +81,10 @@
 
 // beginReport records that the worker has answered.
 func (w *worker) beginReport(report jobs.Report, sent, now time.Time) {
-	w.answered, w.overdue, w.failed, w.youngStored = true, false, time.Time{}, false
-	w.hurried = false
+	w.answered, w.overdue, w.unansweredSince, w.youngRunsStored = true, false, time.Time{}, false
+	w.reportUrgent = false
 	w.renewed = w.renewing
-	w.asked, w.heard, w.clock = sent, now, report.Clock
+	w.reportAskedAt, w.reportedAt, w.reportClock = sent, now, report.Clock
 	w.reportCount++
 	w.clearStraysSeen()
 }
@@ -93,7 +93,7 @@
 func (c *Core) applyRunning(w *worker, run jobs.Run, now time.Time) {
 	t := c.find(run.Task)
 	if t != nil {
-		c.noteShown(t, run.Run)
+		c.retractLoss(t, run.Run)
 	}
 	switch {
 	case t == nil || t.state == taskDone || t.state == taskMoving:
@@ -110,12 +110,12 @@
 	c.checkPace(w, t, now)
 	c.sampleSpeed(w, t, run.Progress, now)
 	if run.Checkpoint != "" {
-		c.keepText(t, saved{text: run.Checkpoint, run: run.Run, worker: w.info.ID, row: rowRunning, at: now})
+		c.keepCheckpoint(t, savedCheckpoint{text: run.Checkpoint, run: run.Run, worker: w.info.ID, row: rowRunning, at: now})
 	}
 	if t.state == taskStarting {
 		c.confirmRunning(t, now)
 	}
-	c.noteSurvival(w, t, now)
+	c.recordSurvival(w, t, now)
 	if t.step.job.cancelled || t.step.job.end != "" {
 		c.stop(t, "its job has ended")
 	}
@@ -128,9 +128,9 @@
 	}
 	t.state = taskRunning
 	t.run = run.Run
-	t.ordered = false
+	t.orderedHere = false
 	t.answeredAt = c.now
-	t.began = c.now
+	t.startedAt = c.now
 	t.pace, t.paceUncertain = inferPace(t.step.spec, run.Figure), false
 	t.pacedAt = c.now
 	t.step.job.running++
@@ -155,7 +155,7 @@
 					earlier.waiting--
 				}
 				c.finishTask(o)
-				c.change(s.job)
+				c.markChanged(s.job)
 			}
 		}
 	}
@@ -169,8 +169,8 @@
 func (c *Core) confirmRunning(t *task, now time.Time) {
 	t.state = taskRunning
 	t.answeredAt = now
-	if now.Sub(t.began) <= promptAnswer {
-		t.began = now
+	if now.Sub(t.startedAt) <= promptAnswer {
+		t.startedAt = now
 	}
 	t.step.job.begun = true
 }
@@ -186,6 +186,6 @@
 		if t.state == taskRunning {
 			c.config.Logger.Warn("run is missing from its worker's report without an end; its task waits again", zap.Stringer("task", t.id()), zap.String("worker", string(w.info.ID)))
 		}
-		c.wait(t)
+		c.requeue(t)
 	}
 }
--- a/services/dispatch/reserve.go
+++ b/services/dispatch/reserve.go
@@ -44,7 +44,7 @@
 	elapsed := now.Sub(s.at)
 	s.free, s.capacity = 0, 0
 	taken := models.MilliCPU(0)
-	for _, w := range c.order {
+	for _, w := range c.sortedWorkers {
 		if !c.usable(w, now) {
 			continue
 		}
@@ -62,17 +62,17 @@
 func (c *Core) waitingShortCPU() models.MilliCPU {
 	sum := models.MilliCPU(0)
 	for _, s := range c.waitingSteps {
-		if !s.spec.Lasts && !s.spec.Fills {
+		if !s.spec.LongRunning && !s.spec.Filler {
 			sum += models.MilliCPU(s.waiting) * s.spec.Size.CPU
 		}
 	}
 	return sum
 }
 
-// leavesRoom reports whether a long-running task may start now: it has waited long enough, or enough capacity
+// leavesCapacity reports whether a long-running task may start now: it has waited long enough, or enough capacity
 // remains for short work. A task that came from another cell has already waited there.
-func (c *Core) leavesRoom(t *task, now time.Time) bool {
-	if now.Sub(t.waits) >= shortReserveTime {
+func (c *Core) leavesCapacity(t *task, now time.Time) bool {
+	if now.Sub(t.waitingSince) >= shortReserveTime {
 		return true
 	}
 	reserve := min(shortReserveFactor*c.shortWork.demand, maxShortReserve*float64(c.shortWork.capacity))
@@ -81,7 +81,7 @@
 
 // takeShortCapacity deducts a starting long-running task from the capacity available to short work.
 func (c *Core) takeShortCapacity(t *task) {
-	if t.step.spec.Lasts {
+	if t.step.spec.LongRunning {
 		c.shortWork.free -= t.step.spec.Size.CPU
 	}
 }
--- a/services/dispatch/reserve_test.go
+++ b/services/dispatch/reserve_test.go
@@ -155,7 +155,7 @@
 	s.advance(time.Second)
 	require.Less(t, s.running(longRunningID), 12)
 	for _, step := range s.jobs[longRunningID].steps {
-		require.Zero(t, step.stuck)
+		require.Zero(t, step.stuckSince)
 	}
 }
 
--- a/services/dispatch/room.go
+++ b/services/dispatch/room.go
@@ -29,7 +29,7 @@
 // CPU.
 func (s *step) footprint() models.Resources {
 	size := s.spec.Size
-	if s.spec.Fills {
+	if s.spec.Filler {
 		size.CPU = 0
 	}
 	return size
@@ -40,9 +40,9 @@
 	spec := t.step.spec
 	size := t.step.footprint()
 	switch {
-	case spec.Fills:
+	case spec.Filler:
 		w.fillerCPU += sign * spec.Size.CPU
-	case spec.Lasts:
+	case spec.LongRunning:
 		w.longRunningCPU += sign * size.CPU
 	}
 	if sign > 0 {
--- a/services/dispatch/room_test.go
+++ b/services/dispatch/room_test.go
@@ -16,7 +16,7 @@
 // that the capacity shrinks and grows. Tasks that are being stopped count until their ends are reported.
 func TestRoomOfAWorkerFollowsTheList(t *testing.T) {
 	b := newBench(t, 1)
-	step := one
+	step := singleTaskStep
 	step.Count = 6
 	b.AddJob(b.job(step), jobs.Progress{}, true, b.now)
 	b.report(0, jobs.Report{})
--- a/services/dispatch/saved.go
+++ b/services/dispatch/saved.go
@@ -13,53 +13,53 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// saved is the checkpoint that a task's next run resumes from, and the row and report that it came with: operators
+// savedCheckpoint is the checkpoint that a task's next run resumes from, and the row and report that it came with: operators
 // ask for these first when a run resumes from a wrong checkpoint.
-type saved struct {
+type savedCheckpoint struct {
 	text   jobs.Text
 	run    jobs.RunID
 	worker jobs.WorkerID
-	row    savedRow
+	row    checkpointRow
 	at     time.Time // when the report arrived
 }
 
-// savedRow is the kind of row that showed a checkpoint: how its run had ended, or rowRunning.
-type savedRow string
+// checkpointRow is the kind of row that showed a checkpoint: how its run had ended, or rowRunning.
+type checkpointRow string
 
-const rowRunning savedRow = "running"
+const rowRunning checkpointRow = "running"
 
-// textFate is what became of a checkpoint that a report showed, as logged.
-type textFate string
+// checkpointFate is what became of a checkpoint that a report showed, as logged.
+type checkpointFate string
 
 const (
-	checkpointTaken          textFate = "taken"
-	checkpointNotRequested   textFate = "its step doesn't checkpoint"
-	checkpointOutdated       textFate = "a later run has saved a checkpoint"
-	checkpointOvertakenByEnd textFate = "its run's end is known"
-	checkpointOfUnorderedRun textFate = "no owner has ordered its run"
-	checkpointOfFailedRun    textFate = "its run has failed"
+	checkpointTaken          checkpointFate = "taken"
+	checkpointNotRequested   checkpointFate = "its step doesn't checkpoint"
+	checkpointOutdated       checkpointFate = "a later run has saved a checkpoint"
+	checkpointOvertakenByEnd checkpointFate = "its run's end is known"
+	checkpointOfUnorderedRun checkpointFate = "no owner has ordered its run"
+	checkpointOfFailedRun    checkpointFate = "its run has failed"
 )
 
-// textDigest identifies a checkpoint in logs without showing it, because it is the caller's data. The digest is
+// checkpointDigest identifies a checkpoint in logs without showing it, because it is the caller's data. The digest is
 // computed only when the line is written.
-type textDigest jobs.Text
+type checkpointDigest jobs.Text
 
 // digestBase prints a digest in hexadecimal.
 const digestBase = 16
 
-func (d textDigest) String() string {
+func (d checkpointDigest) String() string {
 	return strconv.FormatUint(xxhash.Sum64String(string(d)), digestBase)
 }
 
-// keepText takes the checkpoint of a row for the task's next run, unless checkpointFateOf rejects it.
-func (c *Core) keepText(t *task, shown saved) textFate {
+// keepCheckpoint takes the checkpoint of a row for the task's next run, unless checkpointFateOf rejects it.
+func (c *Core) keepCheckpoint(t *task, shown savedCheckpoint) checkpointFate {
 	fate := c.checkpointFateOf(t, shown)
 	switch fate {
 	case checkpointTaken:
-		if t.saved == nil {
-			t.saved = &saved{}
+		if t.checkpoint == nil {
+			t.checkpoint = &savedCheckpoint{}
 		}
-		*t.saved = shown
+		*t.checkpoint = shown
 	case checkpointNotRequested:
 		c.counts.TextsNotAskedOf++
 	case checkpointOutdated, checkpointOvertakenByEnd:
@@ -76,17 +76,17 @@
 // and workers that come back list their ends again. Only the runs' numbers tell which checkpoint is the newest,
 // because they rise over all owners. Without this rule a task resumed from an older run's checkpoint and repeated
 // work that a later run had saved.
-func (c *Core) checkpointFateOf(t *task, shown saved) textFate {
+func (c *Core) checkpointFateOf(t *task, shown savedCheckpoint) checkpointFate {
 	switch {
 	case !t.step.spec.Checkpoints:
 		return checkpointNotRequested
 	case !c.mayHaveBeenOrdered(t, shown.run):
 		return checkpointOfUnorderedRun
-	case shown.row == savedRow(jobs.EndFailed):
+	case shown.row == checkpointRow(jobs.EndFailed):
 		return checkpointOfFailedRun // the checkpoint may be why the run failed, or a failing worker may have damaged it
-	case t.saved != nil && shown.run < t.saved.run:
+	case t.checkpoint != nil && shown.run < t.checkpoint.run:
 		return checkpointOutdated
-	case t.saved != nil && shown.run == t.saved.run && shown.row == rowRunning && t.saved.row != rowRunning:
+	case t.checkpoint != nil && shown.run == t.checkpoint.run && shown.row == rowRunning && t.checkpoint.row != rowRunning:
 		return checkpointOvertakenByEnd // answers may overtake each other; a run's end is its final row
 	default:
 		return checkpointTaken
@@ -97,24 +97,24 @@
 // those of this epoch has been given. It keeps a worker that invents runs from having its checkpoint preferred to
 // all others for good.
 func (c *Core) mayHaveBeenOrdered(t *task, run jobs.RunID) bool {
-	return t.ordered && run == t.run || run < c.firstRun(t.step.job)+runsPerEpoch
+	return t.orderedHere && run == t.run || run < c.baseRun(t.step.job)+runsPerEpoch
 }
 
-// text returns the checkpoint that the task's next run resumes from; empty: the run begins anew.
-func (t *task) text() jobs.Text {
-	if t.saved == nil {
+// checkpointText returns the checkpoint that the task's next run resumes from; empty: the run begins anew.
+func (t *task) checkpointText() jobs.Text {
+	if t.checkpoint == nil {
 		return ""
 	}
-	return t.saved.text
+	return t.checkpoint.text
 }
 
-// logOrigin adds the origin of a start's checkpoint to the fields of its log line.
-func (t *task) logOrigin(fields []zap.Field, now time.Time) []zap.Field {
-	s := t.saved
+// appendCheckpointFields adds the origin of a start's checkpoint to the fields of its log line.
+func (t *task) appendCheckpointFields(fields []zap.Field, now time.Time) []zap.Field {
+	s := t.checkpoint
 	if s == nil {
 		return fields
 	}
-	return append(fields, zap.Stringer("saved", textDigest(s.text)), zap.Uint64("saved_run", uint64(s.run)),
+	return append(fields, zap.Stringer("saved", checkpointDigest(s.text)), zap.Uint64("saved_run", uint64(s.run)),
 		zap.String("saved_worker", string(s.worker)), zap.String("saved_row", string(s.row)),
 		zap.Int64("saved_age_ms", now.Sub(s.at).Milliseconds()))
 }
--- a/services/dispatch/saved_fault_test.go
+++ b/services/dispatch/saved_fault_test.go
@@ -23,7 +23,7 @@
 func newTakeoverBench(t *testing.T, workers int) *bench {
 	t.Helper()
 	b := newBench(t, workers)
-	b.Enrol(jobs.Roster{Workers: b.Workers()}, b.now)
+	b.RestoreRoster(jobs.Roster{Workers: b.Workers()}, b.now)
 	b.AddJob(b.job(checkpointStep), jobs.Progress{}, false, b.now)
 	return b
 }
@@ -77,7 +77,7 @@
 	run := b.starts()[0].Call.Run
 	b.report(0, endOf(1, run, jobs.EndStopped, "at the stop"))
 	late := running(run, "before the stop")
-	late.Clock = b.workers[b.ids[0]].clock
+	late.Clock = b.workers[b.ids[0]].reportClock
 	b.call(0, late)
 	b.report(0, jobs.Report{})
 	b.report(0, jobs.Report{})
@@ -127,18 +127,18 @@
 // happened when that number was above those of this cell's epochs.
 func TestNumbersOfRunsRiseOverOwnersAfterAMove(t *testing.T) {
 	lasting := checkpointStep
-	lasting.Lasts = true
+	lasting.LongRunning = true
 	var before jobs.RunID
 	for _, epoch := range []jobs.Epoch{5, 6, 70} {
 		b := newBench(t, 1)
 		b.config.Epoch = epoch
 		record := b.job(lasting)
-		record.Moved, record.LeastRun = true, 60*runsPerEpoch
+		record.Rewritten, record.HighestRun = true, 60*runsPerEpoch
 		b.AddJob(record, jobs.Progress{}, false, b.now)
 		b.report(0, jobs.Report{})
 		starts := b.starts()
 		require.Len(t, starts, 1)
-		require.Greater(t, starts[0].Call.Run, max(before, record.LeastRun))
+		require.Greater(t, starts[0].Call.Run, max(before, record.HighestRun))
 		before = starts[0].Call.Run
 	}
 }
--- a/services/dispatch/saved_test.go
+++ b/services/dispatch/saved_test.go
@@ -64,7 +64,7 @@
 // TestTextOfAStepThatDoesNotCheckpointIsCounted also checks that no start brings such a checkpoint.
 func TestTextOfAStepThatDoesNotCheckpointIsCounted(t *testing.T) {
 	b := newBench(t, 1)
-	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, true, b.now)
 	b.report(0, jobs.Report{})
 	run := b.starts()[0].Call.Run
 	b.report(0, running(run, "a"))
@@ -78,8 +78,8 @@
 // than the cell that a task came from, so that workers refuse its starts as old. A successor handed over tasks of a
 // lost worker that only its previous owner had given run numbers.
 func TestNumbersOfRunsRiseOverOwnersThatMoveWhatTheyHaveNotStarted(t *testing.T) {
-	lasting := one
-	lasting.Lasts = true
+	lasting := singleTaskStep
+	lasting.LongRunning = true
 	previous := newBench(t, 1)
 	record := previous.job(lasting)
 	previous.AddJob(record, jobs.Progress{}, true, previous.now)
@@ -90,7 +90,7 @@
 	here.config.Epoch = previous.config.Epoch + 1
 	here.AddJob(record, jobs.Progress{}, false, here.now)
 	here.report(0, jobs.Report{})
-	move, ok := here.moveOf(here.jobs[testJob].steps[0])
+	move, ok := here.moveFor(here.jobs[testJob].steps[0])
 	require.True(t, ok)
 
 	there := newBench(t, 1)
--- a/services/dispatch/score.go
+++ b/services/dispatch/score.go
@@ -20,9 +20,9 @@
 	capacity := w.cpuCapacity()
 	var score float64
 	switch {
-	case spec.Fills:
+	case spec.Filler:
 		score = c.fillerScore(w, s)
-	case spec.Lasts:
+	case spec.LongRunning:
 		score = w.imageAffinity(spec.Image) - float64(w.free().CPU)/capacity
 	default:
 		score = -float64(w.free().CPU-spec.Size.CPU) / capacity // best fit, which keeps large free blocks for large tasks
@@ -45,7 +45,7 @@
 func (w *worker) imageAffinity(image jobs.ImageName) float64 {
 	same, all := 0, 0
 	for _, t := range w.tasks {
-		if t.step.spec.Lasts {
+		if t.step.spec.LongRunning {
 			all++
 			if t.step.spec.Image == image {
 				same++
--- a/services/dispatch/shared.go
+++ b/services/dispatch/shared.go
@@ -36,25 +36,25 @@
 	verdictCrashes                  // the task crashes its workers
 )
 
-// noteLosses adds a task that has lost runs to withLosses.
-func (c *Core) noteLosses(t *task) {
+// trackLosses adds a task that has lost runs to tasksWithLosses.
+func (c *Core) trackLosses(t *task) {
 	if len(t.suspicion.Lost) > 0 {
-		c.withLosses[t] = struct{}{}
+		c.tasksWithLosses[t] = struct{}{}
 	}
 }
 
-// forgetLosses drops the tasks that can no longer crash workers from withLosses.
-func (c *Core) forgetLosses() {
-	maps.DeleteFunc(c.withLosses, func(t *task, _ struct{}) bool { return !t.mayBeCause() })
+// pruneLosses drops the tasks that can no longer crash workers from tasksWithLosses.
+func (c *Core) pruneLosses() {
+	maps.DeleteFunc(c.tasksWithLosses, func(t *task, _ struct{}) bool { return !t.mayBeCause() })
 }
 
 // queueVerdict lets a task be judged once all evidence of its worker's loss has been counted.
-func (c *Core) queueVerdict(t *task) { c.toJudge = append(c.toJudge, t) }
+func (c *Core) queueVerdict(t *task) { c.tasksToJudge = append(c.tasksToJudge, t) }
 
 // judge abandons the queued tasks whose evidence is sufficient.
 func (c *Core) judge(now time.Time) {
-	tasks := c.toJudge
-	c.toJudge = nil
+	tasks := c.tasksToJudge
+	c.tasksToJudge = nil
 	for _, t := range tasks {
 		if !t.isOver() && c.verdictOn(t, now) == verdictCrashes {
 			c.abandonJobOf(t)
@@ -67,14 +67,14 @@
 	if !t.crashesWorkers() {
 		return verdictOpen
 	}
-	if now.Before(t.weighedAt) {
+	if now.Before(t.lossFinalAt) {
 		return verdictContested
 	}
 	others := c.undecidedSharers(t, now)
 	if len(others) == 0 || t.crashesWithout(others) {
 		return verdictCrashes
 	}
-	waited := t.state == taskWaiting && !t.waits.IsZero() && now.Sub(t.waits) >= maxSharedLossWait
+	waited := t.state == taskWaiting && !t.waitingSince.IsZero() && now.Sub(t.waitingSince) >= maxSharedLossWait
 	switch {
 	case t.losses() < maxLosses && (waited || t.isTriedBefore(others)):
 		return verdictOpen // the next run decides
@@ -89,7 +89,7 @@
 // workers.
 func (c *Core) undecidedSharers(t *task, now time.Time) []*task {
 	var sharers []*task
-	for other := range c.withLosses {
+	for other := range c.tasksWithLosses {
 		if other.step.job != t.step.job && other.mayBeCause() && t.sharesLoss(other) && !other.hasOutlivedTrial(now) {
 			sharers = append(sharers, other)
 		}
@@ -111,28 +111,28 @@
 // hasOutlivedTrial reports whether the task runs on a worker that answers, and has done so for longer than the runs
 // that were lost.
 func (t *task) hasOutlivedTrial(now time.Time) bool {
-	return t.state == taskRunning && t.worker.failed.IsZero() && now.Sub(t.began) >= t.trialTime()
+	return t.state == taskRunning && t.worker.unansweredSince.IsZero() && now.Sub(t.startedAt) >= t.trialTime()
 }
 
 // sharesLoss reports whether both tasks have lost a run in the same loss of a worker.
 func (t *task) sharesLoss(other *task) bool {
-	return slices.ContainsFunc(t.suspicion.Lost, func(lost jobs.LostRun) bool { return other.lossIndex(lost.With) >= 0 })
+	return slices.ContainsFunc(t.suspicion.Lost, func(lost jobs.LostRun) bool { return other.lossIndex(lost.LossID) >= 0 })
 }
 
 // lossIndex returns the index of the task's run that was lost with the given loss of a worker, or -1.
-func (t *task) lossIndex(with jobs.WorkerLoss) int {
+func (t *task) lossIndex(with jobs.WorkerLossID) int {
 	if with == 0 {
 		return -1
 	}
-	return slices.IndexFunc(t.suspicion.Lost, func(lost jobs.LostRun) bool { return lost.With == with })
+	return slices.IndexFunc(t.suspicion.Lost, func(lost jobs.LostRun) bool { return lost.LossID == with })
 }
 
 // crashesWithout reports whether the task's losses suffice without those that it shares with the others.
 func (t *task) crashesWithout(others []*task) bool {
 	weight := 0.0
 	for _, lost := range t.suspicion.Lost {
-		if !slices.ContainsFunc(others, func(other *task) bool { return other.lossIndex(lost.With) >= 0 }) {
-			weight += lost.Weight
+		if !slices.ContainsFunc(others, func(other *task) bool { return other.lossIndex(lost.LossID) >= 0 }) {
+			weight += lost.EvidenceVsAll
 		}
 	}
 	return weight >= t.abandonWeight()
@@ -151,7 +151,7 @@
 // explainSharedLosses lowers the evidence of the losses that a task has caused for the tasks that share them: with a
 // known cause, the evidence against another task is how much likelier that task was to cause the loss.
 func (c *Core) explainSharedLosses(t *task) {
-	for other := range c.withLosses {
+	for other := range c.tasksWithLosses {
 		if other.step.job == t.step.job || !other.mayBeCause() {
 			continue
 		}
@@ -163,21 +163,21 @@
 
 // explainLoss lowers the evidence of a task's share of a loss whose cause is known.
 func (c *Core) explainLoss(t *task, cause jobs.LostRun) {
-	at := t.lossIndex(cause.With)
+	at := t.lossIndex(cause.LossID)
 	if at < 0 {
 		return
 	}
 	lost := t.suspicion.Lost[at]
-	left := roundToHundredths(-math.Log(math.Exp(-lost.Doubt) + math.Exp(cause.Doubt-lost.Doubt)))
+	left := roundToHundredths(-math.Log(math.Exp(-lost.EvidenceVsChance) + math.Exp(cause.EvidenceVsChance-lost.EvidenceVsChance)))
 	t.suspicion.Lost = withLoweredEvidence(t.suspicion.Lost, at, left, left)
-	c.changeSoon(t.step.job)
+	c.markChangedUrgently(t.step.job)
 	c.config.Logger.Info("loss is explained by another task", zap.Stringer("task", t.id()), zap.Uint64("run", uint64(lost.Run)),
-		zap.Float64("weight", t.suspicion.Lost[at].Weight))
+		zap.Float64("weight", t.suspicion.Lost[at].EvidenceVsAll))
 }
 
 // withLoweredEvidence returns a copy of the losses, in which the evidence of one is at most the given.
 func withLoweredEvidence(losses []jobs.LostRun, at int, doubt, weight float64) []jobs.LostRun {
 	losses = slices.Clone(losses)
-	losses[at].Doubt, losses[at].Weight = min(losses[at].Doubt, doubt), min(losses[at].Weight, weight)
+	losses[at].EvidenceVsChance, losses[at].EvidenceVsAll = min(losses[at].EvidenceVsChance, doubt), min(losses[at].EvidenceVsAll, weight)
 	return losses
 }
--- a/services/dispatch/shared_test.go
+++ b/services/dispatch/shared_test.go
@@ -16,13 +16,13 @@
 
 // The losses of workers that the tests name.
 const (
-	lossShared jobs.WorkerLoss = 7
-	lossAlone  jobs.WorkerLoss = 8
-	lossThird  jobs.WorkerLoss = 9
+	lossShared jobs.WorkerLossID = 7
+	lossAlone  jobs.WorkerLossID = 8
+	lossThird  jobs.WorkerLossID = 9
 )
 
-func lostRunWith(loss jobs.WorkerLoss, run jobs.RunID, doubt, weight float64) jobs.LostRun {
-	return jobs.LostRun{Run: run, Ran: 70, Doubt: doubt, Weight: weight, With: loss}
+func lostRunWith(loss jobs.WorkerLossID, run jobs.RunID, doubt, weight float64) jobs.LostRun {
+	return jobs.LostRun{Run: run, RanAtMost: 70, EvidenceVsChance: doubt, EvidenceVsAll: weight, LossID: loss}
 }
 
 // newSharedBench makes a core with two jobs of one task each, whose tasks have lost the given runs.
@@ -35,8 +35,8 @@
 	known := func(lost []jobs.LostRun) jobs.Progress {
 		return jobs.Progress{Suspected: jobs.Suspicions{0: {0: {Lost: lost}}}}
 	}
-	b.AddJob(b.job(one), known(first), true, b.now)
-	other := b.job(one)
+	b.AddJob(b.job(singleTaskStep), known(first), true, b.now)
+	other := b.job(singleTaskStep)
 	other.Spec.ID = otherJob
 	b.AddJob(other, known(second), true, b.now)
 	return b
@@ -91,13 +91,13 @@
 	b := newSharedBench(t,
 		[]jobs.LostRun{lostRunWith(lossShared, 1, 7, 6), lostRunWith(lossAlone, 2, 9, 9)},
 		[]jobs.LostRun{lostRunWith(lossShared, 1, 7, 6), lostRunWith(lossThird, 2, 9, 9)})
-	b.taskOf(testJob).suspicion.Unseen = 1 // so that the other task is tried first
+	b.taskOf(testJob).suspicion.Unobserved = 1 // so that the other task is tried first
 	b.lose(t, otherJob)
 	require.Equal(t, jobs.StateFailed, b.jobs[otherJob].end, "its other losses suffice")
 	lost := b.taskOf(testJob).suspicion.Lost
-	require.InDelta(t, 0, lost[0].Weight, 0.01)
-	require.InDelta(t, 0, lost[0].Doubt, 0.01)
-	require.InDelta(t, 9, lost[1].Weight, 0.01)
+	require.InDelta(t, 0, lost[0].EvidenceVsAll, 0.01)
+	require.InDelta(t, 0, lost[0].EvidenceVsChance, 0.01)
+	require.InDelta(t, 9, lost[1].EvidenceVsAll, 0.01)
 	require.Len(t, b.storedStarts(), 1)
 	require.Empty(t, b.jobs[testJob].end)
 }
@@ -108,7 +108,7 @@
 		[]jobs.LostRun{lostRunWith(lossShared, 1, 7, 6), lostRunWith(lossAlone, 2, 9, 9)},
 		[]jobs.LostRun{lostRunWith(lossShared, 1, 7, 6)})
 	b.taskOf(otherJob).state = taskMoving
-	b.taskOf(testJob).waits = b.now
+	b.taskOf(testJob).waitingSince = b.now
 	require.Empty(t, b.starts())
 	for range 100 {
 		b.now = b.now.Add(maxSharedLossWait / 100)
@@ -127,11 +127,11 @@
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
 	b.report(1, jobs.Report{})
-	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, true, b.now)
 	start := b.crashWorkerOfOnlyStart(t)
 	lost := b.store().Jobs[0].Progress.Suspected[0][0].Lost
 	require.Len(t, lost, 1)
-	require.Equal(t, start.Worker.Incarnation().Loss(), lost[0].With)
+	require.Equal(t, start.Worker.Incarnation().LossID(), lost[0].LossID)
 }
 
 // TestTasksThatWereLostTogetherAreTriedApart guards against trials that give no evidence: two suspects of one loss
@@ -144,7 +144,7 @@
 		b.Replaced(id, b.now)
 	}
 	for _, id := range []jobs.ID{testJob, otherJob} {
-		b.taskOf(id).waits = b.now
+		b.taskOf(id).waitingSince = b.now
 	}
 	b.store()
 	require.Len(t, b.starts(), 1, "one worker is left")
--- a/services/dispatch/speed.go
+++ b/services/dispatch/speed.go
@@ -47,7 +47,7 @@
 // sampleSpeed adds a task's progress to the speeds of its queue and its worker.
 func (c *Core) sampleSpeed(w *worker, t *task, progress jobs.Percent, now time.Time) {
 	spec := t.step.spec
-	if spec.Lasts || spec.Estimate <= 0 || t.pace < minSampledPace || now.Sub(t.began) < restartGrace {
+	if spec.LongRunning || spec.Estimate <= 0 || t.pace < minSampledPace || now.Sub(t.startedAt) < restartGrace {
 		t.sampledAt = time.Time{}
 		return
 	}
@@ -91,7 +91,7 @@
 	w.stalledUntil = now.Add(stalledPause)
 	w.speed = speed{}
 	for _, t := range w.tasks {
-		if t.state == taskRunning && !t.step.spec.Lasts {
+		if t.state == taskRunning && !t.step.spec.LongRunning {
 			c.stop(t, "its worker has stalled")
 		}
 	}
--- a/services/dispatch/stale.go
+++ b/services/dispatch/stale.go
@@ -15,31 +15,37 @@
 // nothing can have changed in the store, and starts go on.
 
 // staleAfter is how old the owner's data may be while the store answers other calls. A watch waits for 0.8 s and the
-// list is read every 0.7 s, so one of either may get lost; together with startWithin the bound stays below the 3 s
+// list is read every 0.7 s, so one of either may get lost; together with maxStartAge the bound stays below the 3 s
 // after which nothing may start on a draining worker.
 const staleAfter = 2 * time.Second
 
-// known is how recent the owner's copy of the stored data is.
-type known struct {
-	jobs     time.Time // all changes to the cell's jobs stored by then are known
-	workers  time.Time // the same for the list of workers
-	answered time.Time // when the store last answered any call
-	stale    bool      // nothing starts, as logged
+// storeFreshness is how recent the owner's copy of the stored data is.
+type storeFreshness struct {
+	jobsAsOf    time.Time // all changes to the cell's jobs stored by then are known
+	workersAsOf time.Time // the same for the list of workers
+	answered    time.Time // when the store last answered any call
+	stale       bool      // nothing starts, as logged
 }
 
-// JobsKnown records that all changes to the cell's jobs are known that were stored when the call was sent.
-func (c *Core) JobsKnown(sent time.Time) { c.known.jobs = latest(c.known.jobs, sent) }
+// JobsReadAsOf records that all changes to the cell's jobs are known that were stored when the call was sent.
+func (c *Core) JobsReadAsOf(sent time.Time) {
+	c.storeFreshness.jobsAsOf = latest(c.storeFreshness.jobsAsOf, sent)
+}
 
-// WorkersKnown records the same for the list of workers.
-func (c *Core) WorkersKnown(sent time.Time) { c.known.workers = latest(c.known.workers, sent) }
+// WorkersReadAsOf records the same for the list of workers.
+func (c *Core) WorkersReadAsOf(sent time.Time) {
+	c.storeFreshness.workersAsOf = latest(c.storeFreshness.workersAsOf, sent)
+}
 
 // StoreAnswered records when the store last answered any call of this daemon.
-func (c *Core) StoreAnswered(at time.Time) { c.known.answered = latest(c.known.answered, at) }
+func (c *Core) StoreAnswered(at time.Time) {
+	c.storeFreshness.answered = latest(c.storeFreshness.answered, at)
+}
 
 // mayStart reports whether the owner's data is recent enough for starts.
 func (c *Core) mayStart() bool {
-	k := &c.known
-	age := max(k.answered.Sub(k.jobs), k.answered.Sub(k.workers))
+	k := &c.storeFreshness
+	age := max(k.answered.Sub(k.jobsAsOf), k.answered.Sub(k.workersAsOf))
 	if stale := age > staleAfter; stale != k.stale {
 		k.stale = stale
 		message := "starts go on"
--- a/services/dispatch/step.go
+++ b/services/dispatch/step.go
@@ -17,14 +17,14 @@
 	number          int
 	spec            *jobs.Step
 	tasks           []task
-	done            int             // tasks that have succeeded
-	waiting         int             // tasks that are waiting
-	opened          bool            // the steps that it depends on are done, and its time has come
-	inWaitingSteps  bool            // is among the core's steps with waiting tasks
-	backoff         time.Time       // workers are not searched for its tasks before then
-	stuck           time.Time       // since when no worker can take a waiting task; zero: the last search found one
-	baseline        contention.Load // baseline load of a serving step
-	aloneReportedAt time.Time       // when a task of it without filler tasks beside it was last reported
+	done            int                     // tasks that have succeeded
+	waiting         int                     // tasks that are waiting
+	opened          bool                    // the steps that it depends on are done, and its time has come
+	inWaitingSteps  bool                    // is among the core's steps with waiting tasks
+	backoff         time.Time               // workers are not searched for its tasks before then
+	stuckSince      time.Time               // since when no worker can take a waiting task; zero: the last search found one
+	baseline        contention.BaselineLoad // baseline load of a serving step
+	aloneReportedAt time.Time               // when a task of it without filler tasks beside it was last reported
 }
 
 // flat returns the step's number counted over all occurrences, as jobs.Progress counts steps.
@@ -54,19 +54,19 @@
 func (c *Core) openSteps(j *job, now time.Time) {
 	for _, s := range j.steps {
 		if s.opened {
-			c.listOpen(s)
+			c.listWaiting(s)
 			continue
 		}
 		if due := j.spec.DueAt(s.occurrence); c.timeOfDay(now) < due {
 			continue
 		}
 		s.opened = s.mayOpen()
-		c.listOpen(s)
+		c.listWaiting(s)
 	}
 }
 
-// listOpen adds an opened step with waiting tasks to the steps to be placed.
-func (c *Core) listOpen(s *step) {
+// listWaiting adds an opened step with waiting tasks to the steps to be placed.
+func (c *Core) listWaiting(s *step) {
 	if s.inWaitingSteps || !s.opened || s.waiting == 0 || s.job.end != "" || s.job.cancelled {
 		return
 	}
--- a/services/dispatch/stop.go
+++ b/services/dispatch/stop.go
@@ -31,8 +31,8 @@
 	})
 }
 
-// stopPause is how long the answer to a stop is awaited before the stop is repeated.
-const stopPause = 800 * time.Millisecond
+// stopRetryInterval is how long the answer to a stop is awaited before the stop is repeated.
+const stopRetryInterval = 800 * time.Millisecond
 
 // retryStops orders stops that are new or were not answered in time.
 func (c *Core) retryStops(now time.Time) {
@@ -40,7 +40,7 @@
 		switch {
 		case t.state != taskStopping || t.worker == nil:
 			delete(c.stopping, t)
-		case t.answeredAt.IsZero() && now.Sub(t.orderedAt) >= stopPause:
+		case t.answeredAt.IsZero() && now.Sub(t.orderedAt) >= stopRetryInterval:
 			t.orderedAt = now
 			c.orderStop(t.worker, t.id(), t.run)
 		}
--- a/services/dispatch/summary.go
+++ b/services/dispatch/summary.go
@@ -28,14 +28,14 @@
 
 // Summary returns the core's state in figures.
 func (c *Core) Summary(now time.Time) Summary {
-	s := Summary{Jobs: len(c.jobs), Workers: len(c.order), Unstored: len(c.dirty), Recovering: c.blind}
+	s := Summary{Jobs: len(c.jobs), Workers: len(c.sortedWorkers), Unstored: len(c.dirty), Recovering: c.recovering}
 	for _, step := range c.waitingSteps {
 		s.Waiting += step.waiting
 	}
-	ages := make([]time.Duration, 0, len(c.order))
-	for _, w := range c.order {
+	ages := make([]time.Duration, 0, len(c.sortedWorkers))
+	for _, w := range c.sortedWorkers {
 		if w.listed {
-			ages = append(ages, now.Sub(w.heard))
+			ages = append(ages, now.Sub(w.reportedAt))
 		}
 		if c.usable(w, now) {
 			s.Usable++
@@ -45,7 +45,7 @@
 			if t.step.spec.Serves() && t.figure > int(t.step.spec.Target) {
 				s.OverTail++
 			}
-			if t.step.spec.Fills && t.pace < jobs.FullSpeed {
+			if t.step.spec.Filler && t.pace < jobs.FullSpeed {
 				s.Throttled++
 			}
 		}
@@ -71,10 +71,10 @@
 
 // WorkerStates returns the core's view of all workers.
 func (c *Core) WorkerStates(now time.Time) []WorkerState {
-	list := make([]WorkerState, 0, len(c.order))
-	for _, w := range c.order {
+	list := make([]WorkerState, 0, len(c.sortedWorkers))
+	for _, w := range c.sortedWorkers {
 		state := WorkerState{
-			ID: w.info.ID, Born: w.info.Born, Listed: w.listed, Usable: c.usable(w, now), ReportAge: models.MilliOf(now.Sub(w.heard)),
+			ID: w.info.ID, Born: w.info.Born, Listed: w.listed, Usable: c.usable(w, now), ReportAge: models.MilliOf(now.Sub(w.reportedAt)),
 			Free: w.free(), Load: w.maxLoad,
 		}
 		for _, t := range w.tasks {
--- a/services/dispatch/suspended_test.go
+++ b/services/dispatch/suspended_test.go
@@ -26,6 +26,6 @@
 	info := b.workers[b.ids[0]].info
 	info.Draining, info.Remaining = true, 10*time.Second
 	b.SetWorkers([]jobs.Worker{info}, b.now)
-	require.Equal(t, day+10_000, b.workers[b.ids[0]].info.Leaves)
+	require.Equal(t, day+10_000, b.workers[b.ids[0]].info.LeavesAt)
 	require.Equal(t, b.now.Add(10*time.Second), b.timeAt(day+10_000, b.now), "as a successor reads it")
 }
--- a/services/dispatch/suspicion.go
+++ b/services/dispatch/suspicion.go
@@ -53,7 +53,7 @@
 	if len(t.suspicion.Lost) == 0 {
 		return false
 	}
-	return t.losses() >= suspectLosses || t.suspicion.Doubt() >= suspectDoubt
+	return t.losses() >= suspectLosses || t.suspicion.EvidenceVsChance() >= suspectDoubt
 }
 
 // losses is how many runs of the task may have been lost with their workers.
@@ -64,7 +64,7 @@
 func (t *task) observedLosses() int {
 	seen := 0
 	for _, lost := range t.suspicion.Lost {
-		if lost.Doubt > 0 || lost.Ran.Duration() < youngRunLimit {
+		if lost.EvidenceVsChance > 0 || lost.RanAtMost.Duration() < youngRunLimit {
 			seen++
 		}
 	}
@@ -72,13 +72,13 @@
 }
 
 // unobservedLosses is how many of these losses no owner observed.
-func (t *task) unobservedLosses() int { return t.suspicion.Unseen + t.unseen }
+func (t *task) unobservedLosses() int { return t.suspicion.Unobserved + t.unobservedAtTakeover }
 
 // countWorkerLoss counts the runs that were lost with a worker against their tasks, and logs them. The loss of a
 // worker that left when it had announced is no evidence against its tasks, but may be a crash all the same.
 func (c *Core) countWorkerLoss(w *worker, now time.Time) {
 	switch {
-	case w.leaves.IsZero() || w.leftEarly(now):
+	case w.leavesAt.IsZero() || w.leftEarly(now):
 		c.weighLoss(w, now)
 	default:
 		c.countRunsOnLeftWorker(w, now)
@@ -112,10 +112,10 @@
 		loss, weighed := losses[t]
 		c.logLostRun(w, t, loss, chance)
 		switch {
-		case weighed && (loss.Doubt > 0 || len(t.suspicion.Lost) > 0):
+		case weighed && (loss.EvidenceVsChance > 0 || len(t.suspicion.Lost) > 0):
 			c.countLoss(t, loss)
 		case weighed:
-			t.byChance = append(t.byChance, loss)
+			t.chanceLosses = append(t.chanceLosses, loss)
 		case !weighed && c.startUnobserved(w, t, now):
 			c.countUnobservedRun(t, t.run)
 		}
@@ -125,19 +125,19 @@
 // logLostRun logs a run that was lost with its worker, and the evidence against its task.
 func (c *Core) logLostRun(w *worker, t *task, loss jobs.LostRun, chance float64) {
 	c.config.Logger.Info("run is lost with its worker", zap.Stringer("task", t.id()), zap.Uint64("run", uint64(t.run)),
-		zap.String("worker", string(w.info.ID)), zap.Int64("ran_ms", int64(loss.Ran)), zap.Int("beside", len(w.tasks)-1),
-		zap.Float64("chance", chance), zap.Float64("doubt", loss.Doubt), zap.Float64("weight", loss.Weight),
+		zap.String("worker", string(w.info.ID)), zap.Int64("ran_ms", int64(loss.RanAtMost)), zap.Int("beside", len(w.tasks)-1),
+		zap.Float64("chance", chance), zap.Float64("doubt", loss.EvidenceVsChance), zap.Float64("weight", loss.EvidenceVsAll),
 		zap.Int("lost_before", len(t.suspicion.Lost)))
 }
 
 // countLoss counts a lost run against its task, and lets the task be judged.
 func (c *Core) countLoss(t *task, loss jobs.LostRun) {
-	if t.suspicion.Has(loss.Run) || t.isOver() {
+	if t.suspicion.HasRun(loss.Run) || t.isOver() {
 		return
 	}
-	t.suspicion.Lost = append(append(t.suspicion.Lost, t.byChance...), loss)
-	t.byChance = nil
-	c.noteLosses(t)
+	t.suspicion.Lost = append(append(t.suspicion.Lost, t.chanceLosses...), loss)
+	t.chanceLosses = nil
+	c.trackLosses(t)
 	c.storeBeforeNextStart(t)
 	c.queueVerdict(t)
 }
@@ -148,48 +148,48 @@
 	c.explainSharedLosses(t)
 	c.counts.GivenUp++
 	c.config.Logger.Warn("job failed: one of its tasks repeatedly crashed its workers", zap.String("job", string(j.spec.ID)),
-		zap.Stringer("task", t.id()), zap.Int("workers_lost", len(t.suspicion.Lost)), zap.Int("unseen", t.unobservedLosses()), zap.Float64("weight", t.suspicion.Weight()))
-	c.end(j, jobs.StateFailed)
-	c.stopAll(j, "its job has failed")
+		zap.Stringer("task", t.id()), zap.Int("workers_lost", len(t.suspicion.Lost)), zap.Int("unseen", t.unobservedLosses()), zap.Float64("weight", t.suspicion.EvidenceVsAll()))
+	c.endJob(j, jobs.StateFailed)
+	c.stopJob(j, "its job has failed")
 }
 
 // storeBeforeNextStart has the losses counted against a task stored before the task starts again, together with the
 // takeovers that are counted by now: a successor would count these again, also where the loss was observed.
 func (c *Core) storeBeforeNextStart(t *task) {
-	t.suspicion.Unseen += t.unseen
-	t.suspicion.Counted, t.unseen = c.config.Epoch, 0
+	t.suspicion.Unobserved += t.unobservedAtTakeover
+	t.suspicion.CountedEpoch, t.unobservedAtTakeover = c.config.Epoch, 0
 	j := t.step.job
-	c.changeSoon(j)
-	t.counted, j.counted = j.version, j.version
+	c.markChangedUrgently(j)
+	t.lossVersion, j.lossVersion = j.version, j.version
 }
 
 // crashesWorkers reports whether the task is as good as certain to crash its workers.
 func (t *task) crashesWorkers() bool {
-	return t.observedLosses() >= minLosses && t.suspicion.Weight() >= t.abandonWeight()
+	return t.observedLosses() >= minLosses && t.suspicion.EvidenceVsAll() >= t.abandonWeight()
 }
 
 // abandonWeight is the weight at which the task is abandoned.
 func (t *task) abandonWeight() float64 { return abandonWeights[min(t.losses(), maxLosses)] }
 
-// noteSurvival clears a task whose run has gone on for long enough, and lets others start beside a task that has
+// recordSurvival clears a task whose run has gone on for long enough, and lets others start beside a task that has
 // outlived its trial.
-func (c *Core) noteSurvival(w *worker, t *task, now time.Time) {
-	ran := now.Sub(t.began)
+func (c *Core) recordSurvival(w *worker, t *task, now time.Time) {
+	ran := now.Sub(t.startedAt)
 	if ran >= maxTimeToCrash {
-		t.byChance = nil
+		t.chanceLosses = nil
 	}
-	if t.suspicion.Clean() && t.unseen == 0 {
+	if t.suspicion.Clean() && t.unobservedAtTakeover == 0 {
 		return
 	}
 	if t.onTrial && ran >= t.trialTime() {
 		w.endTrial(t)
-		c.closeRun(t)
+		c.clearOpenRun(t)
 	}
 	if ran < maxTimeToCrash {
 		return
 	}
 	c.config.Logger.Info("task is no longer suspected of crashing workers", zap.Stringer("task", t.id()), zap.Int("lost_before", len(t.suspicion.Lost)))
-	t.suspicion, t.unseen = jobs.Suspicion{Cleared: c.config.Epoch}, 0
+	t.suspicion, t.unobservedAtTakeover = jobs.Suspicion{ClearedEpoch: c.config.Epoch}, 0
 	c.counts.Cleared++
-	c.change(t.step.job)
+	c.markChanged(t.step.job)
 }
--- a/services/dispatch/suspicion_store.go
+++ b/services/dispatch/suspicion_store.go
@@ -31,46 +31,46 @@
 
 // storeOpenRun stores, for a successor, that the task's run counts as lost if its worker is lost.
 func (c *Core) storeOpenRun(t *task, loss jobs.LostRun) {
-	t.suspicion.Open = &jobs.OpenRun{LostRun: loss, Worker: t.worker.info.ID, Born: t.worker.info.Born}
-	c.changeSoon(t.step.job)
+	t.suspicion.Unresolved = &jobs.UnresolvedRun{LostRun: loss, Worker: t.worker.info.ID, Born: t.worker.info.Born}
+	c.markChangedUrgently(t.step.job)
 }
 
 // storeOpenTrial stores that a suspect has just been started, for a successor that does not observe its end.
 func (c *Core) storeOpenTrial(t *task, now time.Time) {
 	c.storeOpenRun(t, jobs.LostRun{Run: t.run})
-	open := t.suspicion.Open
-	open.Began = c.timeOfDay(now)
-	open.Chance = roundToThousandths(c.chanceRate(t.worker, now))
-	open.Beside = roundToThousandths(crashRate(c.neighboursOf(t.worker, t, now)))
+	open := t.suspicion.Unresolved
+	open.BeganAt = c.timeOfDay(now)
+	open.ChanceRate = roundToThousandths(c.chanceRate(t.worker, now))
+	open.NeighbourRate = roundToThousandths(crashRate(c.neighboursOf(t.worker, t, now)))
 }
 
 // lostRunOf returns what an open run of a previous owner counts as now that its worker is lost.
-func (c *Core) lostRunOf(open *jobs.OpenRun) jobs.LostRun {
-	if open.Began == 0 {
+func (c *Core) lostRunOf(open *jobs.UnresolvedRun) jobs.LostRun {
+	if open.BeganAt == 0 {
 		return open.LostRun
 	}
-	ago := c.now.Sub(c.timeAt(open.Began, c.now))
+	ago := c.now.Sub(c.timeAt(open.BeganAt, c.now))
 	return weighUnobserved(open, max(ago, minUnobservedAge))
 }
 
-// closeRun reverts storeOpenRun: the run goes on, has ended, or is counted as lost.
-func (c *Core) closeRun(t *task) {
-	if t.suspicion.Open != nil {
-		t.suspicion.Open = nil
-		c.changeSoon(t.step.job)
+// clearOpenRun reverts storeOpenRun: the run goes on, has ended, or is counted as lost.
+func (c *Core) clearOpenRun(t *task) {
+	if t.suspicion.Unresolved != nil {
+		t.suspicion.Unresolved = nil
+		c.markChangedUrgently(t.step.job)
 	}
 }
 
 // storeYoungRuns stores the young runs on a worker whose address refuses connections: the worker has probably
 // crashed, but that is certain only some seconds later, and a successor would not learn of it.
 func (c *Core) storeYoungRuns(w *worker, now time.Time) {
-	if w.youngStored {
+	if w.youngRunsStored {
 		return
 	}
-	w.youngStored = true
+	w.youngRunsStored = true
 	chance := c.chanceRate(w, now)
 	for _, t := range w.tasks {
-		if ran, known := c.runtimeAtLoss(w, t, now); known && ran < youngRunLimit && t.suspicion.Open == nil {
+		if ran, known := c.runtimeAtLoss(w, t, now); known && ran < youngRunLimit && t.suspicion.Unresolved == nil {
 			c.storeOpenRun(t, c.lossContextOf(w, t, ran, chance, now).lostRun(w, t))
 		}
 	}
@@ -106,8 +106,8 @@
 // without having answered.
 func (c *Core) applySuspicion(t *task, suspicion jobs.Suspicion) {
 	t.suspicion = suspicion
-	c.noteLosses(t)
-	if open := suspicion.Open; open != nil {
+	c.trackLosses(t)
+	if open := suspicion.Unresolved; open != nil {
 		c.openRuns[open.Worker] = append(c.openRuns[open.Worker], t)
 	}
 }
@@ -128,33 +128,33 @@
 
 // countOpenRun counts a run of a previous owner that was lost unobserved.
 func (c *Core) countOpenRun(t *task) {
-	open := t.suspicion.Open
+	open := t.suspicion.Unresolved
 	if t.worker != nil || open == nil {
 		return // the task runs, or its run is known to have ended
 	}
-	c.closeRun(t)
-	if open.Unseen {
+	c.clearOpenRun(t)
+	if open.Unobserved {
 		c.countUnobservedRun(t, open.Run)
 		return
 	}
 	lost := c.lostRunOf(open)
-	lost.With = jobs.Incarnation{ID: open.Worker, Born: open.Born}.Loss()
+	lost.LossID = jobs.Incarnation{ID: open.Worker, Born: open.Born}.LossID()
 	c.config.Logger.Info("run of a previous owner is lost with its worker", zap.Stringer("task", t.id()),
-		zap.Uint64("run", uint64(open.Run)), zap.String("worker", string(open.Worker)), zap.Float64("weight", lost.Weight))
+		zap.Uint64("run", uint64(open.Run)), zap.String("worker", string(open.Worker)), zap.Float64("weight", lost.EvidenceVsAll))
 	c.countLoss(t, lost)
 }
 
-// closeOpenRuns closes the open runs of a worker that has answered, because its report shows what runs. Open runs of
+// resolveOpenRuns closes the open runs of a worker that has answered, because its report shows what runs. Open runs of
 // a previous incarnation are lost.
-func (c *Core) closeOpenRuns(w *worker) {
+func (c *Core) resolveOpenRuns(w *worker) {
 	for _, t := range c.openRuns[w.info.ID] {
-		open := t.suspicion.Open
+		open := t.suspicion.Unresolved
 		switch {
 		case t.worker != nil || open == nil:
 		case w.info.Incarnation().Differs(jobs.Incarnation{ID: open.Worker, Born: open.Born}):
 			c.countOpenRun(t)
 		default:
-			c.closeRun(t)
+			c.clearOpenRun(t)
 		}
 	}
 	delete(c.openRuns, w.info.ID)
--- a/services/dispatch/suspicion_test.go
+++ b/services/dispatch/suspicion_test.go
@@ -48,14 +48,14 @@
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
 	b.report(1, jobs.Report{})
-	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, true, b.now)
 	first := b.crashWorkerOfOnlyStart(t)
 	second := b.storedStarts()
 	require.Len(t, second, 1)
 	require.NotEqual(t, first.Worker.ID, second[0].Worker.ID)
 	b.Started(second[0], Result{Outcome: OutcomeDone}, b.now)
 
-	other := b.job(one)
+	other := b.job(singleTaskStep)
 	other.Spec.ID = "00000000000000bb"
 	b.AddJob(other, jobs.Progress{}, true, b.now)
 	require.Empty(t, b.starts(), "the suspect has the only worker to itself")
@@ -75,10 +75,10 @@
 func TestOpenRunsAreLostWithTheirWorkers(t *testing.T) {
 	for _, gone := range []bool{true, false} {
 		b := newBench(t, 2)
-		previous := againstFirst(jobs.LostRun{Run: 7, Ran: 10, Doubt: 8, Weight: 8}, &jobs.OpenRun{
-			LostRun: jobs.LostRun{Run: 8, Ran: 10, Doubt: 8, Weight: 8}, Worker: b.ids[0],
+		previous := againstFirst(jobs.LostRun{Run: 7, RanAtMost: 10, EvidenceVsChance: 8, EvidenceVsAll: 8}, &jobs.UnresolvedRun{
+			LostRun: jobs.LostRun{Run: 8, RanAtMost: 10, EvidenceVsChance: 8, EvidenceVsAll: 8}, Worker: b.ids[0],
 		})
-		b.AddJob(b.job(one), jobs.Progress{Suspected: previous}, false, b.now)
+		b.AddJob(b.job(singleTaskStep), jobs.Progress{Suspected: previous}, false, b.now)
 		if gone {
 			b.Replaced(b.ids[0], b.now)
 		} else {
@@ -93,31 +93,31 @@
 			require.Equal(t, jobs.StateFailed, changes.Jobs[0].Ended.Ended)
 		} else {
 			require.Nil(t, changes.Jobs[0].Ended)
-			require.Nil(t, changes.Jobs[0].Progress.Suspected[0][0].Open)
+			require.Nil(t, changes.Jobs[0].Progress.Suspected[0][0].Unresolved)
 		}
 	}
 }
 
 // againstFirst is a suspicion against the first task of a job.
-func againstFirst(lost jobs.LostRun, open *jobs.OpenRun) jobs.Suspicions {
+func againstFirst(lost jobs.LostRun, open *jobs.UnresolvedRun) jobs.Suspicions {
 	all := jobs.Suspicions{}
-	all.Set(0, 0, jobs.Suspicion{Lost: []jobs.LostRun{lost}, Open: open})
+	all.Set(0, 0, jobs.Suspicion{Lost: []jobs.LostRun{lost}, Unresolved: open})
 	return all
 }
 
 // TestWhatIsKnownGoesWithTasksToAnotherCell checks that a suspect stays one in another cell.
 func TestWhatIsKnownGoesWithTasksToAnotherCell(t *testing.T) {
-	known := againstFirst(jobs.LostRun{Run: 7, Ran: 10, Doubt: 8, Weight: 8}, nil)
+	known := againstFirst(jobs.LostRun{Run: 7, RanAtMost: 10, EvidenceVsChance: 8, EvidenceVsAll: 8}, nil)
 	here := newBench(t, 1)
 	record := here.job(servingStep)
 	here.AddJob(record, jobs.Progress{Suspected: known}, true, here.now)
-	move, ok := here.moveOf(here.jobs[testJob].steps[0])
+	move, ok := here.moveFor(here.jobs[testJob].steps[0])
 	require.True(t, ok)
 	require.Equal(t, known, move.Suspected)
 
 	there := newBench(t, 1)
 	part := record.NewPart(move.Tasks, move.LeastRun)
-	part.Suspected = part.Suspected.With(move.Suspected)
+	part.Suspected = part.Suspected.MergedWith(move.Suspected)
 	there.AddJob(part, jobs.Progress{}, true, there.now)
 	require.True(t, there.jobs[testJob].steps[0].tasks[0].suspected())
 }
@@ -127,7 +127,7 @@
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
 	b.report(1, jobs.Report{})
-	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, true, b.now)
 	b.crashWorkerOfOnlyStart(t)
 	suspicion := b.jobs[testJob].steps[0].tasks[0].suspicion
 	require.Len(t, suspicion.Lost, 1)
@@ -140,7 +140,7 @@
 func TestWorkerThatLeavesAsItSaidSaysNothing(t *testing.T) {
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
-	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, true, b.now)
 	starts := b.storedStarts()
 	require.Len(t, starts, 1)
 	b.Started(starts[0], Result{Outcome: OutcomeDone}, b.now)
@@ -159,7 +159,7 @@
 	for late, least := range map[time.Duration]time.Duration{0: 20 * time.Millisecond, 2 * time.Second: 2 * time.Second} {
 		b := newBench(t, 1)
 		b.report(0, jobs.Report{})
-		b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
+		b.AddJob(b.job(singleTaskStep), jobs.Progress{}, true, b.now)
 		starts := b.storedStarts()
 		require.Len(t, starts, 1)
 		b.now = b.now.Add(late)
@@ -168,9 +168,9 @@
 		b.Unreached(b.ids[0], true, b.now)
 		b.Replaced(b.ids[0], b.now)
 		task := &b.jobs[testJob].steps[0].tasks[0]
-		lost := append(task.suspicion.Lost, task.byChance...)
+		lost := append(task.suspicion.Lost, task.chanceLosses...)
 		require.Len(t, lost, 1)
-		require.GreaterOrEqual(t, lost[0].Ran.Duration(), least)
-		require.Less(t, lost[0].Ran.Duration(), least+500*time.Millisecond)
+		require.GreaterOrEqual(t, lost[0].RanAtMost.Duration(), least)
+		require.Less(t, lost[0].RanAtMost.Duration(), least+500*time.Millisecond)
 	}
 }
--- a/services/dispatch/takeover.go
+++ b/services/dispatch/takeover.go
@@ -12,35 +12,35 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Enrol takes the stored roster: the workers on which previous owners may have started something, whether the
+// RestoreRoster takes the stored roster: the workers on which previous owners may have started something, whether the
 // platform's list names them now or not.
-func (c *Core) Enrol(roster jobs.Roster, now time.Time) {
-	c.takeovers.epochs = roster.Unseen
+func (c *Core) RestoreRoster(roster jobs.Roster, now time.Time) {
+	c.takeovers.epochs = roster.UnobservedEpochs
 	switch {
 	case len(roster.Workers) == 0: // nobody has started anything
-		c.formerLease = c.config.Lease
-	case roster.Lease > 0:
-		c.formerLease = min(roster.Lease.Duration(), c.config.LongestLease)
+		c.previousLease = c.config.Lease
+	case roster.MaxLease > 0:
+		c.previousLease = min(roster.MaxLease.Duration(), c.config.LongestLease)
 	}
 	for _, info := range roster.Workers {
 		w, known := c.workers[info.ID]
 		if !known {
 			// A lease longer than the roster's is granted only once the stored roster names it.
 			w = c.addWorker(info, now)
-			w.enrolled = c.formerLease >= c.config.Lease
-			if info.Leaves != 0 {
-				w.leaves = c.timeAt(info.Leaves, now)
+			w.inRoster = c.previousLease >= c.config.Lease
+			if info.LeavesAt != 0 {
+				w.leavesAt = c.timeAt(info.LeavesAt, now)
 			}
 		}
-		w.former = true
+		w.inPreviousRoster = true
 	}
 }
 
 // roster returns what has to be stored about the workers that may get starts. Its lease never becomes shorter,
 // because leases of previous owners may still be running.
 func (c *Core) roster() *jobs.Roster {
-	roster := &jobs.Roster{Lease: models.MilliOf(max(c.config.Lease, c.formerLease)), Unseen: c.takeovers.epochs}
-	for _, w := range c.order {
+	roster := &jobs.Roster{MaxLease: models.MilliOf(max(c.config.Lease, c.previousLease)), UnobservedEpochs: c.takeovers.epochs}
+	for _, w := range c.sortedWorkers {
 		if !w.retired {
 			roster.Workers = append(roster.Workers, w.info)
 		}
@@ -56,51 +56,51 @@
 // answer, as in an outage of most of a fleet.
 const maxBlindTime = 30 * time.Second
 
-// formerLapsed returns when everything that previous owners started on workers that do not answer has certainly
+// previousOwnersLapsed returns when everything that previous owners started on workers that do not answer has certainly
 // ended.
-func (c *Core) formerLapsed() time.Time {
-	if c.fenced.IsZero() {
+func (c *Core) previousOwnersLapsed() time.Time {
+	if c.fencedAt.IsZero() {
 		return c.config.Taken.Add(maxBlindTime)
 	}
-	return c.fenced.Add(time.Duration(float64(c.formerLease)*slowClock) + previousOwnerMargin)
+	return c.fencedAt.Add(time.Duration(float64(c.previousLease)*clockDriftFactor) + previousOwnerMargin)
 }
 
-// noteAnswered records when most workers have sent their first report in this epoch. A worker that has started again
+// updateFenced records when most workers have sent their first report in this epoch. A worker that has started again
 // since its report has not seen the epoch.
-func (c *Core) noteAnswered(now time.Time) {
-	if !c.fenced.IsZero() {
+func (c *Core) updateFenced(now time.Time) {
+	if !c.fencedAt.IsZero() {
 		return
 	}
 	answered := 0
-	for _, w := range c.order {
+	for _, w := range c.sortedWorkers {
 		if w.answered {
 			answered++
 		}
 	}
-	if 2*answered > len(c.order) {
-		c.fenced = now
+	if 2*answered > len(c.sortedWorkers) {
+		c.fencedAt = now
 	}
 }
 
-// checkBlind ends the time after a takeover in which unreported runs may exist: every worker that previous owners
+// tryRecover ends the time after a takeover in which unreported runs may exist: every worker that previous owners
 // may have used has reported, or has certainly ended its runs.
-func (c *Core) checkBlind(now time.Time) {
-	if !c.blind || len(c.order) == 0 && c.now.Before(c.formerLapsed()) {
+func (c *Core) tryRecover(now time.Time) {
+	if !c.recovering || len(c.sortedWorkers) == 0 && c.now.Before(c.previousOwnersLapsed()) {
 		return
 	}
-	for _, w := range c.order {
-		if w.former && !w.answered && !c.hasLapsed(w) {
+	for _, w := range c.sortedWorkers {
+		if w.inPreviousRoster && !w.answered && !c.hasLapsed(w) {
 			return
 		}
 	}
-	c.blind = false
+	c.recovering = false
 	c.countOpenRuns()
 	c.recordTakeoverLosses()
 	waiting := 0
 	for _, j := range c.jobs {
 		waiting += c.recoverJob(j)
 	}
-	c.config.Logger.Info("cell is recovered", zap.Int("workers", len(c.order)), zap.Int("jobs", len(c.jobs)),
+	c.config.Logger.Info("cell is recovered", zap.Int("workers", len(c.sortedWorkers)), zap.Int("jobs", len(c.jobs)),
 		zap.Int("tasks_not_running", waiting), zap.Duration("after", now.Sub(c.config.Taken)))
 }
 
@@ -116,8 +116,8 @@
 				waiting++
 			}
 		}
-		c.listOpen(s)
+		c.listWaiting(s)
 	}
-	c.settle(j)
+	c.endIfDone(j)
 	return waiting
 }
--- a/services/dispatch/takeover_test.go
+++ b/services/dispatch/takeover_test.go
@@ -14,8 +14,8 @@
 
 func TestTaskWaitsForSilentWorkerAfterATakeover(t *testing.T) {
 	b := newBench(t, 3)
-	b.Enrol(jobs.Roster{Workers: b.Workers()}, b.now)
-	b.AddJob(b.job(one), jobs.Progress{}, false, b.now)
+	b.RestoreRoster(jobs.Roster{Workers: b.Workers()}, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, false, b.now)
 	b.report(0, jobs.Report{})
 	b.report(1, jobs.Report{})
 	require.Empty(t, b.starts(), "the third worker may run the task")
@@ -31,8 +31,8 @@
 func TestWorkerThatHasLeftEndsTheWaitAfterATakeover(t *testing.T) {
 	b := newBench(t, 3)
 	gone := jobs.Worker{ID: "gone", Pool: testPool, Address: "gone"}
-	b.Enrol(jobs.Roster{Workers: []jobs.Worker{gone}}, b.now)
-	b.AddJob(b.job(one), jobs.Progress{}, false, b.now)
+	b.RestoreRoster(jobs.Roster{Workers: []jobs.Worker{gone}}, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, false, b.now)
 	listed := make([]jobs.Worker, 0, len(b.ids))
 	for _, id := range b.ids {
 		listed = append(listed, b.workers[id].info)
@@ -68,8 +68,8 @@
 
 	b := newBench(t, 2)
 	b.now = b.now.Add(2 * time.Second)
-	b.Enrol(*roster, b.now)
-	b.AddJob(b.job(one), jobs.Progress{}, false, b.now)
+	b.RestoreRoster(*roster, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, false, b.now)
 	b.SetWorkers([]jobs.Worker{b.workers[b.ids[0]].info, b.workers[b.ids[1]].info}, b.now)
 	b.report(0, jobs.Report{})
 	b.report(1, jobs.Report{})
@@ -90,8 +90,8 @@
 
 	b := newBench(t, 2)
 	b.now = b.now.Add(time.Second)
-	b.Enrol(*roster, b.now)
-	b.AddJob(b.job(one), jobs.Progress{}, false, b.now)
+	b.RestoreRoster(*roster, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, false, b.now)
 	list := []jobs.Worker{b.workers[b.ids[0]].info, b.workers[b.ids[1]].info, drains}
 	look := func() []StartOrder {
 		b.SetWorkers(list, b.now)
@@ -111,8 +111,8 @@
 
 func TestWaitAfterATakeoverIsAsLongAsTheRosterSays(t *testing.T) {
 	b := newBench(t, 3)
-	b.Enrol(jobs.Roster{Workers: []jobs.Worker{{ID: "silent", Pool: testPool}}, Lease: 4000}, b.now)
-	b.AddJob(b.job(one), jobs.Progress{}, false, b.now)
+	b.RestoreRoster(jobs.Roster{Workers: []jobs.Worker{{ID: "silent", Pool: testPool}}, MaxLease: 4000}, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, false, b.now)
 	began := b.now
 	for {
 		for n := range b.ids {
@@ -124,7 +124,7 @@
 		require.Less(t, b.now.Sub(began), 8*time.Second, "the longest lease is 8 s, the roster names 4 s")
 	}
 	require.Greater(t, b.now.Sub(began), 7*time.Second, "the previous owner may have gone on for 3 s")
-	require.EqualValues(t, 4000, b.roster().Lease)
+	require.EqualValues(t, 4000, b.roster().MaxLease)
 }
 
 // TestFailuresOfASilentWorkerAreWaitedForAfterATakeover guards against a fourth start of a task that has failed
@@ -132,8 +132,8 @@
 // only to the previous owner, which could not store them, and to a worker that had not answered yet.
 func TestFailuresOfASilentWorkerAreWaitedForAfterATakeover(t *testing.T) {
 	b := newBench(t, 2)
-	b.Enrol(jobs.Roster{Workers: b.Workers()}, b.now)
-	b.AddJob(b.job(one), jobs.Progress{}, false, b.now)
+	b.RestoreRoster(jobs.Roster{Workers: b.Workers()}, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, false, b.now)
 	b.report(0, jobs.Report{Running: []jobs.Run{{Task: taskOf(0), Run: 3}}})
 	b.report(0, jobs.Report{Ended: []jobs.Ended{{Number: 1, Task: taskOf(0), Run: 3, How: jobs.EndFailed}}})
 	require.Empty(t, b.starts(), "the other worker may know of more failures")
@@ -147,8 +147,8 @@
 // TestCellWithoutWorkersHandsItsJobsOn guards against jobs that wait for ever in a cell that has no workers.
 func TestCellWithoutWorkersHandsItsJobsOn(t *testing.T) {
 	b := newBench(t, 0)
-	b.Enrol(jobs.Roster{}, b.now)
-	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
+	b.RestoreRoster(jobs.Roster{}, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, true, b.now)
 	b.Decide(b.now)
 	require.Empty(t, b.Movable(10, b.now), "runs of previous owners may still exist")
 	b.now = b.now.Add(maxBlindTime + time.Second)
--- a/services/dispatch/task.go
+++ b/services/dispatch/task.go
@@ -25,37 +25,37 @@
 
 // task is one task of a step, with its latest run.
 type task struct {
-	step      *step
-	index     int
-	state     taskState
-	worker    *worker
-	position  int // index in the worker's list of tasks
-	failures  jobs.Failures
-	suspicion jobs.Suspicion
-	weighedAt time.Time      // when the evaluation of its latest loss becomes final
-	byChance  []jobs.LostRun // losses that chance explains better unless a later one is similar; known to this owner only
-	onTrial   bool           // a suspect that has not run for long enough yet
-	counted   uint64         // the job's version when a loss was last counted
-	unseen    int            // runs that may have been lost between two owners, not yet in suspicion.Unseen; see unseen.go
-	lapsed    jobs.RunID     // the latest run, if a worker has reported since the takeover that it lapsed; 0: no such report
-
-	run           jobs.RunID
-	starts        int          // starts ordered in this epoch
-	ordered       bool         // this owner ordered the run, and so knows when it began
-	answeredAt    time.Time    // when the pending order was answered; zero while it has no answer
-	orderedAt     time.Time    // when the last order was given
-	startSentAt   time.Time    // when its start was last ordered
-	retried       bool         // the start was repeated
-	open          bool         // a start of the run has no answer and may still be carried out
-	barred        bool         // ordered at the worker's previous incarnation; has to be barred at the current one
-	waits         time.Time    // since when the task waits; zero: waiting for long, or moved from another cell
-	began         time.Time    // when the run was ordered, then when it was known to be under way
-	lastReport    uint64       // number of the worker's report that last showed the run
-	saved         *saved       // where the next run resumes; nil: it starts from the beginning
-	pace          jobs.Percent // as ordered
-	pacedAt       time.Time    // when the run began or its pace was last changed
-	paceUncertain bool         // a pace order had no answer: the pace in force may be higher
-	figure        int          // as last reported; see jobs.Run
+	step                 *step
+	index                int
+	state                taskState
+	worker               *worker
+	position             int // index in the worker's list of tasks
+	failures             jobs.Failures
+	suspicion            jobs.Suspicion
+	lossFinalAt          time.Time      // when the evaluation of its latest loss becomes final
+	chanceLosses         []jobs.LostRun // losses that chance explains better unless a later one is similar; known to this owner only
+	onTrial              bool           // a suspect that has not run for long enough yet
+	lossVersion          uint64         // the job's version when a loss was last counted
+	unobservedAtTakeover int            // runs that may have been lost between two owners, not yet in suspicion.Unseen; see unseen.go
+	lapsedRun            jobs.RunID     // the latest run, if a worker has reported since the takeover that it lapsed; 0: no such report
+
+	run                     jobs.RunID
+	starts                  int              // starts ordered in this epoch
+	orderedHere             bool             // this owner ordered the run, and so knows when it began
+	answeredAt              time.Time        // when the pending order was answered; zero while it has no answer
+	orderedAt               time.Time        // when the last order was given
+	startSentAt             time.Time        // when its start was last ordered
+	startRepeated           bool             // the start was repeated
+	startUnanswered         bool             // a start of the run has no answer and may still be carried out
+	fromPreviousIncarnation bool             // ordered at the worker's previous incarnation; has to be barred at the current one
+	waitingSince            time.Time        // since when the task waits; zero: waiting for long, or moved from another cell
+	startedAt               time.Time        // when the run was ordered, then when it was known to be under way
+	lastReport              uint64           // number of the worker's report that last showed the run
+	checkpoint              *savedCheckpoint // where the next run resumes; nil: it starts from the beginning
+	pace                    jobs.Percent     // as ordered
+	pacedAt                 time.Time        // when the run began or its pace was last changed
+	paceUncertain           bool             // a pace order had no answer: the pace in force may be higher
+	figure                  int              // as last reported; see jobs.Run
 
 	sampledAt       time.Time // when sampledProgress was taken for the worker's speed
 	sampledProgress jobs.Percent
@@ -81,14 +81,14 @@
 		// A task from another cell has already waited there. When that time was not counted, a long-running
 		// task yielded capacity to short work anew in each cell that it came to.
 		if j := t.step.job; j.fresh && !j.fromOtherCell {
-			t.waits = c.now
+			t.waitingSince = c.now
 		}
 	}
 }
 
 // mayRunUnobserved reports whether a worker that has not reported since the takeover may know of runs of the
 // task.
-func (c *Core) mayRunUnobserved(t *task) bool { return c.blind && !t.step.job.fresh }
+func (c *Core) mayRunUnobserved(t *task) bool { return c.recovering && !t.step.job.fresh }
 
 // finishTask marks a task as succeeded. The task must not be assigned to a worker.
 func (c *Core) finishTask(t *task) {
@@ -103,17 +103,17 @@
 	}
 }
 
-// wait puts a task that is proved not to run back among the waiting tasks.
-func (c *Core) wait(t *task) {
+// requeue puts a task that is proved not to run back among the waiting tasks.
+func (c *Core) requeue(t *task) {
 	c.unassign(t)
 	if t.state == taskDone {
 		return
 	}
-	c.closeRun(t)
+	c.clearOpenRun(t)
 	t.pace = jobs.FullSpeed
 	// The end of this run says nothing about earlier ones: a worker that has not reported since the takeover
 	// may know of failures that use up the task's attempts. Long-running tasks have no such limit.
-	if c.mayRunUnobserved(t) && !t.step.spec.Lasts {
+	if c.mayRunUnobserved(t) && !t.step.spec.LongRunning {
 		if t.state == taskWaiting {
 			t.step.waiting--
 		}
@@ -122,11 +122,11 @@
 	}
 	if t.state != taskWaiting {
 		t.step.waiting++
-		t.waits = c.now
+		t.waitingSince = c.now
 	}
 	t.state = taskWaiting
-	c.listOpen(t.step)
-	c.settle(t.step.job)
+	c.listWaiting(t.step)
+	c.endIfDone(t.step.job)
 }
 
 // unassign removes a task from its worker.
@@ -134,7 +134,7 @@
 	if t.worker == nil {
 		return
 	}
-	if t.step.spec.Fills {
+	if t.step.spec.Filler {
 		t.worker.fillersChangedAt = c.now
 	}
 	t.worker.remove(t)
--- a/services/dispatch/throttle.go
+++ b/services/dispatch/throttle.go
@@ -28,7 +28,7 @@
 
 // throttle slows filler tasks down where loads are too high, and speeds them up again where loads are low.
 func (c *Core) throttle(now time.Time) {
-	for _, w := range c.order {
+	for _, w := range c.sortedWorkers {
 		if w.fillerCPU == 0 || !w.hasSettled(now) {
 			continue
 		}
@@ -44,7 +44,7 @@
 
 // hasSettled reports whether the worker's figures are recent and reflect the latest paces.
 func (w *worker) hasSettled(now time.Time) bool {
-	return w.answered && now.Sub(w.throttledAt) >= settleTime && now.Sub(w.heard) <= settleTime
+	return w.answered && now.Sub(w.throttledAt) >= settleTime && now.Sub(w.reportedAt) <= settleTime
 }
 
 // hasThrottledTasks reports whether a task on the worker is below full pace.
@@ -85,7 +85,7 @@
 	var list []filler
 	service := c.model.Service(serving)
 	for _, t := range w.tasks {
-		if t.step.spec.Fills && t.state == taskRunning {
+		if t.step.spec.Filler && t.state == taskRunning {
 			list = append(list, filler{t, w.fullShare(t.step) * service.Factor(c.model.Index(t.step.spec.Image))})
 		}
 	}
@@ -115,7 +115,7 @@
 // haltFillers throttles all filler tasks of the worker to a halt.
 func (c *Core) haltFillers(w *worker, now time.Time) {
 	for _, t := range w.tasks {
-		if t.step.spec.Fills && t.state == taskRunning {
+		if t.step.spec.Filler && t.state == taskRunning {
 			c.setPace(w, t, 0, now)
 		}
 	}
@@ -160,10 +160,10 @@
 
 // canMove reports whether the task can continue at full pace on another worker.
 func (c *Core) canMove(w *worker, t *task, now time.Time) bool {
-	if !t.step.spec.Checkpoints || now.Sub(t.began) < moveAfter {
+	if !t.step.spec.Checkpoints || now.Sub(t.startedAt) < moveAfter {
 		return false
 	}
-	for _, other := range c.order {
+	for _, other := range c.sortedWorkers {
 		if other != w && c.mayTake(other, t.step, now) {
 			return true
 		}
--- a/services/dispatch/throttle_test.go
+++ b/services/dispatch/throttle_test.go
@@ -16,7 +16,7 @@
 func TestHeavyFillingTaskIsThrottledAndGivenBack(t *testing.T) {
 	b := newBench(t, 1)
 	serving := servingStep
-	b.AddJob(b.job(serving, fillingStep), jobs.Progress{}, true, b.now)
+	b.AddJob(b.job(serving, fillerStep), jobs.Progress{}, true, b.now)
 	b.report(0, jobs.Report{})
 	starts := b.starts()
 	require.Len(t, starts, 2)
@@ -52,7 +52,7 @@
 
 func TestOutcomeOfAnOlderOrderChangesNoPace(t *testing.T) {
 	b := newBench(t, 1)
-	b.AddJob(b.job(fillingStep), jobs.Progress{}, true, b.now)
+	b.AddJob(b.job(fillerStep), jobs.Progress{}, true, b.now)
 	b.report(0, jobs.Report{})
 	starts := b.starts()
 	b.Started(starts[0], Result{Outcome: OutcomeDone}, b.now)
@@ -76,7 +76,7 @@
 // 202.
 func TestThrottledRunIsGivenSpeedBackByASuccessor(t *testing.T) {
 	b := newBench(t, 1)
-	filling := jobs.Step{Count: 2, Size: models.Resources{CPU: 1000, Memory: 10}, Estimate: 60_000, Image: "filling", Fills: true}
+	filling := jobs.Step{Count: 2, Size: models.Resources{CPU: 1000, Memory: 10}, Estimate: 60_000, Image: "filling", Filler: true}
 	b.AddJob(b.job(filling), jobs.Progress{}, false, b.now)
 	stands := jobs.Run{Task: taskOf(0), Run: 2, Figure: 0}
 	works := jobs.Run{Task: taskOf(1), Run: 2, Figure: 850}
@@ -97,7 +97,7 @@
 // was carried out seconds late, after the order that restored its pace.
 func TestRunThatAnOldOrderThrottledGoesOn(t *testing.T) {
 	b := newBench(t, 1)
-	b.AddJob(b.job(fillingStep), jobs.Progress{}, true, b.now)
+	b.AddJob(b.job(fillerStep), jobs.Progress{}, true, b.now)
 	b.report(0, jobs.Report{})
 	starts := b.starts()
 	require.Len(t, starts, 1)
@@ -122,7 +122,7 @@
 func TestHarmEndsInTime(t *testing.T) {
 	b := newBench(t, 1)
 	serving := servingStep
-	filling := jobs.Step{Count: 1, Size: models.Resources{CPU: 1000, Memory: 10}, Estimate: 60_000, Image: "filling", Fills: true, Checkpoints: true}
+	filling := jobs.Step{Count: 1, Size: models.Resources{CPU: 1000, Memory: 10}, Estimate: 60_000, Image: "filling", Filler: true, Checkpoints: true}
 	b.AddJob(b.job(serving, filling), jobs.Progress{}, true, b.now)
 	b.report(0, jobs.Report{})
 	starts := b.starts()
@@ -163,7 +163,7 @@
 // both sides, as they do in practice: one figure below the target between two above it does not end the excess.
 func TestTailAtItsTargetEndsInTime(t *testing.T) {
 	b := newBench(t, 1)
-	b.AddJob(b.job(servingStep, fillingStep), jobs.Progress{}, true, b.now)
+	b.AddJob(b.job(servingStep, fillerStep), jobs.Progress{}, true, b.now)
 	b.report(0, jobs.Report{})
 	starts := b.starts()
 	require.Len(t, starts, 2)
--- a/services/dispatch/trial.go
+++ b/services/dispatch/trial.go
@@ -24,20 +24,20 @@
 	// maxTrialTime bounds the time of a trial: other tasks of the same size wait for the capacity meanwhile.
 	maxTrialTime = 3 * time.Second
 	// trialReservation is how long nothing else starts on a worker that a suspect waits for; it is renewed each time
-	// the suspect is considered, about every scanPause.
+	// the suspect is considered, about every scanBackoff.
 	trialReservation = 100 * time.Millisecond
 	// maxApartWait is how long a suspect waits so as not to be tried beside a task that was lost with it: a trial of
 	// the shortest length. Most lost tasks did not cause the loss, and long-running tasks must run again soon.
 	maxApartWait = minTrialTime
-	// trialWait is how long a report may wait for an end while a suspect is on trial.
-	trialWait = 100 * time.Millisecond
+	// trialReportWait is how long a report may wait for an end while a suspect is on trial.
+	trialReportWait = 100 * time.Millisecond
 )
 
 // trialTime is how long a suspect's run has its worker to itself.
 func (t *task) trialTime() time.Duration {
 	longest := time.Duration(0)
 	for _, lost := range t.suspicion.Lost {
-		ran := lost.Ran.Duration()
+		ran := lost.RanAtMost.Duration()
 		if ran == 0 {
 			ran = assumedUnobservedRuntime
 		}
@@ -50,7 +50,7 @@
 func (c *Core) placeSuspects(s *step, now time.Time) {
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		if t.state != taskWaiting || !t.suspected() || c.startsLeft <= 0 || !t.countIsStored() {
+		if t.state != taskWaiting || !t.suspected() || c.startsLeft <= 0 || !t.lossesAreStored() {
 			continue
 		}
 		switch c.verdictOn(t, now) {
@@ -62,29 +62,29 @@
 		}
 		w := c.trialWorker(t, now)
 		if w == nil {
-			s.findNone(now)
+			s.recordNoPlace(now)
 			return
 		}
-		if s.spec.Lasts && !c.leavesRoom(t, now) {
+		if s.spec.LongRunning && !c.leavesCapacity(t, now) {
 			continue
 		}
-		s.stuck = time.Time{}
+		s.stuckSince = time.Time{}
 		c.startTrial(t, w, now)
 	}
 }
 
-// countIsStored reports whether all counted losses of the task are stored. The task does not start before: if its
+// lossesAreStored reports whether all counted losses of the task are stored. The task does not start before: if its
 // owner is lost, so is what only that owner knows. So at most one run of each task is unknown to a successor at any
 // time, and the successor counts that run as unobserved.
-func (t *task) countIsStored() bool { return t.step.job.stored >= t.counted }
+func (t *task) lossesAreStored() bool { return t.step.job.storedVersion >= t.lossVersion }
 
 // trialWorker returns the worker for a suspect, or nil when there is none now. Where something has just been started
 // on every worker, one of them is reserved until it is ready.
 func (c *Core) trialWorker(t *task, now time.Time) *worker {
 	var ready, busy, shared *worker
-	for _, w := range c.order {
+	for _, w := range c.sortedWorkers {
 		switch {
-		case !c.mayTry(w, t.step, now) || w.isReservedForOther(t, now) || w.hasUndecidedSharer(t, now):
+		case !c.mayTakeSuspect(w, t.step, now) || w.isReservedForOther(t, now) || w.hasUndecidedSharer(t, now):
 		case w.maxSuspectLosses() >= minLosses: // do not disturb the trial of a suspect with several losses
 		case w.maxSuspectLosses() > 0:
 			shared = withFewerTasks(shared, w)
@@ -111,7 +111,7 @@
 // hasUndecidedSharer reports whether a task on the worker was lost together with the suspect before and has not
 // outlived its own trial yet: the loss of both once more would give no further evidence.
 func (w *worker) hasUndecidedSharer(t *task, now time.Time) bool {
-	if now.Sub(t.waits) >= maxApartWait {
+	if now.Sub(t.waitingSince) >= maxApartWait {
 		return false
 	}
 	return slices.ContainsFunc(w.tasks, func(other *task) bool { return t.sharesLoss(other) && !other.hasOutlivedTrial(now) })
@@ -119,14 +119,14 @@
 
 // reserveForTrial reserves a worker for a suspect for a short time.
 func (w *worker) reserveForTrial(t *task, now time.Time) {
-	w.keptUntil = now.Add(trialReservation)
-	w.keptFor = t
+	w.reservedUntil = now.Add(trialReservation)
+	w.reservedFor = t
 }
 
 // isReservedForOther reports whether the worker is reserved for another suspect. The suspect that has waited there
 // goes first; otherwise suspects with one loss would always go before those with several.
 func (w *worker) isReservedForOther(t *task, now time.Time) bool {
-	return w.keptFor != t && !now.After(w.keptUntil)
+	return w.reservedFor != t && !now.After(w.reservedUntil)
 }
 
 // withFewerTasks returns the worker with fewer tasks.
@@ -152,7 +152,7 @@
 // hasYoungRun reports whether something has just been started on the worker.
 func (w *worker) hasYoungRun(now time.Time) bool {
 	for _, t := range w.tasks {
-		if t.state == taskStarting || now.Sub(t.began) < minTrialTime {
+		if t.state == taskStarting || now.Sub(t.startedAt) < minTrialTime {
 			return true
 		}
 	}
@@ -161,13 +161,13 @@
 
 // startTrial starts a suspect, and stores its open run together with the start, for a successor.
 func (c *Core) startTrial(t *task, w *worker, now time.Time) {
-	c.start(t, w, now)
+	c.startTask(t, w, now)
 	w.beginTrial(t)
 	c.counts.Trials++
 	c.storeOpenTrial(t, now)
 	c.config.Logger.Info("suspect is tried alone", zap.Stringer("task", t.id()), zap.Uint64("run", uint64(t.run)),
 		zap.String("worker", string(w.info.ID)), zap.Int("beside", len(w.tasks)-1), zap.Int("lost_before", len(t.suspicion.Lost)),
-		zap.Float64("doubt", t.suspicion.Doubt()), zap.Float64("weight", t.suspicion.Weight()), zap.Duration("for", t.trialTime()))
+		zap.Float64("doubt", t.suspicion.EvidenceVsChance()), zap.Float64("weight", t.suspicion.EvidenceVsAll()), zap.Duration("for", t.trialTime()))
 }
 
 // beginTrial keeps other tasks from starting beside a suspect.
--- a/services/dispatch/trial_test.go
+++ b/services/dispatch/trial_test.go
@@ -18,17 +18,17 @@
 	b := newBench(t, 1)
 	b.report(0, jobs.Report{})
 	known := jobs.Suspicions{}
-	known.Set(0, 0, jobs.Suspicion{Lost: []jobs.LostRun{{Run: 1, Ran: 50, Doubt: 4, Weight: 3}, {Run: 2, Ran: 50, Doubt: 4, Weight: 3}}})
-	other := b.job(one)
+	known.Set(0, 0, jobs.Suspicion{Lost: []jobs.LostRun{{Run: 1, RanAtMost: 50, EvidenceVsChance: 4, EvidenceVsAll: 3}, {Run: 2, RanAtMost: 50, EvidenceVsChance: 4, EvidenceVsAll: 3}}})
+	other := b.job(singleTaskStep)
 	other.Spec.ID = "00000000000000bb"
 	b.AddJob(other, jobs.Progress{}, true, b.now)
 	first := b.startOne(t)
-	b.AddJob(b.job(one), jobs.Progress{Suspected: known}, true, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{Suspected: known}, true, b.now)
 	row := jobs.Run{Task: first.Call.Task, Run: first.Call.Run}
 	began := b.now
 	var starts []StartOrder
 	for n := 0; len(starts) == 0; n++ {
-		later := b.job(one)
+		later := b.job(singleTaskStep)
 		later.Spec.ID = jobs.ID(fmt.Sprintf("%016x", 0xc0+n))
 		b.AddJob(later, jobs.Progress{}, true, b.now)
 		if starts = b.starts(); len(starts) == 0 {
--- a/services/dispatch/unseen.go
+++ b/services/dispatch/unseen.go
@@ -36,13 +36,13 @@
 	unstored   bool         // this owner's epoch is one of epochs, which is not stored yet
 }
 
-// bars reports whether tasks of the job have to wait until the store knows of this takeover. Tasks of a job that was
+// blocksStarts reports whether tasks of the job have to wait until the store knows of this takeover. Tasks of a job that was
 // accepted since then were never on a previous owner's worker.
-func (l *takeoverLosses) bars(j *job) bool { return l.unstored && !j.fresh }
+func (l *takeoverLosses) blocksStarts(j *job) bool { return l.unstored && !j.fresh }
 
-// stored records that a roster is stored.
-func (l *takeoverLosses) stored(roster *jobs.Roster) {
-	if slices.Equal(roster.Unseen, l.epochs) {
+// rosterStored records that a roster is stored.
+func (l *takeoverLosses) rosterStored(roster *jobs.Roster) {
+	if slices.Equal(roster.UnobservedEpochs, l.epochs) {
 		l.unstored = false
 	}
 }
@@ -50,7 +50,7 @@
 // recordUnheardLoss records the loss of a worker that has not answered since the takeover. If it had announced that
 // it would leave, its loss says nothing.
 func (c *Core) recordUnheardLoss(w *worker) {
-	if w.former && !w.answered && w.leaves.IsZero() {
+	if w.inPreviousRoster && !w.answered && w.leavesAt.IsZero() {
 		c.takeovers.workerLost = true
 	}
 }
@@ -58,7 +58,7 @@
 // recordTakeoverLosses ends the time after a takeover: if a worker was lost without an answer, this epoch has
 // unobserved losses.
 func (c *Core) recordTakeoverLosses() {
-	for _, w := range c.order {
+	for _, w := range c.sortedWorkers {
 		c.recordUnheardLoss(w)
 	}
 	if !c.takeovers.workerLost {
@@ -73,29 +73,29 @@
 // countTakeoverLoss counts an unobserved loss against a task that no worker has reported since the takeover. A run
 // that was stored as open is counted already, and a run that has lapsed was not lost with its worker.
 func (c *Core) countTakeoverLoss(t *task) {
-	if c.takeovers.workerLost && t.counted == 0 && t.lapsed == 0 {
-		t.unseen++
+	if c.takeovers.workerLost && t.lossVersion == 0 && t.lapsedRun == 0 {
+		t.unobservedAtTakeover++
 	}
 }
 
-// noteShown reverts the loss of a run that a worker reports now, running or ended: the run was not lost. A run whose
+// recordLoad reverts the loss of a run that a worker reports now, running or ended: the run was not lost. A run whose
 // start was repeated may be carried out a second time.
-func (c *Core) noteShown(t *task, run jobs.RunID) {
-	if !t.suspicion.Has(run) || t.run == run && t.mayRunTwice() {
+func (c *Core) retractLoss(t *task, run jobs.RunID) {
+	if !t.suspicion.HasRun(run) || t.run == run && t.mayRunTwice() {
 		return
 	}
-	t.suspicion = t.suspicion.Without(run)
-	c.change(t.step.job)
+	t.suspicion = t.suspicion.WithoutRun(run)
+	c.markChanged(t.step.job)
 	c.config.Logger.Info("run was not lost with its worker", zap.Stringer("task", t.id()), zap.Uint64("run", uint64(run)),
 		zap.Int("lost_before", len(t.suspicion.Lost)), zap.Int("unseen", t.unobservedLosses()))
 }
 
-// noteLapsed records before the cell is recovered that a worker reports a run as lapsed: if that is the task's
+// recordLapsedRun records before the cell is recovered that a worker reports a run as lapsed: if that is the task's
 // latest run, none was lost at the takeover. A later run that is not known is possible only if a previous owner had
 // seen this end, and then it would hardly be reported again.
-func (c *Core) noteLapsed(t *task, run jobs.RunID) {
-	if c.blind && run >= t.latestKnownRun() {
-		t.lapsed = run
+func (c *Core) recordLapsedRun(t *task, run jobs.RunID) {
+	if c.recovering && run >= t.latestKnownRun() {
+		t.lapsedRun = run
 	}
 }
 
@@ -105,22 +105,22 @@
 	for _, lost := range t.suspicion.Lost {
 		latest = max(latest, lost.Run)
 	}
-	for _, run := range t.suspicion.UnseenRuns {
+	for _, run := range t.suspicion.UnobservedRuns {
 		latest = max(latest, run)
 	}
-	if t.suspicion.Open != nil {
-		latest = max(latest, t.suspicion.Open.Run)
+	if t.suspicion.Unresolved != nil {
+		latest = max(latest, t.suspicion.Unresolved.Run)
 	}
 	return latest
 }
 
-// applyUnseen counts for each task of a job the previous owners' takeovers with unobserved losses since the job was
+// restoreTakeoverLosses counts for each task of a job the previous owners' takeovers with unobserved losses since the job was
 // recorded, or since the task's losses were last counted or cleared.
-func (c *Core) applyUnseen(j *job, record jobs.Record) {
+func (c *Core) restoreTakeoverLosses(j *job, record jobs.Record) {
 	for _, s := range j.steps {
 		for i := range s.tasks {
 			t := &s.tasks[i]
-			t.unseen = c.takeovers.countSince(max(t.suspicion.Since(), jobs.Epoch(record.Version)))
+			t.unobservedAtTakeover = c.takeovers.countSince(max(t.suspicion.UncountedSince(), jobs.Epoch(record.Version)))
 		}
 	}
 }
@@ -136,10 +136,10 @@
 	return count
 }
 
-// knownElsewhere is the suspicion that another cell is told with the task.
-func (t *task) knownElsewhere() jobs.Suspicion {
+// suspicionForMove is the suspicion that another cell is told with the task.
+func (t *task) suspicionForMove() jobs.Suspicion {
 	known := t.suspicion
-	known.Unseen += t.unseen
+	known.Unobserved += t.unobservedAtTakeover
 	return known
 }
 
@@ -147,8 +147,8 @@
 // finds no trace of the worker.
 func (c *Core) storeSilentRuns(w *worker, now time.Time) {
 	for _, t := range w.tasks {
-		if c.mayHaveCrashedWorker(w, t, now) && t.suspicion.Open == nil {
-			t.suspicion.Open = &jobs.OpenRun{LostRun: jobs.LostRun{Run: t.run}, Worker: w.info.ID, Born: w.info.Born, Unseen: true}
+		if c.mayHaveCrashedWorker(w, t, now) && t.suspicion.Unresolved == nil {
+			t.suspicion.Unresolved = &jobs.UnresolvedRun{LostRun: jobs.LostRun{Run: t.run}, Worker: w.info.ID, Born: w.info.Born, Unobserved: true}
 			c.storeBeforeNextStart(t)
 		}
 	}
@@ -165,7 +165,7 @@
 
 // leftEarly reports whether a draining worker was lost before the time that it had announced.
 func (w *worker) leftEarly(now time.Time) bool {
-	return w.lastAlive(now).Before(w.leaves.Add(-leaveMargin))
+	return w.lastAlive(now).Before(w.leavesAt.Add(-leaveMargin))
 }
 
 // countRunsOnLeftWorker counts runs on a worker that has drained and left, if their tasks have lost other runs or
@@ -182,8 +182,8 @@
 // begun shortly before: the run was taken over from a previous owner, or ordered without an answer when the worker
 // did not answer other calls.
 func (c *Core) startUnobserved(w *worker, t *task, now time.Time) bool {
-	ran := w.lastAlive(now).Sub(t.began)
-	return ran < 0 || !t.ordered && ran < maxTimeToCrash
+	ran := w.lastAlive(now).Sub(t.startedAt)
+	return ran < 0 || !t.orderedHere && ran < maxTimeToCrash
 }
 
 // mayHaveCrashedWorker reports whether a run had begun so shortly before its worker was last known to be alive that
@@ -195,15 +195,15 @@
 
 // mayRunTwice reports whether the run may have been lost with its worker's previous incarnation and also be carried
 // out by the present one: its start was repeated, and either call may have been carried out.
-func (t *task) mayRunTwice() bool { return t.barred && t.retried }
+func (t *task) mayRunTwice() bool { return t.fromPreviousIncarnation && t.startRepeated }
 
 // countUnobservedRun counts a run that may have been lost against its task, once.
 func (c *Core) countUnobservedRun(t *task, run jobs.RunID) {
-	if t.isOver() || t.suspicion.Has(run) && !t.mayRunTwice() {
+	if t.isOver() || t.suspicion.HasRun(run) && !t.mayRunTwice() {
 		return
 	}
-	t.suspicion.Unseen++
-	t.suspicion.UnseenRuns = append(t.suspicion.UnseenRuns, run)
+	t.suspicion.Unobserved++
+	t.suspicion.UnobservedRuns = append(t.suspicion.UnobservedRuns, run)
 	c.counts.LostUnseen++
 	c.storeBeforeNextStart(t)
 	c.config.Logger.Info("run may be lost with its worker", zap.Stringer("task", t.id()), zap.Uint64("run", uint64(run)),
--- a/services/dispatch/unseen_test.go
+++ b/services/dispatch/unseen_test.go
@@ -27,7 +27,7 @@
 	t.Helper()
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
-	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, true, b.now)
 	b.startOne(t)
 	return b
 }
@@ -52,7 +52,7 @@
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
 	b.report(1, jobs.Report{})
-	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, true, b.now)
 	b.crashWorkerOfOnlyStart(t)
 	require.Empty(t, b.starts(), "the loss is not stored yet")
 	changes := b.store()
@@ -66,8 +66,8 @@
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
 	b.report(1, jobs.Report{})
-	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
-	other := b.job(one)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, true, b.now)
+	other := b.job(singleTaskStep)
 	other.Spec.ID = "00000000000000bb"
 	b.AddJob(other, jobs.Progress{}, true, b.now)
 	for _, start := range b.starts() {
@@ -92,8 +92,8 @@
 	t.Helper()
 	b := newBench(t, 2)
 	gone := jobs.Worker{ID: "gone", Pool: testPool, Address: "gone"}
-	b.Enrol(jobs.Roster{Workers: append(b.Workers(), gone), Unseen: before}, b.now)
-	b.AddJob(b.job(one), progress, false, b.now)
+	b.RestoreRoster(jobs.Roster{Workers: append(b.Workers(), gone), UnobservedEpochs: before}, b.now)
+	b.AddJob(b.job(singleTaskStep), progress, false, b.now)
 	b.report(0, jobs.Report{})
 	b.report(1, jobs.Report{})
 	b.Replaced(gone.ID, b.now)
@@ -106,12 +106,12 @@
 func TestUnseenLossIsStoredBeforeOldTasksStart(t *testing.T) {
 	b := newSuccessor(t, jobs.Progress{})
 	require.Empty(t, b.starts(), "the takeover's losses are not stored yet")
-	fresh := b.job(one)
+	fresh := b.job(singleTaskStep)
 	fresh.Spec.ID = "00000000000000bb"
 	b.AddJob(fresh, jobs.Progress{}, true, b.now)
 	require.Len(t, b.starts(), 1, "a job accepted since the takeover was never on that worker")
 	roster := b.store().Roster
-	require.Equal(t, []jobs.Epoch{5}, roster.Unseen)
+	require.Equal(t, []jobs.Epoch{5}, roster.UnobservedEpochs)
 	require.Len(t, b.starts(), 1)
 	require.Equal(t, 1, b.jobs[testJob].steps[0].tasks[0].losses())
 }
@@ -119,8 +119,8 @@
 // TestWorkersThatAllAnswerLeaveNoUnseenLoss checks that no loss is counted and none has to be stored in this case.
 func TestWorkersThatAllAnswerLeaveNoUnseenLoss(t *testing.T) {
 	b := newBench(t, 2)
-	b.Enrol(jobs.Roster{Workers: b.Workers()}, b.now)
-	b.AddJob(b.job(one), jobs.Progress{}, false, b.now)
+	b.RestoreRoster(jobs.Roster{Workers: b.Workers()}, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, false, b.now)
 	b.report(0, jobs.Report{})
 	b.report(1, jobs.Report{})
 	require.Len(t, b.starts(), 1)
@@ -132,15 +132,15 @@
 func TestUnseenLossesAddUpOverOwners(t *testing.T) {
 	b := newSuccessor(t, jobs.Progress{}, 2, 3, 4)
 	require.Equal(t, 4, b.jobs[testJob].steps[0].tasks[0].losses())
-	require.Equal(t, []jobs.Epoch{2, 3, 4, 5}, b.store().Roster.Unseen)
+	require.Equal(t, []jobs.Epoch{2, 3, 4, 5}, b.store().Roster.UnobservedEpochs)
 
 	cleared := jobs.Suspicions{}
-	cleared.Set(0, 0, jobs.Suspicion{Cleared: 3})
+	cleared.Set(0, 0, jobs.Suspicion{ClearedEpoch: 3})
 	b = newSuccessor(t, jobs.Progress{Suspected: cleared}, 2, 3, 4)
 	require.Equal(t, 2, b.jobs[testJob].steps[0].tasks[0].losses())
 
 	b = newSuccessor(t, jobs.Progress{}, 1, 2, 3, 4)
-	require.Len(t, b.store().Roster.Unseen, maxUnobservedEpochs)
+	require.Len(t, b.store().Roster.UnobservedEpochs, maxUnobservedEpochs)
 }
 
 // TestLongRunIsRememberedByTheNextOwner checks that losses before a long run no longer count.
@@ -154,15 +154,17 @@
 	}
 	changes := b.store()
 	require.Len(t, changes.Jobs, 1)
-	require.Equal(t, jobs.Suspicion{Cleared: 5}, changes.Jobs[0].Progress.Suspected[0][0])
+	require.Equal(t, jobs.Suspicion{ClearedEpoch: 5}, changes.Jobs[0].Progress.Suspected[0][0])
 }
 
 // TestLossesThatNobodySawLowerTheBound checks that at most five runs may be lost, whether an owner observed them or
 // not.
 func TestLossesThatNobodySawLowerTheBound(t *testing.T) {
-	lost := func(run jobs.RunID) jobs.LostRun { return jobs.LostRun{Run: run, Ran: 50, Doubt: 4, Weight: 3} }
+	lost := func(run jobs.RunID) jobs.LostRun {
+		return jobs.LostRun{Run: run, RanAtMost: 50, EvidenceVsChance: 4, EvidenceVsAll: 3}
+	}
 	known := jobs.Suspicions{}
-	known.Set(0, 0, jobs.Suspicion{Lost: []jobs.LostRun{lost(1), lost(2)}, Unseen: 2})
+	known.Set(0, 0, jobs.Suspicion{Lost: []jobs.LostRun{lost(1), lost(2)}, Unobserved: 2})
 	b := newSuccessor(t, jobs.Progress{Suspected: known})
 	require.Equal(t, 5, b.jobs[testJob].steps[0].tasks[0].losses())
 	require.True(t, b.jobs[testJob].steps[0].tasks[0].crashesWorkers())
@@ -178,7 +180,7 @@
 	b.Unreached(b.ids[0], true, b.now)
 	b.report(1, jobs.Report{})
 	require.Empty(t, b.starts())
-	require.Equal(t, 1, b.store().Jobs[0].Progress.Suspected[0][0].Unseen)
+	require.Equal(t, 1, b.store().Jobs[0].Progress.Suspected[0][0].Unobserved)
 	require.Len(t, b.starts(), 1)
 }
 
@@ -202,7 +204,7 @@
 	for end := b.now.Add(10 * time.Second); b.now.Before(end); {
 		b.report(1, jobs.Report{})
 		b.starts()
-		if changes := b.store(); len(changes.Jobs) > 0 && changes.Jobs[0].Progress.Suspected[0][0].Open != nil {
+		if changes := b.store(); len(changes.Jobs) > 0 && changes.Jobs[0].Progress.Suspected[0][0].Unresolved != nil {
 			open = true
 			require.NotNil(t, changes.Roster, "the run is stored no later than the roster without its worker")
 		}
@@ -215,15 +217,15 @@
 // its worker is lost right after, and the successor does not know when the run began.
 func TestRunTakenOverMayHaveEndedItsWorker(t *testing.T) {
 	b := newBench(t, 2)
-	b.Enrol(jobs.Roster{Workers: b.Workers()}, b.now)
-	b.AddJob(b.job(one), jobs.Progress{}, false, b.now)
+	b.RestoreRoster(jobs.Roster{Workers: b.Workers()}, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, false, b.now)
 	b.report(1, jobs.Report{})
 	b.report(0, jobs.Report{Running: []jobs.Run{{Task: taskOf(0), Run: 2}}})
 	b.now = b.now.Add(100 * time.Millisecond)
 	b.Unreached(b.ids[0], true, b.now)
 	b.Replaced(b.ids[0], b.now)
 	require.Empty(t, b.starts())
-	require.Equal(t, 1, b.store().Jobs[0].Progress.Suspected[0][0].Unseen)
+	require.Equal(t, 1, b.store().Jobs[0].Progress.Suspected[0][0].Unobserved)
 	require.Len(t, b.starts(), 1)
 }
 
@@ -232,23 +234,23 @@
 func TestUnseenLossesGoWithATaskToAnotherCell(t *testing.T) {
 	b := newBench(t, 1)
 	b.AddJob(b.job(servingStep), jobs.Progress{}, true, b.now)
-	b.jobs[testJob].steps[0].tasks[0].unseen = 2
-	move, ok := b.moveOf(b.jobs[testJob].steps[0])
+	b.jobs[testJob].steps[0].tasks[0].unobservedAtTakeover = 2
+	move, ok := b.moveFor(b.jobs[testJob].steps[0])
 	require.True(t, ok)
-	require.Equal(t, 2, move.Suspected[0][0].Unseen)
+	require.Equal(t, 2, move.Suspected[0][0].Unobserved)
 }
 
 // TestOpenRunSaysLessTheLaterItsWorkerIsMissed checks that the evidence of an open run decreases with the time until
 // its worker's loss is noticed: the longer that time, the likelier the worker was lost by chance.
 func TestOpenRunSaysLessTheLaterItsWorkerIsMissed(t *testing.T) {
-	open := &jobs.OpenRun{LostRun: jobs.LostRun{Run: 3}, Began: 1, Chance: 0.02}
+	open := &jobs.UnresolvedRun{LostRun: jobs.LostRun{Run: 3}, BeganAt: 1, ChanceRate: 0.02}
 	soon := weighUnobserved(open, 3*time.Second)
 	late := weighUnobserved(open, time.Minute)
-	require.Greater(t, soon.Weight, 2.0)
-	require.Less(t, late.Weight, soon.Weight)
-	require.Less(t, late.Weight, 0.2)
-	open.Beside = 1
-	require.Less(t, weighUnobserved(open, 3*time.Second).Weight, 0.0, "another suspect was on the worker")
+	require.Greater(t, soon.EvidenceVsAll, 2.0)
+	require.Less(t, late.EvidenceVsAll, soon.EvidenceVsAll)
+	require.Less(t, late.EvidenceVsAll, 0.2)
+	open.NeighbourRate = 1
+	require.Less(t, weighUnobserved(open, 3*time.Second).EvidenceVsAll, 0.0, "another suspect was on the worker")
 }
 
 // TestRunWithoutAnswerMayHaveEndedItsWorker guards against a loss that is not counted: the start had no answer,
@@ -256,7 +258,7 @@
 func TestRunWithoutAnswerMayHaveEndedItsWorker(t *testing.T) {
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
-	b.AddJob(b.job(one), jobs.Progress{}, true, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, true, b.now)
 	b.Overdue(b.ids[0], b.now)
 	b.now = b.now.Add(10 * time.Millisecond)
 	starts := b.starts()
@@ -264,13 +266,13 @@
 	b.Started(starts[0], Result{Outcome: OutcomeUnknown}, b.now)
 	b.now = b.now.Add(100 * time.Millisecond)
 	b.Replaced(b.ids[0], b.now)
-	require.Equal(t, 1, b.store().Jobs[0].Progress.Suspected[0][0].Unseen)
+	require.Equal(t, 1, b.store().Jobs[0].Progress.Suspected[0][0].Unobserved)
 }
 
 // TestTimeThatNobodySawIsNoTime guards against an unknown runtime that is stored as 1 s: a later loss after 1 s
 // seemed to be after the same runtime.
 func TestTimeThatNobodySawIsNoTime(t *testing.T) {
-	suspect := &task{suspicion: jobs.Suspicion{Lost: []jobs.LostRun{{Run: 1, Ran: 1000}, {Run: 2}}}}
+	suspect := &task{suspicion: jobs.Suspicion{Lost: []jobs.LostRun{{Run: 1, RanAtMost: 1000}, {Run: 2}}}}
 	require.Equal(t, []time.Duration{time.Second}, suspect.lostRuntimes())
 	require.Equal(t, 2*assumedUnobservedRuntime, suspect.trialTime())
 }
@@ -278,15 +280,15 @@
 // TestLossThatWasSeenIsNoUnseenOneOfItsTakeover guards against a run that counts twice: among the observed losses,
 // and at later owners as an unobserved loss of that takeover.
 func TestLossThatWasSeenIsNoUnseenOneOfItsTakeover(t *testing.T) {
-	open := &jobs.OpenRun{LostRun: jobs.LostRun{Run: 3, Ran: 300, Doubt: 2, Weight: 2}, Worker: "gone"}
-	b := newSuccessor(t, jobs.Progress{Suspected: jobs.Suspicions{0: {0: {Open: open}}}}, 3)
+	open := &jobs.UnresolvedRun{LostRun: jobs.LostRun{Run: 3, RanAtMost: 300, EvidenceVsChance: 2, EvidenceVsAll: 2}, Worker: "gone"}
+	b := newSuccessor(t, jobs.Progress{Suspected: jobs.Suspicions{0: {0: {Unresolved: open}}}}, 3)
 	require.Equal(t, 2, b.jobs[testJob].steps[0].tasks[0].losses(), "the open run, and one loss of the earlier takeover")
 	changes := b.store()
-	require.Equal(t, []jobs.Epoch{3, 5}, changes.Roster.Unseen)
+	require.Equal(t, []jobs.Epoch{3, 5}, changes.Roster.UnobservedEpochs)
 
 	next := newBench(t, 2)
-	next.Enrol(jobs.Roster{Workers: next.Workers(), Unseen: changes.Roster.Unseen}, next.now)
-	next.AddJob(next.job(one), changes.Jobs[0].Progress, false, next.now)
+	next.RestoreRoster(jobs.Roster{Workers: next.Workers(), UnobservedEpochs: changes.Roster.UnobservedEpochs}, next.now)
+	next.AddJob(next.job(singleTaskStep), changes.Jobs[0].Progress, false, next.now)
 	require.Equal(t, 2, next.jobs[testJob].steps[0].tasks[0].losses())
 }
 
@@ -304,7 +306,7 @@
 	require.Equal(t, 1, b.jobs[testJob].steps[0].tasks[0].losses())
 	b.report(0, jobs.Report{Ended: []jobs.Ended{{Number: 1, Task: taskOf(0), Run: run, How: jobs.EndLapsed}}})
 	require.Zero(t, b.jobs[testJob].steps[0].tasks[0].losses())
-	require.Zero(t, b.store().Jobs[0].Progress.Suspected[0][0].Unseen, "a successor is told that the run was not lost")
+	require.Zero(t, b.store().Jobs[0].Progress.Suspected[0][0].Unobserved, "a successor is told that the run was not lost")
 }
 
 // TestRunThatHasLapsedWasNotLostAtTheTakeover guards against counting an unobserved loss for tasks whose latest run
@@ -312,8 +314,8 @@
 func TestRunThatHasLapsedWasNotLostAtTheTakeover(t *testing.T) {
 	b := newBench(t, 2)
 	gone := jobs.Worker{ID: "gone", Pool: testPool, Address: "gone"}
-	b.Enrol(jobs.Roster{Workers: append(b.Workers(), gone)}, b.now)
-	b.AddJob(b.job(one), jobs.Progress{}, false, b.now)
+	b.RestoreRoster(jobs.Roster{Workers: append(b.Workers(), gone)}, b.now)
+	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, false, b.now)
 	b.report(0, jobs.Report{Ended: []jobs.Ended{{Number: 1, Task: taskOf(0), Run: 7, How: jobs.EndLapsed}}})
 	b.report(1, jobs.Report{})
 	b.Replaced(gone.ID, b.now)
--- a/services/dispatch/urgency.go
+++ b/services/dispatch/urgency.go
@@ -30,7 +30,7 @@
 // urgency returns the urgency of an opened step.
 func (c *Core) urgency(s *step, now models.UnixMilli) urgency {
 	u := urgency{priority: c.terms(s.job).Priority, due: c.deadline(s.job)}
-	if s.spec.Lasts {
+	if s.spec.LongRunning {
 		u.late = now < u.due+longRunningYield
 	} else {
 		u.late = now+models.UnixMilli(c.remainingEstimate(s)) > u.due
--- a/services/dispatch/urgency_test.go
+++ b/services/dispatch/urgency_test.go
@@ -18,7 +18,7 @@
 	first := func(waited time.Duration) jobs.ID {
 		b := newBench(t, 1)
 		b.report(0, jobs.Report{})
-		lasting, short := servingStep, one
+		lasting, short := servingStep, singleTaskStep
 		lasting.Size.CPU, short.Size.CPU = 4000, 4000
 		earlier := b.job(lasting)
 		b.AddJob(earlier, jobs.Progress{}, true, b.now)
--- a/services/dispatch/worker.go
+++ b/services/dispatch/worker.go
@@ -21,40 +21,40 @@
 
 // worker is one incarnation of a worker of the cell.
 type worker struct {
-	info            jobs.Worker
-	fence           jobs.Fence // sent with all calls to this incarnation
-	listed          bool       // the platform's list names it
-	enrolled        bool       // the stored roster names it
-	youngStored     bool       // its young runs are stored, because its address refuses connections
-	former          bool       // the roster of a previous owner named it
-	retired         bool       // left out of the roster, because it was silent until its lease was over
-	missing         time.Time  // since when the platform's list does not name it; zero: it does, or has not been read yet
-	leaves          time.Time  // when a draining worker may leave; zero: it does not drain
-	tasks           []*task
-	used            models.Resources // declared by its tasks; of filler tasks the memory only
-	longRunningCPU  models.MilliCPU  // declared by its long-running tasks
-	fillerCPU       models.MilliCPU  // declared by its filler tasks
-	answered        bool             // has reported in this epoch
-	heard           time.Time        // when the last report was received
-	asked           time.Time        // when the call that the last report answers was sent
-	overdue         bool             // the latest call that asked for a report was not answered
-	failed          time.Time        // when the first call since the last report was found to be unanswered; zero: none
-	refused         bool             // the worker's address refused that call's connection
-	clock           models.Milli     // the worker's clock in the last report
-	entry           *jobs.Worker     // the list's entry for another incarnation with this id; nil: none
-	hurried         bool             // its next report is to be requested without wait
-	hurriedFor      models.UnixMilli // start time of the incarnation whose list entry last requested an immediate report
-	since           time.Time        // another incarnation that answers a call sent before this is an earlier one
-	bornTold        bool             // that its start time can't be read was logged
-	reportDiscarded bool             // the latest report was discarded
-	granted         models.Milli     // the latest lease end that was sent, on the worker's clock
-	renewing        bool             // the latest call that asked for a report renews the lease
-	renewed         bool             // the latest report answers a call that renewed the lease
-	unwell          time.Time        // no tasks are started until then
-	avoidUntil      time.Time        // placed last until then
-	ends            []unacknowledgedEnd
-	lastEnd         uint64 // highest end number applied
-	acked           uint64 // highest end number that the worker may forget
+	info              jobs.Worker
+	fence             jobs.Fence // sent with all calls to this incarnation
+	listed            bool       // the platform's list names it
+	inRoster          bool       // the stored roster names it
+	youngRunsStored   bool       // its young runs are stored, because its address refuses connections
+	inPreviousRoster  bool       // the roster of a previous owner named it
+	retired           bool       // left out of the roster, because it was silent until its lease was over
+	missingSince      time.Time  // since when the platform's list does not name it; zero: it does, or has not been read yet
+	leavesAt          time.Time  // when a draining worker may leave; zero: it does not drain
+	tasks             []*task
+	used              models.Resources // declared by its tasks; of filler tasks the memory only
+	longRunningCPU    models.MilliCPU  // declared by its long-running tasks
+	fillerCPU         models.MilliCPU  // declared by its filler tasks
+	answered          bool             // has reported in this epoch
+	reportedAt        time.Time        // when the last report was received
+	reportAskedAt     time.Time        // when the call that the last report answers was sent
+	overdue           bool             // the latest call that asked for a report was not answered
+	unansweredSince   time.Time        // when the first call since the last report was found to be unanswered; zero: none
+	connectionRefused bool             // the worker's address refused that call's connection
+	reportClock       models.Milli     // the worker's clock in the last report
+	otherEntry        *jobs.Worker     // the list's entry for another incarnation with this id; nil: none
+	reportUrgent      bool             // its next report is to be requested without wait
+	reportUrgentFor   models.UnixMilli // start time of the incarnation whose list entry last requested an immediate report
+	incarnationSince  time.Time        // another incarnation that answers a call sent before this is an earlier one
+	bornLogged        bool             // that its start time can't be read was logged
+	reportDiscarded   bool             // the latest report was discarded
+	leaseEnd          models.Milli     // the latest lease end that was sent, on the worker's clock
+	renewing          bool             // the latest call that asked for a report renews the lease
+	renewed           bool             // the latest report answers a call that renewed the lease
+	noStartsUntil     time.Time        // no tasks are started until then
+	avoidUntil        time.Time        // placed last until then
+	ends              []unacknowledgedEnd
+	lastEnd           uint64 // highest end number applied
+	acked             uint64 // highest end number that the worker may forget
 
 	strays      map[jobs.TaskID]stray // runs that should not be on the worker
 	reportCount uint64                // reports applied so far
@@ -70,36 +70,36 @@
 	overTargetSince  time.Time // since when a tail latency is over its target; zero: none is
 	fillersChangedAt time.Time // when its filler tasks or their paces last changed
 	trials           int       // suspects on trial here; nothing else starts meanwhile
-	keptUntil        time.Time // reserved until then for the task in the next field
-	keptFor          *task     // a waiting suspect
+	reservedUntil    time.Time // reserved until then for the task in the next field
+	reservedFor      *task     // a waiting suspect
 
 	loadExpectations []servingTask // cached by Core.expectedLoads
 	expectedValid    bool
 	expectedAt       time.Time
 }
 
-// noteFailed records that a call which asks for a report was not answered. refused says that the worker's
+// recordUnanswered records that a call which asks for a report was not answered. refused says that the worker's
 // address refused the connection, so that the worker had ended by then.
-func (w *worker) noteFailed(refused bool, now time.Time) {
-	if w.failed.IsZero() {
-		w.failed, w.refused = now, refused
+func (w *worker) recordUnanswered(refused bool, now time.Time) {
+	if w.unansweredSince.IsZero() {
+		w.unansweredSince, w.connectionRefused = now, refused
 	}
 }
 
 // lastAlive returns the latest time at which the worker may have been alive: it ended no later than when the
 // first call was found to be unanswered.
 func (w *worker) lastAlive(now time.Time) time.Time {
-	if w.failed.IsZero() {
+	if w.unansweredSince.IsZero() {
 		return now
 	}
-	return w.failed
+	return w.unansweredSince
 }
 
 // SetWorkers takes the platform's list of workers. Workers that the list does not name are kept until they are
 // proved to run nothing.
 func (c *Core) SetWorkers(list []jobs.Worker, now time.Time) {
 	for _, w := range c.workers {
-		w.listed, w.entry = false, nil
+		w.listed, w.otherEntry = false, nil
 	}
 	c.forgetReplaced(list)
 	for _, info := range list {
@@ -114,18 +114,18 @@
 			w = c.addWorker(info, now)
 		}
 		if w.info.Incarnation().Differs(info.Incarnation()) {
-			c.noteEntry(w, info)
+			c.recordListEntry(w, info)
 			continue
 		}
 		if info.Draining && !w.info.Draining {
 			c.config.Logger.Info("worker drains", zap.String("worker", string(info.ID)), zap.Duration("remaining", info.Remaining))
 		}
-		c.rosterChanged = c.rosterChanged || info.Draining != (w.info.Leaves != 0)
-		c.takeEntry(w, info, now)
+		c.rosterChanged = c.rosterChanged || info.Draining != (w.info.LeavesAt != 0)
+		c.applyListEntry(w, info, now)
 	}
 	for _, w := range c.workers {
-		if !w.listed && w.missing.IsZero() {
-			w.missing = now
+		if !w.listed && w.missingSince.IsZero() {
+			w.missingSince = now
 		}
 	}
 }
@@ -145,41 +145,41 @@
 	})
 }
 
-// takeEntry applies the list's entry for the worker.
-func (c *Core) takeEntry(w *worker, info jobs.Worker, now time.Time) {
-	before, born := w.leaves, w.info.Born
+// applyListEntry applies the list's entry for the worker.
+func (c *Core) applyListEntry(w *worker, info jobs.Worker, now time.Time) {
+	before, born := w.leavesAt, w.info.Born
 	w.info = info
 	if born != 0 || w.answered {
 		w.info.Born = born // the worker's own reports take precedence
 	}
 	w.listed = true
-	w.missing, w.leaves = time.Time{}, time.Time{}
+	w.missingSince, w.leavesAt = time.Time{}, time.Time{}
 	if !info.Draining {
 		return
 	}
-	w.leaves = now.Add(info.Remaining)
-	if !before.IsZero() && before.Before(w.leaves) {
-		w.leaves = before // the entry is older than what is known, for example after an outage of the store
+	w.leavesAt = now.Add(info.Remaining)
+	if !before.IsZero() && before.Before(w.leavesAt) {
+		w.leavesAt = before // the entry is older than what is known, for example after an outage of the store
 	}
-	w.info.Leaves = c.rosterLeaveTime(w, now)
+	w.info.LeavesAt = c.rosterLeaveTime(w, now)
 }
 
 // rosterLeaveTime returns the time of day at which a draining worker may leave, as stored in the roster; 0 if
 // the worker does not drain.
 func (c *Core) rosterLeaveTime(w *worker, now time.Time) models.UnixMilli {
-	if w.leaves.IsZero() {
+	if w.leavesAt.IsZero() {
 		return 0
 	}
-	return c.timeOfDayThen(w.leaves, now)
+	return c.timeOfDayThen(w.leavesAt, now)
 }
 
 // addWorker adds a worker that was not known. It gets tasks once the stored roster names it.
 func (c *Core) addWorker(info jobs.Worker, now time.Time) *worker {
 	c.workersAdded++
-	w := &worker{info: info, fence: c.config.Epoch.Fence(c.workersAdded), heard: now, strays: map[jobs.TaskID]stray{}}
+	w := &worker{info: info, fence: c.config.Epoch.Fence(c.workersAdded), reportedAt: now, strays: map[jobs.TaskID]stray{}}
 	c.workers[info.ID] = w
-	c.order = append(c.order, w)
-	slices.SortFunc(c.order, func(a, b *worker) int { return strings.Compare(string(a.info.ID), string(b.info.ID)) })
+	c.sortedWorkers = append(c.sortedWorkers, w)
+	slices.SortFunc(c.sortedWorkers, func(a, b *worker) int { return strings.Compare(string(a.info.ID), string(b.info.ID)) })
 	c.config.Logger.Info("worker joins", zap.String("worker", string(info.ID)), zap.String("address", info.Address),
 		zap.Int64("born", int64(info.Born)))
 	c.rosterChanged = true
@@ -188,8 +188,8 @@
 
 // Workers returns the workers to be called.
 func (c *Core) Workers() []jobs.Worker {
-	list := make([]jobs.Worker, 0, len(c.order))
-	for _, w := range c.order {
+	list := make([]jobs.Worker, 0, len(c.sortedWorkers))
+	for _, w := range c.sortedWorkers {
 		list = append(list, w.info)
 	}
 	return list
@@ -225,8 +225,8 @@
 
 // usable reports whether new tasks may start on the worker.
 func (c *Core) usable(w *worker, now time.Time) bool {
-	stays := w.listed && w.enrolled && !w.info.Draining
-	reachable := w.renewed && now.Sub(w.heard) < silentAfter // a start by itself is valid for no longer than startWithin
-	sound := !w.isFailing(now) && now.After(w.unwell) && now.After(w.stalledUntil)
+	stays := w.listed && w.inRoster && !w.info.Draining
+	reachable := w.renewed && now.Sub(w.reportedAt) < silentAfter // a start by itself is valid for no longer than maxStartAge
+	sound := !w.isFailing(now) && now.After(w.noStartsUntil) && now.After(w.stalledUntil)
 	return stays && reachable && sound && len(w.strays) == 0
 }
--- a/services/entry/decode.go
+++ b/services/entry/decode.go
@@ -38,8 +38,8 @@
 		return req, malformed(err)
 	}
 	req.key = r.Header.Get(models.HeaderIdempotencyKey)
-	if len(req.key) > models.MaxIdempotencyKey {
-		return req, malformed(errors.Newf("%s is longer than %d bytes", models.HeaderIdempotencyKey, models.MaxIdempotencyKey))
+	if len(req.key) > models.MaxIdempotencyKeyLength {
+		return req, malformed(errors.Newf("%s is longer than %d bytes", models.HeaderIdempotencyKey, models.MaxIdempotencyKeyLength))
 	}
 	req.body, err = s.readBody(w, r)
 	var tooLarge *http.MaxBytesError
--- a/services/entry/dump.go
+++ b/services/entry/dump.go
@@ -19,7 +19,7 @@
 	statuses := make([]models.UpstreamStatus, 0, len(g.sorted))
 	for _, u := range g.sorted {
 		statuses = append(statuses, models.UpstreamStatus{
-			VM: u.id(), State: u.state(now), Own: u.ownInFlight, Peers: int(math.Round(u.peerLoad)), Share: u.share, Slots: u.vm.Slots,
+			VM: u.id(), State: u.state(now), OwnInFlight: u.ownInFlight, PeersInFlight: int(math.Round(u.peerLoad)), Share: u.share, Slots: u.vm.Slots,
 			Latency: models.MilliOf(time.Duration(u.latency.value * float64(time.Second))),
 		})
 	}
--- a/services/entry/entry.go
+++ b/services/entry/entry.go
@@ -102,8 +102,8 @@
 	s.gate.sync(vms, live, beats, s.config.View())
 }
 
-// Beat adds the entry's load, queue length and leaving upstreams to a heartbeat.
-func (s *Service) Beat(beat *models.Heartbeat) { s.gate.fillHeartbeat(beat) }
+// FillHeartbeat adds the entry's load, queue length and leaving upstreams to a heartbeat.
+func (s *Service) FillHeartbeat(beat *models.Heartbeat) { s.gate.fillHeartbeat(beat) }
 
 // InFlight returns the number of requests that have not ended.
 func (s *Service) InFlight() int64 { return s.inFlight.Load() }
--- a/services/entry/trial_test.go
+++ b/services/entry/trial_test.go
@@ -222,7 +222,7 @@
 			if wait(ctx, trialHeartbeat/time.Duration(len(r.entries))) != nil {
 				return
 			}
-			e.Beat(&beats[i])
+			e.FillHeartbeat(&beats[i])
 			e.Sync(r.listedVMs(), live, heartbeatsFor(i, live, beats))
 		}
 	}
--- a/services/interference/learner.go
+++ b/services/interference/learner.go
@@ -215,9 +215,9 @@
 	return max(0, base.Target/base.Alone-1), true
 }
 
-// Blame returns the indexes of the batch tasks beside a service, ordered by their contribution to its slowdown with the
+// RankByImpact returns the indexes of the batch tasks beside a service, ordered by their contribution to its slowdown with the
 // largest first. A pair that was never observed counts with the initial variance.
-func (l *Learner) Blame(service map[string]string, batch []Neighbour) []int {
+func (l *Learner) RankByImpact(service map[string]string, batch []Neighbour) []int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	parts := make([]float64, len(batch))
--- a/services/inventory/cells.go
+++ b/services/inventory/cells.go
@@ -24,7 +24,7 @@
 func (s *Service) addMissingRacks(ctx context.Context, list models.VMList) error {
 	for {
 		cells, version := s.cellMap()
-		next, missing := cells.With(list)
+		next, missing := cells.WithRacks(list)
 		if !missing {
 			return nil
 		}
@@ -38,7 +38,7 @@
 			continue
 		}
 		version, err = s.writeCells(ctx, next, version)
-		if errors.Is(err, platform.ErrConflict) || errors.Is(err, platform.ErrUnknown) {
+		if errors.Is(err, platform.ErrConflict) || errors.Is(err, platform.ErrUnknownOutcome) {
 			continue
 		}
 		if err != nil {
@@ -84,9 +84,9 @@
 	s.config.Changed()
 }
 
-// Offer adopts a peer's cell map while this daemon has not read the map from the store, as during a store outage, if
+// AcceptPeerCells adopts a peer's cell map while this daemon has not read the map from the store, as during a store outage, if
 // the peer's map has more cells.
-func (s *Service) Offer(cells models.CellMap) {
+func (s *Service) AcceptPeerCells(cells models.CellMap) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.version == 0 && len(s.cells.Cells) < len(cells.Cells) {
--- a/services/inventory/inventory.go
+++ b/services/inventory/inventory.go
@@ -26,11 +26,11 @@
 
 // Config configures the service.
 type Config struct {
-	List   platform.List
-	Store  platform.Store
-	Every  time.Duration // between two reads of the VM list
-	Logger *zap.Logger
-	Scope  tally.Scope
+	List     platform.VMList
+	Store    platform.Store
+	Interval time.Duration // between two reads of the VM list
+	Logger   *zap.Logger
+	Scope    tally.Scope
 	// Changed is called after the VM list or the cell map has changed.
 	Changed func()
 }
@@ -38,7 +38,7 @@
 // Service holds the VM list and the cell map. It is safe for concurrent use.
 type Service struct {
 	config  Config
-	trouble *log.Trouble
+	trouble *log.OutageLogger
 
 	mu        sync.RWMutex
 	list      models.VMList
@@ -53,7 +53,7 @@
 func New(config Config) *Service {
 	return &Service{
 		config: config, vms: map[models.VMID]models.VM{}, removedAt: map[models.VMID]time.Time{},
-		trouble: log.NewTrouble(log.TroubleConfig{
+		trouble: log.NewOutageLogger(log.OutageLoggerConfig{
 			Logger: config.Logger,
 			Began:  "VM list or cell map cannot be refreshed; the last known ones stay in use",
 			Ended:  "VM list and cell map are refreshed again",
@@ -65,7 +65,7 @@
 func (s *Service) Run(ctx context.Context) { s.loop(ctx) }
 
 func (s *Service) loop(ctx context.Context) {
-	ticker := time.NewTicker(s.config.Every)
+	ticker := time.NewTicker(s.config.Interval)
 	defer ticker.Stop()
 	for {
 		s.recordResult(s.Refresh(ctx))
@@ -81,7 +81,7 @@
 	if err != nil {
 		s.config.Scope.Counter("reads_failed").Inc(1)
 	}
-	s.trouble.Note(err)
+	s.trouble.Observe(err)
 }
 
 // Refresh reads the list once and adds new racks to the cell map.
--- a/services/journal/codec.go
+++ b/services/journal/codec.go
@@ -15,7 +15,7 @@
 	maxInflated    = 64 << 20 // in bytes, of a stored value after decompression
 )
 
-var packer = pack.New(pack.Config{From: minDeflateSize, Limit: maxInflated})
+var packer = pack.New(pack.Config{MinDeflate: minDeflateSize, MaxInflated: maxInflated})
 
 func encode(value any) ([]byte, error) { return packer.Pack(value) }
 
--- a/services/journal/handover.go
+++ b/services/journal/handover.go
@@ -15,28 +15,28 @@
 func (j *Journal) Export() models.HandoverCall {
 	call := models.HandoverCall{
 		Cell: j.config.Cell, Epoch: j.epoch, Sequence: j.sequence,
-		Snapshot: uint64(j.snapshot.version), SnapSeq: j.snapshot.sequence, State: j.state.Clone(),
+		SnapshotVersion: uint64(j.snapshot.version), SnapshotSequence: j.snapshot.sequence, State: j.state.Clone(),
 	}
 	for _, version := range j.versions {
-		call.Versions = append(call.Versions, uint64(version))
+		call.SlotVersions = append(call.SlotVersions, uint64(version))
 	}
 	if j.pending != nil {
-		call.Pending = j.pending.data
+		call.PendingEntry = j.pending.data
 	}
 	return call
 }
 
-// Adopt initializes the journal from the result of Export, as another daemon returned it.
-func (j *Journal) Adopt(call models.HandoverCall) error {
-	if len(call.Versions) != j.config.Slots {
-		return errors.Newf("handover of %s has %d slots, this daemon's settings say %d", call.Cell, len(call.Versions), j.config.Slots)
+// Import initializes the journal from the result of Export, as another daemon returned it.
+func (j *Journal) Import(call models.HandoverCall) error {
+	if len(call.SlotVersions) != j.config.Slots {
+		return errors.Newf("handover of %s has %d slots, this daemon's settings say %d", call.Cell, len(call.SlotVersions), j.config.Slots)
 	}
-	for i, version := range call.Versions {
+	for i, version := range call.SlotVersions {
 		j.versions[i] = platform.Version(version)
 	}
-	j.snapshot = snapshotPosition{version: platform.Version(call.Snapshot), sequence: call.SnapSeq}
+	j.snapshot = snapshotPosition{version: platform.Version(call.SnapshotVersion), sequence: call.SnapshotSequence}
 	j.epoch, j.sequence, j.writer = call.Epoch, call.Sequence, j.config.Writer
-	if err := j.importPending(call.Pending); err != nil {
+	if err := j.importPending(call.PendingEntry); err != nil {
 		return err
 	}
 	if call.State.Tasks != nil {
--- a/services/journal/journal.go
+++ b/services/journal/journal.go
@@ -108,10 +108,10 @@
 	return nil
 }
 
-// Take makes this daemon the owner: it loads the journal and writes the next entry with the next epoch. ErrSuperseded
+// Acquire makes this daemon the owner: it loads the journal and writes the next entry with the next epoch. ErrSuperseded
 // means that another daemon wrote that entry first, ErrPending that the entry may have been written and its outcome
 // has to be resolved.
-func (j *Journal) Take(ctx context.Context) error {
+func (j *Journal) Acquire(ctx context.Context) error {
 	if err := j.Load(ctx); err != nil {
 		return err
 	}
@@ -129,9 +129,9 @@
 	return j.write(ctx, j.epoch, change)
 }
 
-// Settle finds out whether the pending entry was written by writing it again; the compare-and-swap ensures that it is
+// ResolvePending finds out whether the pending entry was written by writing it again; the compare-and-swap ensures that it is
 // written at most once. It does nothing when no entry is pending.
-func (j *Journal) Settle(ctx context.Context) error {
+func (j *Journal) ResolvePending(ctx context.Context) error {
 	if j.pending == nil {
 		return nil
 	}
@@ -156,7 +156,7 @@
 	}
 	j.pending = &pendingEntry{entry: entry, data: data}
 	err = j.swapPending(ctx)
-	if err != nil && !errors.Is(err, platform.ErrUnknown) {
+	if err != nil && !errors.Is(err, platform.ErrUnknownOutcome) {
 		j.pending = nil
 		return err
 	}
@@ -197,7 +197,7 @@
 	}
 	if err != nil {
 		// The conflict is certain but its cause is unknown, so the entry stays pending.
-		return 0, platform.Unknown(err)
+		return 0, platform.AsUnknownOutcome(err)
 	}
 	found, err := decode[Entry](record.Value)
 	if err != nil {
@@ -229,8 +229,8 @@
 	if err != nil {
 		return err
 	}
-	if len(data) > platform.MaxValue {
-		return errors.Newf("snapshot of cell %s has %d bytes, the store accepts at most %d", j.config.Cell, len(data), platform.MaxValue)
+	if len(data) > platform.MaxValueSize {
+		return errors.Newf("snapshot of cell %s has %d bytes, the store accepts at most %d", j.config.Cell, len(data), platform.MaxValueSize)
 	}
 	version, err := j.config.Store.Swap(ctx, j.snapshotKey(), data, j.snapshot.version, 0)
 	if errors.Is(err, platform.ErrConflict) {
--- a/services/journal/journal_test.go
+++ b/services/journal/journal_test.go
@@ -49,7 +49,7 @@
 func TestRingWrapsAndIsReadBack(t *testing.T) {
 	w := newJournalFactory()
 	first := w.newJournal("first")
-	require.NoError(t, first.Take(t.Context()))
+	require.NoError(t, first.Acquire(t.Context()))
 	for i := range 10 * testSlots {
 		require.NoError(t, first.Append(t.Context(), changeOf(fmt.Sprint(i))))
 		second := w.newJournal("second")
@@ -57,16 +57,16 @@
 		assert.Equal(t, first.State(), second.State())
 		assert.Equal(t, first.Sequence(), second.Sequence())
 	}
-	assert.Len(t, w.store.KeysWith(Prefix), testSlots+1, "the ring and one snapshot")
+	assert.Len(t, w.store.KeysWithPrefix(Prefix), testSlots+1, "the ring and one snapshot")
 }
 
 // TestTakeoverFencesTheFormerOwner lets the previous and the new owner append in turn after a takeover.
 func TestTakeoverFencesTheFormerOwner(t *testing.T) {
 	w := newJournalFactory()
 	previous, next := w.newJournal("previous"), w.newJournal("next")
-	require.NoError(t, previous.Take(t.Context()))
+	require.NoError(t, previous.Acquire(t.Context()))
 	require.NoError(t, previous.Append(t.Context(), changeOf("a")))
-	require.NoError(t, next.Take(t.Context()))
+	require.NoError(t, next.Acquire(t.Context()))
 	assert.Greater(t, next.Epoch(), previous.Epoch())
 	assert.Contains(t, next.State().Tasks, models.TaskID("a"))
 	for range 3 * testSlots {
@@ -81,19 +81,19 @@
 	for _, tookEffect := range []bool{true, false} {
 		w := newJournalFactory()
 		j := w.newJournal("one")
-		require.NoError(t, j.Take(t.Context()))
+		require.NoError(t, j.Acquire(t.Context()))
 		lost := true
 		w.fault = func(_ context.Context, write, after bool, _ string) error {
 			if write && after == tookEffect && lost {
 				lost = false
-				return platform.ErrUnknown
+				return platform.ErrUnknownOutcome
 			}
 			return nil
 		}
 		require.True(t, errors.Is(j.Append(t.Context(), changeOf("a")), ErrPending))
 		assert.NotContains(t, j.State().Tasks, models.TaskID("a"), "the change is not applied before its write is confirmed")
 		require.True(t, errors.Is(j.Append(t.Context(), changeOf("b")), ErrPending), "no other entry is accepted before that")
-		require.NoError(t, j.Settle(t.Context()))
+		require.NoError(t, j.ResolvePending(t.Context()))
 		assert.Contains(t, j.State().Tasks, models.TaskID("a"))
 		other := w.newJournal("other")
 		require.NoError(t, other.Load(t.Context()))
@@ -105,7 +105,7 @@
 func TestUnavailableWritesNothing(t *testing.T) {
 	w := newJournalFactory()
 	j := w.newJournal("one")
-	require.NoError(t, j.Take(t.Context()))
+	require.NoError(t, j.Acquire(t.Context()))
 	w.fault = func(context.Context, bool, bool, string) error { return platform.ErrUnavailable }
 	err := j.Append(t.Context(), changeOf("a"))
 	require.True(t, errors.Is(err, platform.ErrUnavailable))
@@ -120,20 +120,20 @@
 func TestHandedOverAppendIsSettledOnce(t *testing.T) {
 	w := newJournalFactory()
 	previous, next := w.newJournal("previous"), w.newJournal("next")
-	require.NoError(t, previous.Take(t.Context()))
+	require.NoError(t, previous.Acquire(t.Context()))
 	w.fault = func(_ context.Context, write, after bool, _ string) error {
 		if write && after {
-			return platform.ErrUnknown
+			return platform.ErrUnknownOutcome
 		}
 		return nil
 	}
 	require.True(t, errors.Is(previous.Append(t.Context(), changeOf("a")), ErrPending))
-	require.NoError(t, next.Adopt(previous.Export()))
+	require.NoError(t, next.Import(previous.Export()))
 	w.fault = kv.NoFault
-	require.NoError(t, next.Settle(t.Context()))
+	require.NoError(t, next.ResolvePending(t.Context()))
 	require.NoError(t, next.Append(t.Context(), changeOf("b")))
 	assert.Contains(t, next.State().Tasks, models.TaskID("a"))
-	require.NoError(t, previous.Settle(t.Context()), "the slot holds the entry with this owner's write id")
+	require.NoError(t, previous.ResolvePending(t.Context()), "the slot holds the entry with this owner's write id")
 	assert.True(t, errors.Is(previous.Append(t.Context(), changeOf("c")), ErrSuperseded))
 }
 
@@ -141,12 +141,12 @@
 func TestDamageIsSaid(t *testing.T) {
 	w := newJournalFactory()
 	j := w.newJournal("one")
-	require.NoError(t, j.Take(t.Context()))
+	require.NoError(t, j.Acquire(t.Context()))
 	record, err := j.config.Store.Get(t.Context(), j.slotKey(1))
 	require.NoError(t, err)
 	_, err = j.config.Store.Swap(t.Context(), j.slotKey(1), []byte("nonsense"), record.Version, 0)
 	require.NoError(t, err)
-	assert.True(t, errors.Is(w.newJournal("two").Take(t.Context()), ErrDamaged))
+	assert.True(t, errors.Is(w.newJournal("two").Acquire(t.Context()), ErrDamaged))
 }
 
 // FuzzDecode feeds arbitrary stored values to the decoder: it may reject a value but not panic, and each value that it
--- a/services/journal/size_test.go
+++ b/services/journal/size_test.go
@@ -22,7 +22,7 @@
 		state.Tasks[id] = models.Task{
 			ID: id, Kind: models.TaskBatch, Job: models.JobID(fmt.Sprintf("nightly-contracts-%d", i%97)), Index: i, Team: "fleet-office",
 			Labels: map[string]string{"app": "report", "tier": "silver", "owner": "depot-7"}, Size: models.Resources{CPU: 1500, Memory: 2048},
-			Work: 600_000, Queued: 1_796_200_000_000, State: models.TaskRunning, Attempt: 1, Worker: models.VMID(fmt.Sprintf("worker-%d", i%40)),
+			Work: 600_000, QueuedAt: 1_796_200_000_000, State: models.TaskRunning, Attempt: 1, Worker: models.VMID(fmt.Sprintf("worker-%d", i%40)),
 			Incarnation: models.Incarnation(fmt.Sprintf("worker-%d-48213-1", i%40)),
 		}
 	}
@@ -33,7 +33,7 @@
 				ID: id, Team: "fleet-office", Labels: map[string]string{"app": "report"}, Tasks: 20,
 				Size: models.Resources{CPU: 1500, Memory: 2048}, Work: 600_000,
 			},
-			State: models.JobDone, Next: 20, Succeeded: 20, Submitted: 1_796_200_000_000, Ended: 1_796_200_900_000,
+			State: models.JobDone, NextIndex: 20, Succeeded: 20, SubmittedAt: 1_796_200_000_000, EndedAt: 1_796_200_900_000,
 		}
 	}
 	return state
@@ -46,6 +46,6 @@
 		data, err := encode(snapshotValue{Epoch: 1, Sequence: 1, State: plannedCellState(size.tasks, size.jobs)})
 		require.NoError(t, err)
 		t.Logf("%d tasks and %d jobs: %d bytes", size.tasks, size.jobs, len(data))
-		assert.Less(t, len(data), platform.MaxValue/2)
+		assert.Less(t, len(data), platform.MaxValueSize/2)
 	}
 }
--- a/services/member/beat.go
+++ b/services/member/beat.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// Nudge requests an immediate round of heartbeats, because something has changed that the
+// RequestRound requests an immediate round of heartbeats, because something has changed that the
 // peers should know.
-func (s *Service) Nudge() {
+func (s *Service) RequestRound() {
 	select {
 	case s.roundRequested <- struct{}{}:
 	default:
--- a/services/member/dump.go
+++ b/services/member/dump.go
@@ -14,7 +14,7 @@
 
 // Dump returns the state of the service.
 func (s *Service) Dump() Dump {
-	dump := Dump{Self: s.Self(), Members: s.Beats(), Silent: map[models.MemberID]models.Member{}}
+	dump := Dump{Self: s.Self(), Members: s.Heartbeats(), Silent: map[models.MemberID]models.Member{}}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, p := range s.peers {
--- a/services/member/live.go
+++ b/services/member/live.go
@@ -30,10 +30,10 @@
 	return true
 }
 
-// HearsMost reports whether at least half of the known members, including this daemon, are live.
+// HearsAtLeastHalf reports whether at least half of the known members, including this daemon, are live.
 // Otherwise this daemon is more likely to be partitioned than all the others to be lost, and it
 // takes no cell over until the others' leases in the store have lapsed.
-func (s *Service) HearsMost() bool {
+func (s *Service) HearsAtLeastHalf() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	live := 1 // this daemon
@@ -72,8 +72,8 @@
 	return ids
 }
 
-// Beats returns the last heartbeat of each peer that is live, including peers that are leaving.
-func (s *Service) Beats() map[models.MemberID]models.Heartbeat {
+// Heartbeats returns the last heartbeat of each peer that is live, including peers that are leaving.
+func (s *Service) Heartbeats() map[models.MemberID]models.Heartbeat {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	beats := make(map[models.MemberID]models.Heartbeat, len(s.peers))
@@ -102,7 +102,7 @@
 // OwnerOf returns the peer whose heartbeat claims ownership of the cell; if several do, the
 // one with the highest epoch.
 func (s *Service) OwnerOf(cell models.CellID) (owner models.Member, epoch models.Epoch, ok bool) {
-	for _, beat := range s.Beats() {
+	for _, beat := range s.Heartbeats() {
 		if c, owned := beat.Cells[cell]; owned && (!ok || c.Epoch > epoch) {
 			owner, epoch, ok = beat.Member, c.Epoch, true
 		}
--- a/services/member/register.go
+++ b/services/member/register.go
@@ -28,7 +28,7 @@
 	regMu   sync.Mutex
 	lease   platform.LeaseID
 	version platform.Version
-	trouble *log.Trouble
+	trouble *log.OutageLogger
 }
 
 func (s *Service) key() string { return Prefix + string(s.config.Self.ID) }
@@ -42,7 +42,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		s.trouble.Note(err)
+		s.trouble.Observe(err)
 		select {
 		case <-ctx.Done():
 			return
@@ -163,6 +163,6 @@
 	}
 	s.mu.Unlock()
 	if isNew {
-		s.Nudge()
+		s.RequestRound()
 	}
 }
--- a/services/operate/fate.go
+++ b/services/operate/fate.go
@@ -49,7 +49,7 @@
 	if r, ok := answer.Refused[id]; ok {
 		return refused{r.Kind, r.Reason}
 	}
-	return outcomeOfError(cell.ErrMaybe)
+	return outcomeOfError(cell.ErrUnknownOutcome)
 }
 
 // callHistory records the outcomes of the calls of one kind that went through this daemon, by job. A refusal says only
@@ -144,8 +144,8 @@
 // Refusals that hold whatever the outcome of other calls is: a job with another specification under the same id is not
 // accepted, and a job that does not exist cannot be cancelled.
 var (
-	jobIDConflict = cell.ErrOtherSpec.Error()
-	jobNotFound   = cell.ErrNoJob.Error()
+	jobIDConflict = cell.ErrJobIDConflict.Error()
+	jobNotFound   = cell.ErrJobNotFound.Error()
 )
 
 func isJobNotFound(o outcome) bool {
--- a/services/operate/operate.go
+++ b/services/operate/operate.go
@@ -74,10 +74,10 @@
 	teams := s.config.View().Teams
 	invalid := map[models.JobID]error{}
 	for i, spec := range submission.Jobs {
-		spec = teams[spec.Team].Jobs.Fill(spec)
+		spec = teams[spec.Team].Jobs.ApplyTo(spec)
 		ids[i], specs[spec.ID] = spec.ID, spec
 		if err := spec.Check(); err != nil {
-			invalid[spec.ID] = errors.Mark(errors.Wrapf(err, "not run: neither the job nor its team %s says so", spec.Team), cell.ErrWrong)
+			invalid[spec.ID] = errors.Mark(errors.Wrapf(err, "not run: neither the job nor its team %s says so", spec.Team), cell.ErrInvalidJob)
 		}
 	}
 	s.submissions.begin(slices.Collect(maps.Keys(specs)))
@@ -200,7 +200,7 @@
 	var mu sync.Mutex
 	listing := models.Listing{Missing: map[models.CellID]string{}}
 	if len(cells) == 0 { // an empty listing would say that nothing exists
-		listing.Missing[models.AnyCell] = errNoCells.Error()
+		listing.Missing[models.UnknownCells] = errNoCells.Error()
 	}
 	calls := pool.New().WithMaxGoroutines(maxConcurrentCellCalls)
 	for _, id := range cells {
@@ -227,7 +227,7 @@
 
 func sortListing(l *models.Listing) {
 	slices.SortFunc(l.Jobs, func(a, b models.Job) int {
-		return cmp.Or(cmp.Compare(a.Submitted, b.Submitted), strings.Compare(string(a.ID), string(b.ID)))
+		return cmp.Or(cmp.Compare(a.SubmittedAt, b.SubmittedAt), strings.Compare(string(a.ID), string(b.ID)))
 	})
 	slices.SortFunc(l.Tasks, func(a, b models.Task) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	slices.SortFunc(l.Workers, func(a, b models.WorkerStatus) int { return strings.Compare(string(a.VM), string(b.VM)) })
@@ -241,8 +241,8 @@
 func (s *Service) Status() models.Status {
 	members := s.config.Members
 	status := models.Status{
-		Self: members.Self(), Revision: s.config.View().Revision(), Upstream: s.config.Entry.Upstreams(),
-		Figures: map[string]float64{"requests_in_flight": float64(s.config.Entry.InFlight())},
+		Self: members.Self(), Revision: s.config.View().Revision(), Upstreams: s.config.Entry.Upstreams(),
+		Metrics: map[string]float64{"requests_in_flight": float64(s.config.Entry.InFlight())},
 	}
 	status.Members = append(status.Members, models.MemberStatus{
 		Member: status.Self, Revision: status.Revision, Cells: len(s.config.Cells.OwnedCells()), State: memberState(status.Self, true),
@@ -280,7 +280,7 @@
 	for _, id := range slices.Sorted(maps.Keys(cells.Cells)) {
 		status := models.CellStatus{Cell: id, Domain: cells.Cells[id]}
 		if beat, ok := beats[id]; ok {
-			status.Epoch, status.Free, status.Waiting = beat.Epoch, beat.Free, beat.Waits
+			status.Epoch, status.Free, status.Waiting = beat.Epoch, beat.Free, beat.Waiting
 		}
 		if slices.Contains(own, id) {
 			status.Owner = s.config.Members.Self().ID
--- a/services/operate/operate_test.go
+++ b/services/operate/operate_test.go
@@ -79,7 +79,7 @@
 // newVMs returns an inventory that has not read the VM list or the cell map yet.
 func newVMs(t *testing.T) *inventory.Service {
 	f, err := fleet.New(fleet.Config{
-		Run: "test", Workers: 2, PerRack: 1, Worker: models.Resources{CPU: 4000, Memory: 4096}, Domains: []string{"south/a"}, Unserved: true,
+		RunName: "test", Workers: 2, PerRack: 1, Worker: models.Resources{CPU: 4000, Memory: 4096}, Domains: []string{"south/a"}, NoListeners: true,
 	})
 	require.NoError(t, err)
 	var store platform.Store = &kv.Local{Service: kv.New(kv.Config{}), Fault: kv.NoFault}
@@ -104,7 +104,7 @@
 // owner. The refusal of the second call must not hide that the first may have taken effect.
 func TestRefusalAfterDoubt(t *testing.T) {
 	d := newTestDaemon(t)
-	d.owners.answer = failWith(cell.ErrMaybe)
+	d.owners.answer = failWith(cell.ErrUnknownOutcome)
 	require.Equal(t, models.RequestUnknown, d.submit(jobSpec("first")).Outcome)
 	require.Equal(t, models.RequestUnknown, d.cancel("other").Outcome)
 	d.owners.answer = failWith(cell.ErrNotOwner)
@@ -144,9 +144,9 @@
 // TestNoSuchJobAfterDoubt cancels a job whose submission may still take effect.
 func TestNoSuchJobAfterDoubt(t *testing.T) {
 	d := newTestDaemon(t)
-	d.owners.answer = failWith(cell.ErrMaybe)
+	d.owners.answer = failWith(cell.ErrUnknownOutcome)
 	require.Equal(t, models.RequestUnknown, d.submit(jobSpec("first")).Outcome)
-	d.owners.answer = failWith(cell.ErrNoJob)
+	d.owners.answer = failWith(cell.ErrJobNotFound)
 	require.Equal(t, models.RequestUnknown, d.cancel("first").Outcome, "the submission may still arrive")
 	require.Equal(t, models.RequestNotRun, d.cancel("never").Outcome)
 }
@@ -154,7 +154,7 @@
 // TestRefusalsOfNewJobsStand refuses a job several times that no call has submitted; each refusal must be certain.
 func TestRefusalsOfNewJobsStand(t *testing.T) {
 	d := newTestDaemon(t)
-	for _, refusal := range []error{cell.ErrNotOwner, cell.ErrNoStore, cell.ErrOtherSpec} {
+	for _, refusal := range []error{cell.ErrNotOwner, cell.ErrStoreUnavailable, cell.ErrJobIDConflict} {
 		d.owners.answer = failWith(refusal)
 		require.Equal(t, models.RequestNotRun, d.submit(jobSpec("first")).Outcome, "%v", refusal)
 	}
@@ -166,7 +166,7 @@
 // TestListBeforeAnyCellIsKnown lists jobs at a daemon that has read neither the VM list nor the cell map.
 func TestListBeforeAnyCellIsKnown(t *testing.T) {
 	s := New(Config{Cells: &stubOwners{answer: acceptAll}, Inventory: newVMs(t)})
-	require.NotEmpty(t, s.List(t.Context(), models.ForwardCall{Jobs: true}).Missing, "an empty listing would say that nothing exists")
+	require.NotEmpty(t, s.List(t.Context(), models.ForwardCall{ListJobs: true}).Missing, "an empty listing would say that nothing exists")
 }
 
 // TestCancelAfterCellsWereAdded cancels a job whose home cell was another one when the job was accepted, because cells
@@ -176,16 +176,16 @@
 	otherCell := acceptAll
 	d.owners.answer = func(call models.ForwardCall) (models.ForwardAnswer, error) {
 		if h, _ := cell.JobHome(call.Cancel[0], d.config.Inventory.Cells()); call.Cell == h {
-			return models.ForwardAnswer{}, cell.ErrNoJob
+			return models.ForwardAnswer{}, cell.ErrJobNotFound
 		}
 		return otherCell(call)
 	}
 	require.NotNil(t, d.cancel("first").Job, "its previous home cell has the job")
-	otherCell = failWith(cell.ErrMaybe)
+	otherCell = failWith(cell.ErrUnknownOutcome)
 	require.Equal(t, models.RequestUnknown, d.cancel("first").Outcome, "its previous home cell gave no answer")
 	otherCell = failWith(cell.ErrNotOwner)
 	require.NotContains(t, d.cancel("first").Error, "no such job", "its previous home cell was not reached")
 	require.NotContains(t, d.cancel("other").Error, "no such job", "its previous home cell was not reached")
-	otherCell = failWith(cell.ErrNoJob)
+	otherCell = failWith(cell.ErrJobNotFound)
 	require.Equal(t, models.RequestNotRun, d.cancel("other").Outcome)
 }
--- a/services/peer/peer.go
+++ b/services/peer/peer.go
@@ -61,7 +61,7 @@
 	}
 	client := &stall.Client{
 		HTTP:   &http.Client{Transport: bearer{token: config.Token, next: transport}},
-		Limits: stall.Evenly(config.Timeout),
+		Limits: stall.Uniform(config.Timeout),
 		Conns:  conns,
 	}
 	return &Client{config: config, peers: peerrpc.NewClients(newPeerClient, client)}
--- a/services/place/place.go
+++ b/services/place/place.go
@@ -27,13 +27,13 @@
 	FirstFit struct{}
 	// Feedback avoids workers on which a service currently exceeds its target. It serves as a baseline.
 	Feedback struct{}
-	// Pairs also predicts by how much a task will slow down the services on the same VM.
-	Pairs struct{}
+	// PairPrediction also predicts by how much a task will slow down the services on the same VM.
+	PairPrediction struct{}
 )
 
-func (FirstFit) policy() {}
-func (Feedback) policy() {}
-func (Pairs) policy()    {}
+func (FirstFit) policy()       {}
+func (Feedback) policy()       {}
+func (PairPrediction) policy() {}
 
 // PolicyOf returns the policy with the given name in the settings, by default pair prediction.
 func PolicyOf(name string) Policy {
@@ -43,7 +43,7 @@
 	case "feedback":
 		return Feedback{}
 	default:
-		return Pairs{}
+		return PairPrediction{}
 	}
 }
 
@@ -59,14 +59,14 @@
 
 // Worker describes a worker to placement.
 type Worker struct {
-	VM      models.VM
-	Free    models.Resources
-	Tasks   []models.Task // that hold resources on the worker
-	Usable  bool          // the worker is live, answers, and is neither draining nor quarantined
-	Why     string        // reason for which the worker is not usable
-	OverNow bool          // a service on the worker exceeds its target
-	Held    models.TaskID // capacity on the worker is being freed for this task
-	Trying  bool          // a pair that is not known yet is being tried on the worker
+	VM                models.VM
+	Free              models.Resources
+	Tasks             []models.Task // that hold resources on the worker
+	Usable            bool          // the worker is live, answers, and is neither draining nor quarantined
+	UnusableReason    string        // reason for which the worker is not usable
+	ServiceOverTarget bool          // a service on the worker exceeds its target
+	ReservedFor       models.TaskID // capacity on the worker is being freed for this task
+	TryingUnknownPair bool          // a pair that is not known yet is being tried on the worker
 }
 
 // Request is one task to place.
@@ -84,8 +84,8 @@
 	Found  bool
 	Worker models.VMID
 	Reason string
-	// Never is set when the task exceeds the capacity of every worker of the request.
-	Never bool
+	// NeverFits is set when the task exceeds the capacity of every worker of the request.
+	NeverFits bool
 }
 
 // Choose returns the best worker: the one with the highest score among those that may hold the task, or for a batch task
@@ -113,7 +113,7 @@
 		}
 	}
 	if best == nil {
-		return Choice{Reason: rejected.String(), Never: !r.fitsEmptyWorker()}
+		return Choice{Reason: rejected.String(), NeverFits: !r.fitsEmptyWorker()}
 	}
 	return Choice{Found: true, Worker: best.VM.ID, Reason: fmt.Sprintf("best of %d workers, score %.2f", len(r.Workers), bestScore)}
 }
@@ -126,8 +126,8 @@
 func (r Request) rejectionReason(w *Worker) string {
 	switch {
 	case !w.Usable:
-		return w.Why
-	case w.Held != "" && w.Held != r.Task.ID:
+		return w.UnusableReason
+	case w.ReservedFor != "" && w.ReservedFor != r.Task.ID:
 		return "room is held for another task"
 	case !r.Task.Size.Fits(w.Free):
 		return "no room"
--- a/services/place/place_test.go
+++ b/services/place/place_test.go
@@ -43,9 +43,9 @@
 	assert.Equal(t, "the cell has no workers", Choose(request).Reason)
 	request.Workers = []Worker{{VM: vm, Free: models.Resources{CPU: 1000, Memory: 100}, Usable: true}}
 	assert.Equal(t, "no room (1 workers)", Choose(request).Reason)
-	assert.False(t, Choose(request).Never)
-	request.Workers[0].Usable, request.Workers[0].Why = false, "VM is drained"
+	assert.False(t, Choose(request).NeverFits)
+	request.Workers[0].Usable, request.Workers[0].UnusableReason = false, "VM is drained"
 	assert.Equal(t, "VM is drained (1 workers)", Choose(request).Reason)
 	request.Task.Size.CPU = 5000
-	assert.True(t, Choose(request).Never)
+	assert.True(t, Choose(request).NeverFits)
 }
--- a/services/place/score.go
+++ b/services/place/score.go
@@ -32,7 +32,7 @@
 }
 
 func (r Request) scoreFeedback(w *Worker) (float64, string) {
-	if r.Task.Kind == models.TaskBatch && w.OverNow {
+	if r.Task.Kind == models.TaskBatch && w.ServiceOverTarget {
 		return 0, "a service there is over its target"
 	}
 	if r.Task.Kind == models.TaskService {
@@ -45,7 +45,7 @@
 	if r.Task.Kind == models.TaskService {
 		return weightSpread*r.spread(w) + weightQuietNeighbours*r.neighbourQuiet(w), ""
 	}
-	if w.OverNow {
+	if w.ServiceOverTarget {
 		return 0, "a service there is over its target"
 	}
 	left, why := r.headroomLeft(w)
@@ -96,12 +96,12 @@
 		}
 		headroom, known := r.Predict.Headroom(service.Labels)
 		if !known {
-			if w.Trying {
+			if w.TryingUnknownPair {
 				return 0, "a service there has not been measured yet"
 			}
 			continue
 		}
-		if _, known := r.Predict.Slowdown(service.Labels, r.Task.Labels); !known && w.Trying {
+		if _, known := r.Predict.Slowdown(service.Labels, r.Task.Labels); !known && w.TryingUnknownPair {
 			return 0, "an unknown pair is being tried there"
 		}
 		used := r.slowdown(service.Labels, r.Task.Labels)
--- a/services/platform/fate.go
+++ b/services/platform/fate.go
@@ -9,11 +9,11 @@
 	"rillsail.example/rillsail/modules/errclass"
 )
 
-// Unknown returns an error with the text of err whose only class is ErrUnknown: a write may have taken
+// AsUnknownOutcome returns an error with the text of err whose only class is ErrUnknownOutcome: a write may have taken
 // effect or may still do so. The other classes of err are hidden, because the rejection of a later attempt says
-// nothing about an earlier attempt without an answer, and an error that is both ErrUnknown and ErrUnavailable
+// nothing about an earlier attempt without an answer, and an error that is both ErrUnknownOutcome and ErrUnavailable
 // would be handled as whichever class is checked first. It returns nil for nil.
-func Unknown(err error) error { return errclass.Only(err, ErrUnknown) }
+func AsUnknownOutcome(err error) error { return errclass.Only(err, ErrUnknownOutcome) }
 
 // Outcome is the result of a change that a caller requested: Done, NotDone or MaybeDone. The set is closed and
 // a value has exactly one of these types, so a change with an unknown outcome cannot be reported as refused.
@@ -26,8 +26,8 @@
 // its writes in flight can still store it.
 type NotDone struct {
 	Reason string
-	// Why tells the caller whether a retry can succeed.
-	Why Refusal
+	// Refusal tells the caller whether a retry can succeed.
+	Refusal Refusal
 	// RetryAfter is the time to wait before a retry; 0 means that a retry is pointless.
 	RetryAfter time.Duration
 }
@@ -45,6 +45,6 @@
 // The refusals.
 const (
 	RefusedTemporarily Refusal = iota // the change cannot be done now; a retry may succeed
-	RefusedUnfit                      // the change can never be done
-	RefusedNoJob                      // the job does not exist, and no earlier call will still store a job under this id
+	RefusedInvalid                    // the change can never be done
+	RefusedJobNotFound                // the job does not exist, and no earlier call will still store a job under this id
 )
--- a/services/platform/fate_test.go
+++ b/services/platform/fate_test.go
@@ -11,11 +11,11 @@
 )
 
 func TestUnknownHidesOtherClasses(t *testing.T) {
-	for _, class := range []error{ErrUnavailable, ErrLimited, ErrConflict, ErrNotFound, ErrNoLease, ErrUnreached} {
-		err := Unknown(errors.Wrap(errors.Mark(errors.New("answered"), class), "commit"))
-		require.True(t, errors.Is(err, ErrUnknown))
+	for _, class := range []error{ErrUnavailable, ErrRateLimited, ErrConflict, ErrNotFound, ErrNoLease, ErrUnreachable} {
+		err := AsUnknownOutcome(errors.Wrap(errors.Mark(errors.New("answered"), class), "commit"))
+		require.True(t, errors.Is(err, ErrUnknownOutcome))
 		require.False(t, errors.Is(err, class), "%v", class)
 		require.Contains(t, err.Error(), "commit: answered")
 	}
-	require.NoError(t, Unknown(nil))
+	require.NoError(t, AsUnknownOutcome(nil))
 }
--- a/services/platform/http_store.go
+++ b/services/platform/http_store.go
@@ -25,13 +25,13 @@
 
 // Paths of the store's HTTP interface.
 const (
-	PathGet    = "/v1/get"
-	PathList   = "/v1/list"
-	PathSwap   = "/v1/swap"
-	PathDelete = "/v1/delete"
-	PathWatch  = "/v1/watch"
-	PathGrant  = "/v1/lease/grant"
-	PathKeep   = "/v1/lease/keep"
+	PathGet       = "/v1/get"
+	PathList      = "/v1/list"
+	PathSwap      = "/v1/swap"
+	PathDelete    = "/v1/delete"
+	PathWatch     = "/v1/watch"
+	PathGrant     = "/v1/lease/grant"
+	PathKeepAlive = "/v1/lease/keep"
 )
 
 // StoreCall is the body of every call to the store; each path uses some of the fields.
@@ -46,13 +46,13 @@
 	Wait   models.Milli `json:"wait_ms,omitempty"`
 }
 
-// MaxValue is the size of the largest value that the store accepts, in bytes.
-const MaxValue = 1 << 20
+// MaxValueSize is the size of the largest value that the store accepts, in bytes.
+const MaxValueSize = 1 << 20
 
-// Check rejects a value larger than MaxValue and negative durations.
+// Check rejects a value larger than MaxValueSize and negative durations.
 func (c StoreCall) Check() error {
-	if len(c.Value) > MaxValue {
-		return errors.Newf("value of %s has %d bytes, at most %d are taken", c.Key, len(c.Value), MaxValue)
+	if len(c.Value) > MaxValueSize {
+		return errors.Newf("value of %s has %d bytes, at most %d are taken", c.Key, len(c.Value), MaxValueSize)
 	}
 	if c.TTL < 0 || c.Wait < 0 {
 		return errors.New("ttl_ms or wait_ms is negative")
@@ -152,7 +152,7 @@
 
 // KeepAlive implements Store.
 func (s *HTTPStore) KeepAlive(ctx context.Context, lease LeaseID) error {
-	_, err := s.do(ctx, PathKeep, StoreCall{Lease: lease}, 0)
+	_, err := s.do(ctx, PathKeepAlive, StoreCall{Lease: lease}, 0)
 	return classifyWriteError(err)
 }
 
@@ -188,7 +188,7 @@
 	if errors.As(err, &netErr) && netErr.Op == "dial" {
 		return errors.Mark(err, ErrUnavailable)
 	}
-	return errors.Mark(err, ErrUnknown)
+	return errors.Mark(err, ErrUnknownOutcome)
 }
 
 // errorOfStatus marks an HTTP status error with the error that the status stands for; nil if there is none.
@@ -203,7 +203,7 @@
 	case http.StatusConflict:
 		return errors.Mark(err, ErrConflict)
 	case http.StatusTooManyRequests:
-		return errors.Mark(err, ErrLimited)
+		return errors.Mark(err, ErrRateLimited)
 	case http.StatusGone:
 		return errors.Mark(err, ErrCompacted)
 	case http.StatusPreconditionFailed:
--- a/services/platform/http_vms.go
+++ b/services/platform/http_vms.go
@@ -29,15 +29,15 @@
 	timeout time.Duration
 }
 
-// NewHTTPList creates the adapter.
-func NewHTTPList(config HTTPConfig) *HTTPVMList {
+// NewHTTPVMList creates the adapter.
+func NewHTTPVMList(config HTTPConfig) *HTTPVMList {
 	return &HTTPVMList{url: "http://" + config.Address + PathVMs, client: httpClientFor(config), timeout: config.CallTimeout}
 }
 
 // VMs implements VMList.
 func (l *HTTPVMList) VMs(ctx context.Context) (models.VMList, error) {
 	call := wire.Call{
-		Client: l.client, Method: http.MethodGet, URL: l.url, Limit: maxListAnswer, Timeouts: stall.Evenly(l.timeout),
+		Client: l.client, Method: http.MethodGet, URL: l.url, Limit: maxListAnswer, Timeouts: stall.Uniform(l.timeout),
 	}
 	list, err := wire.Do[models.VMList](ctx, call, nil)
 	return list, errstep.Wrap(err, "read VM list", "list")
@@ -71,7 +71,7 @@
 
 func callWorker[T wire.Checker](ctx context.Context, w *HTTPWorkers, step, address, path string, body any) (T, error) {
 	answer, err := wire.Do[T](ctx, wire.Call{
-		Client: w.client, URL: "http://" + address + path, Limit: maxWorkerAnswer, Timeouts: stall.Evenly(w.timeout),
+		Client: w.client, URL: "http://" + address + path, Limit: maxWorkerAnswer, Timeouts: stall.Uniform(w.timeout),
 	}, body)
 	return answer, errstep.Wrap(err, step, address)
 }
--- a/services/platform/jobs.go
+++ b/services/platform/jobs.go
@@ -47,29 +47,29 @@
 	Revoke(ctx context.Context, lease LeaseID) error
 }
 
-// Errors of calls to job workers. Only after ErrUnknown may the worker have executed the call, or still execute it.
+// Errors of calls to job workers. Only after ErrUnknownOutcome may the worker have executed the call, or still execute it.
 var (
-	// ErrIncarnation says that the worker at the address is another incarnation than the call names.
-	ErrIncarnation = errors.New("another incarnation of the worker runs at the address")
+	// ErrIncarnationMismatch says that the worker at the address is another incarnation than the call names.
+	ErrIncarnationMismatch = errors.New("another incarnation of the worker runs at the address")
 	// ErrOverloaded says that the worker is overloaded or unhealthy and did not execute the call.
 	ErrOverloaded = errors.New("worker did not execute the call: it is overloaded or unhealthy")
-	// ErrUnreached says that no connection to the worker was established, so nothing was executed.
-	ErrUnreached = errors.New("no connection to the worker: the call was not sent")
-	// ErrNobodyListens says that the address refuses connections. Such an error is marked ErrUnreached as well.
-	ErrNobodyListens = errors.New("connection refused: no process listens at the worker's address")
+	// ErrUnreachable says that no connection to the worker was established, so nothing was executed.
+	ErrUnreachable = errors.New("no connection to the worker: the call was not sent")
+	// ErrConnectionRefused says that the address refuses connections. Such an error is marked ErrUnreachable as well.
+	ErrConnectionRefused = errors.New("connection refused: no process listens at the worker's address")
 )
 
-// IncarnationError is an ErrIncarnation that identifies the incarnation found at the address. That incarnation
+// IncarnationMismatchError is an ErrIncarnationMismatch that identifies the incarnation found at the address. That incarnation
 // did not execute the call.
-type IncarnationError struct {
-	Born models.UnixMilli // start time of the incarnation found; 0 if unknown
+type IncarnationMismatchError struct {
+	StartTime models.UnixMilli // start time of the incarnation found; 0 if unknown
 }
 
 // Error implements error.
-func (e *IncarnationError) Error() string { return ErrIncarnation.Error() }
+func (e *IncarnationMismatchError) Error() string { return ErrIncarnationMismatch.Error() }
 
-// Is implements errors.Is for ErrIncarnation.
-func (e *IncarnationError) Is(target error) bool { return target == ErrIncarnation }
+// Is implements errors.Is for ErrIncarnationMismatch.
+func (e *IncarnationMismatchError) Is(target error) bool { return target == ErrIncarnationMismatch }
 
 // RefusedError says that the worker refused the call and did not execute it.
 type RefusedError struct {
@@ -82,7 +82,7 @@
 
 // JobWorkers calls the workers that run the tasks of jobs. Each answer carries a reading of the worker's clock.
 // A call is executed only by the incarnation that it names; if another incarnation is at the address, the call
-// fails with an IncarnationError. A worker given without a start time is identified by its id alone.
+// fails with an IncarnationMismatchError. A worker given without a start time is identified by its id alone.
 type JobWorkers interface {
 	// StartRun starts a run. The call is idempotent.
 	StartRun(ctx context.Context, worker jobs.Worker, call jobs.StartCall) (models.Milli, error)
@@ -90,14 +90,14 @@
 	StopRun(ctx context.Context, worker jobs.Worker, call jobs.StopCall) (models.Milli, error)
 	// SetPace sets the pace to which a run is throttled.
 	SetPace(ctx context.Context, worker jobs.Worker, call jobs.PaceCall) (models.Milli, error)
-	// ProlongLease renews the lease of all runs on the worker and returns a report on them.
-	ProlongLease(ctx context.Context, worker jobs.Worker, call jobs.LeaseCall) (jobs.Report, error)
+	// RenewLease renews the lease of all runs on the worker and returns a report on them.
+	RenewLease(ctx context.Context, worker jobs.Worker, call jobs.LeaseCall) (jobs.Report, error)
 }
 
 // WorkerChange is an entry of the worker list that was added, updated or removed.
 type WorkerChange struct {
-	Worker jobs.Worker // only the id is set for a removed entry
-	Gone   bool
+	Worker  jobs.Worker // only the id is set for a removed entry
+	Removed bool
 }
 
 // WorkerList is the platform's list of job workers. An entry that was not written by its worker or cannot be
@@ -121,10 +121,10 @@
 	NextConfiguration(ctx context.Context, after Version) (jobs.Configuration, Version, error)
 }
 
-// Callers is the service behind the callers' interface: it accepts jobs and answers questions about them.
-type Callers interface {
-	// Configured returns the configuration in force; nil when there is none yet.
-	Configured() *jobs.Configuration
+// JobService is the service behind the callers' interface: it accepts jobs and answers questions about them.
+type JobService interface {
+	// ActiveConfiguration returns the configuration in force; nil when there is none yet.
+	ActiveConfiguration() *jobs.Configuration
 	// Submit accepts a job durably or refuses it.
 	Submit(ctx context.Context, spec jobs.Spec, queue jobs.Queue) Outcome
 	// State returns the state of a job; ErrNotFound when the job does not exist.
--- a/services/platform/platform.go
+++ b/services/platform/platform.go
@@ -28,7 +28,7 @@
 	"rillsail.example/rillsail/models"
 )
 
-// Errors of the store. A write that fails may have taken effect only if the error is ErrUnknown.
+// Errors of the store. A write that fails may have taken effect only if the error is ErrUnknownOutcome.
 var (
 	// ErrNotFound says that the key does not exist.
 	ErrNotFound = errors.New("key not found")
@@ -36,10 +36,10 @@
 	ErrConflict = errors.New("version conflict")
 	// ErrUnavailable says that the store cannot be reached; nothing changed.
 	ErrUnavailable = errors.New("store unavailable")
-	// ErrLimited says that the store rejected the call by its rate limit; nothing changed.
-	ErrLimited = errors.New("store rate limit reached")
-	// ErrUnknown says that no answer arrived; a write may have taken effect.
-	ErrUnknown = errors.New("store did not answer, the write may have taken effect")
+	// ErrRateLimited says that the store rejected the call by its rate limit; nothing changed.
+	ErrRateLimited = errors.New("store rate limit reached")
+	// ErrUnknownOutcome says that no answer arrived; a write may have taken effect.
+	ErrUnknownOutcome = errors.New("store did not answer, the write may have taken effect")
 	// ErrCompacted says that the store no longer keeps the changes that a watch asks for.
 	ErrCompacted = errors.New("changes are no longer kept")
 	// ErrTooLarge says that the answer exceeds the size that the client reads; nothing changed.
@@ -81,8 +81,8 @@
 	KeepAlive(ctx context.Context, lease LeaseID) error
 }
 
-// List is the platform's list of VMs.
-type List interface {
+// VMList is the platform's list of VMs.
+type VMList interface {
 	VMs(ctx context.Context) (models.VMList, error)
 }
 
--- a/services/standin/demo/demo.go
+++ b/services/standin/demo/demo.go
@@ -33,14 +33,14 @@
 
 // Config configures a demonstration.
 type Config struct {
-	Out     io.Writer                // receives the progress
-	Once    bool                     // end after the demonstration instead of running on
-	Next    func(io.Writer, Running) // prints what the user can try next; not called with Once
-	Routers func(*daemon.Daemon) daemon.Handlers
+	Out            io.Writer                  // receives the progress
+	Once           bool                       // end after the demonstration instead of running on
+	PrintNextSteps func(io.Writer, Endpoints) // prints what the user can try next; not called with Once
+	Routers        func(*daemon.Daemon) daemon.Handlers
 }
 
-// Running contains the addresses of one of the daemons, the operators' token, and a task of the batch job.
-type Running struct {
+// Endpoints contains the addresses of one of the daemons, the operators' token, and a task of the batch job.
+type Endpoints struct {
 	Operator string
 	Token    string
 	Caller   string
@@ -71,7 +71,7 @@
 	if c.Once {
 		return nil
 	}
-	c.Next(c.Out, running)
+	c.PrintNextSteps(c.Out, running)
 	<-ctx.Done()
 	return nil
 }
@@ -96,10 +96,10 @@
 
 func startPlatform(stop *stopper) (store, vms string, err error) {
 	f, err := fleet.New(fleet.Config{
-		Run: fmt.Sprint(os.Getpid()), Workers: 8, PerRack: 4, Worker: models.Resources{CPU: 16_000, Memory: 61_440},
+		RunName: fmt.Sprint(os.Getpid()), Workers: 8, PerRack: 4, Worker: models.Resources{CPU: 16_000, Memory: 61_440},
 		Upstreams: 4, Slots: 8, Conns: 64, Domains: []string{"south/a", "south/b"}, ListLag: time.Second,
-		ReportLag: time.Second, Guards: true,
-		Service: fleet.ServiceTimes{Median: 10 * time.Millisecond, Sigma: 0.6, Most: 500 * time.Millisecond},
+		ReportLag: time.Second, RejectOvercommit: true,
+		UpstreamServiceTimes: fleet.ServiceTimes{Median: 10 * time.Millisecond, Sigma: 0.6, Max: 500 * time.Millisecond},
 	})
 	if err != nil {
 		return "", "", err
@@ -126,8 +126,8 @@
 	return listener.Addr().String(), nil
 }
 
-func startDaemons(c Config, stop *stopper, store, vms string) (Running, error) {
-	var running Running
+func startDaemons(c Config, stop *stopper, store, vms string) (Endpoints, error) {
+	var running Endpoints
 	var ports portblock.Block
 	for i := range daemonCount {
 		settings, err := settingsFor(i, store, vms, &ports)
@@ -143,7 +143,7 @@
 			return running, err
 		}
 		stop.start(d.Run)
-		running = Running{Operator: settings.Listen.Operator, Token: operatorToken, Caller: settings.Listen.Caller}
+		running = Endpoints{Operator: settings.Listen.Operator, Token: operatorToken, Caller: settings.Listen.Caller}
 		logger.Debug("daemon runs", zap.String("operator", running.Operator))
 	}
 	return running, nil
--- a/services/standin/demo/show.go
+++ b/services/standin/demo/show.go
@@ -24,14 +24,14 @@
 )
 
 // show runs the demonstration and prints each step.
-func show(ctx context.Context, out io.Writer, r *Running) error {
+func show(ctx context.Context, out io.Writer, r *Endpoints) error {
 	ctx, cancel := context.WithTimeout(ctx, showTimeout)
 	defer cancel()
 	op := operatorClient{address: r.Operator}
 	fmt.Fprintln(out, "waiting until every cell has an owner ...")
 	if err := op.waitUntil(ctx, func() (bool, error) {
 		status, err := ask[models.Status](ctx, op, http.MethodGet, "/v1/status", nil)
-		return err == nil && len(status.Cells) > 0 && allOwned(status) && len(status.Upstream) > 0, nil
+		return err == nil && len(status.Cells) > 0 && allOwned(status) && len(status.Upstreams) > 0, nil
 	}); err != nil {
 		return errors.Wrap(err, "wait for owners")
 	}
@@ -69,7 +69,7 @@
 	}}
 }
 
-func showRequest(ctx context.Context, out io.Writer, r *Running) error {
+func showRequest(ctx context.Context, out io.Writer, r *Endpoints) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.Caller+"/quote", strings.NewReader("one car"))
 	if err != nil {
 		return errors.Wrap(err, "make request")
@@ -88,7 +88,7 @@
 	return nil
 }
 
-func showTasks(ctx context.Context, out io.Writer, op operatorClient, r *Running) error {
+func showTasks(ctx context.Context, out io.Writer, op operatorClient, r *Endpoints) error {
 	job := models.JobSpec{
 		ID: "nightly-1", Team: "fleet-office", Labels: map[string]string{"app": "report"}, Tasks: 6,
 		Size: models.Resources{CPU: 1000, Memory: 512}, Work: 2000,
--- a/services/standin/fleet/attempt.go
+++ b/services/standin/fleet/attempt.go
@@ -50,7 +50,7 @@
 	for i := len(a.samples) - 1; i >= 0; i-- {
 		if !a.samples[i].at.After(before) {
 			report.P99 = models.MilliOf(a.samples[i].p99)
-			report.Observed = a.sampleCount - uint64(len(a.samples)-1-i)
+			report.SampleNumber = a.sampleCount - uint64(len(a.samples)-1-i)
 			break
 		}
 	}
