--- a/services/standin/fleet/control.go
+++ b/services/standin/fleet/control.go
@@ -24,20 +24,20 @@
 // Action is a fault or a change of state of a VM.
 type Action string
 
-// The actions. ActionHeal undoes ActionCut, ActionStay undoes ActionLeave, and ActionSound undoes ActionFaulty.
+// The actions. ActionHeal undoes ActionCut, ActionStay undoes ActionLeave, and ActionRepair undoes ActionFaulty.
 const (
-	ActionKill    Action = "kill"    // the VM dies; the list drops it after the list's lag
-	ActionRestart Action = "restart" // workers only: the worker process starts a new incarnation
-	ActionCut     Action = "cut"     // the VM continues to run but can't be reached
-	ActionHeal    Action = "heal"
-	ActionLeave   Action = "leave" // the list shows the VM as leaving after the list's lag
-	ActionStay    Action = "stay"
-	ActionFaulty  Action = "faulty" // all tasks fail; requests fail at once
-	ActionSound   Action = "sound"
-	ActionSlow    Action = "slow"    // upstreams only: requests take Factor times as long
-	ActionHalf    Action = "half"    // upstreams only: the next Count answers are truncated
-	ActionHangUp  Action = "hang-up" // upstreams only: the next Count requests run and get no answer
-	ActionForeign Action = "foreign" // upstreams only: the next Count answers belong to another request
+	ActionKill        Action = "kill"    // the VM dies; the list drops it after the list's lag
+	ActionRestart     Action = "restart" // workers only: the worker process starts a new incarnation
+	ActionCut         Action = "cut"     // the VM continues to run but can't be reached
+	ActionHeal        Action = "heal"
+	ActionLeave       Action = "leave" // the list shows the VM as leaving after the list's lag
+	ActionStay        Action = "stay"
+	ActionFaulty      Action = "faulty" // all tasks fail; requests fail at once
+	ActionRepair      Action = "sound"
+	ActionSlow        Action = "slow"    // upstreams only: requests take Factor times as long
+	ActionTruncate    Action = "half"    // upstreams only: the next Count answers are truncated
+	ActionHangUp      Action = "hang-up" // upstreams only: the next Count requests run and get no answer
+	ActionWrongAnswer Action = "foreign" // upstreams only: the next Count answers belong to another request
 )
 
 // Control is one action on one VM.
@@ -101,7 +101,7 @@
 		f.setListed(control.VM, models.VMLeaving)
 	case ActionStay:
 		f.setListed(control.VM, models.VMLive)
-	case ActionFaulty, ActionSound:
+	case ActionFaulty, ActionRepair:
 		w.update(func() { w.faulty = control.Action == ActionFaulty })
 	default:
 		return errors.Newf("action %q is not for workers", control.Action)
@@ -122,15 +122,15 @@
 	case ActionStay:
 		u.update(func() { u.leaving = false })
 		f.setListed(control.VM, models.VMLive)
-	case ActionFaulty, ActionSound:
+	case ActionFaulty, ActionRepair:
 		u.update(func() { u.faulty = control.Action == ActionFaulty })
 	case ActionSlow:
 		u.update(func() { u.factor = max(control.Factor, 1) })
-	case ActionHalf:
+	case ActionTruncate:
 		u.update(func() { u.truncate = control.Count })
 	case ActionHangUp:
 		u.update(func() { u.hangUp = control.Count })
-	case ActionForeign:
+	case ActionWrongAnswer:
 		u.update(func() { u.wrongAnswer = control.Count })
 	default:
 		return errors.Newf("action %q is not for upstreams", control.Action)
--- a/services/standin/fleet/fleet.go
+++ b/services/standin/fleet/fleet.go
@@ -29,40 +29,40 @@
 
 // Config configures a fleet.
 type Config struct {
-	Run       string // name of this run of the fleet; part of the workers' incarnations
-	Workers   int
-	PerRack   int
-	Worker    models.Resources
-	Upstreams int
-	Slots     int
-	Conns     int
-	Domains   []string
-	ListLag   time.Duration    // delay of changes in the VM list
-	ReportLag time.Duration    // delay of latencies in worker reports
-	Guards    bool             // workers refuse starts that exceed their free capacity
-	SizeError float64          // actual sizes and run times are 1/(1+e) to 1+e times the declared ones
-	Pairs     func() PairTable // the current table; nil: no slowdowns
-	Service   ServiceTimes     // time that upstreams take for a request
-	Tick      time.Duration
-	// Unserved makes the fleet open no listeners: workers are reachable through Local only.
-	Unserved bool
+	RunName              string // name of this run of the fleet; part of the workers' incarnations
+	Workers              int
+	PerRack              int
+	Worker               models.Resources
+	Upstreams            int
+	Slots                int
+	Conns                int
+	Domains              []string
+	ListLag              time.Duration        // delay of changes in the VM list
+	ReportLag            time.Duration        // delay of latencies in worker reports
+	RejectOvercommit     bool                 // workers refuse starts that exceed their free capacity
+	SizeError            float64              // actual sizes and run times are 1/(1+e) to 1+e times the declared ones
+	Slowdowns            func() SlowdownTable // the current table; nil: no slowdowns
+	UpstreamServiceTimes ServiceTimes         // time that upstreams take for a request
+	Tick                 time.Duration
+	// NoListeners makes the fleet open no listeners: workers are reachable through Local only.
+	NoListeners bool
 }
 
-// PairTable contains how much each batch task slows down a service on the same worker. The scheduler never sees it.
-type PairTable map[Pair]float64
+// SlowdownTable contains how much each batch task slows down a service on the same worker. The scheduler never sees it.
+type SlowdownTable map[Pair]float64
 
 // Pair is a service and a batch task, each identified by its label "app".
 type Pair struct{ Service, Batch string }
 
 // Slowdown returns what one batch task adds to the service's latency, as a fraction of the latency without it.
-func (t PairTable) Slowdown(service, batch string) float64 { return t[Pair{service, batch}] }
+func (t SlowdownTable) Slowdown(service, batch string) float64 { return t[Pair{service, batch}] }
 
 // slowdowns returns the current table.
-func (f *Fleet) slowdowns() PairTable {
-	if f.config.Pairs == nil {
+func (f *Fleet) slowdowns() SlowdownTable {
+	if f.config.Slowdowns == nil {
 		return nil
 	}
-	return f.config.Pairs()
+	return f.config.Slowdowns()
 }
 
 const appLabel = "app"
@@ -147,7 +147,7 @@
 
 // open opens a listener on the loopback interface and adds the VM to the list.
 func (f *Fleet) open(vm *models.VM) (net.Listener, error) {
-	if f.config.Unserved {
+	if f.config.NoListeners {
 		vm.Address = fmt.Sprintf("127.0.0.1:%d", len(f.actualVMs)+1)
 		f.actualVMs = append(f.actualVMs, *vm)
 		return nil, nil
--- a/services/standin/fleet/local.go
+++ b/services/standin/fleet/local.go
@@ -18,10 +18,10 @@
 	Fleet *Fleet
 	// Fault is called before and after each call and may block.
 	Fault func(ctx context.Context, after bool, address string) error
-	// Repeat returns whether a call arrives twice.
-	Repeat func() bool
-	// Late returns how long after its caller has received an error a start arrives, or 0 if the start is not delayed.
-	Late func() time.Duration
+	// Duplicate returns whether a call arrives twice.
+	Duplicate func() bool
+	// StartDelay returns how long after its caller has received an error a start arrives, or 0 if the start is not delayed.
+	StartDelay func() time.Duration
 }
 
 // errUnreachable is the error of a call to a VM that is cut or down.
@@ -29,7 +29,7 @@
 
 // Start implements platform.Workers.
 func (l *Local) Start(ctx context.Context, address string, call models.StartCall) (models.StartAnswer, error) {
-	if late := l.Late(); late > 0 {
+	if late := l.StartDelay(); late > 0 {
 		time.AfterFunc(late, func() { _, _ = localCall(ctx, l, address, call, (*worker).start) })
 		return models.StartAnswer{}, errUnreachable
 	}
@@ -56,7 +56,7 @@
 		return zero, err
 	}
 	answer := perform(w, call)
-	if l.Repeat() {
+	if l.Duplicate() {
 		answer = perform(w, call)
 	}
 	return answer, l.Fault(ctx, true, address)
--- a/services/standin/fleet/upstream.go
+++ b/services/standin/fleet/upstream.go
@@ -29,13 +29,13 @@
 type ServiceTimes struct {
 	Median time.Duration
 	Sigma  float64
-	Most   time.Duration
+	Max    time.Duration
 }
 
 // Draw returns a random service time.
 func (s ServiceTimes) Draw() time.Duration {
 	d := time.Duration(float64(s.Median) * math.Exp(s.Sigma*rand.NormFloat64()))
-	return min(d, s.Most)
+	return min(d, s.Max)
 }
 
 // upstream serves as many requests at a time as it has slots; further requests wait.
@@ -140,7 +140,7 @@
 	if ms, err := strconv.Atoi(r.Header.Get(HeaderWork)); err == nil {
 		return time.Duration(ms) * time.Millisecond
 	}
-	return u.fleet.config.Service.Draw()
+	return u.fleet.config.UpstreamServiceTimes.Draw()
 }
 
 // AnswerFor returns the whole answer to a request, with which a caller can check an answer.
--- a/services/standin/fleet/worker.go
+++ b/services/standin/fleet/worker.go
@@ -37,7 +37,7 @@
 // startIncarnation starts a new incarnation, which has no state of the previous one.
 func (w *worker) startIncarnation() {
 	w.incarnations++
-	w.incarnation = models.Incarnation(fmt.Sprintf("%s-%s-%d", w.vm.ID, w.fleet.config.Run, w.incarnations))
+	w.incarnation = models.Incarnation(fmt.Sprintf("%s-%s-%d", w.vm.ID, w.fleet.config.RunName, w.incarnations))
 	w.epochs = map[models.CellID]models.Epoch{}
 	w.attempts = map[models.TaskID]*attempt{}
 	w.barred = map[models.TaskID]models.Attempt{}
@@ -64,7 +64,7 @@
 	}
 	if known := w.attempts[call.Task]; known != nil && known.call.Attempt >= call.Attempt {
 		if known.call.Attempt > call.Attempt {
-			answer.Refused = models.RefusedAttempt
+			answer.Refused = models.RefusedStaleAttempt
 		}
 		return answer // a repeated start succeeds without effect
 	}
@@ -72,9 +72,9 @@
 		answer.Refused = models.RefusedBarred
 		return answer
 	}
-	if w.fleet.config.Guards && !call.Size.Fits(w.free()) {
+	if w.fleet.config.RejectOvercommit && !call.Size.Fits(w.free()) {
 		w.barred[call.Task] = call.Attempt
-		answer.Refused = models.RefusedRoom
+		answer.Refused = models.RefusedCapacity
 		return answer
 	}
 	w.launch(call)
@@ -157,7 +157,7 @@
 		w.finish(a, models.StatusStopped, "stopped")
 	}
 	answer.Report = w.report(a)
-	if !call.Checkpoint {
+	if !call.TakeCheckpoint {
 		answer.Report.Checkpoint = ""
 	}
 	return answer
--- a/services/standin/grid/audit.go
+++ b/services/standin/grid/audit.go
@@ -74,7 +74,7 @@
 	if a.acknowledgedSuccesses[r.task] {
 		a.breach("%s runs again although its success was acknowledged", r.task)
 	}
-	if !step.Lasts && a.acknowledgedFailures[r.task] >= a.attempts[r.task.Job] {
+	if !step.LongRunning && a.acknowledgedFailures[r.task] >= a.attempts[r.task.Job] {
 		a.breach("%s runs again after %d failed runs", r.task, a.acknowledgedFailures[r.task])
 	}
 	a.checkStartsAfterCrashes(r.task)
--- a/services/standin/grid/audit_checkpoints.go
+++ b/services/standin/grid/audit_checkpoints.go
@@ -12,7 +12,7 @@
 
 // checkpointAudit records all checkpoints that runs have made and reported.
 type checkpointAudit struct {
-	checkpoints           map[jobs.Text]Saved
+	checkpoints           map[jobs.Text]CheckpointInfo
 	order                 []jobs.Text                   // in the order in which they were made
 	reportedWork          map[jobs.TaskID]time.Duration // the most work that an answered call has reported
 	startsFromCheckpoint  int                           // number of starts with a checkpoint
@@ -32,14 +32,14 @@
 }
 
 func newCheckpointAudit() checkpointAudit {
-	return checkpointAudit{checkpoints: map[jobs.Text]Saved{}, reportedWork: map[jobs.TaskID]time.Duration{}}
+	return checkpointAudit{checkpoints: map[jobs.Text]CheckpointInfo{}, reportedWork: map[jobs.TaskID]time.Duration{}}
 }
 
 // checkpointCount returns the number of checkpoints made.
 func (a *checkpointAudit) checkpointCount() int { return len(a.order) }
 
 // checkpointOf returns the checkpoint with a text, and whether it is one of the task.
-func (a *checkpointAudit) checkpointOf(task jobs.TaskID, text jobs.Text) (Saved, bool) {
+func (a *checkpointAudit) checkpointOf(task jobs.TaskID, text jobs.Text) (CheckpointInfo, bool) {
 	saved, ok := a.checkpoints[text]
 	return saved, ok && saved.Task == task
 }
@@ -52,7 +52,7 @@
 }
 
 // noteCheckpoint records a checkpoint that a run makes. Its text must be neither empty nor in use.
-func (a *audit) noteCheckpoint(text jobs.Text, saved Saved) {
+func (a *audit) noteCheckpoint(text jobs.Text, saved CheckpointInfo) {
 	if previous, ok := a.checkpoints[text]; ok || text == "" {
 		a.breach("the stand-in makes the checkpoint %q for %s and for %s", text, previous.Task, saved.Task)
 	}
--- a/services/standin/grid/checkpoints.go
+++ b/services/standin/grid/checkpoints.go
@@ -11,8 +11,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Saved describes a checkpoint.
-type Saved struct {
+// CheckpointInfo describes a checkpoint.
+type CheckpointInfo struct {
 	Task jobs.TaskID
 	Run  jobs.RunID // the run that made the checkpoint
 	// Work is the part of the task's work that is done, by all its runs together.
@@ -22,16 +22,16 @@
 }
 
 // defaultCheckpointText returns a short text that describes a checkpoint.
-func defaultCheckpointText(saved Saved) jobs.Text {
+func defaultCheckpointText(saved CheckpointInfo) jobs.Text {
 	return jobs.Text(fmt.Sprintf("%s@%d#%d", saved.Task, saved.Work.Milliseconds(), saved.Number))
 }
 
 // saveCheckpoint makes a checkpoint of a run and returns its text.
 func (g *Grid) saveCheckpoint(r *run, work time.Duration) jobs.Text {
-	saved := Saved{Task: r.task, Run: r.id, Work: work, Number: g.audit.checkpointCount() + 1}
+	saved := CheckpointInfo{Task: r.task, Run: r.id, Work: work, Number: g.audit.checkpointCount() + 1}
 	text := defaultCheckpointText
-	if g.config.Text != nil {
-		text = g.config.Text
+	if g.config.CheckpointText != nil {
+		text = g.config.CheckpointText
 	}
 	r.reportedCheckpoint = text(saved)
 	g.audit.noteCheckpoint(r.reportedCheckpoint, saved)
@@ -42,15 +42,15 @@
 // continues if it is started with a checkpoint of its own task.
 func (g *Grid) restoreCheckpoint(r *run, given jobs.Text) {
 	step := g.audit.step(r.task)
-	r.makesCheckpoints = step != nil && step.Checkpoints && g.config.Save > 0
+	r.makesCheckpoints = step != nil && step.Checkpoints && g.config.CheckpointInterval > 0
 	saved, ok := g.audit.checkpointOf(r.task, given)
 	if !r.makesCheckpoints || !ok {
 		return
 	}
 	r.remaining = max(0, r.work-saved.Work)
 	r.startWork = r.work - r.remaining
-	r.since = r.since.Add(g.config.Restore)
-	if !g.config.ShowsOwn {
+	r.since = r.since.Add(g.config.RestoreTime)
+	if !g.config.OwnCheckpointsOnly {
 		r.reportedCheckpoint = given
 	}
 }
@@ -60,9 +60,9 @@
 	if !r.makesCheckpoints {
 		return ""
 	}
-	if saves := int((r.workDone(now) - r.startWork) / g.config.Save); saves > r.intervalsSaved {
+	if saves := int((r.workDone(now) - r.startWork) / g.config.CheckpointInterval); saves > r.intervalsSaved {
 		r.intervalsSaved = saves
-		g.saveCheckpoint(r, r.startWork+time.Duration(saves)*g.config.Save)
+		g.saveCheckpoint(r, r.startWork+time.Duration(saves)*g.config.CheckpointInterval)
 	}
 	return r.reportedCheckpoint
 }
@@ -72,7 +72,7 @@
 func (g *Grid) endCheckpoint(w *incarnation, r *run, how jobs.End) jobs.Text {
 	now := time.Now()
 	switch {
-	case how == jobs.EndFailed && w.faults.WrongTexts:
+	case how == jobs.EndFailed && w.faults.WrongCheckpoints:
 		return g.audit.latestOfOthers(r.task)
 	case !r.makesCheckpoints || how == jobs.EndSucceeded:
 		return ""
@@ -95,8 +95,8 @@
 	}
 }
 
-// CheckpointsBrought returns the number of runs that began with a checkpoint.
-func (g *Grid) CheckpointsBrought() int {
+// StartsFromCheckpoint returns the number of runs that began with a checkpoint.
+func (g *Grid) StartsFromCheckpoint() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.audit.startsFromCheckpoint
@@ -113,8 +113,8 @@
 	return sum
 }
 
-// StartsBehind returns the runs that began with less work than had been reported for their task.
-func (g *Grid) StartsBehind() []StaleCheckpointStart {
+// StaleCheckpointStarts returns the runs that began with less work than had been reported for their task.
+func (g *Grid) StaleCheckpointStarts() []StaleCheckpointStart {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.audit.staleCheckpointStarts)
--- a/services/standin/grid/checkpoints_test.go
+++ b/services/standin/grid/checkpoints_test.go
@@ -32,7 +32,7 @@
 func runGridTest(t *testing.T, config Config, test func(p *gridTest)) {
 	synctest.Test(t, func(t *testing.T) {
 		config.Workers, config.Capacity = 2, models.Resources{CPU: 4000, Memory: 8000}
-		config.LongestLease, config.StopTime, config.Save = testLease, testStopTime, testCheckpointInterval
+		config.LongestLease, config.StopTime, config.CheckpointInterval = testLease, testStopTime, testCheckpointInterval
 		p := &gridTest{t, New(config)}
 		for n := range 2 {
 			p.Expect(jobs.Spec{ID: testJob(n), Payload: "payload", Steps: []jobs.Step{{
@@ -76,7 +76,7 @@
 
 // report renews the lease of the worker in a place and returns its report.
 func (p *gridTest) report(place int, acknowledged uint64) jobs.Report {
-	report, err := p.ProlongLease(p.t.Context(), p.worker(place), jobs.LeaseCall{Until: p.leaseEndAt(place), Acknowledged: acknowledged})
+	report, err := p.RenewLease(p.t.Context(), p.worker(place), jobs.LeaseCall{Until: p.leaseEndAt(place), Acknowledged: acknowledged})
 	require.NoError(p.t, err)
 	return report
 }
@@ -89,7 +89,7 @@
 }
 
 func TestRunsSaveAndGoOn(t *testing.T) {
-	runGridTest(t, Config{Restore: 500 * time.Millisecond}, func(p *gridTest) {
+	runGridTest(t, Config{RestoreTime: 500 * time.Millisecond}, func(p *gridTest) {
 		p.mustStart(0, testTask(0), 1, "")
 		require.Empty(t, p.onlyCheckpoint(0), "the run has made no checkpoint yet")
 		time.Sleep(testCheckpointInterval + time.Millisecond)
@@ -111,7 +111,7 @@
 		time.Sleep(3200 * time.Millisecond)
 		require.Equal(t, 1, p.Done(), "3.3 s of work came with the checkpoint; the other 6.7 s and 0.5 s for the restore have passed")
 		require.Empty(t, p.report(1, 0).Ended[0].Checkpoint)
-		require.Equal(t, 1, p.CheckpointsBrought())
+		require.Equal(t, 1, p.StartsFromCheckpoint())
 		require.Zero(t, p.WorkLost())
 		require.Empty(t, p.Breaches())
 	})
@@ -146,7 +146,7 @@
 }
 
 func TestOwnCheckpointsOnly(t *testing.T) {
-	runGridTest(t, Config{ShowsOwn: true}, func(p *gridTest) {
+	runGridTest(t, Config{OwnCheckpointsOnly: true}, func(p *gridTest) {
 		p.mustStart(0, testTask(0), 1, "")
 		time.Sleep(testCheckpointInterval)
 		given := p.onlyCheckpoint(0)
@@ -159,7 +159,7 @@
 
 func TestNothingIsSavedByDefault(t *testing.T) {
 	runGridTest(t, Config{}, func(p *gridTest) {
-		p.config.Save = 0
+		p.config.CheckpointInterval = 0
 		p.mustStart(0, testTask(0), 1, "")
 		time.Sleep(2 * testCheckpointInterval)
 		require.Empty(t, p.onlyCheckpoint(0))
@@ -170,7 +170,7 @@
 
 func TestWorkerThatFailsAll(t *testing.T) {
 	runGridTest(t, Config{}, func(p *gridTest) {
-		p.SetFaults(0, Faults{FailsAll: true})
+		p.SetFaults(0, Faults{FailRuns: true})
 		for run := range 8 {
 			p.mustStart(0, testTask(run%4), jobs.RunID(run+1), "")
 			time.Sleep(maxFailDelay + 2*minFailDelay)
@@ -188,7 +188,7 @@
 		p.mustStart(0, testTask(0), 1, "")
 		time.Sleep(testCheckpointInterval)
 		saved := p.onlyCheckpoint(0)
-		p.SetFaults(1, Faults{FailsAll: true, WrongTexts: true})
+		p.SetFaults(1, Faults{FailRuns: true, WrongCheckpoints: true})
 		p.mustStart(1, testTask(1), 1, "")
 		time.Sleep(maxFailDelay + 2*minFailDelay)
 		ended := p.report(1, 0).Ended
@@ -236,7 +236,7 @@
 
 func TestCallsAreDoneAgain(t *testing.T) {
 	runGridTest(t, Config{}, func(p *gridTest) {
-		p.SetFaults(0, Faults{Again: 2 * time.Second})
+		p.SetFaults(0, Faults{RepeatAfter: 2 * time.Second})
 		p.mustStart(0, testTask(0), 1, "")
 		p.SetFaults(0, Faults{})
 		p.stop(0, testTask(0), 1)
--- a/services/standin/grid/faults.go
+++ b/services/standin/grid/faults.go
@@ -19,20 +19,20 @@
 type Faults struct {
 	// Cut: calls have no effect and get no answer.
 	Cut bool
-	// Late: calls get no answer and take effect after this delay.
-	Late time.Duration
+	// LateOrders: calls get no answer and take effect after this delay.
+	LateOrders time.Duration
 	// LoseAnswers: calls take effect and get no answer.
 	LoseAnswers bool
 	// LateAnswers: calls take effect at once and their answers are delayed by up to this time. The delay
 	// differs from call to call, so that answers overtake each other.
 	LateAnswers time.Duration
-	// Again: calls take effect and are answered, and take effect a second time after this delay, possibly
+	// RepeatAfter: calls take effect and are answered, and take effect a second time after this delay, possibly
 	// after newer calls.
-	Again time.Duration
-	// FailsAll: each run that is started fails soon, some at once. Reports are unaffected.
-	FailsAll bool
-	// WrongTexts: failed runs report the latest checkpoint of another task with their end.
-	WrongTexts bool
+	RepeatAfter time.Duration
+	// FailRuns: each run that is started fails soon, some at once. Reports are unaffected.
+	FailRuns bool
+	// WrongCheckpoints: failed runs report the latest checkpoint of another task with their end.
+	WrongCheckpoints bool
 	// Stalled: runs make no progress. Reports are unaffected.
 	Stalled bool
 }
@@ -96,8 +96,8 @@
 	return ended, g.incarnationAt(place)
 }
 
-// CrashBehind does the same as Crash, and the next incarnation keeps the worker's faults.
-func (g *Grid) CrashBehind(place int) {
+// CrashKeepingFaults does the same as Crash, and the next incarnation keeps the worker's faults.
+func (g *Grid) CrashKeepingFaults(place int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	ended, next := g.restart(place)
@@ -112,9 +112,9 @@
 	ended.crashedSilently = true
 }
 
-// CrashFor ends the worker in a place with all its runs. Its address refuses connections for Config.Down, and
+// CrashWithDowntime ends the worker in a place with all its runs. Its address refuses connections for Config.RestartDelay, and
 // its list entry outlives it.
-func (g *Grid) CrashFor(place int) {
+func (g *Grid) CrashWithDowntime(place int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if w := g.incarnationAt(place); w.up {
@@ -147,10 +147,10 @@
 // the users' platform.
 const staleEntryLifetime = 4400 * time.Millisecond
 
-// takeDown ends a worker and starts the next incarnation after Config.Down.
+// takeDown ends a worker and starts the next incarnation after Config.RestartDelay.
 func (g *Grid) takeDown(w *incarnation) {
 	g.endIncarnation(w)
-	time.AfterFunc(g.config.Down, func() {
+	time.AfterFunc(g.config.RestartDelay, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if g.incarnationAt(w.place) == w {
@@ -195,17 +195,17 @@
 	return false
 }
 
-// maxFailDelay bounds how much later than minFailDelay a run fails on a worker with FailsAll.
+// maxFailDelay bounds how much later than minFailDelay a run fails on a worker with FailRuns.
 const maxFailDelay = 400 * time.Millisecond
 
 // minFailDelay is the least time until such a failure: with Go 1.26, a timer of duration 0 ends the process of a
 // test that runs in a synctest bubble with the race detector.
 const minFailDelay = time.Millisecond
 
-// scheduleFailure schedules the failure of a run whose worker has FailsAll; about every other run fails after the
+// scheduleFailure schedules the failure of a run whose worker has FailRuns; about every other run fails after the
 // least delay.
 func (g *Grid) scheduleFailure(w *incarnation, r *run) {
-	if !w.faults.FailsAll {
+	if !w.faults.FailRuns {
 		return
 	}
 	after := minFailDelay
@@ -225,9 +225,9 @@
 // refused while the place is down, otherwise the call reaches another incarnation.
 func (g *Grid) absenceError(w *incarnation) error {
 	if w != nil && g.incarnationAt(w.place) == w {
-		return errors.Mark(errors.Mark(errors.New("connection is refused"), platform.ErrUnreached), platform.ErrNobodyListens)
+		return errors.Mark(errors.Mark(errors.New("connection is refused"), platform.ErrUnreachable), platform.ErrConnectionRefused)
 	}
-	return platform.ErrIncarnation
+	return platform.ErrIncarnationMismatch
 }
 
 // callWorker finds the worker that a call is addressed to and applies its faults, which decide whether perform is
@@ -241,26 +241,26 @@
 	}
 	if worker.Incarnation().Differs(w.info.Incarnation()) {
 		defer g.mu.Unlock()
-		return answer{}, &platform.IncarnationError{Born: w.info.Born}
+		return answer{}, &platform.IncarnationMismatchError{StartTime: w.info.Born}
 	}
 	faults := w.faults
-	g.performLater(w, faults.Late, perform, deliverToSuccessor)
-	if faults.Cut || faults.Late > 0 {
+	g.performLater(w, faults.LateOrders, perform, deliverToSuccessor)
+	if faults.Cut || faults.LateOrders > 0 {
 		g.mu.Unlock()
 		<-ctx.Done()
-		return answer{}, platform.ErrUnknown
+		return answer{}, platform.ErrUnknownOutcome
 	}
-	g.performLater(w, faults.Again, perform, dropWithIncarnation)
+	g.performLater(w, faults.RepeatAfter, perform, dropWithIncarnation)
 	var a answer
 	err := perform(w, &a)
 	late := g.answerDelay(faults)
 	g.mu.Unlock()
 	if faults.LoseAnswers {
 		<-ctx.Done()
-		return answer{}, platform.ErrUnknown
+		return answer{}, platform.ErrUnknownOutcome
 	}
 	if !sleep(ctx, late) {
-		return answer{}, platform.ErrUnknown
+		return answer{}, platform.ErrUnknownOutcome
 	}
 	return a, err
 }
--- a/services/standin/grid/grid.go
+++ b/services/standin/grid/grid.go
@@ -10,7 +10,7 @@
 //
 //	g := grid.New(grid.Config{Workers: 8, PerRack: 4, Capacity: capacity, LongestLease: 6 * time.Second})
 //	g.Expect(spec, 3)             // tells the audit that the job was accepted
-//	report, err := g.ProlongLease(ctx, worker, call)
+//	report, err := g.RenewLease(ctx, worker, call)
 //	breaches := g.Breaches()
 package grid
 
@@ -33,8 +33,8 @@
 	Capacity     models.Resources
 	LongestLease time.Duration
 	StopTime     time.Duration
-	// Slow is the fraction by which the workers' clocks run slow, for instance 0.02.
-	Slow float64
+	// ClockDrift is the fraction by which the workers' clocks run slow, for instance 0.02.
+	ClockDrift float64
 	// Work returns how long a run works at full pace and how it ends. By default, a run works for the
 	// step's estimate and succeeds.
 	Work func(task jobs.TaskID, run jobs.RunID) (time.Duration, jobs.End)
@@ -43,24 +43,24 @@
 	// Crash returns whether a run crashes its worker, and how long after its start. With an after of 0,
 	// the worker crashes before it answers the start. If nil, no run crashes its worker.
 	Crash func(task jobs.TaskID, run jobs.RunID) (after time.Duration, crashes bool)
-	// Down is the time from a worker's crash until another incarnation listens at its address.
-	Down time.Duration
+	// RestartDelay is the time from a worker's crash until another incarnation listens at its address.
+	RestartDelay time.Duration
 	// Naming determines how the incarnations in one place are told apart.
 	Naming Naming
-	// ForgetsAhead lets an acknowledgement also cover ends that the worker has not recorded yet. Otherwise,
+	// AckFutureEnds lets an acknowledgement also cover ends that the worker has not recorded yet. Otherwise,
 	// an acknowledgement removes only ends that the worker has already recorded.
-	ForgetsAhead bool
-	// Save is the work between two checkpoints of a run whose step has checkpoints. With 0, runs
+	AckFutureEnds bool
+	// CheckpointInterval is the work between two checkpoints of a run whose step has checkpoints. With 0, runs
 	// make no checkpoints at all, not even when they are stopped.
-	Save time.Duration
-	// Restore is how long a run that starts from a checkpoint takes before it continues the work.
-	Restore time.Duration
-	// ShowsOwn makes a run report only checkpoints that it has made itself. Otherwise, it reports the
+	CheckpointInterval time.Duration
+	// RestoreTime is how long a run that starts from a checkpoint takes before it continues the work.
+	RestoreTime time.Duration
+	// OwnCheckpointsOnly makes a run report only checkpoints that it has made itself. Otherwise, it reports the
 	// checkpoint that it started from until it makes its first one.
-	ShowsOwn bool
-	// Text returns the text of a checkpoint, a different one for each call. If nil, the text is a short
+	OwnCheckpointsOnly bool
+	// CheckpointText returns the text of a checkpoint, a different one for each call. If nil, the text is a short
 	// description of the checkpoint.
-	Text func(saved Saved) jobs.Text
+	CheckpointText func(saved CheckpointInfo) jobs.Text
 }
 
 // Naming is the way in which workers identify their incarnations.
@@ -72,8 +72,8 @@
 	NewIDs Naming = iota
 	// SameID gives all incarnations in a place the same id; they report their start time.
 	SameID
-	// NewIDsAndBorn gives each incarnation an id of its own; incarnations report their start time.
-	NewIDsAndBorn
+	// NewIDsAndStartTime gives each incarnation an id of its own; incarnations report their start time.
+	NewIDsAndStartTime
 )
 
 // Grid simulates the workers. A place is an index from 0 to Config.Workers - 1 with an address of its own, at
@@ -113,7 +113,7 @@
 	barred          map[jobs.TaskID]jobs.RunID
 	ends            []jobs.Ended
 	lastEndNumber   uint64
-	ackedUpTo       uint64 // with ForgetsAhead: later ends up to this number are dropped as acknowledged
+	ackedUpTo       uint64 // with AckFutureEnds: later ends up to this number are dropped as acknowledged
 	leaseTimer      *time.Timer
 	leaseEnd        time.Time
 	changed         chan struct{} // closed and replaced with each end
@@ -189,12 +189,12 @@
 
 // clock returns what the worker's own clock shows at a time.
 func (g *Grid) clock(w *incarnation, now time.Time) models.Milli {
-	return models.MilliOf(time.Duration(float64(now.Sub(w.startedAt)) * (1 - g.config.Slow)))
+	return models.MilliOf(time.Duration(float64(now.Sub(w.startedAt)) * (1 - g.config.ClockDrift)))
 }
 
 // timeOf returns the time at which the worker's clock shows a value.
 func (g *Grid) timeOf(w *incarnation, clock models.Milli) time.Time {
-	return w.startedAt.Add(time.Duration(float64(clock.Duration()) / (1 - g.config.Slow)))
+	return w.startedAt.Add(time.Duration(float64(clock.Duration()) / (1 - g.config.ClockDrift)))
 }
 
 // Expect tells the audit that a job was accepted.
--- a/services/standin/grid/lease.go
+++ b/services/standin/grid/lease.go
@@ -36,8 +36,8 @@
 	})
 }
 
-// ProlongLease implements platform.JobWorkers.
-func (g *Grid) ProlongLease(ctx context.Context, worker jobs.Worker, call jobs.LeaseCall) (jobs.Report, error) {
+// RenewLease implements platform.JobWorkers.
+func (g *Grid) RenewLease(ctx context.Context, worker jobs.Worker, call jobs.LeaseCall) (jobs.Report, error) {
 	deadline := time.Now().Add(call.Wait)
 	applied := false // the call has taken effect, and only its answer waits for an end
 	for {
@@ -71,7 +71,7 @@
 			<-ctx.Done()
 		}
 		if ctx.Err() != nil || !g.isUp(answer.worker) {
-			return jobs.Report{}, platform.ErrUnknown // the connection breaks when the worker ends
+			return jobs.Report{}, platform.ErrUnknownOutcome // the connection breaks when the worker ends
 		}
 	}
 }
@@ -92,7 +92,7 @@
 
 // acknowledge drops the ends up to a number.
 func (g *Grid) acknowledge(w *incarnation, number uint64) {
-	if g.config.ForgetsAhead {
+	if g.config.AckFutureEnds {
 		w.ackedUpTo = max(w.ackedUpTo, number)
 	}
 	for len(w.ends) > 0 && w.ends[0].Number <= max(number, w.ackedUpTo) {
--- a/services/standin/grid/list.go
+++ b/services/standin/grid/list.go
@@ -52,7 +52,7 @@
 	var changes []platform.WorkerChange
 	for _, id := range g.changes[after:] {
 		worker, listed := g.listed(id)
-		changes = append(changes, platform.WorkerChange{Worker: worker, Gone: !listed})
+		changes = append(changes, platform.WorkerChange{Worker: worker, Removed: !listed})
 	}
 	return changes, platform.Version(len(g.changes)), nil
 }
--- a/services/standin/grid/orders.go
+++ b/services/standin/grid/orders.go
@@ -54,7 +54,7 @@
 		return nil
 	}
 	if w.barred[call.Task] >= call.Run || w.runs[call.Task] != nil {
-		return &platform.RefusedError{Reason: jobs.RefusedRun}
+		return &platform.RefusedError{Reason: jobs.RefusedStaleRun}
 	}
 	g.extendLease(w, call.Until)
 	size, work, how := g.runParameters(call)
@@ -63,7 +63,7 @@
 	w.runs[call.Task] = r
 	g.audit.runStarted(w, r, call)
 	if g.scheduleCrash(w, r) {
-		return platform.ErrUnknown
+		return platform.ErrUnknownOutcome
 	}
 	g.scheduleFailure(w, r)
 	g.scheduleEnd(w, r)
@@ -106,7 +106,7 @@
 		}
 		r, ok := w.runs[call.Task]
 		if !ok || r.id != call.Run {
-			return &platform.RefusedError{Reason: jobs.RefusedRun}
+			return &platform.RefusedError{Reason: jobs.RefusedStaleRun}
 		}
 		r.updateRemaining(now)
 		r.pace = call.Pace
--- a/services/standin/grid/room.go
+++ b/services/standin/grid/room.go
@@ -19,9 +19,9 @@
 	at       time.Time
 }
 
-// SetRoom sets the capacity of the worker in a place to a part of the configured one. Runs that exceed the
+// SetCapacity sets the capacity of the worker in a place to a part of the configured one. Runs that exceed the
 // new capacity continue.
-func (g *Grid) SetRoom(place int, part float64) {
+func (g *Grid) SetCapacity(place int, part float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	w := g.incarnationAt(place)
--- a/services/standin/grid/run.go
+++ b/services/standin/grid/run.go
@@ -43,11 +43,11 @@
 	if g.config.Work != nil {
 		work, how = g.config.Work(call.Task, call.Run)
 	}
-	if step.Lasts {
+	if step.LongRunning {
 		work = longRunningWork
 	}
 	size := step.Size
-	if step.Fills {
+	if step.Filler {
 		size.CPU = 0
 	}
 	return size, work, how
--- a/services/standin/grid/seen.go
+++ b/services/standin/grid/seen.go
@@ -76,9 +76,9 @@
 	return worst
 }
 
-// Harmed returns the serving tasks whose tail latency is above the target now and would not be without the
+// HarmedServices returns the serving tasks whose tail latency is above the target now and would not be without the
 // filler tasks on their workers.
-func (g *Grid) Harmed() []jobs.TaskID {
+func (g *Grid) HarmedServices() []jobs.TaskID {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var harmed []jobs.TaskID
@@ -97,14 +97,14 @@
 	return harmed
 }
 
-// FillingUse returns the processor time that filler tasks use now.
-func (g *Grid) FillingUse() models.MilliCPU {
+// FillerCPU returns the processor time that filler tasks use now.
+func (g *Grid) FillerCPU() models.MilliCPU {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var use models.MilliCPU
 	for _, w := range g.workers {
 		for _, r := range w.runs {
-			if step := g.audit.step(r.task); step != nil && step.Fills && !r.stopping {
+			if step := g.audit.step(r.task); step != nil && step.Filler && !r.stopping {
 				use += step.Size.CPU * models.MilliCPU(r.pace) / models.MilliCPU(jobs.FullSpeed)
 			}
 		}
--- a/services/standin/kv/handler.go
+++ b/services/standin/kv/handler.go
@@ -23,14 +23,14 @@
 )
 
 // maxCallSize bounds the body of a call: a value in base64 and space for the other fields.
-const maxCallSize = 2 * platform.MaxValue
+const maxCallSize = 2 * platform.MaxValueSize
 
 // Handler returns the handler for the store's interface and the control paths.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	for path, write := range map[string]bool{
 		platform.PathGet: false, platform.PathList: false, platform.PathWatch: false,
-		platform.PathSwap: true, platform.PathDelete: true, platform.PathGrant: true, platform.PathKeep: true,
+		platform.PathSwap: true, platform.PathDelete: true, platform.PathGrant: true, platform.PathKeepAlive: true,
 	} {
 		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, path, write) })
 	}
--- a/services/standin/kv/kv.go
+++ b/services/standin/kv/kv.go
@@ -275,8 +275,8 @@
 	return nil
 }
 
-// Forget drops the history: watches from earlier revisions fail with ErrCompacted.
-func (s *Service) Forget() {
+// Compact drops the history: watches from earlier revisions fail with ErrCompacted.
+func (s *Service) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compactedTo = s.revision
--- a/services/standin/kv/local.go
+++ b/services/standin/kv/local.go
@@ -15,9 +15,9 @@
 
 // Local implements platform.TxnStore by direct calls to a Service, for tests that run many daemons in one process.
 type Local struct {
-	Service *Service
-	Fault   Fault
-	Wait    time.Duration // how long a watch waits for changes
+	Service   *Service
+	Fault     Fault
+	WatchWait time.Duration // how long a watch waits for changes
 }
 
 // Fault is called before and after each call. An error before the call prevents its effect, an error after the call
@@ -93,7 +93,7 @@
 // Watch implements platform.Store.
 func (l *Local) Watch(ctx context.Context, prefix string, after platform.Version) ([]platform.Record, platform.Version, error) {
 	answer, err := l.callWithFaults(ctx, false, prefix, func() (platform.StoreAnswer, error) {
-		return l.Service.watch(ctx, prefix, after, l.Wait)
+		return l.Service.watch(ctx, prefix, after, l.WatchWait)
 	})
 	return answer.Records, answer.Version, err
 }
@@ -122,8 +122,8 @@
 // NoFault is a Fault that never fails.
 func NoFault(context.Context, bool, bool, string) error { return nil }
 
-// KeysWith returns the keys with a prefix, in no particular order, for checks of what remains stored.
-func (s *Service) KeysWith(prefix string) []string {
+// KeysWithPrefix returns the keys with a prefix, in no particular order, for checks of what remains stored.
+func (s *Service) KeysWithPrefix(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var keys []string
--- a/services/standin/link/link.go
+++ b/services/standin/link/link.go
@@ -85,8 +85,8 @@
 	return l.down.carried
 }
 
-// Press generates other traffic to the VM at a rate in bytes per second, until the context ends.
-func (l *Link) Press(ctx context.Context, rate int) {
+// AddTraffic generates other traffic to the VM at a rate in bytes per second, until the context ends.
+func (l *Link) AddTraffic(ctx context.Context, rate int) {
 	for ctx.Err() == nil {
 		began := time.Now()
 		l.down.carry(burstSize)
@@ -101,8 +101,8 @@
 	l.down.silent = silent
 }
 
-// SilenceOpen makes the existing connections lose all data for good, without a reset. Later connections work.
-func (l *Link) SilenceOpen() { l.silencedUpTo.Store(l.dialed.Load()) }
+// SilenceOpenConns makes the existing connections lose all data for good, without a reset. Later connections work.
+func (l *Link) SilenceOpenConns() { l.silencedUpTo.Store(l.dialed.Load()) }
 
 // Dial connects the VM to a listener; its signature is that of http.Transport.DialContext.
 func (l *Link) Dial(ctx context.Context, _, address string) (net.Conn, error) {
--- a/services/standin/load/load.go
+++ b/services/standin/load/load.go
@@ -41,12 +41,12 @@
 
 // Config configures a run.
 type Config struct {
-	Targets []string // addresses of the daemons' listeners for callers; each gets the same share
-	Rate    float64  // requests per second
-	For     time.Duration
-	Mix     []Kind
-	Seed    uint64
-	Run     string // prefix of the requests' ids
+	Targets  []string // addresses of the daemons' listeners for callers; each gets the same share
+	Rate     float64  // requests per second
+	Duration time.Duration
+	Mix      []Kind
+	Seed     uint64
+	IDPrefix string // prefix of the requests' ids
 	// Retries is how often a refused request is sent again at once, to simulate a retry storm.
 	Retries int
 }
@@ -90,7 +90,7 @@
 	start := time.Now()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for at := time.Duration(0); at < r.config.For; at += r.nextGap(random) {
+	for at := time.Duration(0); at < r.config.Duration; at += r.nextGap(random) {
 		timer.Reset(time.Until(start.Add(at)))
 		select {
 		case <-ctx.Done():
@@ -100,7 +100,7 @@
 		kind := r.draw(random)
 		target := r.target(random)
 		r.started++
-		id := fmt.Sprintf("%s-%d", r.config.Run, r.started)
+		id := fmt.Sprintf("%s-%d", r.config.IDPrefix, r.started)
 		group.Go(func() { r.run(ctx, kind, target, id, start.Add(at)) })
 	}
 }
--- a/tests/integration/cluster_test.go
+++ b/tests/integration/cluster_test.go
@@ -129,7 +129,7 @@
 	for _, d := range c.daemons {
 		eventually(c.t, "every cell has its owner, as "+d.id+" sees it", func() bool {
 			s, err := statusOf(d)
-			if err != nil || len(s.Cells) == 0 || len(s.Upstream) == 0 || len(s.Members) < len(c.daemons) {
+			if err != nil || len(s.Cells) == 0 || len(s.Upstreams) == 0 || len(s.Members) < len(c.daemons) {
 				return false
 			}
 			for _, cell := range s.Cells {
--- a/tests/integration/jobs_test.go
+++ b/tests/integration/jobs_test.go
@@ -116,7 +116,7 @@
 }
 
 func siteJob(n int, lasts bool) jobs.Spec {
-	step := jobs.Step{Count: 3, Size: models.Resources{CPU: 500, Memory: 100}, Estimate: 300, Lasts: lasts}
+	step := jobs.Step{Count: 3, Size: models.Resources{CPU: 500, Memory: 100}, Estimate: 300, LongRunning: lasts}
 	spec := jobs.Spec{ID: jobs.ID(fmt.Sprintf("%016x", n)), Queue: "quotes", Payload: jobs.Text(fmt.Sprint("payload ", n)), Steps: []jobs.Step{step}}
 	if !lasts {
 		second := step
--- a/tests/integration/operator_test.go
+++ b/tests/integration/operator_test.go
@@ -90,7 +90,7 @@
 	}()
 	eventually(c.t, "job "+string(id)+" ends", func() bool {
 		job = c.job(d, id)
-		return job.Ended != 0
+		return job.EndedAt != 0
 	})
 	return job
 }
--- a/tests/integration/refusals_test.go
+++ b/tests/integration/refusals_test.go
@@ -49,11 +49,11 @@
 func (r storeReply) err(after bool) error {
 	switch {
 	case r == replyLost && after:
-		return platform.ErrUnknown
+		return platform.ErrUnknownOutcome
 	case r == replyUnavailable && !after:
 		return platform.ErrUnavailable
 	case r == replyLimited && !after:
-		return platform.ErrLimited
+		return platform.ErrRateLimited
 	}
 	return nil
 }
--- a/tests/integration/request_faults_test.go
+++ b/tests/integration/request_faults_test.go
@@ -63,13 +63,13 @@
 func TestAnswersAreOwnAndWhole(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 2, fleetFlags: []string{"--workers", "2", "--upstreams", "4"}})
 	c.apply(c.daemons[0], testClass, testMatch, testContract)
-	for i, action := range []fleet.Action{fleet.ActionHalf, fleet.ActionForeign, fleet.ActionHangUp} {
+	for i, action := range []fleet.Action{fleet.ActionTruncate, fleet.ActionWrongAnswer, fleet.ActionHangUp} {
 		c.controlWith(fleet.Control{VM: models.VMID(fmt.Sprint("upstream-", i)), Action: action, Count: 15})
 	}
 	// Answers of this size are streamed instead of buffered: a truncated answer ends the connection.
 	large := load.Kind{Name: "large", Weight: 10, Labels: "app=quote", Deadline: 5 * time.Second, Bytes: 400_000}
 	report, err := load.Run(context.Background(), load.Config{
-		Targets: c.callerAddresses(), Rate: 200, For: 3 * time.Second, Mix: append(testMix(), large), Seed: 1, Run: "whole",
+		Targets: c.callerAddresses(), Rate: 200, Duration: 3 * time.Second, Mix: append(testMix(), large), Seed: 1, IDPrefix: "whole",
 	})
 	require.NoError(t, err)
 	for name, k := range report.Kinds {
@@ -234,7 +234,7 @@
 	done := make(chan load.Report, 1)
 	go func() {
 		report, err := load.Run(context.Background(), load.Config{
-			Targets: []string{stopping.caller}, Rate: 50, For: 3 * time.Second, Mix: mix, Seed: 2, Run: "stop",
+			Targets: []string{stopping.caller}, Rate: 50, Duration: 3 * time.Second, Mix: mix, Seed: 2, IDPrefix: "stop",
 		})
 		assert.NoError(t, err)
 		done <- report
--- a/tests/soak/check.go
+++ b/tests/soak/check.go
@@ -85,7 +85,7 @@
 		return // checkGuarantees checks these jobs
 	case j.cancelSent:
 		return // it is unknown whether the cancellation took effect
-	case j.spec.Steps[0].Lasts && !r.site.config.hasCrashingTask(j.spec.ID):
+	case j.spec.Steps[0].LongRunning && !r.site.config.hasCrashingTask(j.spec.ID):
 		r.waitFor(ctx, j, "all its tasks run", func() bool { return workers.Running(j.spec.ID) == j.spec.Steps[0].Count })
 	default:
 		r.waitFor(ctx, j, "all daemons show the end that the workers saw", func() bool { return r.endConfirmed(ctx, j) })
--- a/tests/soak/inject.go
+++ b/tests/soak/inject.go
@@ -181,7 +181,7 @@
 	case CutWorker:
 		g.ChangeFaults(place, func(f *grid.Faults) { f.Cut = true })
 	case DelayWorkerOrders:
-		g.ChangeFaults(place, func(f *grid.Faults) { f.Late = fault.For })
+		g.ChangeFaults(place, func(f *grid.Faults) { f.LateOrders = fault.For })
 	case LoseWorkerAnswers:
 		g.ChangeFaults(place, func(f *grid.Faults) { f.LoseAnswers = true })
 	case HideWorker:
@@ -195,7 +195,7 @@
 	if fault.Kind == CrashWorker || fault.Kind == DrainWorker {
 		g.Crash(place)
 	}
-	g.ChangeFaults(place, func(f *grid.Faults) { f.Cut, f.Late, f.LoseAnswers = false, 0, false })
+	g.ChangeFaults(place, func(f *grid.Faults) { f.Cut, f.LateOrders, f.LoseAnswers = false, 0, false })
 	g.SetListed(place, true)
 	g.StopDraining(place)
 }
--- a/tests/soak/jobs.go
+++ b/tests/soak/jobs.go
@@ -101,7 +101,7 @@
 // longRunningSteps returns one step of serving tasks.
 func longRunningSteps(random *rand.Rand, step jobs.Step) []jobs.Step {
 	step.Size.CPU /= longRunningDivisor
-	step.Lasts, step.Target = true, servingTarget
+	step.LongRunning, step.Target = true, servingTarget
 	step.Count = 1 + random.IntN(3)
 	step.Image = jobs.ImageName(fmt.Sprint("serving-", random.IntN(servingImages)))
 	return []jobs.Step{step}
@@ -109,7 +109,7 @@
 
 // fillerSteps returns two identical steps of filler tasks; the second depends on the first.
 func fillerSteps(random *rand.Rand, step jobs.Step) []jobs.Step {
-	step.Fills = true
+	step.Filler = true
 	step.Image = jobs.ImageName(fmt.Sprint("filling-", random.IntN(fillerImages)))
 	step.Count = 1 + random.IntN(6)
 	step.Checkpoints = random.IntN(2) == 0
--- a/tests/soak/report.go
+++ b/tests/soak/report.go
@@ -50,7 +50,7 @@
 	r.report.LateRefusals = r.record.lateRefusals
 	r.report.NotFoundCancels, r.report.LostAnswers = r.record.notFoundCancels, r.site.storeFaults.accepted.lostAnswers
 	workers := r.site.emulator.Grid
-	r.report.StartsWithCheckpoint, r.report.StartsBehind, r.report.WorkRedone = workers.CheckpointsBrought(), len(workers.StartsBehind()), workers.WorkLost()
+	r.report.StartsWithCheckpoint, r.report.StartsBehind, r.report.WorkRedone = workers.StartsFromCheckpoint(), len(workers.StaleCheckpointStarts()), workers.WorkLost()
 	r.report.Duration = time.Since(r.begin)
 	r.report.Breaches = r.record.breaches
 }
--- a/tests/soak/restart.go
+++ b/tests/soak/restart.go
@@ -27,7 +27,7 @@
 )
 
 // gridNamings maps namings to the stand-in's values.
-var gridNamings = map[Naming]grid.Naming{"": grid.NewIDs, NewIDs: grid.NewIDs, SameID: grid.SameID, NewIDsWithStartTime: grid.NewIDsAndBorn}
+var gridNamings = map[Naming]grid.Naming{"": grid.NewIDs, NewIDs: grid.NewIDs, SameID: grid.SameID, NewIDsWithStartTime: grid.NewIDsAndStartTime}
 
 // check rejects an unknown naming; the empty naming means NewIDs.
 func (n Naming) check() error {
@@ -68,7 +68,7 @@
 	g.ChangeFaults(place, func(f *grid.Faults) { setRestartFault(f, late, fault.For) })
 	for range fault.Every {
 		sleep(ctx, fault.For/time.Duration(fault.Every))
-		g.CrashBehind(place)
+		g.CrashKeepingFaults(place)
 	}
 	g.ChangeFaults(place, func(f *grid.Faults) { setRestartFault(f, late, 0) })
 }
@@ -76,7 +76,7 @@
 // setRestartFault sets the fault during which a worker restarts; a duration of 0 clears the fault.
 func setRestartFault(f *grid.Faults, late bool, duration time.Duration) {
 	if late {
-		f.Late = duration
+		f.LateOrders = duration
 		return
 	}
 	f.Cut = duration > 0
@@ -85,6 +85,6 @@
 // restartWorkers restarts all workers at once.
 func (r *run) restartWorkers() {
 	for place := range r.config.Workers {
-		r.site.emulator.Grid.CrashBehind(place)
+		r.site.emulator.Grid.CrashKeepingFaults(place)
 	}
 }
--- a/tests/soak/site.go
+++ b/tests/soak/site.go
@@ -73,8 +73,8 @@
 	s.emulator, err = emulator.New(emulator.Config{
 		Grid: grid.Config{
 			Workers: config.Workers, PerRack: perRack, Pool: workerPool, Capacity: models.Resources{CPU: workerCPU, Memory: workerMemory},
-			LongestLease: maxWorkerLease, StopTime: stopTime, Slow: clockSlowdown, Work: taskOutcome,
-			Crash: config.crashDelay, Down: workerDowntime, Naming: gridNamings[config.Naming], Save: checkpointTime, Restore: restoreTime,
+			LongestLease: maxWorkerLease, StopTime: stopTime, ClockDrift: clockSlowdown, Work: taskOutcome,
+			Crash: config.crashDelay, RestartDelay: workerDowntime, Naming: gridNamings[config.Naming], CheckpointInterval: checkpointTime, RestoreTime: restoreTime,
 		},
 		Store: kv.Config{}, Queues: queues(s.version), Heartbeat: heartbeat, Expose: s.expose,
 	})
--- a/tests/soak/store.go
+++ b/tests/soak/store.go
@@ -142,7 +142,7 @@
 // applyStoreFault applies a fault to calls to the store for the fault's duration.
 func (r *run) applyStoreFault(ctx context.Context, fault Fault) {
 	if fault.Kind == StoreForgets {
-		r.site.emulator.Store.Forget()
+		r.site.emulator.Store.Compact()
 		return
 	}
 	defer r.site.storeFaults.add(r.restrictToDaemons(fault, r.newStoreFault(fault)))()
@@ -183,7 +183,7 @@
 	return func(_ context.Context, write, after bool, _ string) error {
 		switch {
 		case after && write && kind == StoreLossy && draw(loseOneIn) == 0:
-			return platform.ErrUnknown
+			return platform.ErrUnknownOutcome
 		case after:
 			return nil
 		case kind == StoreSlow:
@@ -193,7 +193,7 @@
 		case kind == StoreDown, kind == StoreReadsFail && !write, kind == StoreBusy && draw(busyOneIn) == 0:
 			return platform.ErrUnavailable
 		case kind == StoreLimited && draw(busyOneIn) == 0:
-			return platform.ErrLimited
+			return platform.ErrRateLimited
 		}
 		return nil
 	}
--- a/tests/soak/trouble.go
+++ b/tests/soak/trouble.go
@@ -73,7 +73,7 @@
 func setMisbehavior(f *grid.Faults, kind Kind, begins bool) {
 	switch kind {
 	case FailWorker:
-		f.FailsAll = begins
+		f.FailRuns = begins
 	case StallWorker:
 		f.Stalled = begins
 	case ReorderWorkerAnswers:
@@ -82,9 +82,9 @@
 			f.LateAnswers = maxAnswerDelay
 		}
 	case RepeatWorkerOrders:
-		f.Again = 0
+		f.RepeatAfter = 0
 		if begins {
-			f.Again = repeatAfter
+			f.RepeatAfter = repeatAfter
 		}
 	}
 }
