--- a/cmd/rillsail/main.go
+++ b/cmd/rillsail/main.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Command rillsail is the operators' tool. It asks any daemon; the daemon finds
-// whoever has to answer.
+// Command rillsail is the operators' tool. It can ask any daemon, which forwards the call
+// to the daemons that hold the data.
 //
 // # Usage
 //
@@ -14,9 +14,9 @@
 //	rillsail drain worker-12
 //	rillsail explain 5c0e7a21d94b36f8 daemon-*.log
 //
-// Exit status: 0 done; 1 failed, nothing was done (of several jobs: of those that are
-// named on standard error); 2 wrong usage; 3 conflict with another operator's change;
-// 4 unknown, it, or one of several jobs, may have been done; 5 refused as wrong.
+// Exit status: 0 success; 1 failure, nothing was done (with several jobs: for those named
+// on standard error); 2 wrong usage; 3 conflict with another operator's change; 4 unknown
+// outcome, the call or one of several jobs may have been done; 5 refused as invalid input.
 package main
 
 import (
@@ -43,7 +43,7 @@
 	exitRefused  = 5
 )
 
-// tool is what every subcommand works with.
+// tool holds what all subcommands use: the client and the output settings.
 type tool struct {
 	client client
 	output string
@@ -58,7 +58,7 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// run runs one command line and gives the exit status.
+// run runs one command line and returns the exit status.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	t := &tool{out: out}
 	flags := flag.NewFlagSet("rillsail", flag.ContinueOnError)
@@ -74,26 +74,26 @@
 		Exec:        func(context.Context, []string) error { return flag.ErrHelp },
 	}
 	if err := root.Parse(args); err != nil {
-		return status(errOut, usageError{err})
+		return exitStatus(errOut, usageError{err})
 	}
 	if t.output != "table" && t.output != "json" {
-		return status(errOut, usageError{fmt.Errorf("--output %q is neither table nor json", t.output)})
+		return exitStatus(errOut, usageError{fmt.Errorf("--output %q is neither table nor json", t.output)})
 	}
-	return status(errOut, root.Run(ctx))
+	return exitStatus(errOut, root.Run(ctx))
 }
 
 func (t *tool) commands() []*ffcli.Command {
 	return []*ffcli.Command{
-		t.simple("status", "daemons, cells and upstreams", t.status),
-		t.simple("cells", "cells with their owners", t.cells),
-		t.simple("workers", "workers with what is committed there", t.workers),
-		t.simple("services", "services with their replicas", t.services),
-		t.simple("tasks", "tasks of all cells", t.tasks),
-		t.simple("dump", "whole state of the asked daemon, as JSON", t.dump),
+		t.noArgCommand("status", "daemons, cells and upstreams", t.status),
+		t.noArgCommand("cells", "cells with their owners", t.cells),
+		t.noArgCommand("workers", "workers with what is committed there", t.workers),
+		t.noArgCommand("services", "services with their replicas", t.services),
+		t.noArgCommand("tasks", "tasks of all cells", t.tasks),
+		t.noArgCommand("dump", "whole state of the asked daemon, as JSON", t.dump),
 		t.explainCommand(),
-		t.simple("refusals", "latest requests that the asked daemon refused, and why", t.refusals),
-		t.named("drain", "<vm>", "keep new work off a VM and move away what it runs", t.drain),
-		t.named("undrain", "<vm>", "let a drained VM take work again", t.undrain),
+		t.noArgCommand("refusals", "latest requests that the asked daemon refused, and why", t.refusals),
+		t.oneArgCommand("drain", "<vm>", "keep new work off a VM and move away what it runs", t.drain),
+		t.oneArgCommand("undrain", "<vm>", "let a drained VM take work again", t.undrain),
 		t.labelCommand(),
 		t.configCommand(),
 		t.jobsCommand(),
@@ -101,8 +101,8 @@
 	}
 }
 
-// simple is a subcommand without arguments.
-func (t *tool) simple(name, help string, do func(context.Context) error) *ffcli.Command {
+// noArgCommand returns a subcommand that takes no arguments.
+func (t *tool) noArgCommand(name, help string, do func(context.Context) error) *ffcli.Command {
 	return &ffcli.Command{
 		Name: name, ShortUsage: "rillsail " + name, ShortHelp: help,
 		Exec: func(ctx context.Context, args []string) error {
@@ -114,8 +114,8 @@
 	}
 }
 
-// named is a subcommand with one argument.
-func (t *tool) named(name, argument, help string, do func(context.Context, string) error) *ffcli.Command {
+// oneArgCommand returns a subcommand that takes exactly one argument.
+func (t *tool) oneArgCommand(name, argument, help string, do func(context.Context, string) error) *ffcli.Command {
 	return &ffcli.Command{
 		Name: name, ShortUsage: "rillsail " + name + " " + argument, ShortHelp: help,
 		Exec: func(ctx context.Context, args []string) error {
@@ -127,14 +127,14 @@
 	}
 }
 
-// usageError is a command line that makes no sense.
+// usageError is an error in the command line or in an input file.
 type usageError struct{ error }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e usageError) Unwrap() error { return e.error }
 
-// status prints an error with what to do and gives the exit status.
-func status(errOut io.Writer, err error) int {
+// exitStatus prints the error with its advice and returns the exit status.
+func exitStatus(errOut io.Writer, err error) int {
 	var usage usageError
 	var call *callError
 	var jobs jobErrors
--- a/cmd/rillsail/show.go
+++ b/cmd/rillsail/show.go
@@ -15,7 +15,7 @@
 	"rillsail.example/rillsail/routers/operator"
 )
 
-// table writes rows with aligned columns.
+// table prints rows with aligned columns.
 func (t *tool) table(header string, rows func(w *tabwriter.Writer)) error {
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, header)
@@ -23,7 +23,7 @@
 	return w.Flush()
 }
 
-// show writes an answer as JSON or as tables.
+// show prints an answer as JSON or as tables, depending on --output.
 func (t *tool) show(value any, tables ...func() error) error {
 	if t.output == "json" {
 		return t.printJSON(value)
@@ -76,8 +76,8 @@
 
 func (t *tool) upstreamTable(s models.Status) error {
 	return t.table("UPSTREAM\tSTATE\tOWN\tPEERS\tSHARE\tSLOTS\tLATENCY MS", func(w *tabwriter.Writer) {
-		for _, u := range s.Upstream {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\n", u.VM, u.State, u.Own, u.Peers, u.Share, u.Slots, u.Latency)
+		for _, u := range s.Upstreams {
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\n", u.VM, u.State, u.OwnInFlight, u.PeersInFlight, u.Share, u.Slots, u.Latency)
 		}
 	})
 }
@@ -96,11 +96,11 @@
 					cores(v.Capacity.CPU), cores(v.Committed.CPU), cores(v.Usage.CPU), v.Capacity.Memory, v.Committed.Memory)
 			}
 		})
-	}, func() error { return t.missing(l) })
+	}, func() error { return t.printMissing(l) })
 }
 
-// missing says which cells gave no answer.
-func (t *tool) missing(l models.Listing) error {
+// printMissing prints the cells that did not answer, with the reasons.
+func (t *tool) printMissing(l models.Listing) error {
 	for cell, why := range l.Missing {
 		fmt.Fprintf(t.out, "not shown: cell %s: %s\n", cell, why)
 	}
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	return t.show(l, func() error { return t.taskTable(l.Tasks) }, func() error { return t.missing(l) })
+	return t.show(l, func() error { return t.taskTable(l.Tasks) }, func() error { return t.printMissing(l) })
 }
 
 func (t *tool) taskTable(tasks []models.Task) error {
@@ -150,7 +150,7 @@
 				}
 			}
 		})
-	}, func() error { return t.missing(l) })
+	}, func() error { return t.printMissing(l) })
 }
 
 func (t *tool) explain(ctx context.Context, task string) error {
@@ -158,7 +158,7 @@
 	if err != nil {
 		return err
 	}
-	if len(l.Tasks)+len(l.Decisions)+len(l.Missing) == 0 && t.output != "json" { // else a cell that wasn't heard may keep it
+	if len(l.Tasks)+len(l.Decisions)+len(l.Missing) == 0 && t.output != "json" { // a cell in Missing may hold the task
 		fmt.Fprintf(t.out, "no record and no decision is kept of task %s; it ended long ago, waits as part of its job, or never was\n", task)
 	}
 	return t.show(l, func() error { return t.taskTable(l.Tasks) }, func() error {
@@ -167,7 +167,7 @@
 				fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", clockTime(d.At), d.Action, d.Worker, d.Reason)
 			}
 		})
-	}, func() error { return t.missing(l) })
+	}, func() error { return t.printMissing(l) })
 }
 
 func (t *tool) refusals(ctx context.Context) error {
@@ -188,14 +188,14 @@
 	return time.UnixMilli(int64(at)).UTC().Format(time.RFC3339)
 }
 
-// raw is an answer that is shown as it came.
-type raw struct{ json.RawMessage }
+// rawAnswer is an answer that is printed without being interpreted.
+type rawAnswer struct{ json.RawMessage }
 
-// Check is there for the decoder.
-func (r raw) Check() error { return nil }
+// Check implements wire.Checker; it accepts any JSON.
+func (r rawAnswer) Check() error { return nil }
 
 func (t *tool) dump(ctx context.Context) error {
-	d, err := get[raw](ctx, t.client, operator.PathDump)
+	d, err := get[rawAnswer](ctx, t.client, operator.PathDump)
 	if err != nil {
 		return err
 	}
--- a/modules/clock/suspension.go
+++ b/modules/clock/suspension.go
@@ -11,109 +11,110 @@
 	"golang.org/x/sys/unix"
 )
 
-// Meter tells for how long a VM has been suspended in all since some moment.
+// Meter measures for how long in total a VM has been suspended since a fixed moment.
 type Meter interface {
-	// Suspended fails when the system doesn't tell.
+	// Suspended returns an error if the system does not report suspensions.
 	Suspended() (time.Duration, error)
 }
 
-// Config is what a Clock reads.
+// Config holds the time sources of a Clock and its callbacks.
 type Config struct {
-	// Steady is the time that stands still while the VM is suspended; nil: time.Now.
-	Steady func() time.Time
-	Meter  Meter // nil: that of this VM
-	// Note takes the result of each reading of the meter; nil: nobody does. Where it is an error,
-	// the VM's suspensions are not counted.
-	Note func(err error)
-	// Seen hears for how long the VM has been suspended since the last reading; nil: nobody does.
-	Seen func(suspended time.Duration)
+	// Monotonic is the clock that stops while the VM is suspended; time.Now if nil.
+	Monotonic func() time.Time
+	Meter     Meter // the meter of this VM if nil
+	// OnReading is called with the result of each reading of the meter; optional. While the meter
+	// returns an error, suspensions of the VM are not counted.
+	OnReading func(err error)
+	// OnSuspension is called with the time for which the VM has been suspended since the last reading; optional.
+	OnSuspension func(suspended time.Duration)
 }
 
-// Clock tells the time by which leases, proofs and the age of knowledge are judged: it goes on
-// while the VM is suspended, which the steady clock, and every timer with it, does not. An owner
-// that was suspended for longer than its lease would take it for valid, and start what its
-// successor has started already. It knows no steps of the time of day.
+// Clock is the clock that leases, proofs and the age of learned parameters are checked against. It advances
+// while the VM is suspended, whereas the monotonic clock and every timer stand still: an owner that was
+// suspended for longer than its lease would take the lease for valid and start tasks that its successor
+// has started already. Adjustments of the time of day do not affect a Clock.
 //
-// Its times have meaning only among themselves: the time of day that they show is ahead by what
-// was counted, see TimeOfDay.
+// Its times may be compared only with each other. As times of day they are ahead by the suspensions counted
+// so far; TimeOfDay corrects for that.
 type Clock struct {
-	config  Config
-	counted atomic.Int64 // nanoseconds of suspension, when last read
+	config         Config
+	suspendedNanos atomic.Int64 // total time of suspension, as of the last reading of the meter
 }
 
-// New makes a clock.
+// New returns a clock; unset fields of config get their defaults.
 func New(config Config) *Clock {
-	if config.Steady == nil {
-		config.Steady = time.Now
+	if config.Monotonic == nil {
+		config.Monotonic = time.Now
 	}
 	if config.Meter == nil {
 		config.Meter = newVMMeter()
 	}
-	if config.Note == nil {
-		config.Note = func(error) {}
+	if config.OnReading == nil {
+		config.OnReading = func(error) {}
 	}
-	if config.Seen == nil {
-		config.Seen = func(time.Duration) {}
+	if config.OnSuspension == nil {
+		config.OnSuspension = func(time.Duration) {}
 	}
 	return &Clock{config: config}
 }
 
-// Now is the time, with the suspensions that Read has seen.
-func (c *Clock) Now() time.Time { return c.config.Steady().Add(c.Counted()) }
+// Now returns the time, including the suspensions that earlier calls of Read have counted.
+func (c *Clock) Now() time.Time { return c.config.Monotonic().Add(c.Suspended()) }
 
-// Read is the time now, with every suspension so far. It costs two calls to the system, and
-// comes right before what it permits; elsewhere Now does.
+// Read reads the meter and returns the time, including every suspension so far. It costs two system calls.
+// Call it right before an action that depends on a lease; elsewhere Now suffices.
 func (c *Clock) Read() time.Time {
 	suspended, err := c.config.Meter.Suspended()
-	c.config.Note(err)
+	c.config.OnReading(err)
 	if err == nil {
-		c.count(suspended)
+		c.addSuspension(suspended)
 	}
 	return c.Now()
 }
 
-// count takes a newer reading; of several at once the highest stays.
-func (c *Clock) count(suspended time.Duration) {
+// addSuspension stores a newer reading of the meter. Of concurrent readings the highest is kept.
+func (c *Clock) addSuspension(suspended time.Duration) {
 	for {
-		before := c.counted.Load()
+		before := c.suspendedNanos.Load()
 		if int64(suspended) <= before {
 			return
 		}
-		if c.counted.CompareAndSwap(before, int64(suspended)) {
-			c.config.Seen(suspended - time.Duration(before))
+		if c.suspendedNanos.CompareAndSwap(before, int64(suspended)) {
+			c.config.OnSuspension(suspended - time.Duration(before))
 			return
 		}
 	}
 }
 
-// Since is the time since t.
+// Since returns the time since t.
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
-// Counted is for how long the VM has been suspended, as read last.
-func (c *Clock) Counted() time.Duration { return time.Duration(c.counted.Load()) }
+// Suspended returns for how long the VM has been suspended, as of the last reading of the meter.
+func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspendedNanos.Load()) }
 
-// TimeOfDay is the time of day at a time of this clock.
-func (c *Clock) TimeOfDay(t time.Time) time.Time { return t.Add(-c.Counted()) }
+// TimeOfDay converts a time of this clock to a time of day.
+func (c *Clock) TimeOfDay(t time.Time) time.Time { return t.Add(-c.Suspended()) }
 
-// leastSuspension tells suspensions from the time between two readings: a thread that gets no
+// minSuspension tells suspensions from the time between two readings: a thread that gets no
 // processor between them makes the difference larger, and later readings without it smaller.
-const leastSuspension = 20 * time.Millisecond
+const minSuspension = 20 * time.Millisecond
 
-// vmMeter compares the clock that counts suspensions with the one that does not.
+// vmMeter measures suspensions as the growth of the offset between the boot-time clock, which counts
+// suspensions, and the monotonic clock, which does not.
 type vmMeter struct {
-	ahead time.Duration // of the first reading
-	err   error         // of the first reading
+	baseline time.Duration // offset when the meter was created
+	err      error         // of the readings for the baseline
 }
 
-// firstReadings are compared for the first one: a pause within one of them makes it smaller, and
-// every later one would show it as a suspension.
-const firstReadings = 5
+// baselineReadings is the number of readings of which the largest becomes the baseline. A pause within a
+// reading makes it smaller, and with too small a baseline every later reading would show a suspension.
+const baselineReadings = 5
 
 func newVMMeter() *vmMeter {
 	m := &vmMeter{}
-	for range firstReadings {
-		ahead, err := readAhead()
-		m.ahead, m.err = max(m.ahead, ahead), errors.CombineErrors(m.err, err)
+	for range baselineReadings {
+		offset, err := readOffset()
+		m.baseline, m.err = max(m.baseline, offset), errors.CombineErrors(m.err, err)
 	}
 	return m
 }
@@ -123,30 +124,31 @@
 	if m.err != nil {
 		return 0, m.err
 	}
-	ahead, err := readAhead()
+	offset, err := readOffset()
 	if err != nil {
 		return 0, err
 	}
-	return atLeast(leastSuspension, ahead-m.ahead), nil
+	return zeroBelow(minSuspension, offset-m.baseline), nil
 }
 
-// atLeast leaves out what is below a threshold.
-func atLeast(least, d time.Duration) time.Duration {
-	if d < least {
+// zeroBelow returns d, or 0 if d is below the threshold.
+func zeroBelow(threshold, d time.Duration) time.Duration {
+	if d < threshold {
 		return 0
 	}
 	return d
 }
 
-// readAhead is by how much the clock that counts suspensions is ahead of the steady one. It is
-// read first, so that a pause between the readings makes the difference smaller, never larger.
-func readAhead() (time.Duration, error) {
-	var boot, steady unix.Timespec
+// readOffset returns by how much the boot-time clock, which counts suspensions, is ahead of the monotonic
+// clock. The boot-time clock is read first, so that a pause between the two readings makes the offset
+// smaller, never larger.
+func readOffset() (time.Duration, error) {
+	var boot, monotonic unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
-		return 0, errors.Wrap(err, "read clock that counts suspensions")
+		return 0, errors.Wrap(err, "read boot-time clock")
 	}
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady); err != nil {
-		return 0, errors.Wrap(err, "read steady clock")
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
+		return 0, errors.Wrap(err, "read monotonic clock")
 	}
-	return time.Duration(boot.Nano() - steady.Nano()), nil
+	return time.Duration(boot.Nano() - monotonic.Nano()), nil
 }
--- a/modules/inflight/inflight_test.go
+++ b/modules/inflight/inflight_test.go
@@ -14,19 +14,19 @@
 	"rillsail.example/rillsail/modules/inflight"
 )
 
-// limitCase is a case of testdata/limits.json: calls that are under way together, and the limit
+// limitCase is a case of testdata/limits.json: each step makes calls concurrently and gives the expected limit
 // after them.
 type limitCase struct {
 	Name  string `json:"name"`
 	Steps []struct {
 		Calls int   `json:"calls"`
 		Took  int64 `json:"took_ms"`
-		Lost  int   `json:"lost"` // so many of the calls have no answer
+		Lost  int   `json:"lost"` // number of the calls that get no answer
 		Limit int   `json:"limit"`
 	} `json:"steps"`
 }
 
-var testConfig = inflight.Config{Least: 8, First: 64, Most: 90, Quick: 100 * time.Millisecond, Late: 200 * time.Millisecond}
+var testConfig = inflight.Config{Min: 8, Initial: 64, Max: 90, Quick: 100 * time.Millisecond, Late: 200 * time.Millisecond}
 
 func TestLimitFollowsAnswers(t *testing.T) {
 	for _, c := range casefile.Read[[]limitCase](t, "testdata/limits.json") {
@@ -41,7 +41,7 @@
 						limit.End(inflight.Call{Took: time.Duration(step.Took) * time.Millisecond, Answered: i >= step.Lost})
 					}
 					time.Sleep(time.Second)
-					limit.Begin() // the calls above are judged with the next that ends
+					limit.Begin() // the limit is adjusted when the next call ends
 					limit.End(inflight.Call{Answered: true})
 					require.Equal(t, step.Limit, limit.Current(), "step %d", n)
 				}
@@ -52,7 +52,7 @@
 
 func TestFreeIsWhatIsNotUnderWay(t *testing.T) {
 	limit := inflight.New(testConfig)
-	for range testConfig.First - 1 {
+	for range testConfig.Initial - 1 {
 		limit.Begin()
 	}
 	require.Equal(t, 1, limit.Free())
@@ -72,8 +72,8 @@
 		for range 10 {
 			limit.End(inflight.Call{Took: 30 * time.Millisecond, Answered: true})
 		}
-		require.Equal(t, 30*time.Millisecond, limit.Typical())
+		require.Equal(t, 30*time.Millisecond, limit.MeanLatency())
 		time.Sleep(2 * time.Second)
-		require.Zero(t, limit.Typical(), "answers of long ago say nothing of now")
+		require.Zero(t, limit.MeanLatency(), "latencies older than latencyMaxAge are not reported")
 	})
 }
--- a/modules/logtrace/logtrace_test.go
+++ b/modules/logtrace/logtrace_test.go
@@ -22,10 +22,10 @@
 not json
 `
 
-func whats(lines []Line) []string {
+func messages(lines []Line) []string {
 	var list []string
 	for _, l := range lines {
-		list = append(list, l.What)
+		list = append(list, l.Message)
 	}
 	return list
 }
@@ -33,29 +33,29 @@
 func TestFindOrdersAndAddsWhatExplains(t *testing.T) {
 	lines, err := Find(strings.NewReader(logs), "aa00000000000001")
 	require.NoError(t, err)
-	require.Equal(t, []string{"job is accepted", "run starts", "worker is gone", "cell is taken"}, whats(lines))
-	require.True(t, lines[1].About)
-	require.False(t, lines[3].About)
+	require.Equal(t, []string{"job is accepted", "run starts", "worker is gone", "cell is taken"}, messages(lines))
+	require.True(t, lines[1].Matched)
+	require.False(t, lines[3].Matched)
 	require.Contains(t, lines[1].String(), "run=2 task=aa00000000000001.0.0.0 worker=w1")
 }
 
 func TestFindTakesTasksAndUnknownIDs(t *testing.T) {
 	lines, err := Find(strings.NewReader(logs), "aa00000000000001.0.0.0")
 	require.NoError(t, err)
-	require.Equal(t, []string{"job is accepted", "run starts", "worker is gone", "cell is taken"}, whats(lines))
+	require.Equal(t, []string{"job is accepted", "run starts", "worker is gone", "cell is taken"}, messages(lines))
 	_, err = Find(strings.NewReader(logs), "ff")
 	require.Error(t, err)
 }
 
-// TestFindFollowsWhatARunGoesOnFrom: the worker that a run's text is from may be named by this line
-// alone, when the log of the owner at that time is not among those read.
+// TestFindFollowsWhatARunGoesOnFrom checks that the loss of the worker that a run's checkpoint comes from is found.
+// The line of the run's start may be the only one that names this worker, if the log of the previous owner is missing.
 func TestFindFollowsWhatARunGoesOnFrom(t *testing.T) {
 	const resumed = `{"ts":"2026-09-25T09:39:03.000Z","msg":"run starts","id":"front-2","task":"aa00000000000001.0.0.0","run":3,"worker":"w1","saved":"5f1e","saved_run":2,"saved_worker":"w2","saved_row":"stopped"}` + "\n"
 	lines, err := Find(strings.NewReader(resumed+logs), "aa00000000000001.0.0.0")
 	require.NoError(t, err)
 	var gone []string
 	for _, l := range lines {
-		if l.What == "worker is gone" {
+		if l.Message == "worker is gone" {
 			gone = append(gone, l.worker())
 		}
 	}
--- a/routers/operator/operator.go
+++ b/routers/operator/operator.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package operator is the operators' listener: JSON over HTTP, as the rillsail tool
-// speaks it. Each handler decodes, calls one service and encodes.
+// Package operator handles the operators' listener: JSON over HTTP, as the rillsail tool
+// uses it. Each handler decodes the call, calls one service and encodes the answer.
 //
 // # Usage
 //
@@ -24,7 +24,7 @@
 	"rillsail.example/rillsail/services/operate"
 )
 
-// Paths of the interface.
+// Paths of the operators' interface.
 const (
 	PathStatus  = "/v1/status"
 	PathConfig  = "/v1/config"
@@ -36,32 +36,32 @@
 	PathRefused = "/v1/refusals"
 	PathDump    = "/v1/dump"
 	PathMetrics = "/metrics"
-	PathProfile = "/debug/pprof/profile" // processor time, for go tool pprof
+	PathProfile = "/debug/pprof/profile" // CPU profile, for go tool pprof
 	PathHeap    = "/debug/pprof/heap"
 )
 
-// Config is what the handlers call.
+// Config holds the services that the handlers call and the limits of a call.
 type Config struct {
 	Operate  *operate.Service
 	Settings *config.Service
 	Dump     func(context.Context) any
 	Metrics  http.Handler
 	MaxBody  int64
-	Timeout  time.Duration // of one call
+	Timeout  time.Duration // per call
 }
 
-// New makes the handler.
+// New returns the handler of the operators' listener.
 func New(c Config) http.Handler {
 	h := &handlers{c}
 	router := httprouter.New()
 	router.GET(PathStatus, h.status)
 	router.GET(PathConfig, h.getConfig)
 	router.POST(PathConfig, h.applyConfig)
-	router.GET(PathJobs, h.list(models.ForwardCall{Jobs: true}))
+	router.GET(PathJobs, h.list(models.ForwardCall{ListJobs: true}))
 	router.POST(PathJobs, h.submit)
 	router.POST(PathCancel, h.cancel)
-	router.GET(PathTasks, h.list(models.ForwardCall{Tasks: true}))
-	router.GET(PathWorkers, h.list(models.ForwardCall{Worker: true}))
+	router.GET(PathTasks, h.list(models.ForwardCall{ListTasks: true}))
+	router.GET(PathWorkers, h.list(models.ForwardCall{ListWorkers: true}))
 	router.GET(PathExplain, h.explain)
 	router.GET(PathRefused, h.refusals)
 	router.GET(PathDump, h.dump)
@@ -98,11 +98,11 @@
 	wire.Write(w, http.StatusOK, result)
 }
 
-// Kinds of a refused change.
+// Kinds of a failed change of the configuration.
 const (
 	KindConflict = "conflict"
 	KindRefused  = "refused"
-	KindUnknown  = "unknown" // it may have been accepted
+	KindUnknown  = "unknown" // the change may have been accepted
 	KindNotRun   = "not-run"
 )
 
@@ -116,7 +116,7 @@
 		return KindRefused
 	case errors.Is(err, config.ErrNotApplied):
 		return KindNotRun
-	default: // nothing is known of an error that doesn't say so itself
+	default: // an error of another type does not tell whether the change was accepted
 		return KindUnknown
 	}
 }
@@ -170,7 +170,7 @@
 		wire.Write(w, http.StatusBadRequest, wire.Problem{Error: "query parameter task is missing"})
 		return
 	}
-	h.list(models.ForwardCall{Task: task})(w, r, p)
+	h.list(models.ForwardCall{ExplainTask: task})(w, r, p)
 }
 
 func (h *handlers) refusals(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
--- a/routers/peer/peer.go
+++ b/routers/peer/peer.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package peer is the daemons' listener for each other: it decodes each twirp call,
-// hands it to one service and encodes the answer.
+// Package peer handles the listener for calls from other daemons: it decodes each twirp
+// call, passes it to one service and encodes the answer.
 //
 // # Usage
 //
@@ -25,7 +25,7 @@
 	"rillsail.example/rillsail/services/member"
 )
 
-// Config is what the handlers call.
+// Config holds the services that the handlers call.
 type Config struct {
 	Self      models.MemberID
 	Members   *member.Service
@@ -33,11 +33,11 @@
 	Cells     *cell.Manager
 	Claims    *claim.Service
 	Inventory *inventory.Service
-	// Heard is called with each heartbeat received.
-	Heard func(models.Heartbeat)
+	// OnHeartbeat is called with each heartbeat received.
+	OnHeartbeat func(models.Heartbeat)
 }
 
-// New makes the handler.
+// New returns the handler of the peers' listener.
 func New(c Config) http.Handler { return peerrpc.NewPeerServer(&server{c}) }
 
 type server struct{ Config }
@@ -46,7 +46,7 @@
 func (s *server) Heartbeat(_ context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
 	return serve(s, in, func(beat models.Heartbeat) (models.Heartbeat, error) {
 		answer := s.Members.Receive(beat)
-		s.Heard(beat)
+		s.OnHeartbeat(beat)
 		return answer, nil
 	})
 }
@@ -62,12 +62,12 @@
 
 // Offer implements peerrpc.Peer.
 func (s *server) Offer(ctx context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
-	return serve(s, in, func(call models.OfferCall) (models.OfferAnswer, error) { return s.Cells.OfferHere(ctx, call) })
+	return serve(s, in, func(call models.OfferCall) (models.OfferAnswer, error) { return s.Cells.ServeOffer(ctx, call) })
 }
 
 // Report implements peerrpc.Peer.
 func (s *server) Report(ctx context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
-	return serve(s, in, func(call models.ReportCall) (models.ReportAnswer, error) { return s.Cells.ReportHere(ctx, call) })
+	return serve(s, in, func(call models.ReportCall) (models.ReportAnswer, error) { return s.Cells.ServeReport(ctx, call) })
 }
 
 // Claim implements peerrpc.Peer.
@@ -77,27 +77,27 @@
 
 // Forward implements peerrpc.Peer.
 func (s *server) Forward(ctx context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
-	return serve(s, in, func(call models.ForwardCall) (models.ForwardAnswer, error) { return s.Cells.ForwardHere(ctx, call) })
+	return serve(s, in, func(call models.ForwardCall) (models.ForwardAnswer, error) { return s.Cells.ServeForward(ctx, call) })
 }
 
 // Handover implements peerrpc.Peer.
 func (s *server) Handover(_ context.Context, in *peerrpc.Envelope) (*peerrpc.Envelope, error) {
-	return serve(s, in, s.Cells.AdoptHere)
+	return serve(s, in, s.Cells.ServeHandover)
 }
 
-// serve performs one call and says which refusal an error of it is.
+// serve decodes and performs one call, and converts its error to a twirp error that carries the refusal.
 func serve[C wire.Checker, A any](s *server, in *peerrpc.Envelope, perform func(C) (A, error)) (*peerrpc.Envelope, error) {
 	return peerrpc.Serve(string(s.Self), in, func(call C) (A, error) {
 		answer, err := perform(call)
 		if err != nil {
-			return answer, refusalOf(err)
+			return answer, twirpError(err)
 		}
 		return answer, nil
 	})
 }
 
-// refusalOf carries over the wire which refusal an error is.
-func refusalOf(err error) error {
+// twirpError converts an error to a twirp error whose metadata names the refusal, if the error is one.
+func twirpError(err error) error {
 	failed := twirp.NewError(twirp.Unavailable, err.Error())
 	if refusal, ok := cell.RefusalOf(err); ok {
 		failed = failed.WithMeta(cell.MetaRefusal, refusal)
--- a/services/daemon/listeners.go
+++ b/services/daemon/listeners.go
@@ -17,28 +17,28 @@
 	"rillsail.example/rillsail/services/peer"
 )
 
-// Handlers serve the three listeners.
+// Handlers are the handlers of the three listeners.
 type Handlers struct {
 	Caller   http.Handler
 	Operator http.Handler
 	Peer     http.Handler
 }
 
-func (d *Daemon) open(h Handlers) error {
+func (d *Daemon) openListeners(h Handlers) error {
 	s := d.Settings.Listen
 	limit := int64(s.MaxBody)
 	for _, l := range []struct {
 		address string
 		handler http.Handler
-		body    time.Duration
+		timeout time.Duration
 	}{
-		{s.Caller, h.Caller, 0}, // the entry bounds it, for watchers stand longer
+		{s.Caller, h.Caller, 0}, // the entry limits the time itself, because watch requests last longer
 		{s.Operator, listen.RequireToken(s.OperatorToken, listen.LimitBody(limit, h.Operator)), s.BodyTimeout},
 		{s.Peer, listen.RequireToken(s.PeerToken, listen.LimitBody(limit, h.Peer)), s.BodyTimeout},
 	} {
 		server, err := listen.Open(listen.Config{
 			Address: l.address, Handler: l.handler, MaxHeader: s.MaxHeader, MaxConnections: s.MaxConnections,
-			HeaderTimeout: s.HeaderTimeout, BodyTimeout: l.body, IdleTimeout: s.IdleTimeout,
+			HeaderTimeout: s.HeaderTimeout, BodyTimeout: l.timeout, IdleTimeout: s.IdleTimeout,
 		})
 		if err != nil {
 			return err
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// Dump is the daemon's whole state.
+// Dump is the daemon's state for operators.
 type Dump struct {
 	Revision  models.Revision   `json:"revision"`
 	Members   member.Dump       `json:"members"`
@@ -61,7 +61,7 @@
 	PeerCalls peer.Counts       `json:"peer_calls"`
 }
 
-// Dump gives the whole state for operators.
+// Dump returns the daemon's state for operators.
 func (d *Daemon) Dump(ctx context.Context) any {
 	return Dump{
 		Revision: d.Config.View().Revision(), Members: d.Members.Dump(), Cells: d.Cells.Dump(ctx),
--- a/services/standin/grid/faults.go
+++ b/services/standin/grid/faults.go
@@ -15,25 +15,25 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// Faults are what goes wrong with the calls to one worker.
+// Faults are the faults of one worker and of the calls to it.
 type Faults struct {
-	// Cut: calls have neither effect nor answer.
+	// Cut: calls have no effect and get no answer.
 	Cut bool
-	// Late: orders have no answer and are carried out so much later.
-	Late time.Duration
-	// LoseAnswers: calls take effect and have no answer.
+	// LateOrders: calls get no answer and take effect after this delay.
+	LateOrders time.Duration
+	// LoseAnswers: calls take effect and get no answer.
 	LoseAnswers bool
-	// LateAnswers: calls take effect at once, and their answers come up to so much later, each
-	// after another time: they pass each other.
+	// LateAnswers: calls take effect at once and their answers are delayed by up to this time. The delay
+	// differs from call to call, so that answers overtake each other.
 	LateAnswers time.Duration
-	// Again: calls take effect and are answered, and take effect once more so much later, after
-	// newer ones.
-	Again time.Duration
-	// FailsAll: each run that is started fails soon, some of them at once. Reports are as usual.
-	FailsAll bool
-	// WrongTexts: ends of runs that fail show the latest checkpoint of another task.
-	WrongTexts bool
-	// Stalled: runs make no progress. Reports are as usual.
+	// RepeatAfter: calls take effect and are answered, and take effect a second time after this delay, possibly
+	// after newer calls.
+	RepeatAfter time.Duration
+	// FailRuns: each run that is started fails soon, some at once. Reports are unaffected.
+	FailRuns bool
+	// WrongCheckpoints: failed runs report the latest checkpoint of another task with their end.
+	WrongCheckpoints bool
+	// Stalled: runs make no progress. Reports are unaffected.
 	Stalled bool
 }
 
@@ -46,18 +46,18 @@
 func (g *Grid) ChangeFaults(place int, change func(faults *Faults)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	w := g.at(place)
+	w := g.incarnationAt(place)
 	change(&w.faults)
 	for _, r := range w.runs {
 		if r.stalled != w.faults.Stalled {
-			r.settle(time.Now())
+			r.updateRemaining(time.Now())
 			r.stalled = w.faults.Stalled
-			g.arm(w, r)
+			g.scheduleEnd(w, r)
 		}
 	}
 }
 
-// SetListed lets the worker in a place be in the list, or missing there.
+// SetListed sets whether the list contains the worker in a place.
 func (g *Grid) SetListed(place int, listed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -65,7 +65,7 @@
 	g.noteChange(g.slots[place])
 }
 
-// Drain lets the worker in a place say that it leaves after some time.
+// Drain marks the worker in a place as draining, to leave after the remaining time.
 func (g *Grid) Drain(place int, remaining time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -73,7 +73,7 @@
 	g.noteChange(g.slots[place])
 }
 
-// StopDraining lets the worker in a place say that it stays.
+// StopDraining marks the worker in a place as no longer draining.
 func (g *Grid) StopDraining(place int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -81,98 +81,97 @@
 	g.noteChange(g.slots[place])
 }
 
-// Crash ends the worker in a place with all that runs there; another incarnation comes
-// up at its address.
+// Crash ends the worker in a place with all its runs and starts another incarnation at its address at once.
 func (g *Grid) Crash(place int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.startAgain(place)
+	g.restart(place)
 }
 
-// startAgain ends the worker in a place and brings up the next incarnation.
-func (g *Grid) startAgain(place int) (ended, next *incarnation) {
-	ended = g.at(place)
-	g.end(ended)
+// restart ends the worker in a place and starts the next incarnation.
+func (g *Grid) restart(place int) (ended, next *incarnation) {
+	ended = g.incarnationAt(place)
+	g.endIncarnation(ended)
 	g.replace(ended)
-	return ended, g.at(place)
+	return ended, g.incarnationAt(place)
 }
 
-// CrashBehind does the same, and what goes wrong with the calls to the worker goes on.
-func (g *Grid) CrashBehind(place int) {
+// CrashKeepingFaults does the same as Crash, and the next incarnation keeps the worker's faults.
+func (g *Grid) CrashKeepingFaults(place int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ended, next := g.startAgain(place)
+	ended, next := g.restart(place)
 	next.faults = ended.faults
 }
 
-// CrashSilently does the same as Crash, as a loss of power would: calls under way hang.
+// CrashSilently does the same as Crash, but like a power loss: pending calls hang instead of breaking.
 func (g *Grid) CrashSilently(place int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ended, _ := g.startAgain(place)
-	ended.silent = true
+	ended, _ := g.restart(place)
+	ended.crashedSilently = true
 }
 
-// CrashFor ends the worker in a place with all that runs there. Nobody listens at its address
-// for Config.Down, and its entry stays in the list for a while.
-func (g *Grid) CrashFor(place int) {
+// CrashWithDowntime ends the worker in a place with all its runs. Its address refuses connections for Config.RestartDelay, and
+// its list entry outlives it.
+func (g *Grid) CrashWithDowntime(place int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if w := g.at(place); w.up {
-		g.goDown(w)
+	if w := g.incarnationAt(place); w.up {
+		g.takeDown(w)
 	}
 }
 
-// end ends a worker with all that runs there.
-func (g *Grid) end(w *incarnation) {
+// endIncarnation ends a worker with all its runs.
+func (g *Grid) endIncarnation(w *incarnation) {
 	w.up = false
 	for _, r := range w.runs {
 		if r.timer != nil {
 			r.timer.Stop()
 		}
-		g.audit.ended(w, r.task, jobs.EndLapsed)
+		g.audit.runEnded(w, r.task, jobs.EndLapsed)
 	}
 	w.runs = map[jobs.TaskID]*run{}
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// replace brings up another incarnation at the address of a worker that has ended.
+// replace starts another incarnation at the address of a worker that has ended.
 func (g *Grid) replace(w *incarnation) {
 	g.slots[w.place] = g.boot(w.place)
 	g.noteChange(w.info.ID)
 	g.noteChange(g.slots[w.place])
 }
 
-// entryOutlives is how long the entry of a crashed worker stays in the list: three of its
-// heartbeats, as on the users' platform.
-const entryOutlives = 4400 * time.Millisecond
+// staleEntryLifetime is how long the entry of a crashed worker stays in the list: three of its heartbeats, as on
+// the users' platform.
+const staleEntryLifetime = 4400 * time.Millisecond
 
-// goDown ends a worker for some time.
-func (g *Grid) goDown(w *incarnation) {
-	g.end(w)
-	time.AfterFunc(g.config.Down, func() {
+// takeDown ends a worker and starts the next incarnation after Config.RestartDelay.
+func (g *Grid) takeDown(w *incarnation) {
+	g.endIncarnation(w)
+	time.AfterFunc(g.config.RestartDelay, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if g.at(w.place) == w {
+		if g.incarnationAt(w.place) == w {
 			g.replace(w)
 		}
 	})
 	if g.config.Naming == SameID {
-		return // the next incarnation writes the entry
+		return // the next incarnation overwrites the entry
 	}
-	g.stale[w.info.ID] = true
-	time.AfterFunc(entryOutlives, func() {
+	g.staleEntries[w.info.ID] = true
+	time.AfterFunc(staleEntryLifetime, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		delete(g.stale, w.info.ID)
+		delete(g.staleEntries, w.info.ID)
 		g.noteChange(w.info.ID)
 	})
 }
 
-// crashLater lets a run end its worker when its time has come, and tells whether it is to do so
-// at once.
-func (g *Grid) crashLater(w *incarnation, r *run) (atOnce bool) {
+// scheduleCrash schedules the crash of the worker that Config.Crash asks for. If the crash is due at the start of the
+// run, scheduleCrash takes the worker down and returns true.
+func (g *Grid) scheduleCrash(w *incarnation, r *run) (atOnce bool) {
 	if g.config.Crash == nil {
 		return false
 	}
@@ -181,36 +180,37 @@
 		return false
 	}
 	if after == 0 {
-		g.audit.crashed(r.task)
-		g.goDown(w)
+		g.audit.workerCrashed(r.task)
+		g.takeDown(w)
 		return true
 	}
 	time.AfterFunc(after, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if w.up && w.runs[r.task] == r {
-			g.audit.crashed(r.task)
-			g.goDown(w)
+			g.audit.workerCrashed(r.task)
+			g.takeDown(w)
 		}
 	})
 	return false
 }
 
-// failsWithin bounds how long a run goes on that fails only because of its worker.
-const failsWithin = 400 * time.Millisecond
+// maxFailDelay bounds how much later than minFailDelay a run fails on a worker with FailRuns.
+const maxFailDelay = 400 * time.Millisecond
 
-// failsAtOnce is how long it takes at least: a timer of no time ends the process of a test that
-// runs in a bubble with the race detector (Go 1.26).
-const failsAtOnce = time.Millisecond
+// minFailDelay is the least time until such a failure: with Go 1.26, a timer of duration 0 ends the process of a
+// test that runs in a synctest bubble with the race detector.
+const minFailDelay = time.Millisecond
 
-// failLater lets a run fail soon whose worker fails all; every other one fails at once.
-func (g *Grid) failLater(w *incarnation, r *run) {
-	if !w.faults.FailsAll {
+// scheduleFailure schedules the failure of a run whose worker has FailRuns; about every other run fails after the
+// least delay.
+func (g *Grid) scheduleFailure(w *incarnation, r *run) {
+	if !w.faults.FailRuns {
 		return
 	}
-	after := failsAtOnce
+	after := minFailDelay
 	if draw := xxhash.Sum64String(fmt.Sprint(r.task, "/", r.id)); draw%2 == 1 {
-		after += time.Duration(draw>>1) % failsWithin
+		after += time.Duration(draw>>1) % maxFailDelay
 	}
 	time.AfterFunc(after, func() {
 		g.mu.Lock()
@@ -221,85 +221,86 @@
 	})
 }
 
-// absence is why a worker that is not there doesn't answer.
-func (g *Grid) absence(w *incarnation) error {
-	if w != nil && g.at(w.place) == w {
-		return errors.Mark(errors.Mark(errors.New("connection is refused"), platform.ErrUnreached), platform.ErrNobodyListens)
+// absenceError returns the error of a call to an incarnation that does not exist or has ended: the connection is
+// refused while the place is down, otherwise the call reaches another incarnation.
+func (g *Grid) absenceError(w *incarnation) error {
+	if w != nil && g.incarnationAt(w.place) == w {
+		return errors.Mark(errors.Mark(errors.New("connection is refused"), platform.ErrUnreachable), platform.ErrConnectionRefused)
 	}
-	return platform.ErrIncarnation
+	return platform.ErrIncarnationMismatch
 }
 
-// reach finds the worker that a call is meant for and applies its faults. The order is
-// carried out by perform, now or later, or twice.
-func (g *Grid) reach(ctx context.Context, worker jobs.Worker, perform perform) (answer, error) {
+// callWorker finds the worker that a call is addressed to and applies its faults, which decide whether perform is
+// carried out now, later, twice or never, and whether the answer arrives.
+func (g *Grid) callWorker(ctx context.Context, worker jobs.Worker, perform operation) (answer, error) {
 	g.mu.Lock()
 	w := g.workers[worker.ID]
 	if w == nil || !w.up {
 		defer g.mu.Unlock()
-		return answer{}, g.absence(w)
+		return answer{}, g.absenceError(w)
 	}
 	if worker.Incarnation().Differs(w.info.Incarnation()) {
 		defer g.mu.Unlock()
-		return answer{}, &platform.IncarnationError{Born: w.info.Born}
+		return answer{}, &platform.IncarnationMismatchError{StartTime: w.info.Born}
 	}
 	faults := w.faults
-	g.performLater(w, faults.Late, perform, reachesTheNext)
-	if faults.Cut || faults.Late > 0 {
+	g.performLater(w, faults.LateOrders, perform, deliverToSuccessor)
+	if faults.Cut || faults.LateOrders > 0 {
 		g.mu.Unlock()
 		<-ctx.Done()
-		return answer{}, platform.ErrUnknown
+		return answer{}, platform.ErrUnknownOutcome
 	}
-	g.performLater(w, faults.Again, perform, endsWithIt)
+	g.performLater(w, faults.RepeatAfter, perform, dropWithIncarnation)
 	var a answer
 	err := perform(w, &a)
-	late := g.lateBy(faults)
+	late := g.answerDelay(faults)
 	g.mu.Unlock()
 	if faults.LoseAnswers {
 		<-ctx.Done()
-		return answer{}, platform.ErrUnknown
+		return answer{}, platform.ErrUnknownOutcome
 	}
-	if !passes(ctx, late) {
-		return answer{}, platform.ErrUnknown
+	if !sleep(ctx, late) {
+		return answer{}, platform.ErrUnknownOutcome
 	}
 	return a, err
 }
 
-// What becomes of an order that is carried out later when its worker has ended meanwhile: the next
-// incarnation with its id carries it out, as it may one that had no answer, or it ends with the worker.
+// What happens to a delayed call whose worker has ended by then: the next incarnation with the same id carries it
+// out, which is possible for a call that was not answered, or it is dropped.
 const (
-	reachesTheNext = true
-	endsWithIt     = false
+	deliverToSuccessor  = true
+	dropWithIncarnation = false
 )
 
-// performLater carries an order out after some time; 0: never. Nobody hears what comes of it.
-func (g *Grid) performLater(w *incarnation, after time.Duration, perform perform, atNext bool) {
+// performLater carries out a call after some time, or never if after is 0. Its result is discarded.
+func (g *Grid) performLater(w *incarnation, after time.Duration, perform operation, toSuccessor bool) {
 	if after == 0 {
 		return
 	}
 	time.AfterFunc(after, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if now := g.workers[w.info.ID]; now.up && (atNext || now == w) {
-			_ = perform(now, &answer{})
+		if current := g.workers[w.info.ID]; current.up && (toSuccessor || current == w) {
+			_ = perform(current, &answer{})
 		}
 	})
 }
 
-// latenesses is how many different times answers are late by. Each call's number takes it
-// latenessStep further, so that one may come after several later ones.
+// delaySteps is the number of different delays of answers. The delay advances by delayStride steps with each call,
+// so that an answer may arrive after those of several later calls.
 const (
-	latenesses   = 7
-	latenessStep = 4
+	delaySteps  = 7
+	delayStride = 4
 )
 
-// lateBy is by how much the answer of the next call is late.
-func (g *Grid) lateBy(faults Faults) time.Duration {
+// answerDelay returns the delay of the next call's answer.
+func (g *Grid) answerDelay(faults Faults) time.Duration {
 	g.calls++
-	return faults.LateAnswers * time.Duration(g.calls*latenessStep%latenesses) / (latenesses - 1)
+	return faults.LateAnswers * time.Duration(g.calls*delayStride%delaySteps) / (delaySteps - 1)
 }
 
-// passes waits for some time; false: the caller has left before.
-func passes(ctx context.Context, d time.Duration) bool {
+// sleep waits for some time; it returns false if the context ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d == 0 {
 		return true
 	}
--- a/services/standin/grid/room.go
+++ b/services/standin/grid/room.go
@@ -9,44 +9,44 @@
 	"rillsail.example/rillsail/models"
 )
 
-// shrunkCounts is how long after a worker has said that it has less room a start over that counts as a
-// breach: the time that users allow a daemon to be out of touch, and one heartbeat.
-const shrunkCounts = 6 * time.Second
-
-// room is a worker's capacity, and the one before while owners may not have heard of the change.
-type room struct {
-	former  models.Resources
-	changed time.Time
+// shrinkGrace is how long after a worker has announced a smaller capacity the audit still accepts starts within the
+// previous one: the time for which users allow a daemon to be out of touch, plus one heartbeat.
+const shrinkGrace = 6 * time.Second
+
+// capacityChange is the latest change of a worker's capacity, which owners may not have heard of yet.
+type capacityChange struct {
+	previous models.Resources
+	at       time.Time
 }
 
-// SetRoom lets the worker in a place have a part of its configured capacity from now on. What runs
-// over it runs on.
-func (g *Grid) SetRoom(place int, part float64) {
+// SetCapacity sets the capacity of the worker in a place to a part of the configured one. Runs that exceed the
+// new capacity continue.
+func (g *Grid) SetCapacity(place int, part float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	w := g.at(place)
-	w.room = room{former: w.bound(), changed: time.Now()}
+	w := g.incarnationAt(place)
+	w.capacityChange = capacityChange{previous: w.capacityLimit(), at: time.Now()}
 	w.info.Capacity = scaled(g.config.Capacity, part)
 	g.noteChange(w.info.ID)
 }
 
-// bound is what starts may commit the worker to now.
-func (w *incarnation) bound() models.Resources {
-	if time.Since(w.room.changed) > shrunkCounts {
+// capacityLimit returns the most resources that the runs on the worker may hold now.
+func (w *incarnation) capacityLimit() models.Resources {
+	if time.Since(w.capacityChange.at) > shrinkGrace {
 		return w.info.Capacity
 	}
-	return most(w.room.former, w.info.Capacity)
+	return maxResources(w.capacityChange.previous, w.info.Capacity)
 }
 
-// most is the larger of each resource.
-func most(a, b models.Resources) models.Resources {
+// maxResources returns the larger amount of each resource.
+func maxResources(a, b models.Resources) models.Resources {
 	a.CPU = max(a.CPU, b.CPU)
 	a.Memory = max(a.Memory, b.Memory)
 	a.Accelerators = max(a.Accelerators, b.Accelerators)
 	return a
 }
 
-// scaled is a part of the processor time and memory.
+// scaled returns a part of the processor time and memory, and all accelerators.
 func scaled(whole models.Resources, part float64) models.Resources {
 	whole.CPU = models.MilliCPU(part * float64(whole.CPU))
 	whole.Memory = models.MiB(part * float64(whole.Memory))
--- a/services/standin/kv/local.go
+++ b/services/standin/kv/local.go
@@ -13,19 +13,18 @@
 
 var _ platform.TxnStore = (*Local)(nil)
 
-// Local is the stand-in as a platform.TxnStore within the process, for tests that run
-// many daemons in one.
+// Local implements platform.TxnStore by direct calls to a Service, for tests that run many daemons in one process.
 type Local struct {
-	Service *Service
-	Fault   Fault
-	Wait    time.Duration // of a watch
+	Service   *Service
+	Fault     Fault
+	WatchWait time.Duration // how long a watch waits for changes
 }
 
-// Fault is asked before and after each call: an error before keeps the call from taking
-// effect, one after loses its answer. It may also block.
+// Fault is called before and after each call. An error before the call prevents its effect, an error after the call
+// loses its answer. A Fault may also block.
 type Fault func(ctx context.Context, write, after bool, key string) error
 
-func (l *Local) do(ctx context.Context, write bool, key string, perform func() (platform.StoreAnswer, error)) (platform.StoreAnswer, error) {
+func (l *Local) callWithFaults(ctx context.Context, write bool, key string, perform func() (platform.StoreAnswer, error)) (platform.StoreAnswer, error) {
 	if err := l.Fault(ctx, write, false, key); err != nil {
 		return platform.StoreAnswer{}, err
 	}
@@ -38,7 +37,7 @@
 
 // Get implements platform.Store.
 func (l *Local) Get(ctx context.Context, key string) (platform.Record, error) {
-	answer, err := l.do(ctx, false, key, func() (platform.StoreAnswer, error) { return l.Service.get(key) })
+	answer, err := l.callWithFaults(ctx, false, key, func() (platform.StoreAnswer, error) { return l.Service.get(key) })
 	if err != nil {
 		return platform.Record{}, err
 	}
@@ -47,28 +46,28 @@
 
 // List implements platform.Store.
 func (l *Local) List(ctx context.Context, prefix string) ([]platform.Record, platform.Version, error) {
-	answer, err := l.do(ctx, false, prefix, func() (platform.StoreAnswer, error) { return l.Service.list(prefix), nil })
+	answer, err := l.callWithFaults(ctx, false, prefix, func() (platform.StoreAnswer, error) { return l.Service.list(prefix), nil })
 	return answer.Records, answer.Version, err
 }
 
 // Swap implements platform.Store.
 func (l *Local) Swap(ctx context.Context, key string, value []byte, expect platform.Version, lease platform.LeaseID) (platform.Version, error) {
 	call := platform.StoreCall{Key: key, Value: value, Expect: expect, Lease: lease}
-	answer, err := l.do(ctx, true, key, func() (platform.StoreAnswer, error) {
-		l.Service.noteWrite(len(value))
+	answer, err := l.callWithFaults(ctx, true, key, func() (platform.StoreAnswer, error) {
+		l.Service.countWrite(len(value))
 		return l.Service.swap(call)
 	})
 	return answer.Version, err
 }
 
-// Commit implements platform.TxnStore. Faults see the first key that is written.
+// Commit implements platform.TxnStore. The Fault is called with the first key that is written.
 func (l *Local) Commit(ctx context.Context, txn platform.Txn) (platform.Version, error) {
 	key := ""
 	if len(txn.Put) > 0 {
 		key = txn.Put[0].Key
 	}
-	answer, err := l.do(ctx, true, key, func() (platform.StoreAnswer, error) {
-		l.Service.noteWrite(0)
+	answer, err := l.callWithFaults(ctx, true, key, func() (platform.StoreAnswer, error) {
+		l.Service.countWrite(0)
 		return l.Service.commit(txn)
 	})
 	return answer.Version, err
@@ -76,8 +75,8 @@
 
 // Revoke implements platform.TxnStore.
 func (l *Local) Revoke(ctx context.Context, lease platform.LeaseID) error {
-	_, err := l.do(ctx, true, "", func() (platform.StoreAnswer, error) {
-		l.Service.lapse(lease)
+	_, err := l.callWithFaults(ctx, true, "", func() (platform.StoreAnswer, error) {
+		l.Service.expire(lease)
 		return platform.StoreAnswer{}, nil
 	})
 	return err
@@ -85,7 +84,7 @@
 
 // Delete implements platform.Store.
 func (l *Local) Delete(ctx context.Context, key string, expect platform.Version) error {
-	_, err := l.do(ctx, true, key, func() (platform.StoreAnswer, error) {
+	_, err := l.callWithFaults(ctx, true, key, func() (platform.StoreAnswer, error) {
 		return platform.StoreAnswer{}, l.Service.remove(key, expect)
 	})
 	return err
@@ -93,27 +92,27 @@
 
 // Watch implements platform.Store.
 func (l *Local) Watch(ctx context.Context, prefix string, after platform.Version) ([]platform.Record, platform.Version, error) {
-	answer, err := l.do(ctx, false, prefix, func() (platform.StoreAnswer, error) {
-		return l.Service.watch(ctx, prefix, after, l.Wait)
+	answer, err := l.callWithFaults(ctx, false, prefix, func() (platform.StoreAnswer, error) {
+		return l.Service.watch(ctx, prefix, after, l.WatchWait)
 	})
 	return answer.Records, answer.Version, err
 }
 
 // Grant implements platform.Store.
 func (l *Local) Grant(ctx context.Context, ttl time.Duration) (platform.LeaseID, error) {
-	answer, err := l.do(ctx, true, "", func() (platform.StoreAnswer, error) { return l.Service.grant(ttl), nil })
+	answer, err := l.callWithFaults(ctx, true, "", func() (platform.StoreAnswer, error) { return l.Service.grant(ttl), nil })
 	return answer.Lease, err
 }
 
 // KeepAlive implements platform.Store.
 func (l *Local) KeepAlive(ctx context.Context, lease platform.LeaseID) error {
-	_, err := l.do(ctx, true, "", func() (platform.StoreAnswer, error) {
-		return platform.StoreAnswer{}, l.Service.keep(lease)
+	_, err := l.callWithFaults(ctx, true, "", func() (platform.StoreAnswer, error) {
+		return platform.StoreAnswer{}, l.Service.keepAlive(lease)
 	})
 	return err
 }
 
-func (s *Service) noteWrite(bytes int) {
+func (s *Service) countWrite(bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Writes++
@@ -123,8 +122,8 @@
 // NoFault is a Fault that never fails.
 func NoFault(context.Context, bool, bool, string) error { return nil }
 
-// KeysWith lists the keys with a prefix, for checks of what is left behind.
-func (s *Service) KeysWith(prefix string) []string {
+// KeysWithPrefix returns the keys with a prefix, in no particular order, for checks of what remains stored.
+func (s *Service) KeysWithPrefix(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var keys []string
--- a/services/standin/load/load.go
+++ b/services/standin/load/load.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 // Copyright The Rillsail Authors
 
-// Package load sends requests at a fixed rate, whether answers come or not, checks
-// each answer and measures latency from the moment a request was meant to be sent.
+// Package load is an open-loop load generator: it sends requests at a fixed mean rate, whether answers arrive or not,
+// checks each answer and measures latency from the time at which a request was due.
 //
 // # Usage
 //
@@ -27,49 +27,49 @@
 	"rillsail.example/rillsail/services/standin/fleet"
 )
 
-// Kind is one kind of request in the mix.
+// Kind is a kind of request in the mix.
 type Kind struct {
 	Name         string
 	Weight       int
 	Labels       string
 	Deadline     time.Duration
 	Unrepeatable bool
-	Watch        time.Duration // a standing watcher of this length
-	Work         time.Duration // service time; 0: drawn by the upstream
-	Bytes        int           // filling of the answer
+	Watch        time.Duration // duration of a watch request; 0: no watch
+	Work         time.Duration // service time; 0: chosen by the upstream
+	Bytes        int           // padding of the answer
 }
 
-// Config says what to send where.
+// Config configures a run.
 type Config struct {
-	Targets []string // callers' listeners; each gets the same share
-	Rate    float64  // requests a second
-	For     time.Duration
-	Mix     []Kind
-	Seed    uint64
-	Run     string // part of the requests' ids
-	// Retries is how often a refused request is sent again at once, as in a storm.
+	Targets  []string // addresses of the daemons' listeners for callers; each gets the same share
+	Rate     float64  // requests per second
+	Duration time.Duration
+	Mix      []Kind
+	Seed     uint64
+	IDPrefix string // prefix of the requests' ids
+	// Retries is how often a refused request is sent again at once, to simulate a retry storm.
 	Retries int
 }
 
 type runner struct {
-	config Config
-	client *http.Client
-	mu     sync.Mutex
-	report Report
-	next   int
+	config  Config
+	client  *http.Client
+	mu      sync.Mutex
+	report  Report
+	started int
 }
 
-// connections are kept to each target.
-const connections = 512
+// idleConnsPerTarget bounds the idle connections that are kept to each target.
+const idleConnsPerTarget = 512
 
-// Run sends until the time is over and waits for the last answer.
+// Run sends requests until the configured time is over and waits for the last answer.
 func Run(ctx context.Context, config Config) (Report, error) {
 	if len(config.Targets) == 0 || config.Rate <= 0 || len(config.Mix) == 0 {
-		return Report{}, errors.New("load: targets, rate and mix are needed")
+		return Report{}, errors.New("load: Targets, Rate and Mix are required")
 	}
 	r := &runner{
 		config: config, report: Report{Kinds: map[string]*KindReport{}},
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: connections}},
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnsPerTarget}},
 	}
 	for _, kind := range config.Mix {
 		r.report.Kinds[kind.Name] = newKindReport()
@@ -77,12 +77,12 @@
 	r.loop(ctx)
 	r.client.CloseIdleConnections()
 	for _, k := range r.report.Kinds {
-		k.sumUp()
+		k.summarize()
 	}
 	return r.report, nil
 }
 
-// loop sends each request at its time, late ones at once.
+// loop sends each request when it is due, and overdue requests at once.
 func (r *runner) loop(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.config.Seed, 1))
 	var group conc.WaitGroup
@@ -90,7 +90,7 @@
 	start := time.Now()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for at := time.Duration(0); at < r.config.For; at += r.gap(random) {
+	for at := time.Duration(0); at < r.config.Duration; at += r.nextGap(random) {
 		timer.Reset(time.Until(start.Add(at)))
 		select {
 		case <-ctx.Done():
@@ -99,18 +99,18 @@
 		}
 		kind := r.draw(random)
 		target := r.target(random)
-		r.next++
-		id := fmt.Sprintf("%s-%d", r.config.Run, r.next)
+		r.started++
+		id := fmt.Sprintf("%s-%d", r.config.IDPrefix, r.started)
 		group.Go(func() { r.run(ctx, kind, target, id, start.Add(at)) })
 	}
 }
 
-// gap is the time to the next request: exponential, as of independent callers.
-func (r *runner) gap(random *rand.Rand) time.Duration {
+// nextGap returns the time to the next request, exponentially distributed as with independent callers.
+func (r *runner) nextGap(random *rand.Rand) time.Duration {
 	return time.Duration(random.ExpFloat64() / r.config.Rate * float64(time.Second))
 }
 
-// draw chooses the kind of the next request, each as often as its weight says.
+// draw chooses the kind of the next request at random, with probabilities proportional to the weights.
 func (r *runner) draw(random *rand.Rand) Kind {
 	total := 0
 	for _, kind := range r.config.Mix {
@@ -125,17 +125,17 @@
 	return r.config.Mix[0]
 }
 
-// target chooses the listener that the next request is sent to.
+// target chooses the target of the next request at random.
 func (r *runner) target(random *rand.Rand) string {
 	return r.config.Targets[random.IntN(len(r.config.Targets))]
 }
 
-// run sends one request, again while it is refused, and counts it.
-func (r *runner) run(ctx context.Context, kind Kind, target, id string, meant time.Time) {
+// run sends a request, retries it while it is refused, and counts the result.
+func (r *runner) run(ctx context.Context, kind Kind, target, id string, due time.Time) {
 	var got result
 	resent := int64(0)
 	for try := 0; ; try++ {
-		got = r.send(ctx, kind, target, id, meant)
+		got = r.send(ctx, kind, target, id, due)
 		if got != notRun || try >= r.config.Retries {
 			break
 		}
@@ -143,10 +143,10 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.report.Kinds[kind.Name].count(got, resent, time.Since(meant))
+	r.report.Kinds[kind.Name].count(got, resent, time.Since(due))
 }
 
-func (r *runner) send(ctx context.Context, kind Kind, target, id string, meant time.Time) result {
+func (r *runner) send(ctx context.Context, kind Kind, target, id string, due time.Time) result {
 	body := "body of " + id
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target+"/"+kind.Name, strings.NewReader(body))
 	if err != nil {
@@ -159,7 +159,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(response.Body)
-	return judge(response, string(text), err, kind, id, body, meant)
+	return classify(response, string(text), err, kind, id, body, due)
 }
 
 func setHeaders(h http.Header, kind Kind, id string) {
@@ -183,8 +183,8 @@
 	}
 }
 
-// judge tells what became of a request by its answer.
-func judge(response *http.Response, text string, err error, kind Kind, id, body string, meant time.Time) result {
+// classify returns the result of a request according to its answer.
+func classify(response *http.Response, text string, err error, kind Kind, id, body string, due time.Time) result {
 	switch {
 	case err != nil:
 		return broken
@@ -196,7 +196,7 @@
 		return right
 	case kind.Watch > 0 || text != fleet.AnswerFor(id, []byte(body), kind.Bytes):
 		return wrong
-	case kind.Deadline > 0 && time.Since(meant) > kind.Deadline:
+	case kind.Deadline > 0 && time.Since(due) > kind.Deadline:
 		return late
 	default:
 		return right
--- a/tests/integration/operator_test.go
+++ b/tests/integration/operator_test.go
@@ -14,21 +14,21 @@
 	"rillsail.example/rillsail/routers/operator"
 )
 
-// call makes an operator's call to a daemon.
+// call makes a call to a daemon's operators' listener.
 func call[T wire.Checker](d *daemonProcess, method, path string, body any) (T, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	return wire.Do[T](ctx, wire.Call{
-		Client: http.DefaultClient, Method: method, URL: "http://" + d.operator + path, Token: operatorToken, Limit: limit,
+		Client: http.DefaultClient, Method: method, URL: "http://" + d.operator + path, Token: operatorToken, Limit: maxAnswerSize,
 	}, body)
 }
 
-// statusOf is the status that a daemon shows.
+// statusOf returns the status that a daemon reports.
 func statusOf(d *daemonProcess) (models.Status, error) {
 	return call[models.Status](d, http.MethodGet, operator.PathStatus, nil)
 }
 
-// revisionAt is the revision that a daemon has, 0 when it doesn't answer.
+// revisionAt returns the revision of the configuration that a daemon has, or 0 if the daemon does not answer.
 func revisionAt(d *daemonProcess) models.Revision {
 	s, err := statusOf(d)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return s.Revision
 }
 
-// apply puts objects of the configuration in force.
+// apply changes the configuration to contain the objects.
 func (c *cluster) apply(d *daemonProcess, objects ...models.Object) models.ConfigResult {
 	c.t.Helper()
 	var change models.ConfigChange
@@ -49,7 +49,7 @@
 	return result
 }
 
-// submit sends a job until it is accepted.
+// submit submits a job repeatedly until it is accepted.
 func (c *cluster) submit(d *daemonProcess, job models.JobSpec) {
 	c.t.Helper()
 	var results models.JobResults
@@ -65,7 +65,7 @@
 	})
 }
 
-// job is a job as a daemon knows it, without id when it doesn't.
+// job returns a job as a daemon knows it, or an empty job if the daemon does not know it.
 func (c *cluster) job(d *daemonProcess, id models.JobID) models.Job {
 	l, err := call[models.Listing](d, http.MethodGet, operator.PathJobs, nil)
 	if err != nil {
@@ -79,24 +79,24 @@
 	return models.Job{}
 }
 
-// untilDone waits until a job has ended.
-func (c *cluster) untilDone(d *daemonProcess, id models.JobID) models.Job {
+// waitEnded waits until a job has ended and returns it.
+func (c *cluster) waitEnded(d *daemonProcess, id models.JobID) models.Job {
 	c.t.Helper()
 	var job models.Job
 	defer func() {
 		if c.t.Failed() {
-			c.tell(d, job)
+			c.logState(d, job)
 		}
 	}()
 	eventually(c.t, "job "+string(id)+" ends", func() bool {
 		job = c.job(d, id)
-		return job.Ended != 0
+		return job.EndedAt != 0
 	})
 	return job
 }
 
-// tell logs what the daemons know when a wait has failed.
-func (c *cluster) tell(d *daemonProcess, job models.Job) {
+// logState logs what the daemons know about tasks and workers after a wait has failed.
+func (c *cluster) logState(d *daemonProcess, job models.Job) {
 	l, err := call[models.Listing](d, http.MethodGet, operator.PathTasks, nil)
 	c.t.Logf("job %+v\nmissing %v, %v", job, l.Missing, err)
 	for _, t := range l.Tasks {
@@ -108,8 +108,8 @@
 	}
 }
 
-// running counts the replicas of a service that the daemons know to run.
-func (c *cluster) running(d *daemonProcess, service models.ServiceName) int {
+// runningReplicas returns how many replicas of a service run according to the daemons.
+func (c *cluster) runningReplicas(d *daemonProcess, service models.ServiceName) int {
 	l, err := call[models.Listing](d, http.MethodGet, operator.PathTasks, nil)
 	if err != nil {
 		return 0
--- a/tests/soak/behavior.go
+++ b/tests/soak/behavior.go
@@ -10,75 +10,75 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// behavior is how a caller hands in a job that is not accepted at once.
+// behavior is how a caller submits a job and reacts if the job is not accepted at once.
 type behavior struct {
-	weight      int
-	tries       int  // at most
-	step        int  // so many daemons further with each try; 0: at the same one
-	leavesEarly bool // closes the connection soon, and each time somewhat later
-	trusting    bool // does not come again when it was refused
-	twice       bool // hands the job in at two daemons at once
-	again       bool // hands the job in once more after it was accepted
+	weight           int
+	maxTries         int
+	daemonStep       int  // how many daemons further each retry goes; 0: to the same daemon
+	disconnectsEarly bool // closes the connection early, with each retry somewhat later
+	acceptsRefusal   bool // does not retry after a refusal
+	submitsToTwo     bool // submits the job to two daemons at the same time
+	resubmits        bool // submits the job once more after its acceptance
 }
 
-// behaviors lists them all.
+// behaviors lists all behaviors of callers.
 var behaviors = []behavior{
-	{weight: 4, tries: tries, step: 1},
-	{weight: 3, tries: tries, step: 1, trusting: true},
-	{weight: 2, tries: 1, leavesEarly: true},
-	{weight: 2, tries: tries, leavesEarly: true},
-	{weight: 2, tries: 1, twice: true},
-	{weight: 2, tries: tries, step: 1, again: true},
+	{weight: 4, maxTries: maxTries, daemonStep: 1},
+	{weight: 3, maxTries: maxTries, daemonStep: 1, acceptsRefusal: true},
+	{weight: 2, maxTries: 1, disconnectsEarly: true},
+	{weight: 2, maxTries: maxTries, disconnectsEarly: true},
+	{weight: 2, maxTries: 1, submitsToTwo: true},
+	{weight: 2, maxTries: maxTries, daemonStep: 1, resubmits: true},
 }
 
 const (
-	// shortestWait and longestWait bound how long a caller that leaves early stays the first time: the
-	// users' callers leave from a tenth of a second on.
-	shortestWait = 100 * time.Millisecond
-	longestWait  = 1500 * time.Millisecond
-	// longestAgain is when at the latest an accepted job is handed in once more.
-	longestAgain = 4 * time.Second
-	// withdrawOneIn: one caller in so many that does not know what became of its job cancels it.
-	withdrawOneIn = 2
+	// minFirstTimeout and maxFirstTimeout bound how long a caller that disconnects early waits for its first
+	// answer: the users' callers disconnect after a tenth of a second at the earliest.
+	minFirstTimeout = 100 * time.Millisecond
+	maxFirstTimeout = 1500 * time.Millisecond
+	// maxResubmitDelay bounds how long after its acceptance a job is submitted once more.
+	maxResubmitDelay = 4 * time.Second
+	// cancelUnknownOneIn is the share of callers that cancel a job whose outcome they don't know: one in so many.
+	cancelUnknownOneIn = 2
 )
 
-// callerPlan is what one caller will do with its job.
+// callerPlan is what one caller is going to do with its job.
 type callerPlan struct {
 	behavior
-	spec      jobs.Spec
-	first     int           // daemon
-	other     int           // daemon, of a cancellation and of a second call
-	stay      time.Duration // of a caller that leaves early, the first time
-	after     time.Duration // when an accepted job is handed in once more
-	withdraws bool          // cancels the job when it can't know what became of it
+	spec           jobs.Spec
+	firstDaemon    int           // number of the daemon that gets the first submission
+	otherDaemon    int           // number of the daemon that gets a cancellation or a second submission
+	firstTimeout   time.Duration // of the first submission of a caller that disconnects early
+	resubmitDelay  time.Duration // from the acceptance to the submission that is sent once more
+	cancelsUnknown bool          // cancels the job if its outcome is unknown
 }
 
-// newCallerPlan draws how a caller behaves.
+// newCallerPlan draws the behavior of a caller.
 func newCallerPlan(random *rand.Rand, spec jobs.Spec, first, daemons int) callerPlan {
-	all := 0
-	for _, h := range behaviors {
-		all += h.weight
+	totalWeight := 0
+	for _, b := range behaviors {
+		totalWeight += b.weight
 	}
-	v := callerPlan{
-		spec: spec, first: first, other: first + 1 + random.IntN(max(1, daemons-1)),
-		stay:      shortestWait + time.Duration(random.Int64N(int64(longestWait-shortestWait))),
-		after:     time.Duration(random.Int64N(int64(longestAgain))),
-		withdraws: random.IntN(withdrawOneIn) == 0,
+	plan := callerPlan{
+		spec: spec, firstDaemon: first, otherDaemon: first + 1 + random.IntN(max(1, daemons-1)),
+		firstTimeout:   minFirstTimeout + time.Duration(random.Int64N(int64(maxFirstTimeout-minFirstTimeout))),
+		resubmitDelay:  time.Duration(random.Int64N(int64(maxResubmitDelay))),
+		cancelsUnknown: random.IntN(cancelUnknownOneIn) == 0,
 	}
-	n := random.IntN(all)
-	for _, h := range behaviors {
-		if n -= h.weight; n < 0 {
-			v.behavior = h
+	n := random.IntN(totalWeight)
+	for _, b := range behaviors {
+		if n -= b.weight; n < 0 {
+			plan.behavior = b
 			break
 		}
 	}
-	return v
+	return plan
 }
 
-// stays is how long the caller waits for the answer of a try, counted from 0.
-func (v callerPlan) stays(try int) time.Duration {
-	if v.leavesEarly {
-		return min(answerWithin, time.Duration(1+try)*v.stay)
+// timeout returns how long the caller waits for the answer to a try; tries are counted from 0.
+func (p callerPlan) timeout(try int) time.Duration {
+	if p.disconnectsEarly {
+		return min(answerTimeout, time.Duration(1+try)*p.firstTimeout)
 	}
-	return answerWithin
+	return answerTimeout
 }
--- a/tests/soak/inject.go
+++ b/tests/soak/inject.go
@@ -17,41 +17,41 @@
 	"rillsail.example/rillsail/services/standin/grid"
 )
 
-// injectLoop brings the planned faults about. Each is mended by a goroutine of its own,
-// so that faults overlap.
+// injectLoop injects the planned faults. Each fault has its own goroutine, which also clears it, so that
+// faults can overlap.
 func (r *run) injectLoop(ctx context.Context, group *conc.WaitGroup) {
 	for _, fault := range r.plan.Faults {
-		if !pause(ctx, time.Until(r.begin.Add(fault.At))) {
+		if !sleep(ctx, time.Until(r.begin.Add(fault.At))) {
 			return
 		}
 		group.Go(func() { r.inject(ctx, fault) })
 	}
 }
 
-// inject brings one fault about and mends it. It doesn't begin when another fault has what
-// it would disturb: the first of them to end would mend both. Those that go over
-// others are mended each for itself.
+// inject applies one fault and clears it again. The fault is skipped if another fault has reserved the
+// same target: the first of the two to end would clear both. Overlapping faults are cleared independently
+// and need no reservation.
 func (r *run) inject(ctx context.Context, fault Fault) {
 	d := r.site.daemons[fault.Target%len(r.site.daemons)]
 	place := fault.Target % r.config.Workers
-	what := disturbed(fault, d, place)
-	if !fault.Over {
-		if !r.site.take(what) {
+	target := faultTarget(fault, d, place)
+	if !fault.Overlapping {
+		if !r.site.reserve(target) {
 			return
 		}
-		defer r.site.release(what)
+		defer r.site.release(target)
 	}
 	began := time.Since(r.begin)
-	if r.bringAbout(ctx, fault, d, place) {
-		r.record.fault(began, time.Since(r.begin), fault)
+	if r.applyFault(ctx, fault, d, place) {
+		r.record.addFault(began, time.Since(r.begin), fault)
 	}
 }
 
-// disturbed names what a fault disturbs.
-func disturbed(fault Fault, d *daemon, place int) string {
+// faultTarget names the target of a fault, by which faults reserve it.
+func faultTarget(fault Fault, d *daemon, place int) string {
 	switch fault.Kind {
 	case KillDaemon, PauseDaemon, StopDaemon, Hangup:
-		return d.processName()
+		return d.processTarget()
 	case CutStore, CutStoreHalf:
 		return "store's connections of " + d.name
 	case CutPeer:
@@ -69,120 +69,120 @@
 	}
 }
 
-// bringAbout lets the fault happen until it is mended; false: it didn't happen.
-func (r *run) bringAbout(ctx context.Context, fault Fault, d *daemon, place int) bool {
+// applyFault applies a fault for its duration and clears it; false: the fault could not be applied.
+func (r *run) applyFault(ctx context.Context, fault Fault, d *daemon, place int) bool {
 	switch fault.Kind {
 	case KillDaemon, PauseDaemon, StopDaemon, Hangup:
-		r.disturbProcess(ctx, fault, d)
+		r.applyProcessFault(ctx, fault, d)
 	case Reconfigure:
 		return r.site.reconfigure(ctx) == nil
 	case StoreDown, StoreSlow, StoreLossy, StoreLate, StoreForgets, StoreBusy, StoreLimited, StoreReadsFail:
-		r.disturbStore(ctx, fault)
+		r.applyStoreFault(ctx, fault)
 	case SilenceDaemon, SilenceWorker:
-		r.silenceAll(fault, d, place)
-		pause(ctx, fault.For)
+		r.silenceTarget(fault, d, place)
+		sleep(ctx, fault.For)
 	case CutStore, CutStoreHalf, CutPeer, CutCallers, SlowWorker, ResetWorker:
-		r.disturbConnections(ctx, fault, d, place)
-	case FailWorker, StallWorker, OvertakeWorker, RepeatWorker:
-		r.troubleWorker(ctx, fault, place)
+		r.applyConnectionFault(ctx, fault, d, place)
+	case FailWorker, StallWorker, ReorderWorkerAnswers, RepeatWorkerOrders:
+		r.applyMisbehavior(ctx, fault, place)
 	case RestartWorker:
 		r.restartWorker(ctx, fault, place)
 	case RestartWorkers:
 		r.restartWorkers()
 	default:
-		r.disturbWorker(ctx, fault, place)
+		r.applyWorkerFault(ctx, fault, place)
 	}
 	return true
 }
 
-// disturbProcess sends signals to a daemon.
-func (r *run) disturbProcess(ctx context.Context, fault Fault, d *daemon) {
+// applyProcessFault kills, pauses or stops a daemon's process, or sends it SIGHUP.
+func (r *run) applyProcessFault(ctx context.Context, fault Fault, d *daemon) {
 	switch fault.Kind {
 	case Hangup:
 		d.signal(syscall.SIGHUP)
 		return
 	case PauseDaemon:
 		d.signal(syscall.SIGSTOP)
-		pause(ctx, fault.For)
+		sleep(ctx, fault.For)
 		d.signal(syscall.SIGCONT)
 		return
 	case KillDaemon:
 		d.kill()
 	default:
 		d.stop()
-		r.checkStop(d)
+		r.checkPlannedStop(d)
 	}
-	pause(ctx, fault.For)
+	sleep(ctx, fault.For)
 	if err := d.start(); err != nil {
-		r.record.broken(time.Since(r.begin), "daemon", "%v", err)
+		r.record.addBreach(time.Since(r.begin), "daemon", "%v", err)
 	}
 }
 
-// disturbConnections lets a proxy misbehave.
-func (r *run) disturbConnections(ctx context.Context, fault Fault, d *daemon, place int) {
+// applyConnectionFault disturbs the connections through one proxy.
+func (r *run) applyConnectionFault(ctx context.Context, fault Fault, d *daemon, place int) {
 	switch fault.Kind {
 	case CutStore:
-		r.poison(ctx, fault, d.store, toxicSilence, "upstream", "downstream")
+		r.applyToxic(ctx, fault, d.store, toxicSilence, "upstream", "downstream")
 	case CutStoreHalf:
-		r.poison(ctx, fault, d.store, toxicSilence, "downstream")
+		r.applyToxic(ctx, fault, d.store, toxicSilence, "downstream")
 	case CutPeer:
-		r.poison(ctx, fault, d.peers, toxicSilence, "upstream")
+		r.applyToxic(ctx, fault, d.peers, toxicSilence, "upstream")
 	case CutCallers:
-		r.poison(ctx, fault, d.callers, toxicReset, "downstream")
+		r.applyToxic(ctx, fault, d.callers, toxicReset, "downstream")
 	case SlowWorker:
-		r.poison(ctx, fault, r.site.workers[place], toxicDelay, "upstream", "downstream")
+		r.applyToxic(ctx, fault, r.site.workerProxies[place], toxicDelay, "upstream", "downstream")
 	default:
-		r.poison(ctx, fault, r.site.workers[place], toxicReset, "upstream")
+		r.applyToxic(ctx, fault, r.site.workerProxies[place], toxicReset, "upstream")
 	}
 }
 
-// The proxy's words for what it does to a connection. Silence without an end holds bytes
-// back and drops them; the connection stays open.
+// Types of the proxy's toxics. A "timeout" toxic without a timeout withholds and drops all bytes while
+// the connection stays open.
 const (
 	toxicSilence = "timeout"
 	toxicReset   = "reset_peer"
 	toxicDelay   = "latency"
 )
 
-// The delay of slow connections, in milliseconds: both ways together it is at most
+// The delay of slow connections, in milliseconds: both directions together are delayed by at most
 // callTimeout.
 const (
-	delayBy     = 200
-	delayJitter = 150
+	delayMs       = 200
+	delayJitterMs = 150
 )
 
-// poison adds a toxic to the streams of a proxy and removes it again.
-func (r *run) poison(ctx context.Context, fault Fault, p *toxiproxy.Proxy, toxic string, streams ...string) {
+// applyToxic adds a toxic to the streams of a proxy and removes it after the fault's duration.
+func (r *run) applyToxic(ctx context.Context, fault Fault, p *toxiproxy.Proxy, toxic string, streams ...string) {
 	for _, stream := range streams {
 		name := toxic + " " + stream
-		if r.addToxic(p, name, toxic, stream, map[string]int{"latency": delayBy, "jitter": delayJitter}) {
-			defer func() { _ = p.Toxics.RemoveToxic(context.Background(), name) }() // mend may have removed it
+		if r.addToxic(p, name, toxic, stream, map[string]int{"latency": delayMs, "jitter": delayJitterMs}) {
+			defer func() { _ = p.Toxics.RemoveToxic(context.Background(), name) }() // clearFaults may have removed the toxic
 		}
 	}
-	pause(ctx, fault.For)
+	sleep(ctx, fault.For)
 }
 
-// addToxic adds a toxic of some type to a stream of a proxy.
+// addToxic adds a toxic of the given type to a stream of a proxy, and reports whether that succeeded.
 func (r *run) addToxic(p *toxiproxy.Proxy, name, toxic, stream string, attributes any) bool {
 	body, err := json.Marshal(map[string]any{"name": name, "type": toxic, "stream": stream, "attributes": attributes})
 	if err == nil {
 		_, err = p.Toxics.AddToxicJson(bytes.NewReader(body))
 	}
 	if err != nil {
-		r.record.broken(time.Since(r.begin), "soak", "%s can't be disturbed: %v", p.Name, err)
+		r.record.addBreach(time.Since(r.begin), "soak", "toxic can't be added to proxy %s: %v", p.Name, err)
 	}
 	return err == nil
 }
 
-// disturbWorker lets a worker misbehave.
-func (r *run) disturbWorker(ctx context.Context, fault Fault, place int) {
+// applyWorkerFault applies a fault to a worker. A crash has no duration; a drain ends with a crash.
+func (r *run) applyWorkerFault(ctx context.Context, fault Fault, place int) {
 	g := r.site.emulator.Grid
 	switch fault.Kind {
 	case CutWorker:
 		g.ChangeFaults(place, func(f *grid.Faults) { f.Cut = true })
-	case LateWorker:
-		g.ChangeFaults(place, func(f *grid.Faults) { f.Late = fault.For })
-	case MuteWorker:
+	case DelayWorkerOrders:
+		g.ChangeFaults(place, func(f *grid.Faults) { f.LateOrders = fault.For })
+	case LoseWorkerAnswers:
 		g.ChangeFaults(place, func(f *grid.Faults) { f.LoseAnswers = true })
 	case HideWorker:
 		g.SetListed(place, false)
@@ -190,12 +190,12 @@
 		g.Drain(place, fault.For)
 	}
 	if fault.Kind != CrashWorker {
-		pause(ctx, fault.For)
+		sleep(ctx, fault.For)
 	}
 	if fault.Kind == CrashWorker || fault.Kind == DrainWorker {
 		g.Crash(place)
 	}
-	g.ChangeFaults(place, func(f *grid.Faults) { f.Cut, f.Late, f.LoseAnswers = false, 0, false })
+	g.ChangeFaults(place, func(f *grid.Faults) { f.Cut, f.LateOrders, f.LoseAnswers = false, 0, false })
 	g.SetListed(place, true)
 	g.StopDraining(place)
 }
--- a/tests/soak/plan.go
+++ b/tests/soak/plan.go
@@ -13,46 +13,46 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The kinds of faults. Those of daemons, connections and workers hit one of them.
+// The kinds of faults. A fault of a daemon, connection or worker affects a single one.
 const (
-	KillDaemon     Kind = "kill daemon"            // and start it again
-	PauseDaemon    Kind = "pause daemon"           // and let it go on
-	StopDaemon     Kind = "stop daemon as planned" // and start it again
-	Hangup         Kind = "hang up"
-	Reconfigure    Kind = "change configuration"
-	StoreDown      Kind = "store is down"
-	StoreSlow      Kind = "store is slow"
-	StoreLossy     Kind = "store loses answers"
-	StoreLate      Kind = "store does writes late"
-	StoreBusy      Kind = "store turns calls away"
-	StoreLimited   Kind = "store limits calls"
-	StoreReadsFail Kind = "store turns reads away"
-	StoreForgets   Kind = "store forgets its history"
-	CutStore       Kind = "daemon is cut from the store"
-	CutStoreHalf   Kind = "daemon's calls reach the store, the answers don't come back"
-	CutPeer        Kind = "daemon is cut from its peers"
-	CutCallers     Kind = "callers' connections are reset"
-	SlowWorker     Kind = "connections to a worker are slow"
-	ResetWorker    Kind = "connections to a worker are reset"
-	CutWorker      Kind = "worker is silent"
-	LateWorker     Kind = "worker does orders late"
-	MuteWorker     Kind = "worker's answers are lost"
-	CrashWorker    Kind = "worker is replaced"
-	HideWorker     Kind = "worker is missing in the list"
-	DrainWorker    Kind = "worker drains and leaves"
-	SilenceDaemon  Kind = "daemon's open connections are silent for good"
-	SilenceWorker  Kind = "open connections to a worker are silent for good"
-	FailWorker     Kind = "worker fails all that it starts"
-	StallWorker    Kind = "worker stands still"
-	OvertakeWorker Kind = "worker's answers pass each other"
-	RepeatWorker   Kind = "worker does orders again later"
-	RestartWorker  Kind = "worker starts again while calls to it go wrong"
-	RestartWorkers Kind = "all workers start again at once"
+	KillDaemon           Kind = "kill daemon"            // and restart it
+	PauseDaemon          Kind = "pause daemon"           // and resume it
+	StopDaemon           Kind = "stop daemon as planned" // and restart it
+	Hangup               Kind = "hang up"
+	Reconfigure          Kind = "change configuration"
+	StoreDown            Kind = "store is down"
+	StoreSlow            Kind = "store is slow"
+	StoreLossy           Kind = "store loses answers"
+	StoreLate            Kind = "store does writes late"
+	StoreBusy            Kind = "store turns calls away"
+	StoreLimited         Kind = "store limits calls"
+	StoreReadsFail       Kind = "store turns reads away"
+	StoreForgets         Kind = "store forgets its history"
+	CutStore             Kind = "daemon is cut from the store"
+	CutStoreHalf         Kind = "daemon's calls reach the store, the answers don't come back"
+	CutPeer              Kind = "daemon is cut from its peers"
+	CutCallers           Kind = "callers' connections are reset"
+	SlowWorker           Kind = "connections to a worker are slow"
+	ResetWorker          Kind = "connections to a worker are reset"
+	CutWorker            Kind = "worker is silent"
+	DelayWorkerOrders    Kind = "worker does orders late"
+	LoseWorkerAnswers    Kind = "worker's answers are lost"
+	CrashWorker          Kind = "worker is replaced"
+	HideWorker           Kind = "worker is missing in the list"
+	DrainWorker          Kind = "worker drains and leaves"
+	SilenceDaemon        Kind = "daemon's open connections are silent for good"
+	SilenceWorker        Kind = "open connections to a worker are silent for good"
+	FailWorker           Kind = "worker fails all that it starts"
+	StallWorker          Kind = "worker stands still"
+	ReorderWorkerAnswers Kind = "worker's answers pass each other"
+	RepeatWorkerOrders   Kind = "worker does orders again later"
+	RestartWorker        Kind = "worker starts again while calls to it go wrong"
+	RestartWorkers       Kind = "all workers start again at once"
 )
 
-// kinds lists those that come by themselves with their weights: what daemons must survive
-// most often comes most often.
-var kinds = []struct {
+// weightedKinds lists the kinds that drawFault draws, with their weights: the faults that daemons must
+// survive most often are the most frequent.
+var weightedKinds = []struct {
 	kind   Kind
 	weight int
 }{
@@ -73,8 +73,8 @@
 	{SlowWorker, 1},
 	{ResetWorker, 2},
 	{CutWorker, 3},
-	{LateWorker, 2},
-	{MuteWorker, 2},
+	{DelayWorkerOrders, 2},
+	{LoseWorkerAnswers, 2},
 	{CrashWorker, 3},
 	{HideWorker, 1},
 	{DrainWorker, 2},
@@ -83,55 +83,55 @@
 // Fault is one planned fault.
 type Fault struct {
 	At     time.Duration `json:"at"`  // since the run began
-	For    time.Duration `json:"for"` // until it is mended; for a daemon, until it runs again
+	For    time.Duration `json:"for"` // until the fault is cleared; for a daemon, until it runs again
 	Kind   Kind          `json:"kind"`
 	Target int           `json:"target"` // number of the daemon or worker
-	// Over says that a fault of the store comes over its other ones.
-	Over bool `json:"over,omitempty"`
+	// Overlapping says that a fault of the store comes over its other ones.
+	Overlapping bool `json:"over,omitempty"`
 	// Every restricts a fault of the store to one daemon in so many, counted from Target; 0: all.
 	Every int `json:"every,omitempty"`
 }
 
-// Plan is what one seed brings.
+// Plan is the plan of faults that one seed yields.
 type Plan struct {
 	Seed   uint64  `json:"seed"`
 	Faults []Fault `json:"faults"`
 }
 
-// Times of the plan. Faults come singly, in series and one over the other: some pauses
-// are far shorter than the faults last.
+// Times of the plan. Faults occur one at a time, in series and overlapping, since some pauses are far
+// shorter than the faults.
 const (
-	firstFault    = 2 * time.Second
-	longestPause  = 2500 * time.Millisecond
-	shortestFault = 200 * time.Millisecond
-	longestFault  = 6 * time.Second // longer than the leases of daemons and workers
-	seriesOf      = 3
-	seriesPause   = 300 * time.Millisecond
-	oneInSeries   = 5 // one fault in so many is a series of the same kind
+	firstFaultAt     = 2 * time.Second
+	maxFaultPause    = 2500 * time.Millisecond
+	minFaultDuration = 200 * time.Millisecond
+	maxFaultDuration = 6 * time.Second // longer than the leases of daemons and workers
+	seriesLength     = 3
+	seriesPause      = 300 * time.Millisecond
+	seriesOneIn      = 5 // share of faults that are repeated as a series of the same kind: one in so many
 )
 
-// newPlan draws the faults of a run that lasts so long.
+// newPlan draws the faults of a run.
 func newPlan(config Config) Plan {
 	seed, length, daemons, workers := config.Seed, config.Length, config.Daemons, config.Workers
 	random := rand.New(rand.NewPCG(seed, uint64(length)))
 	plan := Plan{Seed: seed}
-	at := firstFault
+	at := firstFaultAt
 	for at < length {
-		fault := draw(random, at, daemons, workers)
+		fault := drawFault(random, at, daemons, workers)
 		repeats := 1
-		if random.IntN(oneInSeries) == 0 {
-			repeats = seriesOf
+		if random.IntN(seriesOneIn) == 0 {
+			repeats = seriesLength
 		}
 		for range repeats {
 			plan.Faults = append(plan.Faults, fault)
 			fault.At += seriesPause
 			fault.Target++
 		}
-		at += time.Duration(random.Int64N(int64(longestPause)))
+		at += time.Duration(random.Int64N(int64(maxFaultPause)))
 	}
-	plan.Faults = append(plan.Faults, overlaps(seed, length)...)
+	plan.Faults = append(plan.Faults, drawOverlaps(seed, length)...)
 	plan.Faults = append(plan.Faults, drawSilences(seed, length, daemons*workers)...)
-	plan.Faults = append(plan.Faults, drawTroubles(seed, length, workers)...)
+	plan.Faults = append(plan.Faults, drawMisbehaviors(seed, length, workers)...)
 	if config.Restarts {
 		plan.Faults = append(plan.Faults, drawRestarts(seed, length, workers)...)
 	}
@@ -139,16 +139,16 @@
 	return plan
 }
 
-// draw draws one fault.
-func draw(random *rand.Rand, at time.Duration, daemons, workers int) Fault {
-	all := 0
-	for _, k := range kinds {
-		all += k.weight
+// drawFault draws one fault.
+func drawFault(random *rand.Rand, at time.Duration, daemons, workers int) Fault {
+	totalWeight := 0
+	for _, k := range weightedKinds {
+		totalWeight += k.weight
 	}
 	fault := Fault{At: at, Target: random.IntN(daemons * workers)}
-	fault.For = shortestFault + time.Duration(random.Int64N(int64(longestFault-shortestFault)))
-	n := random.IntN(all)
-	for _, k := range kinds {
+	fault.For = minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration-minFaultDuration)))
+	n := random.IntN(totalWeight)
+	for _, k := range weightedKinds {
 		if n -= k.weight; n < 0 {
 			fault.Kind = k.kind
 			return fault
@@ -157,34 +157,34 @@
 	return fault
 }
 
-// Faults of the store that come one over the other: one that leaves a daemon without an
-// answer, and, beside it or right behind it, one that turns it away.
+// Kinds of store faults that overlap in pairs: the first fault leaves a daemon without an answer; the
+// second, during the first or right after it, rejects the daemon's calls.
 var (
-	unanswered = []Kind{StoreLossy, StoreLate}
-	turnedAway = []Kind{StoreDown, StoreBusy, StoreLimited, StoreReadsFail}
+	unansweredKinds = []Kind{StoreLossy, StoreLate}
+	rejectingKinds  = []Kind{StoreDown, StoreBusy, StoreLimited, StoreReadsFail}
 )
 
 const (
-	longestCalm    = 2 * time.Second // between two overlaps
-	longestOverlap = 3 * time.Second // of either fault
-	mostEvery      = 3               // an overlap hits at least one daemon in so many
+	maxOverlapPause    = 2 * time.Second // between two overlaps
+	maxOverlapDuration = 3 * time.Second // of either fault
+	maxOverlapEvery    = 3               // an overlap affects at least one daemon in so many
 )
 
-// overlaps draws them from a stream of its own.
-func overlaps(seed uint64, length time.Duration) []Fault {
+// drawOverlaps draws the overlapping store faults from a stream of their own.
+func drawOverlaps(seed uint64, length time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, overlapStream))
-	lasts := func() time.Duration {
-		return shortestFault + time.Duration(random.Int64N(int64(longestOverlap-shortestFault)))
+	drawDuration := func() time.Duration {
+		return minFaultDuration + time.Duration(random.Int64N(int64(maxOverlapDuration-minFaultDuration)))
 	}
 	var faults []Fault
-	for at := firstFault; at < length; at += time.Duration(random.Int64N(int64(longestCalm))) {
+	for at := firstFaultAt; at < length; at += time.Duration(random.Int64N(int64(maxOverlapPause))) {
 		first := Fault{
-			At: at, For: lasts(), Kind: unanswered[random.IntN(len(unanswered))], Over: true,
-			Target: random.IntN(mostEvery), Every: 1 + random.IntN(mostEvery),
+			At: at, For: drawDuration(), Kind: unansweredKinds[random.IntN(len(unansweredKinds))], Overlapping: true,
+			Target: random.IntN(maxOverlapEvery), Every: 1 + random.IntN(maxOverlapEvery),
 		}
 		second := first
 		second.At += time.Duration(random.Int64N(int64(first.For)))
-		second.For, second.Kind = lasts(), turnedAway[random.IntN(len(turnedAway))]
+		second.For, second.Kind = drawDuration(), rejectingKinds[random.IntN(len(rejectingKinds))]
 		faults = append(faults, first, second)
 		at = second.At
 	}
--- a/tests/soak/trouble.go
+++ b/tests/soak/trouble.go
@@ -11,47 +11,48 @@
 	"rillsail.example/rillsail/services/standin/grid"
 )
 
-// Troubles are faults of workers that answer: what they do is wrong, or comes late, so that runs
-// end and are started again. They go over other faults of the worker, and each is mended
-// by itself.
+// Misbehaviors are faults of workers that still answer: the workers act wrongly or late, so that runs end
+// and are started again. Misbehaviors overlap with other faults of the worker, and each is cleared
+// independently.
 
-// troubles lists them with their weights.
-var troubles = []struct {
+// weightedMisbehaviors lists the misbehaviors with their weights.
+var weightedMisbehaviors = []struct {
 	kind   Kind
 	weight int
 }{
 	{FailWorker, 4},
 	{StallWorker, 1},
-	{OvertakeWorker, 2},
-	{RepeatWorker, 2},
+	{ReorderWorkerAnswers, 2},
+	{RepeatWorkerOrders, 2},
 }
 
 const (
-	troubleStream  = 0x7_20_0b_1e    // of the random numbers of troubles
-	longestSound   = 3 * time.Second // between two of them
-	longestTrouble = 4 * time.Second
-	// passBy is by how much answers are late at most: less than calls to workers wait.
-	passBy = 300 * time.Millisecond
-	// repeatAfter is when an order is done once more: newer ones for the task have come by then.
+	misbehaviorStream      = 0x7_20_0b_1e    // stream of random numbers
+	maxMisbehaviorPause    = 3 * time.Second // between two misbehaviors
+	maxMisbehaviorDuration = 4 * time.Second
+	// maxAnswerDelay bounds the delay of answers; it is shorter than the timeout of calls to workers.
+	maxAnswerDelay = 300 * time.Millisecond
+	// repeatAfter is how long after its arrival an order is carried out once more; by then newer orders for
+	// the task have arrived.
 	repeatAfter = 1200 * time.Millisecond
 )
 
-// drawTroubles draws them from a stream of its own, so that the other faults of a seed are as
-// before.
-func drawTroubles(seed uint64, length time.Duration, workers int) []Fault {
-	all := 0
-	for _, t := range troubles {
-		all += t.weight
+// drawMisbehaviors draws misbehaviors from a stream of random numbers of its own, so that the other faults
+// of a seed stay the same.
+func drawMisbehaviors(seed uint64, length time.Duration, workers int) []Fault {
+	totalWeight := 0
+	for _, m := range weightedMisbehaviors {
+		totalWeight += m.weight
 	}
-	random := rand.New(rand.NewPCG(seed, troubleStream))
+	random := rand.New(rand.NewPCG(seed, misbehaviorStream))
 	var faults []Fault
-	for at := firstFault; at < length; at += time.Duration(random.Int64N(int64(longestSound))) {
-		fault := Fault{At: at, Target: random.IntN(workers), Over: true}
-		fault.For = shortestFault + time.Duration(random.Int64N(int64(longestTrouble-shortestFault)))
-		n := random.IntN(all)
-		for _, t := range troubles {
-			if n -= t.weight; n < 0 {
-				fault.Kind = t.kind
+	for at := firstFaultAt; at < length; at += time.Duration(random.Int64N(int64(maxMisbehaviorPause))) {
+		fault := Fault{At: at, Target: random.IntN(workers), Overlapping: true}
+		fault.For = minFaultDuration + time.Duration(random.Int64N(int64(maxMisbehaviorDuration-minFaultDuration)))
+		n := random.IntN(totalWeight)
+		for _, m := range weightedMisbehaviors {
+			if n -= m.weight; n < 0 {
+				fault.Kind = m.kind
 				break
 			}
 		}
@@ -60,30 +61,30 @@
 	return faults
 }
 
-// troubleWorker lets a worker be in trouble for a time.
-func (r *run) troubleWorker(ctx context.Context, fault Fault, place int) {
+// applyMisbehavior has a worker misbehave for the fault's duration.
+func (r *run) applyMisbehavior(ctx context.Context, fault Fault, place int) {
 	g := r.site.emulator.Grid
-	g.ChangeFaults(place, func(f *grid.Faults) { setTrouble(f, fault.Kind, true) })
-	pause(ctx, fault.For)
-	g.ChangeFaults(place, func(f *grid.Faults) { setTrouble(f, fault.Kind, false) })
+	g.ChangeFaults(place, func(f *grid.Faults) { setMisbehavior(f, fault.Kind, true) })
+	sleep(ctx, fault.For)
+	g.ChangeFaults(place, func(f *grid.Faults) { setMisbehavior(f, fault.Kind, false) })
 }
 
-// setTrouble begins or ends a trouble.
-func setTrouble(f *grid.Faults, kind Kind, begins bool) {
+// setMisbehavior begins or ends a misbehavior.
+func setMisbehavior(f *grid.Faults, kind Kind, begins bool) {
 	switch kind {
 	case FailWorker:
-		f.FailsAll = begins
+		f.FailRuns = begins
 	case StallWorker:
 		f.Stalled = begins
-	case OvertakeWorker:
+	case ReorderWorkerAnswers:
 		f.LateAnswers = 0
 		if begins {
-			f.LateAnswers = passBy
+			f.LateAnswers = maxAnswerDelay
 		}
-	case RepeatWorker:
-		f.Again = 0
+	case RepeatWorkerOrders:
+		f.RepeatAfter = 0
 		if begins {
-			f.Again = repeatAfter
+			f.RepeatAfter = repeatAfter
 		}
 	}
 }
