--- a/services/dispatch/burst.go
+++ b/services/dispatch/burst.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Workers that fail for a common cause, such as the loss of a rack, a restart of all of them or a network partition,
-// are lost at the same moment. How often that happens says little about a worker that is lost by itself, as one is
-// whose process a task has ended.
+// Workers that fail for a common cause, such as the loss of a rack, a restart of all workers or a network partition,
+// are lost at the same moment. How often that happens says little about a worker that is lost by itself, as happens
+// when a task crashes the worker's process.
 
 const (
 	// minBurstWorkers is the least number of workers that are lost in a burst. Two may be lost at the same moment to
--- a/services/dispatch/chance.go
+++ b/services/dispatch/chance.go
@@ -15,7 +15,7 @@
 const (
 	// simultaneousWithin and correlatedWithin are the times within which workers are lost to a common cause, such as
 	// the loss of a rack or a network partition: their connections break at the same moment, or calls to them time
-	// out one after the other. Each task that crashes workers does so at a time of its own.
+	// out one after the other. Tasks that crash workers do so at unrelated times.
 	simultaneousWithin = 50 * time.Millisecond
 	correlatedWithin   = time.Second
 	// simultaneousAllowance and correlatedAllowance are how many workers may be lost within these times of another
@@ -63,9 +63,10 @@
 }
 
 // chanceRate estimates how many losses by chance per second each worker had when the given worker was lost. The
-// estimate takes the highest of three rates: losses of the last seconds and losses around that time, both without
-// those that the tasks on the workers explain, and, when several workers were lost at the same moment, all of these,
-// whatever ran there. A loss in a burst is compared with all losses, a single loss with the other single ones.
+// estimate takes the highest of three rates: the losses of the last seconds, the losses around that time, both without
+// the losses that the tasks on the workers explain, and, when several workers were lost at the same moment, all losses
+// of that moment, whatever ran there. A loss in a burst is compared with all losses, a single loss mostly with other
+// single losses: see discountBursts.
 func (c *Core) chanceRate(w *worker, now time.Time) float64 {
 	return c.chanceRateAt(w.info.Incarnation(), w.lastAlive(now), now)
 }
@@ -78,7 +79,8 @@
 	return baselineLossRate + estimateChanceRate(losses, at, workers)/workers
 }
 
-// estimateChanceRate estimates how often one of so many workers is lost by chance at a time, given the losses.
+// estimateChanceRate estimates how many of the given number of workers are lost by chance per second at a time, given
+// the losses.
 func estimateChanceRate(losses []workerLoss, at time.Time, workers float64) float64 {
 	all := 0.0
 	for _, l := range losses {
--- a/services/dispatch/changes.go
+++ b/services/dispatch/changes.go
@@ -21,7 +21,7 @@
 	// LearnedParameters holds the learned parameters. They are stored along with other changes from time to time and
 	// are no reason to store by themselves.
 	LearnedParameters *jobs.LearnedParameters
-	// Proof says that a transaction is wanted because it proves the ownership of the cell.
+	// Proof says that a transaction is wanted for the proof of ownership alone.
 	Proof bool
 
 	takenAt time.Time
@@ -78,7 +78,7 @@
 	}
 }
 
-// hasUnstoredLoss reports whether a lost run of the job is counted and not stored yet. Until it is stored, the
+// hasUnstoredLoss reports whether a lost run of the job is counted and not stored yet. Until the loss is stored, the
 // roster must not omit the run's worker: a successor that finds neither would not know that there was a run.
 func (j *job) hasUnstoredLoss() bool { return j.storedVersion < j.lossVersion }
 
@@ -116,7 +116,7 @@
 	if j.end != "" {
 		change.Ended = &jobs.Record{
 			Spec: jobs.Spec{ID: j.spec.ID, Queue: j.spec.Queue}, Accepted: j.accepted,
-			Ended: j.end, EndedAt: c.timeOfDay(now), AdditionalCells: j.additionalCells, MovesClosed: j.closed,
+			Ended: j.end, EndedAt: c.timeOfDay(now), AdditionalCells: j.additionalCells, MovesClosed: j.movesClosed,
 		}
 		return change
 	}
@@ -124,7 +124,7 @@
 	return change
 }
 
-// progressOf collects the state of the job's tasks that would be lost when workers forget their ends.
+// progressOf collects the state of the job's tasks that would be lost when workers forget the ends of their runs.
 func progressOf(j *job) jobs.Progress {
 	progress := jobs.Progress{Done: map[int][]int{}, Failed: map[int]map[int]jobs.Failures{}, Suspected: suspicionsOf(j)}
 	for flat, s := range j.steps {
@@ -146,8 +146,8 @@
 	return progress
 }
 
-// Stored says that the changes are stored: ended jobs may be reported as ended, and workers may forget the
-// ends.
+// Stored records that the changes are stored: callers may be told that jobs have ended, and workers may forget ended
+// runs.
 func (c *Core) Stored(changes Changes, now time.Time) {
 	c.provedAt = latest(c.provedAt, changes.takenAt)
 	c.wantsProof = false
@@ -172,8 +172,8 @@
 	}
 }
 
-// Unstored takes back changes that are not known to be stored. Progress among them may have been stored or may
-// be stored later, so it has to be deleted with the job's end.
+// Unstored takes back changes whose outcome is unknown or that were not stored. Progress among them may have been
+// stored or may be stored later, so it has to be deleted with the job's end.
 func (c *Core) Unstored(changes Changes) {
 	for _, change := range changes.Jobs {
 		change.job.hasProgress = change.job.hasProgress || change.Ended == nil
--- a/services/dispatch/checkpoint_random_test.go
+++ b/services/dispatch/checkpoint_random_test.go
@@ -108,7 +108,7 @@
 		w.decide()
 	case "carry":
 		if len(w.orders) > 0 {
-			w.resolveOrder(rapid.IntRange(0, len(w.orders)-1).Draw(w.T, "order"), rapid.SampledFrom(orderFates).Draw(w.T, "fate"))
+			w.resolveOrder(rapid.IntRange(0, len(w.orders)-1).Draw(w.T, "order"), rapid.SampledFrom(orderOutcomes).Draw(w.T, "fate"))
 		}
 	case "store":
 		w.store()
@@ -172,10 +172,10 @@
 
 // replace puts another incarnation in the place of a worker.
 func (w *checkpointWorld) replace(worker *checkpointWorker) {
-	if worker.gone || len(w.workers) > 2*checkpointWorkers {
+	if worker.replaced || len(w.workers) > 2*checkpointWorkers {
 		return
 	}
-	worker.gone, worker.listed = true, rapid.Bool().Draw(w.T, "its entry stays")
+	worker.replaced, worker.listed = true, rapid.Bool().Draw(w.T, "its entry stays")
 	id := jobs.WorkerID(fmt.Sprint("w", len(w.workers)))
 	w.workers = append(w.workers, newCheckpointWorker(id, worker.info.Address, w.now))
 	w.list()
@@ -186,7 +186,7 @@
 // raised: of such numbers the owner accepts only that of the run that it ordered itself, at the worker where it
 // ordered the run.
 func (w *checkpointWorld) reportUnaccountedRun(worker *checkpointWorker, task jobs.TaskID, what string) {
-	if len(w.runs[task]) == 0 || worker.gone || worker.running[task] != nil {
+	if len(w.runs[task]) == 0 || worker.replaced || worker.running[task] != nil {
 		return
 	}
 	run := &checkpointRun{task: task, run: rapid.SampledFrom(w.runs[task]).Draw(w.T, "older run")}
--- a/services/dispatch/checkpoint_worker_test.go
+++ b/services/dispatch/checkpoint_worker_test.go
@@ -24,17 +24,17 @@
 // only of the newest epoch that it has seen, no run that is not above one that has ended or was stopped here, no
 // start later than its lease, and no run outlives the lease.
 type checkpointWorker struct {
-	info    jobs.Worker
-	began   time.Time
-	until   time.Time // end of its lease
-	fence   jobs.Fence
-	running map[jobs.TaskID]*checkpointRun
-	barred  map[jobs.TaskID]jobs.RunID // the highest that was stopped or has ended
-	ends    []jobs.Ended
-	lastEnd uint64
-	cut     bool // no call reaches it
-	gone    bool // another incarnation is at its address
-	listed  bool
+	info     jobs.Worker
+	began    time.Time
+	until    time.Time // end of its lease
+	fence    jobs.Fence
+	running  map[jobs.TaskID]*checkpointRun
+	barred   map[jobs.TaskID]jobs.RunID // the highest that was stopped or has ended
+	ends     []jobs.Ended
+	lastEnd  uint64
+	cut      bool // no call reaches it
+	replaced bool // another incarnation is at its address
+	listed   bool
 }
 
 func newCheckpointWorker(id jobs.WorkerID, address string, now time.Time) *checkpointWorker {
--- a/services/dispatch/checkpoint_world_test.go
+++ b/services/dispatch/checkpoint_world_test.go
@@ -143,7 +143,7 @@
 	call, known := w.core.LeaseCall(worker.info.ID, 0, w.now)
 	switch {
 	case !known:
-	case worker.gone:
+	case worker.replaced:
 		w.core.Replaced(worker.info.ID, w.now)
 	case worker.cut:
 		w.core.Overdue(worker.info.ID, w.now)
@@ -180,8 +180,8 @@
 	}
 }
 
-// orderFates are the possible outcomes of an order.
-var orderFates = []string{"done", "done", "done", "answer lost", "order lost", "order late", "not done", "not sent"}
+// orderOutcomes are the possible outcomes of an order.
+var orderOutcomes = []string{"done", "done", "done", "answer lost", "order lost", "order late", "not done", "not sent"}
 
 // resolveOrder lets an order reach its worker, or meet another fate.
 func (w *checkpointWorld) resolveOrder(n int, fate string) {
@@ -234,7 +234,7 @@
 // find returns a worker that can be reached, or nil.
 func (w *checkpointWorld) find(id jobs.WorkerID) *checkpointWorker {
 	for _, worker := range w.workers {
-		if worker.info.ID == id && !worker.cut && !worker.gone {
+		if worker.info.ID == id && !worker.cut && !worker.replaced {
 			return worker
 		}
 	}
--- a/services/dispatch/core.go
+++ b/services/dispatch/core.go
@@ -86,7 +86,7 @@
 	jobs            map[jobs.ID]*job
 	repeating       map[jobs.ID]*job // jobs that repeat
 	ended           map[jobs.ID]endedJob
-	movedOut        map[jobs.ID]movedOutJob // jobs whose tasks are all in other cells now
+	movedOut        map[jobs.ID]movedOutJob // jobs whose tasks are all in other cells
 	endedSweptAt    time.Time               // when expired ended jobs were last removed
 	workers         map[jobs.WorkerID]*worker
 	sortedWorkers   []*worker       // sorted by id
@@ -102,9 +102,9 @@
 	fencedAt        time.Time     // when more than half of the workers had reported in this epoch; zero: not yet
 	superseded      bool
 	provedAt        time.Time // when the latest transaction that proves ownership was begun; see mayOrder
-	quorumAskedAt   time.Time // a time such that two thirds of the workers have answered a call sent since
+	quorumAskedAt   time.Time // two thirds of the workers have answered a call that was sent at this time or later
 	quorumCheckedAt time.Time // when the answers of the workers were last counted for mayOrder
-	wantsProof      bool      // a transaction is wanted for its proof of ownership alone
+	wantsProof      bool      // a transaction is wanted for the proof of ownership alone
 	awaitingProof   bool      // orders are held back until ownership is proved again
 	storeFreshness  storeFreshness
 	stopping        map[*task]struct{}
@@ -117,12 +117,12 @@
 	queueSpeeds       map[jobs.QueueName]*speed // how fast the tasks of each queue progress, relative to their estimates
 	repeats           retryBudget
 	workerLosses      []workerLoss              // worker losses within the window of chance.go
-	openRuns          map[jobs.WorkerID][]*task // suspects that a previous owner started on the worker, until the worker reports
+	unresolvedRuns    map[jobs.WorkerID][]*task // tasks whose stored unresolved run a previous owner started on the worker, until the worker reports
 	takeovers         takeoverLosses
 	tasksWithLosses   map[*task]struct{}            // tasks that have lost runs; some of them may have ended since
 	tasksToJudge      []*task                       // tasks with newly counted losses, to be judged
 	recentLosses      []recentLoss                  // losses to be re-evaluated when later ones are known
-	replaced          map[jobs.Incarnation]struct{} // incarnations proved to have ended that the platform's list still names
+	replaced          map[jobs.Incarnation]struct{} // incarnations that have certainly ended but are still in the platform's list
 	storeUrgently     bool                          // dirty jobs have changes that are to be stored without delay
 	shortWork         shortWork
 	startsLeft        int // how many more starts Decide may order
@@ -137,12 +137,12 @@
 type Counts struct {
 	Starts, Succeeded, Failed, Stopped, Lapsed, Refused, Paces, Unanswered int64
 	WorkersLost                                                            int64 // workers lost while tasks were assigned to them
-	RestartsReported, RestartsMet                                          int64 // restarts of workers under the same id, detected by a report or by a call that was meant for the previous incarnation
+	RestartsReported, RestartsMet                                          int64 // restarts of workers under the same id, found by a report, or by a call that met the next incarnation
 	ReportsPassedOver                                                      int64 // reports discarded as older than one already applied
-	LostUnseen                                                             int64 // runs that may have been lost with a worker, while nobody observed their start or their loss
+	LostUnseen                                                             int64 // runs that may have been lost with a worker, while no owner observed their start or their loss
 	Trials, GivenUp, Cleared                                               int64 // trials of tasks suspected of crashing workers; tasks abandoned; tasks cleared
 	StartsFromText                                                         int64 // starts from a checkpoint
-	// Checkpoints in reports that were not taken, by reason: see checkpointFate.
+	// Checkpoints in reports that were not taken, by reason: see checkpointResult.
 	TextsNotAskedOf, TextsOlder, TextsUnordered, TextsFailed int64
 }
 
@@ -154,7 +154,7 @@
 		previousLease: config.LongestLease, recovering: true, provedAt: config.Taken, model: contention.NewModel(), queueSpeeds: map[jobs.QueueName]*speed{},
 		restoredLoads: map[stepKey]contention.BaselineLoad{}, storeFreshness: storeFreshness{jobsAsOf: config.Taken, workersAsOf: config.Taken},
 		repeats: newRetryBudget(), startsLeft: math.MaxInt,
-		openRuns: map[jobs.WorkerID][]*task{}, tasksWithLosses: map[*task]struct{}{}, replaced: map[jobs.Incarnation]struct{}{},
+		unresolvedRuns: map[jobs.WorkerID][]*task{}, tasksWithLosses: map[*task]struct{}{}, replaced: map[jobs.Incarnation]struct{}{},
 	}
 }
 
--- a/services/dispatch/end.go
+++ b/services/dispatch/end.go
@@ -21,13 +21,13 @@
 		return
 	}
 	c.retractLoss(t, ended.Run)
-	var fate checkpointFate
+	var result checkpointResult
 	if ended.Checkpoint != "" {
-		fate = c.keepCheckpoint(t, savedCheckpoint{text: ended.Checkpoint, run: ended.Run, worker: w.info.ID, row: checkpointRow(ended.How), at: now})
+		result = c.keepCheckpoint(t, savedCheckpoint{text: ended.Checkpoint, run: ended.Run, worker: w.info.ID, row: checkpointRow(ended.How), at: now})
 	}
 	c.applyEnd(w, t, ended, now)
 	w.retainEnd(ended.Number, t.step.job)
-	c.logEnd(w, t, ended, fate, now)
+	c.logEnd(w, t, ended, result, now)
 }
 
 // applyEnd updates the task, its worker and the totals by how a run ended.
@@ -64,7 +64,7 @@
 }
 
 // logEnd logs how a run ended, and whether its checkpoint was taken.
-func (c *Core) logEnd(w *worker, t *task, ended jobs.Ended, fate checkpointFate, now time.Time) {
+func (c *Core) logEnd(w *worker, t *task, ended jobs.Ended, result checkpointResult, now time.Time) {
 	fields := []zap.Field{
 		zap.Stringer("task", ended.Task), zap.Uint64("run", uint64(ended.Run)), zap.String("how", string(ended.How)),
 		zap.String("worker", string(w.info.ID)), zap.Int("failures", len(t.failures)),
@@ -72,8 +72,8 @@
 	if t.run == ended.Run && !t.startedAt.IsZero() {
 		fields = append(fields, zap.Int64("ran_ms", now.Sub(t.startedAt).Milliseconds()))
 	}
-	if fate != "" {
-		fields = append(fields, zap.Stringer("saved", checkpointDigest(ended.Checkpoint)), zap.String("saved_fate", string(fate)))
+	if result != "" {
+		fields = append(fields, zap.Stringer("saved", checkpointDigest(ended.Checkpoint)), zap.String("saved_fate", string(result)))
 	}
 	c.config.Logger.Info("run ended", fields...)
 }
--- a/services/dispatch/evidence.go
+++ b/services/dispatch/evidence.go
@@ -16,9 +16,9 @@
 // at any time after its start, with the same probability in each order of magnitude of the runtime; so the shorter
 // the run, the likelier the task is the cause. Without this task the worker would have been lost by chance or by one
 // of its neighbours on the worker. The evidence of a loss is the logarithm of the ratio of the likelihoods with and
-// without the task as the cause; below zero it speaks for the task. Losses add up, because each is of another run on
-// another worker. A task that crashes nothing reaches a sum of x with a probability of at most e to the minus x,
-// however many losses it has.
+// without the task as the cause; below zero it speaks for the task. The evidence of several losses adds up, because each loss is of
+// another run on another worker. A task that crashes nothing reaches a sum of x with a probability of at most e to the
+// minus x, however many losses the task has.
 
 const (
 	// meanTimeBetweenLosses is how long a worker runs on average between two losses by chance. On the worst days of
@@ -50,14 +50,14 @@
 }
 
 // A task that crashes its workers mostly does so at the same point of its work, that is as long after each start.
-// This tells it from a task that was lost beside others, at arbitrary times: a second loss after the same runtime is
-// stronger evidence against the task, one after ten times the runtime is weaker.
+// This distinguishes such a task from a task that was lost beside others, at arbitrary times: a second loss after the
+// same runtime is stronger evidence against the task, a second loss after ten times the runtime is weaker.
 const (
-	// recurringShare is the share of such tasks that crash at the same point each time.
+	// recurringShare is the share of the tasks that crash workers which do so at the same point each time.
 	recurringShare = 0.8
-	// recurringTolerance is how far apart two such runtimes are at most, as a fraction of the earlier one, and
-	// minRecurringTolerance is the least difference allowed, for short runtimes: where nothing listens on the port
-	// any more, calls do not tell the end of a worker more precisely.
+	// recurringTolerance is how far apart two runtimes of a recurring crash are at most, as a fraction of the earlier
+	// runtime, and minRecurringTolerance is the least difference allowed, for short runtimes: where nothing listens on
+	// the port any more, calls do not tell the end of a worker more precisely.
 	recurringTolerance    = 0.3
 	minRecurringTolerance = 100 * time.Millisecond
 	// preciseShare is the share of recurring crashes whose runtimes agree as closely as a connection can tell that
@@ -82,8 +82,8 @@
 	return (1-recurringShare)*anyTime + recurringShare*near/float64(len(earlierRuntimes))
 }
 
-// uniformDensityAround is the density at a runtime that is uniformly distributed around an earlier one, at most so
-// far from it and not below zero.
+// uniformDensityAround is the density at ran of a runtime that is uniformly distributed around an earlier runtime, at
+// most within away from it and not below zero.
 func uniformDensityAround(earlier, ran, within time.Duration) float64 {
 	if (ran - earlier).Abs() > within {
 		return 0
@@ -124,9 +124,9 @@
 	runtimeIsUpperBound bool
 }
 
-// evidence returns the evidence of the loss against the task: doubt compares the task with chance alone, weight also
+// evidence returns the evidence of the loss against the task: vsChance compares the task with chance alone, vsAll also
 // with its neighbours on the worker.
-func (e lossContext) evidence() (doubt, weight float64) {
+func (e lossContext) evidence() (vsChance, vsAll float64) {
 	byTask := crashDensityAfter(e.runtime, e.earlierRuntimes)
 	if e.runtimeIsUpperBound && len(e.earlierRuntimes) > 0 {
 		byTask = crashProbabilityBy(e.runtime, e.earlierRuntimes) / e.runtime.Seconds()
@@ -165,15 +165,15 @@
 
 // neighboursOf returns the other tasks on a worker that was lost.
 func (c *Core) neighboursOf(w *worker, t *task, now time.Time) []neighbour {
-	var beside []neighbour
+	var neighbours []neighbour
 	for _, other := range w.tasks {
 		ran, known := c.runtimeAtLoss(w, other, now)
 		if other == t || !known {
 			continue
 		}
-		beside = append(beside, neighbour{runtime: ran, earlierRuntimes: other.lostRuntimes(), crasherProbability: other.crasherProbability()})
+		neighbours = append(neighbours, neighbour{runtime: ran, earlierRuntimes: other.lostRuntimes(), crasherProbability: other.crasherProbability()})
 	}
-	return beside
+	return neighbours
 }
 
 // lostRuntimes returns the runtimes after which runs of the task were lost, as far as they were observed.
@@ -196,19 +196,19 @@
 
 // lostRun returns what is recorded against a task for the loss of a worker.
 func (e lossContext) lostRun(w *worker, t *task) jobs.LostRun {
-	doubt, weight := e.evidence()
+	vsChance, vsAll := e.evidence()
 	return jobs.LostRun{
-		Run: t.run, RanAtMost: models.MilliOf(max(e.runtime, minRuntime)), EvidenceVsChance: roundToHundredths(doubt), EvidenceVsAll: roundToHundredths(weight),
+		Run: t.run, RanAtMost: models.MilliOf(max(e.runtime, minRuntime)), EvidenceVsChance: roundToHundredths(vsChance), EvidenceVsAll: roundToHundredths(vsAll),
 		LossID: w.info.Incarnation().LossID(),
 	}
 }
 
 // weighUnobserved returns the evidence of a lost run that began the given time ago, when no owner observed its
 // runtime. If the task was the cause, the worker was lost early in that time.
-func weighUnobserved(open *jobs.UnresolvedRun, ago time.Duration) jobs.LostRun {
-	lost := open.LostRun
-	lost.EvidenceVsChance = roundToHundredths(math.Log(recurringShare / lossProbabilityWithin(open.ChanceRate, ago)))
-	lost.EvidenceVsAll = roundToHundredths(math.Log(recurringShare / lossProbabilityWithin(open.ChanceRate+open.NeighbourRate, ago)))
+func weighUnobserved(unresolved *jobs.UnresolvedRun, ago time.Duration) jobs.LostRun {
+	lost := unresolved.LostRun
+	lost.EvidenceVsChance = roundToHundredths(math.Log(recurringShare / lossProbabilityWithin(unresolved.ChanceRate, ago)))
+	lost.EvidenceVsAll = roundToHundredths(math.Log(recurringShare / lossProbabilityWithin(unresolved.ChanceRate+unresolved.NeighbourRate, ago)))
 	return lost
 }
 
--- a/services/dispatch/evidence_play_test.go
+++ b/services/dispatch/evidence_play_test.go
@@ -32,10 +32,10 @@
 	AloneEvery models.Milli `json:"alone_every_ms"` // how long a worker runs on average until it is lost by itself; 0: it never is
 	BurstEvery models.Milli `json:"burst_every_ms"` // 0: there are no bursts
 	BurstShare float64      `json:"burst_share"`    // of the workers
-	// GivenUp is how many jobs of a million lost innocent runs may be abandoned, and TooOften how many of a thousand
+	// Abandoned is how many jobs of a million lost innocent runs may be abandoned, and TooOften how many of a thousand
 	// tasks that crash their workers may be started a sixth time.
-	GivenUp  float64 `json:"given_up_per_million"`
-	TooOften float64 `json:"too_often_per_thousand"`
+	Abandoned float64 `json:"given_up_per_million"`
+	TooOften  float64 `json:"too_often_per_thousand"`
 }
 
 const (
@@ -274,7 +274,7 @@
 				all.add(p)
 			}
 			t.Logf("%d simulations: %+v", simulations, all)
-			require.LessOrEqual(t, float64(all.givenUp), 1+c.GivenUp*float64(all.lost)/1e6)
+			require.LessOrEqual(t, float64(all.abandoned), 1+c.Abandoned*float64(all.lost)/1e6)
 			require.LessOrEqual(t, float64(all.tooOften), 1+c.TooOften*float64(all.crashing)/1e3)
 		})
 	}
@@ -283,7 +283,7 @@
 // evidenceTally sums up the results of simulations.
 type evidenceTally struct {
 	lost      int // innocent runs
-	givenUp   int // abandoned jobs of innocent runs
+	abandoned int // abandoned jobs of innocent runs
 	crashing  int // tasks that crash their workers
 	tooOften  int // of these tasks, started a sixth time
 	undecided int // of these tasks, not abandoned in time
@@ -294,7 +294,7 @@
 	all.crashing += len(p.crashing)
 	for id, ended := range p.ended {
 		if _, crashes := p.crashing[id]; !crashes && ended.state == jobs.StateFailed {
-			all.givenUp++
+			all.abandoned++
 		}
 	}
 	for id := range p.crashing {
--- a/services/dispatch/expect.go
+++ b/services/dispatch/expect.go
@@ -23,7 +23,7 @@
 }
 
 // excess returns by how much the load would exceed the target load after a load of the given mean and variance
-// is added. The total is taken as its mean plus caution standard deviations.
+// is added. The load is assumed to be caution standard deviations above its mean.
 func (s servingTask) excess(caution, mean, variance float64) float64 {
 	return s.mean + mean + caution*math.Sqrt(s.variance+variance+residualVariance) - s.service.TargetLoad()
 }
@@ -71,8 +71,8 @@
 }
 
 // addBaseline adds the baseline load of the step, as predicted for the given time.
-func (s *servingTask) addBaseline(own *contention.BaselineLoad, at time.Time) {
-	mean, variance := own.Predict(at)
+func (s *servingTask) addBaseline(baseline *contention.BaselineLoad, at time.Time) {
+	mean, variance := baseline.Predict(at)
 	s.mean += mean
 	s.variance += variance
 	s.overProbability = s.overTarget(0, 0)
--- a/services/dispatch/figures.go
+++ b/services/dispatch/figures.go
@@ -54,10 +54,10 @@
 // recordFirstStart records the first start of a job's tasks by this owner. Jobs accepted before this owner took
 // the cell are left out, because a previous owner may have started them.
 func (c *Core) recordFirstStart(j *job, now time.Time) {
-	if !j.fresh || j.firstStartNoted || len(c.figures.Starts) >= maxJobFigures {
+	if !j.fresh || j.firstStartRecorded || len(c.figures.Starts) >= maxJobFigures {
 		return
 	}
-	j.firstStartNoted = true
+	j.firstStartRecorded = true
 	c.figures.Starts = append(c.figures.Starts, FirstStart{j.spec.Queue, ageOf(j, c.timeOfDay(now))})
 }
 
--- a/services/dispatch/gone.go
+++ b/services/dispatch/gone.go
@@ -114,7 +114,7 @@
 	c.config.Logger.Info("worker is gone", zap.String("worker", string(w.info.ID)), zap.String("reason", reason),
 		zap.Int64("born", int64(w.info.Born)), zap.Int("tasks", len(w.tasks)), zap.Int64("unanswered_ms", now.Sub(w.lastAlive(now)).Milliseconds()))
 	c.countWorkerLoss(w, now)
-	c.recordUnheardLoss(w)
+	c.recordLossWithoutAnswer(w)
 	c.requeueTasks(w)
 	c.judge(now)
 	delete(c.workers, w.info.ID)
--- a/services/dispatch/incarnation.go
+++ b/services/dispatch/incarnation.go
@@ -12,14 +12,14 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// A worker may start again under its previous id. All state of a worker belongs to one incarnation, so the next
-// incarnation is a separate worker here that takes the place of the previous one. Which incarnation is present is
-// decided by who answers: never by the list, whose entries may be late, and never by comparing the incarnations'
-// start times, because the time of day may be set back. Calls that ask for reports are made one after the other, so
-// whoever answers the later call is the later incarnation.
+// A worker may start again under its previous id. All state of a worker belongs to one incarnation, so each incarnation
+// has a worker value of its own, which replaces that of the previous incarnation. The incarnation that answers calls is
+// the present one. The list does not decide, because its entries may be late, nor does the order of the incarnations'
+// start times, because the time of day may be set back. Calls that ask for reports are made one after the other, so the
+// incarnation that answers the later call is the later one.
 
-// OtherIncarnationAnswered records that a call meant for one incarnation reached another one, which did not carry it out; born
-// is that incarnation's start time, 0 when it is not known.
+// OtherIncarnationAnswered records that a call meant for one incarnation reached another one, which did not carry out
+// the call; born is the start time of the incarnation that answered, 0 when it is not known.
 func (c *Core) OtherIncarnationAnswered(meant jobs.Incarnation, born models.UnixMilli, now time.Time) {
 	w, ok := c.workers[meant.ID]
 	switch {
@@ -32,8 +32,8 @@
 	}
 }
 
-// reportingIncarnation returns the incarnation that a report is of, and whether no later report has been taken.
-func (c *Core) reportingIncarnation(w *worker, sent time.Time, report jobs.Report, now time.Time) (reports *worker, later bool) {
+// reportingIncarnation returns the incarnation that has sent a report, and whether no later report was applied before.
+func (c *Core) reportingIncarnation(w *worker, sent time.Time, report jobs.Report, now time.Time) (sender *worker, isLatest bool) {
 	c.logUnreadableStartTime(w, report)
 	switch {
 	case !w.isOtherIncarnation(report):
@@ -60,7 +60,8 @@
 	}
 }
 
-// learnStartTime takes the start time from a report if it is not known yet; the roster has to name it.
+// learnStartTime takes the incarnation's start time from a report if it is not known yet. The roster has to be stored
+// with it.
 func (c *Core) learnStartTime(w *worker, report jobs.Report) {
 	if w.info.Born == 0 && report.Born != 0 {
 		w.info.Born = report.Born
@@ -70,14 +71,14 @@
 
 // logUnreadableStartTime logs once that the start time in a worker's reports is not valid.
 func (c *Core) logUnreadableStartTime(w *worker, report jobs.Report) {
-	if report.BornUnreadable && !w.bornLogged {
-		w.bornLogged = true
+	if report.BornUnreadable && !w.unreadableStartTimeLogged {
+		w.unreadableStartTimeLogged = true
 		c.config.Logger.Warn("worker's reports have no valid start time", zap.String("worker", string(w.info.ID)))
 	}
 }
 
 // recordListEntry records the list's entry for another incarnation. That incarnation may have ended, or may not have
-// answered yet; a new entry makes the owner ask for the next report at once.
+// answered yet; a new entry makes the owner request the next report at once.
 func (c *Core) recordListEntry(w *worker, entry jobs.Worker) {
 	w.otherEntry = &entry
 	if w.reportUrgentFor == entry.Born {
@@ -87,21 +88,21 @@
 	c.urgentWorkers = append(c.urgentWorkers, w.info.ID)
 }
 
-// TakeImmediatePolls returns the workers whose outstanding report should not be waited for: the list names another
-// incarnation, and a call to one that has ended may stay unanswered.
+// TakeImmediatePolls returns the workers to be asked for a report at once instead of waiting for the answer to the
+// outstanding call: the list names another incarnation, and a call to an incarnation that has ended may stay unanswered.
 func (c *Core) TakeImmediatePolls() []jobs.WorkerID {
-	hurry := c.urgentWorkers
+	workers := c.urgentWorkers
 	c.urgentWorkers = nil
-	return hurry
+	return workers
 }
 
-// replaceIncarnation puts another incarnation in the place of a worker that has ended, whose runs are lost. The new
-// incarnation is called at once, and gets starts when the roster and the list name it. Calls that were sent before
-// since were not meant for it.
+// replaceIncarnation replaces an incarnation that has ended, and whose runs are lost, by the worker's next one. The new
+// incarnation is called at once, and gets starts when the roster and the list name it. Calls that were sent before the
+// time since were meant for an earlier incarnation.
 func (c *Core) replaceIncarnation(w *worker, born models.UnixMilli, since, now time.Time) *worker {
 	c.config.Logger.Info("worker has started again under its id", zap.String("worker", string(w.info.ID)),
 		zap.Int64("before", int64(w.info.Born)), zap.Int64("born", int64(born)), zap.Bool("listed", w.otherEntry != nil && w.otherEntry.Born == born))
-	open := w.unansweredStarts()
+	unanswered := w.unansweredStarts()
 	c.removeWorker(w, "it has started again under its id", now)
 	info := w.info
 	info.Born, info.Draining, info.Remaining, info.LeavesAt = born, false, 0, 0
@@ -116,25 +117,25 @@
 	default:
 		next.otherEntry = w.otherEntry
 	}
-	c.barStarts(next, open)
+	c.barStarts(next, unanswered)
 	return next
 }
 
 // unansweredStarts returns the tasks on the worker whose start is not answered and may still be carried out.
 func (w *worker) unansweredStarts() []*task {
-	var open []*task
+	var tasks []*task
 	for _, t := range w.tasks {
 		if t.startUnanswered {
-			open = append(open, t)
+			tasks = append(tasks, t)
 		}
 	}
-	return open
+	return tasks
 }
 
 // barStarts keeps tasks from starting elsewhere until a worker's new incarnation has barred their runs or shown that
 // they run there: the new incarnation may carry out a start that was meant for the previous one.
-func (c *Core) barStarts(w *worker, open []*task) {
-	for _, t := range open {
+func (c *Core) barStarts(w *worker, tasks []*task) {
+	for _, t := range tasks {
 		if t.state != taskWaiting {
 			continue // its job has ended
 		}
--- a/services/dispatch/job.go
+++ b/services/dispatch/job.go
@@ -32,21 +32,21 @@
 	lossVersion        uint64          // the version at which a lost run was last counted
 	hasProgress        bool            // the store may hold progress of it
 	dirty              bool            // is among the core's dirty jobs
-	firstStartNoted    bool            // its first start is among the job figures
+	firstStartRecorded bool            // its first start is among the job figures
 	offeredAt          time.Time       // when it was last listed as movable
 	immovable          bool            // must not be moved as a whole
 	recordVersion      uint64          // version of the record that says which tasks this cell has
-	leastRun           jobs.RunID      // highest run id that other cells have given to its tasks
+	highestRun         jobs.RunID      // highest run id that other cells have assigned to its tasks
 	importedSuspicions jobs.Suspicions // suspicions that came with tasks from other cells
 	home               jobs.CellName   // the cell whose record names this one, if it does not follow from the job's id
-	additionalCells    []jobs.CellName // further cells named by the job's record in this cell
-	closed             bool            // its record in this cell is closed; see jobs.Record
+	additionalCells    []jobs.CellName // other cells with tasks of the job, named by the job's record in this cell
+	movesClosed        bool            // none of its tasks may move between cells any more; see jobs.Record
 }
 
 // movedOutJob is a job whose tasks are all in other cells.
 type movedOutJob struct {
-	version uint64 // of the job's key in this cell
-	further []jobs.CellName
+	version         uint64 // of the job's key in this cell
+	additionalCells []jobs.CellName
 }
 
 // AddJob takes a job that the store holds. fresh says that the job was accepted after this process took the
@@ -65,9 +65,9 @@
 	if _, known := c.ended[id]; known {
 		return
 	}
-	if left := c.movedOut[id]; record.AllTasksMoved() || record.Version > 0 && record.Version <= left.version {
-		if record.Version >= left.version {
-			c.movedOut[id] = movedOutJob{version: record.Version, further: record.AdditionalCells}
+	if moved := c.movedOut[id]; record.AllTasksMoved() || record.Version > 0 && record.Version <= moved.version {
+		if record.Version >= moved.version {
+			c.movedOut[id] = movedOutJob{version: record.Version, additionalCells: record.AdditionalCells}
 		}
 		return
 	}
@@ -96,7 +96,7 @@
 	j := &job{
 		spec: record.Spec, terms: record.Terms, accepted: record.Accepted, objectiveStart: record.Accepted,
 		criticalPath: record.Spec.CriticalPath(), fresh: fresh, fromOtherCell: record.Transferred, recordVersion: record.Version,
-		leastRun: record.HighestRun, importedSuspicions: record.Suspected, home: record.Home, additionalCells: record.AdditionalCells, closed: record.MovesClosed,
+		highestRun: record.HighestRun, importedSuspicions: record.Suspected, home: record.Home, additionalCells: record.AdditionalCells, movesClosed: record.MovesClosed,
 	}
 	for occurrence := range j.spec.Occurrences() {
 		for number := range j.spec.Steps {
@@ -198,7 +198,7 @@
 	}
 }
 
-// Cancel ends a job whose cancellation is already stored.
+// Cancel stops the runs of a job whose cancellation is already stored; the job ends when none is left.
 func (c *Core) Cancel(id jobs.ID) {
 	j, ok := c.jobs[id]
 	if !ok || j.cancelled || j.end != "" {
--- a/services/dispatch/knowledge.go
+++ b/services/dispatch/knowledge.go
@@ -13,8 +13,8 @@
 )
 
 // parametersInterval is how often the learned parameters are stored along with other changes. They cost no call
-// of their own and take some 20 KB for sixty serving steps and five times nine images; interference factors
-// change by less than their spread in two seconds.
+// of their own and take some 20 KB for sixty serving steps and 5 × 9 pairs of images; interference factors change by
+// less than their spread in two seconds.
 const parametersInterval = 2 * time.Second
 
 // stepKey identifies a step of a job in the cell.
@@ -29,8 +29,8 @@
 		return nil
 	}
 	c.parametersTakenAt = now
-	knowledge := c.LearnedParameters(now)
-	return &knowledge
+	parameters := c.LearnedParameters(now)
+	return &parameters
 }
 
 // LearnedParameters returns what the core has learned from the reports of its own workers.
@@ -64,9 +64,9 @@
 	return loads
 }
 
-// RestoreParameters takes the parameters learned by a previous owner; it must be called before the cell's jobs are added.
-// Without them a successor relearns all pairs of images for some ten seconds, in which it throttles tasks
-// needlessly and lets heavy ones harm services.
+// RestoreParameters takes the parameters learned by a previous owner, before the cell's jobs are added. Without these
+// parameters a successor would take some ten seconds to learn the interference factors of all pairs of images again;
+// meanwhile it would throttle tasks needlessly and let filler tasks that add much load harm services.
 func (c *Core) RestoreParameters(k jobs.LearnedParameters, now time.Time) {
 	c.model.Restore(k, max(0, now.Sub(c.timeAt(k.At, now)).Seconds()))
 	for _, l := range k.Loads {
@@ -81,8 +81,8 @@
 func (c *Core) restoreLoads(j *job) {
 	for _, s := range j.steps {
 		key := stepKey{j.spec.ID, s.flat()}
-		if own, ok := c.restoredLoads[key]; ok {
-			s.baseline = own
+		if baseline, ok := c.restoredLoads[key]; ok {
+			s.baseline = baseline
 			delete(c.restoredLoads, key)
 		}
 	}
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -66,10 +66,10 @@
 	return w.grantFor(c.config.Lease, now)
 }
 
-// maxStartAge is how old a start may be when a worker carries it out: twice the time after which an unanswered
-// start is repeated, plus some for the age of the report that tells the worker's clock. A worker refuses later
-// starts, so a slow owner, or one whose calls are delayed, can do no more. Together with staleAfter it keeps
-// within the three seconds after which nothing may start on a draining worker; the lease is longer than that.
+// maxStartAge is how old a start may be when a worker carries it out: twice the time after which an unanswered start is
+// repeated, plus some time for the age of the report that tells the worker's clock. A worker refuses later starts, so
+// the starts of a slow owner, or of an owner whose calls are delayed, have no effect. Together with staleAfter it stays
+// below the three seconds after which nothing may start on a draining worker; the lease is longer than that.
 const maxStartAge = time.Second
 
 // startDeadline returns the time, on the worker's clock, after which the worker refuses a start that is ordered
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -10,14 +10,14 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Load returns how full the cell is: the resources declared by its tasks, waiting ones included, relative to
-// the capacity of its usable workers.
+// Load returns the load of the cell: the CPU that its tasks, waiting tasks included, declare and are expected to use,
+// relative to the capacity of its usable workers.
 func (c *Core) Load(now time.Time) jobs.CellLoad {
-	var declared, used, filling, capacity models.MilliCPU
+	var reserved, used, fillerCPU, capacity models.MilliCPU
 	for _, w := range c.sortedWorkers {
-		declared += w.used.CPU
+		reserved += w.used.CPU
 		used += w.used.CPU - models.MilliCPU((1-longRunningUse)*float64(w.longRunningCPU))
-		filling += w.fillerCPU
+		fillerCPU += w.fillerCPU
 		if c.usable(w, now) {
 			capacity += w.info.Capacity.CPU
 		}
@@ -25,12 +25,12 @@
 	for _, s := range c.waitingSteps {
 		waiting := models.MilliCPU(s.waiting) * s.spec.Size.CPU
 		if s.spec.Filler {
-			filling += waiting
+			fillerCPU += waiting
 		} else {
-			declared += waiting
+			reserved += waiting
 			used += waiting
 		}
 	}
 	divisor := float64(max(1, capacity))
-	return jobs.CellLoad{Reserved: float64(declared) / divisor, ExpectedUse: float64(used+filling) / divisor, Capacity: capacity}
+	return jobs.CellLoad{Reserved: float64(reserved) / divisor, ExpectedUse: float64(used+fillerCPU) / divisor, Capacity: capacity}
 }
--- a/services/dispatch/movable.go
+++ b/services/dispatch/movable.go
@@ -22,7 +22,7 @@
 	To     jobs.CellName // the cell that can place the tasks; set when the move begins
 	Home   jobs.CellName // the cell whose record names this one; empty: it follows from the job's id
 	Tasks  jobs.TaskSet
-	// LeastRun is the highest run id that the tasks have had.
+	// LeastRun is no lower than any run id that the tasks have had.
 	LeastRun jobs.RunID
 	// Suspected are the suspicions against the tasks.
 	Suspected jobs.Suspicions
@@ -30,7 +30,7 @@
 
 // offerAfter is how long a step must have been stuck before its work is offered to other cells, and the minimum
 // time between two offers of one job. A long-running task must run again within some seconds, and most other
-// tasks find a worker before that.
+// tasks are placed before that.
 const offerAfter = 400 * time.Millisecond
 
 // maxHold is how long a job that has not begun is held back when only some tasks of its first step can be
@@ -61,9 +61,9 @@
 	return held
 }
 
-// Movable returns work that other cells may take, of at most limit jobs: those first that were listed longest
-// ago, among them the most urgent. Were the most urgent always listed first, jobs that no cell can place would
-// be listed again and again before others that a cell might have taken.
+// Movable returns work that other cells may take, of at most limit jobs: first the jobs that were listed longest ago,
+// among them the most urgent. If the most urgent jobs were always listed first, jobs that no cell can place would be
+// listed again and again before jobs that a cell might have taken.
 func (c *Core) Movable(limit int, now time.Time) []Move {
 	if c.recovering {
 		return nil
@@ -95,7 +95,7 @@
 
 // moveFor returns what may be moved of the step's job.
 func (c *Core) moveFor(s *step) (Move, bool) {
-	move := Move{Job: s.job.spec.ID, Demand: jobs.Demand{Job: s.job.spec.ID, Number: s.flat(), Pool: c.terms(s.job).Pool, Step: *s.spec}, Tasks: jobs.TaskSet{}, Suspected: jobs.Suspicions{}, LeastRun: c.leastRunOf(s.job), Home: s.job.home}
+	move := Move{Job: s.job.spec.ID, Demand: jobs.Demand{Job: s.job.spec.ID, Number: s.flat(), Pool: c.terms(s.job).Pool, Step: *s.spec}, Tasks: jobs.TaskSet{}, Suspected: jobs.Suspicions{}, LeastRun: c.highestRunOf(s.job), Home: s.job.home}
 	move.Demand.Step.Count = s.waiting
 	switch {
 	case s.job.spec.Divisible():
@@ -112,11 +112,11 @@
 	}
 }
 
-// leastRunOf returns a number no lower than any run id that previous owners have assigned to the job's tasks.
+// highestRunOf returns a number no lower than any run id that previous owners have assigned to the job's tasks.
 // The run ids of tasks whose worker was lost are not known here.
-func (c *Core) leastRunOf(j *job) jobs.RunID {
+func (c *Core) highestRunOf(j *job) jobs.RunID {
 	if j.fresh {
-		return j.leastRun
+		return j.highestRun
 	}
 	return c.baseRun(j)
 }
@@ -132,8 +132,8 @@
 		if t := &s.tasks[i]; t.state == taskWaiting {
 			m.Tasks[s.flat()] = append(m.Tasks[s.flat()], i)
 			m.LeastRun = max(m.LeastRun, t.run)
-			if known := t.suspicionForMove(); !known.Empty() {
-				m.Suspected.Set(s.flat(), i, known)
+			if suspicion := t.suspicionForMove(); !suspicion.Empty() {
+				m.Suspected.Set(s.flat(), i, suspicion)
 			}
 		}
 	}
--- a/services/dispatch/move.go
+++ b/services/dispatch/move.go
@@ -46,8 +46,8 @@
 	return c.jobs[move.Job] == j
 }
 
-// CancelMove lets the tasks of a move wait here again; the move certainly was not stored. With forGood, the job
-// is not offered as a whole again.
+// CancelMove ends a move that certainly was not stored: its tasks wait here again. With forGood, the job is not offered
+// as a whole again.
 func (c *Core) CancelMove(move Move, forGood bool) {
 	for _, t := range c.tasksOf(move.Job, move.Tasks) {
 		t.step.job.immovable = t.step.job.immovable || forGood
@@ -60,7 +60,7 @@
 	}
 }
 
-// MoveJobMissing says that the store no longer holds the job of a move: the job has ended and was forgotten in the
+// MoveJobMissing records that the store no longer holds the job of a move: the job has ended and was forgotten in the
 // meantime, so its tasks must not start here.
 func (c *Core) MoveJobMissing(move Move) {
 	j, ok := c.jobs[move.Job]
@@ -77,7 +77,7 @@
 	c.forgetIfElsewhere(j)
 }
 
-// Moved says that a move is stored, with the new version of the job's key.
+// Moved records that a move is stored; version is the new version of the job's key.
 func (c *Core) Moved(move Move, version uint64) {
 	j, ok := c.jobs[move.Job]
 	if !ok || j.recordVersion >= version {
--- a/services/dispatch/offer.go
+++ b/services/dispatch/offer.go
@@ -33,13 +33,14 @@
 	return &step{spec: &demand.Step}
 }
 
-// countPlaces returns how many of the wanted tasks of the step can be placed beside what is promised already,
-// and adds them to what is promised.
+// countPlaces returns how many of the wanted tasks of the step can be placed beside the resources that are promised
+// already, and adds the resources of these tasks to promised.
 func (c *Core) countPlaces(pool jobs.PoolName, s *step, wanted int, promised map[*worker]models.Resources, now time.Time) int {
 	count := 0
 	for _, w := range c.sortedWorkers {
-		// A worker reserved for a suspect has free capacity that nothing else gets. When it was counted, work
-		// that came for it could not be placed here either, and was handed back and forth between the cells.
+		// The free capacity of a worker that is reserved for a suspect is not available to other tasks. When it
+		// was counted, the work that was moved here for it could not be placed here either, and was handed back
+		// and forth between the cells.
 		if !w.suits(pool, s.spec) || !c.usable(w, now) || w.isReserved(now) {
 			continue
 		}
--- a/services/dispatch/order.go
+++ b/services/dispatch/order.go
@@ -43,7 +43,7 @@
 	OutcomeRefused                  // see Result.Refusal
 	OutcomeNotDone                  // the worker answered that it did nothing, because it is not well
 	OutcomeUnreached                // no connection was established; nothing was done
-	OutcomeOtherIncarnation         // another incarnation answered and did nothing
+	OutcomeOtherIncarnation         // another incarnation of the worker answered and did nothing
 	OutcomeUnknown                  // no answer; the order may have been carried out, or may still be
 	OutcomeNotSent                  // the order was never sent
 )
--- a/services/dispatch/outcome.go
+++ b/services/dispatch/outcome.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// retractRun withdraws a run whose only start was answered by another incarnation of its worker, which did
-// nothing with it: the run was not lost with the previous incarnation, and need not be barred.
+// retractRun withdraws a run whose only start was answered by another incarnation of its worker, which did not carry out
+// the start: the run was not lost with the previous incarnation, and need not be barred.
 func (c *Core) retractRun(order StartOrder, now time.Time) {
 	c.now = now
 	t := c.find(order.Call.Task)
@@ -69,7 +69,7 @@
 	}
 }
 
-// handleUnsent lets a task wait again whose start was not sent. If the unsent start was a repetition, the run
+// handleUnsent returns a task whose start was not sent to waiting. If the unsent start was a repetition, the run
 // is barred, because the first start may have been carried out.
 func (c *Core) handleUnsent(t *task) {
 	if t.startRepeated {
@@ -81,7 +81,7 @@
 
 // Pauses after which a worker or a step is tried again.
 const (
-	notDonePause = 700 * time.Millisecond // the worker did nothing because it is not well
+	notDonePause = 700 * time.Millisecond // the worker answered that it did nothing, because it is not well
 	fullPause    = 300 * time.Millisecond // the worker has less free capacity, or a later clock, than assumed
 	stepPause    = time.Second            // the start was refused for any other reason
 	// avoidPause is how long all other workers are preferred to one that reports but has not answered a start
@@ -159,8 +159,8 @@
 	t.worker.expectedValid = false
 }
 
-// overtaken reports whether an outcome only says that a later owner, or another incarnation of the worker, has
-// taken over, and records which.
+// overtaken reports whether the outcome shows no more than that a later owner has called the worker, or that another
+// incarnation of the worker has answered, and records which.
 func (c *Core) overtaken(worker jobs.Worker, fence jobs.Fence, result Result, now time.Time) bool {
 	c.now = now
 	if result.Outcome == OutcomeRefused && result.Refusal == jobs.RefusedFence {
@@ -177,7 +177,7 @@
 	return false
 }
 
-// FenceRefused says that a worker has seen a higher fence than that of a call. That fence belongs to a later
+// FenceRefused records that a worker has seen a higher fence than that of a call. That fence belongs to a later
 // owner, unless this owner itself has given it to the worker's next incarnation.
 func (c *Core) FenceRefused(id jobs.WorkerID, fence jobs.Fence) {
 	if w, ok := c.workers[id]; ok && w.fence == fence {
--- a/services/dispatch/parts.go
+++ b/services/dispatch/parts.go
@@ -22,18 +22,18 @@
 	}
 	delete(c.jobs, j.spec.ID)
 	c.dirty = slices.DeleteFunc(c.dirty, func(other *job) bool { return other == j })
-	c.movedOut[j.spec.ID] = movedOutJob{version: j.recordVersion, further: j.additionalCells}
+	c.movedOut[j.spec.ID] = movedOutJob{version: j.recordVersion, additionalCells: j.additionalCells}
 }
 
-// applyRecord applies a newer record of a known job: tasks have come from another cell, or the store has
+// applyRecord applies a newer record of a known job: tasks have been moved here from another cell, or the store has
 // carried out a move whose outcome was unknown.
 func (c *Core) applyRecord(j *job, record jobs.Record) {
 	if record.Version <= j.recordVersion {
 		return
 	}
 	j.recordVersion = record.Version
-	j.home, j.additionalCells, j.closed = record.Home, record.AdditionalCells, record.MovesClosed
-	j.leastRun = max(j.leastRun, record.HighestRun)
+	j.home, j.additionalCells, j.movesClosed = record.Home, record.AdditionalCells, record.MovesClosed
+	j.highestRun = max(j.highestRun, record.HighestRun)
 	arrived, departed := 0, 0
 	for flat, s := range j.steps {
 		for i := range s.tasks {
@@ -69,13 +69,13 @@
 	}
 }
 
-// AdditionalCells returns the further cells that have tasks of a job, as named by the job's record in this cell.
+// AdditionalCells returns the other cells with tasks of a job that the job's record in this cell names.
 func (c *Core) AdditionalCells(id jobs.ID) []jobs.CellName {
 	if j, ok := c.jobs[id]; ok {
 		return j.additionalCells
 	}
-	return c.movedOut[id].further
+	return c.movedOut[id].additionalCells
 }
 
-// Dropped says that the store no longer holds a job.
+// Dropped records that the store no longer holds a job.
 func (c *Core) Dropped(id jobs.ID) { delete(c.movedOut, id) }
--- a/services/dispatch/place.go
+++ b/services/dispatch/place.go
@@ -166,5 +166,5 @@
 // above this cell's epochs, successive owners would start from the same number, and neither a worker nor an
 // owner could tell which run is newer.
 func (c *Core) baseRun(j *job) jobs.RunID {
-	return j.leastRun + jobs.RunID(c.config.Epoch)*runsPerEpoch
+	return j.highestRun + jobs.RunID(c.config.Epoch)*runsPerEpoch
 }
--- a/services/dispatch/proof.go
+++ b/services/dispatch/proof.go
@@ -11,14 +11,14 @@
 )
 
 // An owner that was suspended, or is cut off from the store, may have a successor without knowing it. Workers refuse
-// its orders once the successor has called them, but calls get lost, and a worker that the successor has not reached
-// yet would obey. So an owner acts only on recent proof that it still is the owner:
+// the old owner's orders once the successor has called them, but calls get lost, and a worker that the successor has not
+// reached yet would obey. So an owner acts only on recent proof that it still owns the cell:
 //
-//   - for any order: a transaction of its own, which requires its key, or the answers of two thirds of its
-//     workers. A successor counts the previous owner's runs as lapsed previousOwnerMargin after most workers have
+//   - for any order: a transaction of its own, which requires its key in the store, or the answers of two thirds of
+//     its workers. A successor counts the previous owner's runs as lapsed previousOwnerMargin after most workers have
 //     answered it, and two thirds that obey this owner leave no such majority.
-//   - to start the tasks of a silent worker elsewhere: a transaction after the worker's lease had run out. Only
-//     then has no successor renewed the lease.
+//   - to start the tasks of a silent worker elsewhere: a transaction after the worker's lease was over. Only this
+//     proves that no successor has renewed the lease.
 
 // proofValidity is how long orders are given after a proof; together with the timeout of a call it stays below
 // previousOwnerMargin.
@@ -38,18 +38,18 @@
 	}
 	age := now.Sub(latest(c.provedAt, c.quorumAskedAt))
 	c.wantsProof = age > proofRefreshAge
-	c.setIdle(age > proofValidity, age)
+	c.setAwaitingProof(age > proofValidity, age)
 	return !c.awaitingProof
 }
 
-// setIdle records whether orders wait for a proof, and logs each change.
-func (c *Core) setIdle(idle bool, age time.Duration) {
-	if idle == c.awaitingProof {
+// setAwaitingProof records whether orders wait for a proof, and logs each change.
+func (c *Core) setAwaitingProof(awaiting bool, age time.Duration) {
+	if awaiting == c.awaitingProof {
 		return
 	}
-	c.awaitingProof = idle
+	c.awaitingProof = awaiting
 	message := "orders resume"
-	if idle {
+	if awaiting {
 		message = "orders wait for a recent proof of ownership"
 	}
 	c.config.Logger.Info(message, zap.Duration("proof_age", age), zap.Int("workers", len(c.sortedWorkers)))
--- a/services/dispatch/recent.go
+++ b/services/dispatch/recent.go
@@ -10,9 +10,9 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// The end of a worker that starts again under its id is known at once, before it is known which other workers were
-// lost at the same moment. So a loss that is too recent for this is evaluated again later, and no task is abandoned
-// for it before.
+// When a worker starts again under its id, the end of its previous incarnation is known at once, before it is known
+// which other workers were lost at the same moment. So a recent loss is evaluated again once simultaneous losses are
+// known, and no task is abandoned for the loss before that.
 
 // simultaneousLossesKnownAfter is how long after a loss the losses of other workers at the same moment are known:
 // calls to them break or time out.
@@ -53,7 +53,7 @@
 		for _, r := range recent.runs {
 			if chance > r.chanceRate {
 				r.chanceRate = chance
-				c.setWeight(r)
+				c.lowerEvidence(r)
 			}
 			c.queueVerdict(r.task)
 		}
@@ -61,16 +61,16 @@
 	})
 }
 
-// setWeight replaces the evidence of a lost run.
-func (c *Core) setWeight(r weighedRun) {
-	doubt, weight := r.evidence()
+// lowerEvidence lowers the recorded evidence of a lost run to what its circumstances give now.
+func (c *Core) lowerEvidence(r weighedRun) {
+	vsChance, vsAll := r.evidence()
 	of := func(lost jobs.LostRun) bool { return lost.Run == r.run }
 	if at := slices.IndexFunc(r.task.chanceLosses, of); at >= 0 {
-		r.task.chanceLosses = withLoweredEvidence(r.task.chanceLosses, at, roundToHundredths(doubt), roundToHundredths(weight))
+		r.task.chanceLosses = withLoweredEvidence(r.task.chanceLosses, at, roundToHundredths(vsChance), roundToHundredths(vsAll))
 	}
 	suspicion := &r.task.suspicion
 	if at := slices.IndexFunc(suspicion.Lost, of); at >= 0 {
-		suspicion.Lost = withLoweredEvidence(suspicion.Lost, at, roundToHundredths(doubt), roundToHundredths(weight))
+		suspicion.Lost = withLoweredEvidence(suspicion.Lost, at, roundToHundredths(vsChance), roundToHundredths(vsAll))
 		c.markChanged(r.task.step.job)
 	}
 }
--- a/services/dispatch/report.go
+++ b/services/dispatch/report.go
@@ -12,15 +12,15 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Reported applies a worker's report; sent is when the call that it answers was sent. Reported returns whether
-// something changed that Decide should look at.
+// Reported applies a worker's report; sent is when the call that the report answers was sent. Reported returns whether
+// something has changed that calls for a Decide at once.
 func (c *Core) Reported(id jobs.WorkerID, sent time.Time, report jobs.Report, now time.Time) bool {
 	w, ok := c.workers[id]
 	if !ok {
 		return false // the worker was dropped in the meantime
 	}
-	w, later := c.reportingIncarnation(w, sent, report, now)
-	if !later {
+	w, isLatest := c.reportingIncarnation(w, sent, report, now)
+	if !isLatest {
 		c.discardReport(w, report)
 		return false
 	}
@@ -40,7 +40,7 @@
 	}
 	newEnds := c.applyRows(w, report, now)
 	if first {
-		c.resolveOpenRuns(w)
+		c.resolveRuns(w)
 	}
 	c.releaseMissingRuns(w, sent)
 	w.forgetStrays(sent)
@@ -59,7 +59,7 @@
 		return
 	}
 	w.reportDiscarded = true
-	c.config.Logger.Warn("report is discarded, a later one was already applied", zap.String("worker", string(w.info.ID)),
+	c.config.Logger.Warn("report is discarded, because a later report was applied before", zap.String("worker", string(w.info.ID)),
 		zap.Int64("clock", int64(report.Clock)), zap.Int64("of_the_later", int64(w.reportClock)),
 		zap.Int64("born", int64(report.Born)), zap.Int64("born_of_the_later", int64(w.info.Born)),
 		zap.Int("running", len(report.Running)), zap.Int("ended", len(report.Ended)))
@@ -121,7 +121,7 @@
 	}
 }
 
-// adopt takes over a run that a previous owner started, or that was assumed not to exist.
+// adopt assigns a reported run to its task: a previous owner started the run, or the run was assumed not to exist.
 func (c *Core) adopt(w *worker, t *task, run jobs.Run) {
 	if t.state == taskWaiting {
 		t.step.waiting--
@@ -142,8 +142,7 @@
 	c.inferDone(t)
 }
 
-// inferDone concludes that the steps on which a running task depends are done: only a previous owner may have
-// learned of their ends.
+// inferDone marks the steps on which a running task depends as done: their ends may be known only to a previous owner.
 func (c *Core) inferDone(t *task) {
 	s := t.step
 	s.opened = true
@@ -161,8 +160,9 @@
 	}
 }
 
-// promptAnswer is how soon after a start its answer must come to tell when the run began. After a later answer,
-// or a report that shows the run first, it is only known that the run began after the start was ordered.
+// promptAnswer is how soon after a start its answer must arrive for the answer to show when the run began. After a
+// later answer, or after a report that shows the run before any answer, it is only known that the run began after the
+// start was ordered.
 const promptAnswer = 200 * time.Millisecond
 
 // confirmRunning records that a run is under way.
--- a/services/dispatch/saved.go
+++ b/services/dispatch/saved.go
@@ -13,8 +13,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// savedCheckpoint is the checkpoint that a task's next run resumes from, and the row and report that it came with: operators
-// ask for these first when a run resumes from a wrong checkpoint.
+// savedCheckpoint is the checkpoint that a task's next run resumes from, with the row of the report that showed it. The
+// row is what operators ask for first when a run resumes from a wrong checkpoint.
 type savedCheckpoint struct {
 	text   jobs.Text
 	run    jobs.RunID
@@ -23,21 +23,21 @@
 	at     time.Time // when the report arrived
 }
 
-// checkpointRow is the kind of row that showed a checkpoint: how its run had ended, or rowRunning.
+// checkpointRow is the kind of report row that showed a checkpoint: how its run had ended, or rowRunning.
 type checkpointRow string
 
 const rowRunning checkpointRow = "running"
 
-// checkpointFate is what became of a checkpoint that a report showed, as logged.
-type checkpointFate string
+// checkpointResult says whether a reported checkpoint was taken, and if not why, as logged.
+type checkpointResult string
 
 const (
-	checkpointTaken          checkpointFate = "taken"
-	checkpointNotRequested   checkpointFate = "its step doesn't checkpoint"
-	checkpointOutdated       checkpointFate = "a later run has saved a checkpoint"
-	checkpointOvertakenByEnd checkpointFate = "its run's end is known"
-	checkpointOfUnorderedRun checkpointFate = "no owner has ordered its run"
-	checkpointOfFailedRun    checkpointFate = "its run has failed"
+	checkpointTaken          checkpointResult = "taken"
+	checkpointNotRequested   checkpointResult = "its step doesn't checkpoint"
+	checkpointOutdated       checkpointResult = "a later run has saved a checkpoint"
+	checkpointOvertakenByEnd checkpointResult = "its run's end is known"
+	checkpointOfUnorderedRun checkpointResult = "no owner has ordered its run"
+	checkpointOfFailedRun    checkpointResult = "its run has failed"
 )
 
 // checkpointDigest identifies a checkpoint in logs without showing it, because it is the caller's data. The digest is
@@ -51,10 +51,10 @@
 	return strconv.FormatUint(xxhash.Sum64String(string(d)), digestBase)
 }
 
-// keepCheckpoint takes the checkpoint of a row for the task's next run, unless checkpointFateOf rejects it.
-func (c *Core) keepCheckpoint(t *task, shown savedCheckpoint) checkpointFate {
-	fate := c.checkpointFateOf(t, shown)
-	switch fate {
+// keepCheckpoint takes the checkpoint of a row for the task's next run, unless classifyCheckpoint rejects it.
+func (c *Core) keepCheckpoint(t *task, shown savedCheckpoint) checkpointResult {
+	result := c.classifyCheckpoint(t, shown)
+	switch result {
 	case checkpointTaken:
 		if t.checkpoint == nil {
 			t.checkpoint = &savedCheckpoint{}
@@ -69,14 +69,14 @@
 	case checkpointOfFailedRun:
 		c.counts.TextsFailed++
 	}
-	return fate
+	return result
 }
 
-// checkpointFateOf decides whether a checkpoint is taken. Reports arrive in any order, above all after a takeover,
-// and workers that come back list their ends again. Only the runs' numbers tell which checkpoint is the newest,
-// because they rise over all owners. Without this rule a task resumed from an older run's checkpoint and repeated
-// work that a later run had saved.
-func (c *Core) checkpointFateOf(t *task, shown savedCheckpoint) checkpointFate {
+// classifyCheckpoint decides whether a checkpoint is taken. Reports arrive in any order, above all after a takeover,
+// and workers that come back list their ends again. Only the run ids tell which checkpoint is the newest,
+// because they rise over all owners. Without this rule a task resumed from an older run's checkpoint and repeated work
+// that a later run had saved.
+func (c *Core) classifyCheckpoint(t *task, shown savedCheckpoint) checkpointResult {
 	switch {
 	case !t.step.spec.Checkpoints:
 		return checkpointNotRequested
@@ -93,9 +93,9 @@
 	}
 }
 
-// mayHaveBeenOrdered reports whether this owner has ordered a run or a previous owner may have: no number above
-// those of this epoch has been given. It keeps a worker that invents runs from having its checkpoint preferred to
-// all others for good.
+// mayHaveBeenOrdered reports whether this owner has ordered a run, or a previous owner may have: no owner has assigned a
+// run id above those of this epoch. Otherwise the checkpoint of a worker that reports an invented run would be preferred
+// to all others for good.
 func (c *Core) mayHaveBeenOrdered(t *task, run jobs.RunID) bool {
 	return t.orderedHere && run == t.run || run < c.baseRun(t.step.job)+runsPerEpoch
 }
--- a/services/dispatch/shared.go
+++ b/services/dispatch/shared.go
@@ -18,13 +18,13 @@
 // The loss of a worker has one cause, but is evidence against every task that ran there. So losses that several
 // tasks share are judged together:
 //
-//   - A task is neither abandoned on shared losses nor started again while another task that shares one may still
-//     turn out to be the cause: that task is yet to be tried, on trial, or on a silent worker.
+//   - A task is neither abandoned on shared losses nor started again while another task that shares such a loss may
+//     still turn out to be the cause: the other task is yet to be tried, on trial, or on a silent worker.
 //   - Where several tasks wait for each other, the one with the fewest lost runs is tried first.
 //   - Once a task is abandoned, the losses that it caused no longer count against its neighbours.
 
-// maxSharedLossWait is how long a task waits for the outcome of others: as long as two workers take that are lost
-// one after the other and come back.
+// maxSharedLossWait is how long a task waits for the outcome of other tasks: the time in which two workers are lost one
+// after the other and come back.
 const maxSharedLossWait = 8 * time.Second
 
 // verdict is what is concluded about a task that has lost runs.
@@ -129,16 +129,16 @@
 
 // crashesWithout reports whether the task's losses suffice without those that it shares with the others.
 func (t *task) crashesWithout(others []*task) bool {
-	weight := 0.0
+	evidence := 0.0
 	for _, lost := range t.suspicion.Lost {
 		if !slices.ContainsFunc(others, func(other *task) bool { return other.lossIndex(lost.LossID) >= 0 }) {
-			weight += lost.EvidenceVsAll
+			evidence += lost.EvidenceVsAll
 		}
 	}
-	return weight >= t.abandonWeight()
+	return evidence >= t.abandonThreshold()
 }
 
-// isTriedBefore reports whether the task is tried before those of the others that wait too.
+// isTriedBefore reports whether the task is tried before the others.
 func (t *task) isTriedBefore(others []*task) bool {
 	return !slices.ContainsFunc(others, func(other *task) bool { return other.compareTrialOrder(t) < 0 })
 }
@@ -175,9 +175,10 @@
 		zap.Float64("weight", t.suspicion.Lost[at].EvidenceVsAll))
 }
 
-// withLoweredEvidence returns a copy of the losses, in which the evidence of one is at most the given.
-func withLoweredEvidence(losses []jobs.LostRun, at int, doubt, weight float64) []jobs.LostRun {
+// withLoweredEvidence returns a copy of the losses, in which the evidence of the loss at the index is at most the given
+// evidence.
+func withLoweredEvidence(losses []jobs.LostRun, at int, vsChance, vsAll float64) []jobs.LostRun {
 	losses = slices.Clone(losses)
-	losses[at].EvidenceVsChance, losses[at].EvidenceVsAll = min(losses[at].EvidenceVsChance, doubt), min(losses[at].EvidenceVsAll, weight)
+	losses[at].EvidenceVsChance, losses[at].EvidenceVsAll = min(losses[at].EvidenceVsChance, vsChance), min(losses[at].EvidenceVsAll, vsAll)
 	return losses
 }
--- a/services/dispatch/speed.go
+++ b/services/dispatch/speed.go
@@ -18,13 +18,13 @@
 const (
 	speedSampleInterval = 400 * time.Millisecond // between two samples of a task
 	// workerSpeedWeight is the weight of a new sample in a worker's speed. minWorkerSamples samples are needed
-	// before a worker is judged: with fewer, sound workers were avoided because of a single slow task.
+	// before a worker counts as stalled: with fewer samples, sound workers were avoided because of a single slow task.
 	workerSpeedWeight = 0.2
 	minWorkerSamples  = 8
 	queueSpeedWeight  = 0.02                      // of a new sample in the usual speed of a queue
 	stalledBelow      = 0.05                      // of the usual speed
-	stalledPause      = 2500 * time.Millisecond   // until a stalled worker is tried again
-	minSampledPace    = 50 * jobs.FullSpeed / 100 // below it, a task's progress says nothing about its worker
+	stalledPause      = 2500 * time.Millisecond   // until a stalled worker gets tasks again
+	minSampledPace    = 50 * jobs.FullSpeed / 100 // below this pace, a task's progress says nothing about its worker
 	restartGrace      = 300 * time.Millisecond    // a restart from a checkpoint makes no progress at first
 	minQueueSamples   = 20                        // needed before a worker is compared with the queue's usual speed
 )
--- a/services/dispatch/stale.go
+++ b/services/dispatch/stale.go
@@ -9,13 +9,13 @@
 	"go.uber.org/zap"
 )
 
-// An owner learns from the store what forbids a start: that a job is cancelled, or that a worker drains. An owner
-// that cannot keep up, or whose watches get lost, learns of this late and would start what it may not. So nothing
+// An owner learns from the store what forbids a start: that a job is cancelled, or that a worker drains. An owner that
+// cannot keep up, or whose watches get lost, learns of this late and would start tasks that must not start. So nothing
 // starts while the owner's data is stale, measured against the store's latest answer to any call: during an outage
 // nothing can have changed in the store, and starts go on.
 
 // staleAfter is how old the owner's data may be while the store answers other calls. A watch waits for 0.8 s and the
-// list is read every 0.7 s, so one of either may get lost; together with maxStartAge the bound stays below the 3 s
+// list is read every 0.7 s, so one watch or one reading of the list may get lost; together with maxStartAge the bound stays below the 3 s
 // after which nothing may start on a draining worker.
 const staleAfter = 2 * time.Second
 
@@ -24,7 +24,7 @@
 	jobsAsOf    time.Time // all changes to the cell's jobs stored by then are known
 	workersAsOf time.Time // the same for the list of workers
 	answered    time.Time // when the store last answered any call
-	stale       bool      // nothing starts, as logged
+	stale       bool      // nothing starts; the change was logged
 }
 
 // JobsReadAsOf records that all changes to the cell's jobs are known that were stored when the call was sent.
@@ -44,15 +44,15 @@
 
 // mayStart reports whether the owner's data is recent enough for starts.
 func (c *Core) mayStart() bool {
-	k := &c.storeFreshness
-	age := max(k.answered.Sub(k.jobsAsOf), k.answered.Sub(k.workersAsOf))
-	if stale := age > staleAfter; stale != k.stale {
-		k.stale = stale
+	f := &c.storeFreshness
+	age := max(f.answered.Sub(f.jobsAsOf), f.answered.Sub(f.workersAsOf))
+	if stale := age > staleAfter; stale != f.stale {
+		f.stale = stale
 		message := "starts go on"
 		if stale {
 			message = "starts wait, what is known of jobs or workers is stale"
 		}
 		c.config.Logger.Info(message, zap.Duration("age", age))
 	}
-	return !k.stale
+	return !f.stale
 }
--- a/services/dispatch/stray.go
+++ b/services/dispatch/stray.go
@@ -15,8 +15,8 @@
 // strayStopInterval is how long after a stop of a stray run the stop is repeated.
 const strayStopInterval = time.Second
 
-// stray is a run that should not be on its worker. While it is there, nothing is started on the worker, because
-// the stray's resources are not accounted for.
+// stray is a run that should not be on its worker. While a worker has strays, nothing is started there, because their
+// resources are not accounted for.
 type stray struct {
 	noted   time.Time // when it was found
 	stopped time.Time // when its stop was last ordered
--- a/services/dispatch/suspicion.go
+++ b/services/dispatch/suspicion.go
@@ -12,8 +12,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// A task may crash the process of every worker that starts it, and with it all other runs there. Runs that are lost
-// with their workers are therefore counted, as failed ones are, but a loss proves little: most tasks on a lost
+// A task may crash the process of every worker that starts it, which ends all other runs there. Runs that are lost with
+// their workers are therefore counted, as failed runs are, but a loss proves little: most tasks on a lost
 // worker have nothing to do with the loss, and workers are lost for other reasons. So:
 //
 //   - Each loss is weighed (evidence.go): a task that had just been started, with no other recent start on the
@@ -25,12 +25,12 @@
 //
 // Suspicions outlive the owner: see suspicion_store.go.
 
-// abandonWeights are the weights at which a task is abandoned, by the number of its losses, including those that no
-// owner observed. A weight is a logarithm of odds: a task that crashes nothing reaches x with a probability of at
-// most e to the minus x. Users allow five starts of a task that crashes every worker, so less weight is enough once
-// five runs may have been lost. Two losses need more weight, because they coincide with other events more easily
-// than independent ones would: a lost task starts again at once.
-var abandonWeights = [...]float64{2: 12, 3: 10, 4: 10, maxLosses: 5}
+// abandonThresholds are the sums of EvidenceVsAll at which a task is abandoned, by the number of its losses, including
+// the losses that no owner observed. The evidence is a logarithm of odds: a task that crashes nothing reaches x with a
+// probability of at most e to the minus x. Users allow five starts of a task that crashes every worker, so less
+// evidence is enough once five runs may have been lost. Two losses need more evidence, because they coincide with other
+// events more easily than independent losses would: a lost task starts again at once.
+var abandonThresholds = [...]float64{2: 12, 3: 10, 4: 10, maxLosses: 5}
 
 // maxLosses is how many runs a task may lose: the users' bound on its starts.
 const maxLosses = 5
@@ -39,43 +39,43 @@
 // fail for that reason.
 const minLosses = 2
 
-// suspectDoubt is the doubt from which a task is suspected: with nothing else on the worker, the task would be as
-// likely as not to be the cause. Where tasks of a step start together and are lost together, there is little
-// evidence against each one, but all of them have to be tried.
-var suspectDoubt = math.Log(1 / crasherPrior)
+// suspectEvidence is the sum of EvidenceVsChance from which a task is suspected: with nothing else on the worker, the
+// task would be as likely as not to be the cause. Where tasks of a step start together and are lost together, there is
+// little evidence against each task, but all of them have to be tried.
+var suspectEvidence = math.Log(1 / crasherPrior)
 
 // suspectLosses is the number of losses that makes a task a suspect, whatever their evidence: several tasks that
 // crash workers and start at the same moments are lost at the same moments, as if to a common cause.
 const suspectLosses = 2
 
-// suspected reports whether the task may be one that crashes its workers.
+// suspected reports whether the task is suspected of crashing its workers.
 func (t *task) suspected() bool {
 	if len(t.suspicion.Lost) == 0 {
 		return false
 	}
-	return t.losses() >= suspectLosses || t.suspicion.EvidenceVsChance() >= suspectDoubt
+	return t.losses() >= suspectLosses || t.suspicion.EvidenceVsChance() >= suspectEvidence
 }
 
 // losses is how many runs of the task may have been lost with their workers.
 func (t *task) losses() int { return t.observedLosses() + t.unobservedLosses() }
 
-// observedLosses is how many of these losses an owner observed that the task may have caused: those with more
-// evidence against the task than for chance, and those of young runs, however little their evidence.
+// observedLosses is how many of the task's losses an owner observed and the task may have caused: losses with more
+// evidence against the task than for chance, and losses of young runs, however little their evidence.
 func (t *task) observedLosses() int {
-	seen := 0
+	observed := 0
 	for _, lost := range t.suspicion.Lost {
 		if lost.EvidenceVsChance > 0 || lost.RanAtMost.Duration() < youngRunLimit {
-			seen++
+			observed++
 		}
 	}
-	return seen
+	return observed
 }
 
-// unobservedLosses is how many of these losses no owner observed.
+// unobservedLosses is how many runs of the task may have been lost without any owner observing the loss.
 func (t *task) unobservedLosses() int { return t.suspicion.Unobserved + t.unobservedAtTakeover }
 
 // countWorkerLoss counts the runs that were lost with a worker against their tasks, and logs them. The loss of a
-// worker that left when it had announced is no evidence against its tasks, but may be a crash all the same.
+// draining worker at the time that it had announced is no evidence against its tasks, but may be a crash all the same.
 func (c *Core) countWorkerLoss(w *worker, now time.Time) {
 	switch {
 	case w.leavesAt.IsZero() || w.leftEarly(now):
@@ -83,10 +83,10 @@
 	default:
 		c.countRunsOnLeftWorker(w, now)
 	}
-	for _, t := range c.openRuns[w.info.ID] {
-		c.countOpenRun(t)
+	for _, t := range c.unresolvedRuns[w.info.ID] {
+		c.countUnresolvedRun(t)
 	}
-	delete(c.openRuns, w.info.ID)
+	delete(c.unresolvedRuns, w.info.ID)
 }
 
 // weighLoss computes the evidence of a loss for all tasks on the worker before it is counted for any of them. The
@@ -154,7 +154,8 @@
 }
 
 // storeBeforeNextStart has the losses counted against a task stored before the task starts again, together with the
-// takeovers that are counted by now: a successor would count these again, also where the loss was observed.
+// epoch up to which takeovers are counted: a successor would count these takeovers again, also where the loss was
+// observed.
 func (c *Core) storeBeforeNextStart(t *task) {
 	t.suspicion.Unobserved += t.unobservedAtTakeover
 	t.suspicion.CountedEpoch, t.unobservedAtTakeover = c.config.Epoch, 0
@@ -165,13 +166,13 @@
 
 // crashesWorkers reports whether the task is as good as certain to crash its workers.
 func (t *task) crashesWorkers() bool {
-	return t.observedLosses() >= minLosses && t.suspicion.EvidenceVsAll() >= t.abandonWeight()
+	return t.observedLosses() >= minLosses && t.suspicion.EvidenceVsAll() >= t.abandonThreshold()
 }
 
-// abandonWeight is the weight at which the task is abandoned.
-func (t *task) abandonWeight() float64 { return abandonWeights[min(t.losses(), maxLosses)] }
+// abandonThreshold is the sum of EvidenceVsAll at which the task is abandoned.
+func (t *task) abandonThreshold() float64 { return abandonThresholds[min(t.losses(), maxLosses)] }
 
-// recordSurvival clears a task whose run has gone on for long enough, and lets others start beside a task that has
+// recordSurvival clears a task whose run has lasted long enough, and lets other tasks start beside a task that has
 // outlived its trial.
 func (c *Core) recordSurvival(w *worker, t *task, now time.Time) {
 	ran := now.Sub(t.startedAt)
@@ -183,7 +184,7 @@
 	}
 	if t.onTrial && ran >= t.trialTime() {
 		w.endTrial(t)
-		c.clearOpenRun(t)
+		c.clearUnresolvedRun(t)
 	}
 	if ran < maxTimeToCrash {
 		return
--- a/services/dispatch/suspicion_store.go
+++ b/services/dispatch/suspicion_store.go
@@ -13,9 +13,9 @@
 
 // The suspicions against tasks are stored with their jobs' progress, at some 60 bytes for each loss. The loss of a
 // worker is proved only when another incarnation answers at its address, seconds later, and an owner that is lost in
-// between cannot tell its successor what ran there. So two kinds of runs are stored while they are open, and count
-// as lost if the successor finds their worker lost: those of suspects, together with their start, and young runs on
-// a worker that refuses connections.
+// between cannot tell its successor what ran there. So two kinds of runs are stored as unresolved, and count as lost if
+// the successor finds their worker lost: runs of suspects, as soon as they start, and young runs on a worker that
+// refuses connections.
 
 const (
 	// youngRunLimit is the age below which the task of a run may well have crashed its worker: such a run is stored
@@ -29,32 +29,33 @@
 	minUnobservedAge = 2 * time.Second
 )
 
-// storeOpenRun stores, for a successor, that the task's run counts as lost if its worker is lost.
-func (c *Core) storeOpenRun(t *task, loss jobs.LostRun) {
+// storeUnresolvedRun stores, for a successor, that the task's run counts as lost if its worker is lost.
+func (c *Core) storeUnresolvedRun(t *task, loss jobs.LostRun) {
 	t.suspicion.Unresolved = &jobs.UnresolvedRun{LostRun: loss, Worker: t.worker.info.ID, Born: t.worker.info.Born}
 	c.markChangedUrgently(t.step.job)
 }
 
-// storeOpenTrial stores that a suspect has just been started, for a successor that does not observe its end.
-func (c *Core) storeOpenTrial(t *task, now time.Time) {
-	c.storeOpenRun(t, jobs.LostRun{Run: t.run})
-	open := t.suspicion.Unresolved
-	open.BeganAt = c.timeOfDay(now)
-	open.ChanceRate = roundToThousandths(c.chanceRate(t.worker, now))
-	open.NeighbourRate = roundToThousandths(crashRate(c.neighboursOf(t.worker, t, now)))
+// storeUnresolvedTrial stores that a suspect has just been started, for a successor that does not observe how the run
+// ends.
+func (c *Core) storeUnresolvedTrial(t *task, now time.Time) {
+	c.storeUnresolvedRun(t, jobs.LostRun{Run: t.run})
+	unresolved := t.suspicion.Unresolved
+	unresolved.BeganAt = c.timeOfDay(now)
+	unresolved.ChanceRate = roundToThousandths(c.chanceRate(t.worker, now))
+	unresolved.NeighbourRate = roundToThousandths(crashRate(c.neighboursOf(t.worker, t, now)))
 }
 
-// lostRunOf returns what an open run of a previous owner counts as now that its worker is lost.
-func (c *Core) lostRunOf(open *jobs.UnresolvedRun) jobs.LostRun {
-	if open.BeganAt == 0 {
-		return open.LostRun
+// lostRunOf returns what an unresolved run of a previous owner counts as now that its worker is lost.
+func (c *Core) lostRunOf(unresolved *jobs.UnresolvedRun) jobs.LostRun {
+	if unresolved.BeganAt == 0 {
+		return unresolved.LostRun
 	}
-	ago := c.now.Sub(c.timeAt(open.BeganAt, c.now))
-	return weighUnobserved(open, max(ago, minUnobservedAge))
+	ago := c.now.Sub(c.timeAt(unresolved.BeganAt, c.now))
+	return weighUnobserved(unresolved, max(ago, minUnobservedAge))
 }
 
-// clearOpenRun reverts storeOpenRun: the run goes on, has ended, or is counted as lost.
-func (c *Core) clearOpenRun(t *task) {
+// clearUnresolvedRun reverts storeUnresolvedRun: the run goes on, has ended, or is counted as lost.
+func (c *Core) clearUnresolvedRun(t *task) {
 	if t.suspicion.Unresolved != nil {
 		t.suspicion.Unresolved = nil
 		c.markChangedUrgently(t.step.job)
@@ -71,7 +72,7 @@
 	chance := c.chanceRate(w, now)
 	for _, t := range w.tasks {
 		if ran, known := c.runtimeAtLoss(w, t, now); known && ran < youngRunLimit && t.suspicion.Unresolved == nil {
-			c.storeOpenRun(t, c.lossContextOf(w, t, ran, chance, now).lostRun(w, t))
+			c.storeUnresolvedRun(t, c.lossContextOf(w, t, ran, chance, now).lostRun(w, t))
 		}
 	}
 }
@@ -102,60 +103,60 @@
 	}
 }
 
-// applySuspicion takes the stored suspicion against a task. A run that was open then is lost if its worker is lost
-// without having answered.
+// applySuspicion takes the stored suspicion against a task. A run that is stored as unresolved is lost if its worker is
+// lost without having answered.
 func (c *Core) applySuspicion(t *task, suspicion jobs.Suspicion) {
 	t.suspicion = suspicion
 	c.trackLosses(t)
-	if open := suspicion.Unresolved; open != nil {
-		c.openRuns[open.Worker] = append(c.openRuns[open.Worker], t)
+	if unresolved := suspicion.Unresolved; unresolved != nil {
+		c.unresolvedRuns[unresolved.Worker] = append(c.unresolvedRuns[unresolved.Worker], t)
 	}
 }
 
-// countOpenRuns counts the open runs whose workers the previous owner had proved to be lost without having stored
-// the result.
-func (c *Core) countOpenRuns() {
-	for id, tasks := range c.openRuns {
+// countLostUnresolvedRuns counts the unresolved runs whose workers the previous owner had proved to be lost without
+// having stored these losses.
+func (c *Core) countLostUnresolvedRuns() {
+	for id, tasks := range c.unresolvedRuns {
 		if _, there := c.workers[id]; there {
 			continue
 		}
-		delete(c.openRuns, id)
+		delete(c.unresolvedRuns, id)
 		for _, t := range tasks {
-			c.countOpenRun(t)
+			c.countUnresolvedRun(t)
 		}
 	}
 }
 
-// countOpenRun counts a run of a previous owner that was lost unobserved.
-func (c *Core) countOpenRun(t *task) {
-	open := t.suspicion.Unresolved
-	if t.worker != nil || open == nil {
+// countUnresolvedRun counts an unresolved run of a previous owner, whose worker is lost, against its task.
+func (c *Core) countUnresolvedRun(t *task) {
+	unresolved := t.suspicion.Unresolved
+	if t.worker != nil || unresolved == nil {
 		return // the task runs, or its run is known to have ended
 	}
-	c.clearOpenRun(t)
-	if open.Unobserved {
-		c.countUnobservedRun(t, open.Run)
+	c.clearUnresolvedRun(t)
+	if unresolved.Unobserved {
+		c.countUnobservedRun(t, unresolved.Run)
 		return
 	}
-	lost := c.lostRunOf(open)
-	lost.LossID = jobs.Incarnation{ID: open.Worker, Born: open.Born}.LossID()
+	lost := c.lostRunOf(unresolved)
+	lost.LossID = jobs.Incarnation{ID: unresolved.Worker, Born: unresolved.Born}.LossID()
 	c.config.Logger.Info("run of a previous owner is lost with its worker", zap.Stringer("task", t.id()),
-		zap.Uint64("run", uint64(open.Run)), zap.String("worker", string(open.Worker)), zap.Float64("weight", lost.EvidenceVsAll))
+		zap.Uint64("run", uint64(unresolved.Run)), zap.String("worker", string(unresolved.Worker)), zap.Float64("weight", lost.EvidenceVsAll))
 	c.countLoss(t, lost)
 }
 
-// resolveOpenRuns closes the open runs of a worker that has answered, because its report shows what runs. Open runs of
-// a previous incarnation are lost.
-func (c *Core) resolveOpenRuns(w *worker) {
-	for _, t := range c.openRuns[w.info.ID] {
-		open := t.suspicion.Unresolved
+// resolveRuns resolves the unresolved runs of a worker that has answered, because the report shows what runs. Unresolved
+// runs of a previous incarnation are lost.
+func (c *Core) resolveRuns(w *worker) {
+	for _, t := range c.unresolvedRuns[w.info.ID] {
+		unresolved := t.suspicion.Unresolved
 		switch {
-		case t.worker != nil || open == nil:
-		case w.info.Incarnation().Differs(jobs.Incarnation{ID: open.Worker, Born: open.Born}):
-			c.countOpenRun(t)
+		case t.worker != nil || unresolved == nil:
+		case w.info.Incarnation().Differs(jobs.Incarnation{ID: unresolved.Worker, Born: unresolved.Born}):
+			c.countUnresolvedRun(t)
 		default:
-			c.clearOpenRun(t)
+			c.clearUnresolvedRun(t)
 		}
 	}
-	delete(c.openRuns, w.info.ID)
+	delete(c.unresolvedRuns, w.info.ID)
 }
--- a/services/dispatch/takeover.go
+++ b/services/dispatch/takeover.go
@@ -25,7 +25,7 @@
 	for _, info := range roster.Workers {
 		w, known := c.workers[info.ID]
 		if !known {
-			// A lease longer than the roster's is granted only once the stored roster names it.
+			// The worker gets starts only once the stored roster covers the leases that this owner grants.
 			w = c.addWorker(info, now)
 			w.inRoster = c.previousLease >= c.config.Lease
 			if info.LeavesAt != 0 {
@@ -48,15 +48,15 @@
 	return roster
 }
 
-// previousOwnerMargin is how long a previous owner may go on after the takeover: it calls all workers within about
-// 2 s, and learns of the new epoch from the first one that has it.
+// previousOwnerMargin is how long a previous owner may go on after most workers have seen the new epoch: it calls all
+// workers within about 2 s, and learns of the new epoch from the first worker that has seen it.
 const previousOwnerMargin = 3 * time.Second
 
-// maxBlindTime ends the time after a takeover in which unreported runs may exist also when most workers never
-// answer, as in an outage of most of a fleet.
+// maxBlindTime is how long after a takeover the runs of silent workers are waited for when most workers never answer, as
+// in an outage of most of a fleet.
 const maxBlindTime = 30 * time.Second
 
-// previousOwnersLapsed returns when everything that previous owners started on workers that do not answer has certainly
+// previousOwnersLapsed returns when all runs that previous owners started on workers that do not answer have certainly
 // ended.
 func (c *Core) previousOwnersLapsed() time.Time {
 	if c.fencedAt.IsZero() {
@@ -66,7 +66,7 @@
 }
 
 // updateFenced records when most workers have sent their first report in this epoch. A worker that has started again
-// since its report has not seen the epoch.
+// since its report does not count, because its new incarnation has not seen the epoch.
 func (c *Core) updateFenced(now time.Time) {
 	if !c.fencedAt.IsZero() {
 		return
@@ -82,7 +82,7 @@
 	}
 }
 
-// tryRecover ends the time after a takeover in which unreported runs may exist: every worker that previous owners
+// tryRecover ends the recovery after a takeover once no unreported runs can exist: every worker that previous owners
 // may have used has reported, or has certainly ended its runs.
 func (c *Core) tryRecover(now time.Time) {
 	if !c.recovering || len(c.sortedWorkers) == 0 && c.now.Before(c.previousOwnersLapsed()) {
@@ -94,7 +94,7 @@
 		}
 	}
 	c.recovering = false
-	c.countOpenRuns()
+	c.countLostUnresolvedRuns()
 	c.recordTakeoverLosses()
 	waiting := 0
 	for _, j := range c.jobs {
--- a/services/dispatch/task.go
+++ b/services/dispatch/task.go
@@ -33,10 +33,10 @@
 	failures             jobs.Failures
 	suspicion            jobs.Suspicion
 	lossFinalAt          time.Time      // when the evaluation of its latest loss becomes final
-	chanceLosses         []jobs.LostRun // losses that chance explains better unless a later one is similar; known to this owner only
+	chanceLosses         []jobs.LostRun // losses that chance explains better than the task, unless a later loss is similar; known to this owner only
 	onTrial              bool           // a suspect that has not run for long enough yet
 	lossVersion          uint64         // the job's version when a loss was last counted
-	unobservedAtTakeover int            // runs that may have been lost between two owners, not yet in suspicion.Unseen; see unseen.go
+	unobservedAtTakeover int            // runs that may have been lost between two owners, not yet in suspicion.Unobserved; see unseen.go
 	lapsedRun            jobs.RunID     // the latest run, if a worker has reported since the takeover that it lapsed; 0: no such report
 
 	run                     jobs.RunID
@@ -47,11 +47,11 @@
 	startSentAt             time.Time        // when its start was last ordered
 	startRepeated           bool             // the start was repeated
 	startUnanswered         bool             // a start of the run has no answer and may still be carried out
-	fromPreviousIncarnation bool             // ordered at the worker's previous incarnation; has to be barred at the current one
-	waitingSince            time.Time        // since when the task waits; zero: waiting for long, or moved from another cell
+	fromPreviousIncarnation bool             // ordered at the worker's previous incarnation; has to be barred at the present one
+	waitingSince            time.Time        // since when the task waits; zero: not known, or moved from another cell, and not to be held for short work
 	startedAt               time.Time        // when the run was ordered, then when it was known to be under way
 	lastReport              uint64           // number of the worker's report that last showed the run
-	checkpoint              *savedCheckpoint // where the next run resumes; nil: it starts from the beginning
+	checkpoint              *savedCheckpoint // where the next run resumes; nil: the run starts from the beginning
 	pace                    jobs.Percent     // as ordered
 	pacedAt                 time.Time        // when the run began or its pace was last changed
 	paceUncertain           bool             // a pace order had no answer: the pace in force may be higher
@@ -79,7 +79,7 @@
 	default:
 		t.step.waiting++
 		// A task from another cell has already waited there. When that time was not counted, a long-running
-		// task yielded capacity to short work anew in each cell that it came to.
+		// task left capacity to short work for the full time again in each cell that it was moved to.
 		if j := t.step.job; j.fresh && !j.fromOtherCell {
 			t.waitingSince = c.now
 		}
@@ -109,7 +109,7 @@
 	if t.state == taskDone {
 		return
 	}
-	c.clearOpenRun(t)
+	c.clearUnresolvedRun(t)
 	t.pace = jobs.FullSpeed
 	// The end of this run says nothing about earlier ones: a worker that has not reported since the takeover
 	// may know of failures that use up the task's attempts. Long-running tasks have no such limit.
--- a/services/dispatch/time_of_day.go
+++ b/services/dispatch/time_of_day.go
@@ -9,10 +9,10 @@
 	"rillsail.example/rillsail/models"
 )
 
-// The times that an owner passes to the Core include the suspensions of its VM (modules/clock), so the time of
-// day that they show is ahead by the time spent suspended. Times that are stored, shown or due are times of
-// day. The time of day is queried for now only; other times are converted by their distance from now. A time
-// before a suspension is therefore converted without that suspension.
+// The times that an owner passes to the Core include the suspensions of its VM (modules/clock), so the time of day
+// that they contain is ahead by the time spent suspended. Times that are stored, shown or due are times of day. The
+// time of day is queried for now only; other times are converted by their distance from now. A time before a suspension
+// is therefore converted without that suspension.
 
 // timeOfDay returns the current time of day.
 func (c *Core) timeOfDay(now time.Time) models.UnixMilli {
--- a/services/dispatch/trial.go
+++ b/services/dispatch/trial.go
@@ -12,8 +12,8 @@
 )
 
 // A suspect starts on the worker with the fewest tasks, where nothing has just been started, and nothing but
-// suspects starts there until the suspect has run for longer than before. So a loss is evidence against the suspect
-// alone, and costs the least work. A suspect that crashes nothing does not wait long for this: where free capacity
+// suspects starts there until the trial is over, which lasts longer than the suspect's lost runs did, up to
+// maxTrialTime. So a loss is evidence against the suspect alone, and costs the least work. A suspect that crashes nothing does not wait long for this: where free capacity
 // is short, suspects with a single loss are tried together. A suspect with several losses waits until it has a
 // worker to itself: a loss beside others would be no evidence, and the task may lose few more runs.
 
@@ -26,8 +26,8 @@
 	// trialReservation is how long nothing else starts on a worker that a suspect waits for; it is renewed each time
 	// the suspect is considered, about every scanBackoff.
 	trialReservation = 100 * time.Millisecond
-	// maxApartWait is how long a suspect waits so as not to be tried beside a task that was lost with it: a trial of
-	// the shortest length. Most lost tasks did not cause the loss, and long-running tasks must run again soon.
+	// maxApartWait is how long a suspect waits so as not to be tried beside a task that was lost with it: as long as
+	// the shortest trial. Most lost tasks did not cause the loss, and long-running tasks must run again soon.
 	maxApartWait = minTrialTime
 	// trialReportWait is how long a report may wait for an end while a suspect is on trial.
 	trialReportWait = 100 * time.Millisecond
@@ -129,7 +129,7 @@
 	return w.reservedFor != t && !now.After(w.reservedUntil)
 }
 
-// withFewerTasks returns the worker with fewer tasks.
+// withFewerTasks returns the worker with fewer tasks; best may be nil.
 func withFewerTasks(best, w *worker) *worker {
 	if best == nil || len(w.tasks) < len(best.tasks) {
 		return w
@@ -159,13 +159,13 @@
 	return false
 }
 
-// startTrial starts a suspect, and stores its open run together with the start, for a successor.
+// startTrial starts a suspect, and has the run stored as unresolved for a successor.
 func (c *Core) startTrial(t *task, w *worker, now time.Time) {
 	c.startTask(t, w, now)
 	w.beginTrial(t)
 	c.counts.Trials++
-	c.storeOpenTrial(t, now)
-	c.config.Logger.Info("suspect is tried alone", zap.Stringer("task", t.id()), zap.Uint64("run", uint64(t.run)),
+	c.storeUnresolvedTrial(t, now)
+	c.config.Logger.Info("suspect starts on trial", zap.Stringer("task", t.id()), zap.Uint64("run", uint64(t.run)),
 		zap.String("worker", string(w.info.ID)), zap.Int("beside", len(w.tasks)-1), zap.Int("lost_before", len(t.suspicion.Lost)),
 		zap.Float64("doubt", t.suspicion.EvidenceVsChance()), zap.Float64("weight", t.suspicion.EvidenceVsAll()), zap.Duration("for", t.trialTime()))
 }
--- a/services/dispatch/unseen.go
+++ b/services/dispatch/unseen.go
@@ -12,21 +12,21 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// A task may crash its worker unobserved: its owner is lost before it has stored the start, or is cut off from the
-// worker. Nothing is stored before most starts, but it is before a start that follows a run with an unknown outcome.
-// So at most one run of each task is unknown to a successor, and that run counts as lost, without weight:
+// A task may crash its worker unobserved: the owner is lost before it has stored the start, or is cut off from the
+// worker. Nothing is stored before most starts, but a start that follows a run with an unknown outcome waits until
+// that run is stored as possibly lost. So at most one run of each task is unknown to a successor, and that run counts
+// as lost, without evidence:
 //
 //   - for all tasks that no worker reports after a takeover, when a worker that a previous owner used is lost
-//     without an answer: one write of the roster for the whole cell, before any of these tasks starts;
-//   - for a run whose start nobody observed, because it was taken over from a previous owner or ordered without an
-//     answer;
-//   - for a young run on a worker that was silent until its lease was over, or that has drained.
+//     without an answer: the roster is written once for the whole cell, before any of these tasks starts;
+//   - for a run whose start nobody observed, because the run was taken over from a previous owner or its start was not
+//     answered;
+//   - for a young run on a worker that was silent until its lease was over, or that has drained and left.
 //
-// Such losses are no evidence against a task by themselves. They count where the observed losses are weighed: the
-// more runs may have been lost, the less evidence is needed to abandon the task.
+// Such losses are no evidence against a task by themselves, but they lower the evidence from observed losses that is
+// needed to abandon the task (abandonThresholds).
 
-// maxUnobservedEpochs is how many epochs with unobserved losses the roster names. More of them would reach the
-// number of runs that a task may lose at all.
+// maxUnobservedEpochs is how many epochs with unobserved losses the roster names. More epochs would reach maxLosses.
 const maxUnobservedEpochs = 4
 
 // takeoverLosses are the takeovers at which runs may have been lost unobserved.
@@ -36,8 +36,8 @@
 	unstored   bool         // this owner's epoch is one of epochs, which is not stored yet
 }
 
-// blocksStarts reports whether tasks of the job have to wait until the store knows of this takeover. Tasks of a job that was
-// accepted since then were never on a previous owner's worker.
+// blocksStarts reports whether tasks of the job have to wait until this owner's epoch is stored among epochs. Tasks of a
+// job that was accepted after the takeover were never on a previous owner's worker.
 func (l *takeoverLosses) blocksStarts(j *job) bool { return l.unstored && !j.fresh }
 
 // rosterStored records that a roster is stored.
@@ -47,19 +47,19 @@
 	}
 }
 
-// recordUnheardLoss records the loss of a worker that has not answered since the takeover. If it had announced that
-// it would leave, its loss says nothing.
-func (c *Core) recordUnheardLoss(w *worker) {
+// recordLossWithoutAnswer records the loss of a worker that has not answered since the takeover. The loss of a worker
+// that had announced that it would leave is no sign of a crash.
+func (c *Core) recordLossWithoutAnswer(w *worker) {
 	if w.inPreviousRoster && !w.answered && w.leavesAt.IsZero() {
 		c.takeovers.workerLost = true
 	}
 }
 
-// recordTakeoverLosses ends the time after a takeover: if a worker was lost without an answer, this epoch has
-// unobserved losses.
+// recordTakeoverLosses records, at the end of the recovery after a takeover, whether this epoch has unobserved losses:
+// it has if a worker was lost without an answer.
 func (c *Core) recordTakeoverLosses() {
 	for _, w := range c.sortedWorkers {
-		c.recordUnheardLoss(w)
+		c.recordLossWithoutAnswer(w)
 	}
 	if !c.takeovers.workerLost {
 		return
@@ -71,15 +71,15 @@
 }
 
 // countTakeoverLoss counts an unobserved loss against a task that no worker has reported since the takeover. A run
-// that was stored as open is counted already, and a run that has lapsed was not lost with its worker.
+// that was stored as unresolved is counted already, and a run that has lapsed was not lost with its worker.
 func (c *Core) countTakeoverLoss(t *task) {
 	if c.takeovers.workerLost && t.lossVersion == 0 && t.lapsedRun == 0 {
 		t.unobservedAtTakeover++
 	}
 }
 
-// recordLoad reverts the loss of a run that a worker reports now, running or ended: the run was not lost. A run whose
-// start was repeated may be carried out a second time.
+// retractLoss reverts the loss of a run that a worker reports now as running or ended. The loss of a run that
+// mayRunTwice stays: the run may have been lost and be carried out a second time.
 func (c *Core) retractLoss(t *task, run jobs.RunID) {
 	if !t.suspicion.HasRun(run) || t.run == run && t.mayRunTwice() {
 		return
@@ -90,9 +90,9 @@
 		zap.Int("lost_before", len(t.suspicion.Lost)), zap.Int("unseen", t.unobservedLosses()))
 }
 
-// recordLapsedRun records before the cell is recovered that a worker reports a run as lapsed: if that is the task's
-// latest run, none was lost at the takeover. A later run that is not known is possible only if a previous owner had
-// seen this end, and then it would hardly be reported again.
+// recordLapsedRun records, until the cell is recovered, that a worker reports a run as lapsed: if this is the task's
+// latest run, no run of the task was lost at the takeover. An unknown later run is possible only if a previous owner
+// had learned of this end, and then the worker would hardly report the end again.
 func (c *Core) recordLapsedRun(t *task, run jobs.RunID) {
 	if c.recovering && run >= t.latestKnownRun() {
 		t.lapsedRun = run
@@ -101,21 +101,21 @@
 
 // latestKnownRun is the highest known number of a run of the task.
 func (t *task) latestKnownRun() jobs.RunID {
-	latest := t.run
+	highest := t.run
 	for _, lost := range t.suspicion.Lost {
-		latest = max(latest, lost.Run)
+		highest = max(highest, lost.Run)
 	}
 	for _, run := range t.suspicion.UnobservedRuns {
-		latest = max(latest, run)
+		highest = max(highest, run)
 	}
 	if t.suspicion.Unresolved != nil {
-		latest = max(latest, t.suspicion.Unresolved.Run)
+		highest = max(highest, t.suspicion.Unresolved.Run)
 	}
-	return latest
+	return highest
 }
 
-// restoreTakeoverLosses counts for each task of a job the previous owners' takeovers with unobserved losses since the job was
-// recorded, or since the task's losses were last counted or cleared.
+// restoreTakeoverLosses counts for each task of a job the previous owners' takeovers with unobserved losses since the
+// job was recorded, or since the task's losses were last counted or cleared.
 func (c *Core) restoreTakeoverLosses(j *job, record jobs.Record) {
 	for _, s := range j.steps {
 		for i := range s.tasks {
@@ -136,15 +136,15 @@
 	return count
 }
 
-// suspicionForMove is the suspicion that another cell is told with the task.
+// suspicionForMove is the suspicion that is handed to another cell together with the task.
 func (t *task) suspicionForMove() jobs.Suspicion {
-	known := t.suspicion
-	known.Unobserved += t.unobservedAtTakeover
-	return known
+	suspicion := t.suspicion
+	suspicion.Unobserved += t.unobservedAtTakeover
+	return suspicion
 }
 
-// storeSilentRuns stores the young runs on a worker that the roster is about to leave out, for a successor that
-// finds no trace of the worker.
+// storeSilentRuns stores the young runs on a worker that is about to be left out of the roster, because a successor
+// will not know of the worker.
 func (c *Core) storeSilentRuns(w *worker, now time.Time) {
 	for _, t := range w.tasks {
 		if c.mayHaveCrashedWorker(w, t, now) && t.suspicion.Unresolved == nil {
@@ -168,8 +168,8 @@
 	return w.lastAlive(now).Before(w.leavesAt.Add(-leaveMargin))
 }
 
-// countRunsOnLeftWorker counts runs on a worker that has drained and left, if their tasks have lost other runs or
-// the runs are very young: the worker left about when it had announced, whatever ran there.
+// countRunsOnLeftWorker counts runs on a worker that has drained and left if their tasks have lost other runs or the
+// runs are very young. Other runs are not counted, because the worker left about when it had announced.
 func (c *Core) countRunsOnLeftWorker(w *worker, now time.Time) {
 	for _, t := range w.tasks {
 		if ran, known := c.runtimeAtLoss(w, t, now); known && (ran < youngRunLimit || ran < maxTimeToCrash && t.losses() > 0) {
@@ -197,7 +197,7 @@
 // out by the present one: its start was repeated, and either call may have been carried out.
 func (t *task) mayRunTwice() bool { return t.fromPreviousIncarnation && t.startRepeated }
 
-// countUnobservedRun counts a run that may have been lost against its task, once.
+// countUnobservedRun counts a run that may have been lost against its task, each run once.
 func (c *Core) countUnobservedRun(t *task, run jobs.RunID) {
 	if t.isOver() || t.suspicion.HasRun(run) && !t.mayRunTwice() {
 		return
--- a/services/dispatch/urgency.go
+++ b/services/dispatch/urgency.go
@@ -11,14 +11,14 @@
 )
 
 // longRunningYield is how long past its objective a long-running task still yields capacity to ordinary work of
-// its priority that can meet its objective: ordinary work takes the capacity for a second, the long-running
-// task for a minute.
+// its priority that can meet its own objective: ordinary work takes the capacity for a second, the long-running task
+// for a minute.
 const longRunningYield = 10_000 // milliseconds
 
 // urgency determines the order in which steps' tasks are placed; lower comes first.
 type urgency struct {
 	priority int
-	late     bool // it can't meet its objective any more, or is long-running and still yields capacity to short work
+	late     bool // its job can't meet the objective any more, or it is long-running and still yields capacity to short work
 	due      models.UnixMilli
 }
 
--- a/services/dispatch/worker.go
+++ b/services/dispatch/worker.go
@@ -21,40 +21,40 @@
 
 // worker is one incarnation of a worker of the cell.
 type worker struct {
-	info              jobs.Worker
-	fence             jobs.Fence // sent with all calls to this incarnation
-	listed            bool       // the platform's list names it
-	inRoster          bool       // the stored roster names it
-	youngRunsStored   bool       // its young runs are stored, because its address refuses connections
-	inPreviousRoster  bool       // the roster of a previous owner named it
-	retired           bool       // left out of the roster, because it was silent until its lease was over
-	missingSince      time.Time  // since when the platform's list does not name it; zero: it does, or has not been read yet
-	leavesAt          time.Time  // when a draining worker may leave; zero: it does not drain
-	tasks             []*task
-	used              models.Resources // declared by its tasks; of filler tasks the memory only
-	longRunningCPU    models.MilliCPU  // declared by its long-running tasks
-	fillerCPU         models.MilliCPU  // declared by its filler tasks
-	answered          bool             // has reported in this epoch
-	reportedAt        time.Time        // when the last report was received
-	reportAskedAt     time.Time        // when the call that the last report answers was sent
-	overdue           bool             // the latest call that asked for a report was not answered
-	unansweredSince   time.Time        // when the first call since the last report was found to be unanswered; zero: none
-	connectionRefused bool             // the worker's address refused that call's connection
-	reportClock       models.Milli     // the worker's clock in the last report
-	otherEntry        *jobs.Worker     // the list's entry for another incarnation with this id; nil: none
-	reportUrgent      bool             // its next report is to be requested without wait
-	reportUrgentFor   models.UnixMilli // start time of the incarnation whose list entry last requested an immediate report
-	incarnationSince  time.Time        // another incarnation that answers a call sent before this is an earlier one
-	bornLogged        bool             // that its start time can't be read was logged
-	reportDiscarded   bool             // the latest report was discarded
-	leaseEnd          models.Milli     // the latest lease end that was sent, on the worker's clock
-	renewing          bool             // the latest call that asked for a report renews the lease
-	renewed           bool             // the latest report answers a call that renewed the lease
-	noStartsUntil     time.Time        // no tasks are started until then
-	avoidUntil        time.Time        // placed last until then
-	ends              []unacknowledgedEnd
-	lastEnd           uint64 // highest end number applied
-	acked             uint64 // highest end number that the worker may forget
+	info                      jobs.Worker
+	fence                     jobs.Fence // sent with all calls to this incarnation
+	listed                    bool       // the platform's list names it
+	inRoster                  bool       // the stored roster names it
+	youngRunsStored           bool       // its young runs are stored, because its address refuses connections
+	inPreviousRoster          bool       // the roster of a previous owner named it
+	retired                   bool       // left out of the roster, because it was silent until its lease was over
+	missingSince              time.Time  // since when the platform's list does not name it; zero: the list does, or has not been read yet
+	leavesAt                  time.Time  // when a draining worker may leave; zero: it does not drain
+	tasks                     []*task
+	used                      models.Resources // declared by its tasks; of filler tasks the memory only
+	longRunningCPU            models.MilliCPU  // declared by its long-running tasks
+	fillerCPU                 models.MilliCPU  // declared by its filler tasks
+	answered                  bool             // has reported in this epoch
+	reportedAt                time.Time        // when the last report was received
+	reportAskedAt             time.Time        // when the call that the last report answers was sent
+	overdue                   bool             // the latest call that asked for a report was not answered
+	unansweredSince           time.Time        // when the first call since the last report was found to be unanswered; zero: none
+	connectionRefused         bool             // the worker's address refused that call's connection
+	reportClock               models.Milli     // the worker's clock in the last report
+	otherEntry                *jobs.Worker     // the list's entry for another incarnation with this id; nil: none
+	reportUrgent              bool             // its next report is to be requested without wait
+	reportUrgentFor           models.UnixMilli // start time of the incarnation whose list entry last requested an immediate report
+	incarnationSince          time.Time        // another incarnation that answers a call sent before this is an earlier one
+	unreadableStartTimeLogged bool             // it was logged that its reported start time is not valid
+	reportDiscarded           bool             // the latest report was discarded
+	leaseEnd                  models.Milli     // the latest lease end that was sent, on the worker's clock
+	renewing                  bool             // the latest call that asked for a report renews the lease
+	renewed                   bool             // the latest report answers a call that renewed the lease
+	noStartsUntil             time.Time        // no tasks are started until then
+	avoidUntil                time.Time        // placed last until then
+	ends                      []unacknowledgedEnd
+	lastEnd                   uint64 // highest end number applied
+	acked                     uint64 // highest end number that the worker may forget
 
 	strays      map[jobs.TaskID]stray // runs that should not be on the worker
 	reportCount uint64                // reports applied so far
@@ -103,7 +103,7 @@
 	}
 	c.forgetReplaced(list)
 	for _, info := range list {
-		if _, gone := c.replaced[info.Incarnation()]; gone {
+		if _, ended := c.replaced[info.Incarnation()]; ended {
 			continue
 		}
 		w, known := c.workers[info.ID]
@@ -130,7 +130,7 @@
 	}
 }
 
-// forgetReplaced forgets incarnations proved to have ended that the list no longer names.
+// forgetReplaced forgets ended incarnations that the list no longer names.
 func (c *Core) forgetReplaced(list []jobs.Worker) {
 	if len(c.replaced) == 0 {
 		return
@@ -203,14 +203,14 @@
 	return jobs.Worker{}
 }
 
-// A worker gets no tasks for failingPause when this many different jobs failed on it in a row without a success
-// in between. One job in fifty fails by its own fault, so three in a row by chance are rare.
+// A worker gets no tasks for failingPause when failingJobs different jobs failed there in a row without a success in
+// between. One job in fifty fails by its own fault, so three such failures in a row by chance are rare.
 const (
 	failingJobs  = 3
 	failingPause = 3 * time.Second
 )
 
-// recordFailure records that a run of the job failed here.
+// recordFailure records that a run of the job failed on the worker.
 func (w *worker) recordFailure(j *job, now time.Time) {
 	w.failedAt = now
 	if !slices.Contains(w.failedJobs, j.spec.ID) {
