--- a/services/dispatch/core.go
+++ b/services/dispatch/core.go
@@ -12,29 +12,32 @@
 //
 // Files by subject:
 //
-//   - jobs and steps: job.go, step.go, task.go, ended.go; jobs divided between cells: parts.go
+//   - jobs and steps: job.go, step.go, task.go, ended.go; jobs divided between cells: divided_jobs.go
 //   - the order of steps and the placement of their tasks: urgency.go, place.go, places.go,
-//     score.go
-//   - orders and their outcomes: order.go, outcome.go, stop.go
-//   - reports: report.go, end.go; stray runs: stray.go; checkpoints for the next run: saved.go
+//     score.go; capacity that long-running tasks leave to short work: reserve.go
+//   - orders and their outcomes: order.go, outcome.go, stop.go; repeated starts: retry_budget.go
+//   - reports: report.go, end.go; stray runs: stray.go; checkpoints for the next run: checkpoint.go
 //   - what has to be stored: changes.go
-//   - workers: worker.go, room.go, speed.go, lease.go; lost workers: gone.go; workers that
+//   - workers: worker.go, capacity.go, speed.go, lease.go; lost workers: gone.go; workers that
 //     restart under the same id: incarnation.go
 //   - tasks that crash their workers: suspicion.go (suspects, and when a task is abandoned),
-//     evidence.go (the evidence of one loss), chance.go (the base rate of worker losses),
-//     burst.go (workers lost together), recent.go (losses that are re-evaluated when later ones
-//     are known), shared.go (losses shared by several tasks), trial.go (where and how suspects
-//     start), suspicion_store.go (what is stored), unseen.go (runs that may have been lost
-//     without any owner knowing of them)
+//     evidence.go (the evidence of one loss), chance.go (the rate of worker losses by chance),
+//     burst.go (workers lost together), recent.go (losses that are evaluated again when
+//     simultaneous losses are known), shared.go (losses shared by several tasks), trial.go (where
+//     and how suspects start), suspicion_store.go (what is stored), unseen.go (unobserved losses:
+//     runs that may have been lost without any owner knowing of them)
 //   - recovery after a takeover: takeover.go; proof that this process still owns the cell:
-//     proof.go; whether its view of the store is fresh enough to start tasks: stale.go
+//     proof.go; whether its copy of the store's data is fresh enough to start tasks:
+//     store_freshness.go
 //   - work handed to another cell: movable.go (what may move), offer.go (how much work of other
 //     cells fits here), move.go (the tasks while a move is being stored)
-//   - the load of the cell: load.go; figures for operators: summary.go
-//   - interference: the model is package contention; learn.go feeds it; knowledge.go stores its
-//     parameters for a successor
-//   - use of the interference model: expect.go (predicted loads), filling.go (placement and CPU
-//     use of filler tasks), throttle.go (whom to throttle), pace.go (paces ordered and observed)
+//   - the load of the cell: load.go; figures for operators: summary.go, figures.go
+//   - interference: the model is package contention; learn.go feeds it; learned_parameters.go
+//     stores its parameters for a successor
+//   - use of the interference model: expect.go (predicted loads), filler.go (placement and CPU
+//     use of filler tasks), throttle.go (which tasks are throttled), pace.go (paces ordered and
+//     observed)
+//   - conversion between the owner's time and the time of day: time_of_day.go
 //
 // # Usage
 //
--- a/services/dispatch/stale.go
+++ b/services/dispatch/store_freshness.go
@@ -15,8 +15,8 @@
 // nothing can have changed in the store, and starts go on.
 
 // staleAfter is how old the owner's data may be while the store answers other calls. A watch waits for 0.8 s and the
-// list is read every 0.7 s, so one watch or one reading of the list may get lost; together with maxStartAge the bound stays below the 3 s
-// after which nothing may start on a draining worker.
+// list is read every 0.7 s, so one watch or one reading of the list may get lost; together with maxStartAge the bound
+// stays below the 3 s after which nothing may start on a draining worker.
 const staleAfter = 2 * time.Second
 
 // storeFreshness is how recent the owner's copy of the stored data is.
