--- a/services/dispatch/burst_test.go
+++ b/services/dispatch/burst_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestWorkersWithNothingOnThemShowHowOftenWorkersGo guards against losses by chance that are not counted because no
-// task was lost: then each task that is lost at the same time seems to be the cause.
+// TestWorkersWithNothingOnThemShowHowOftenWorkersGo guards against leaving out losses of workers without tasks from the
+// rate of losses by chance: each task that is lost at the same time would seem to be the cause.
 func TestWorkersWithNothingOnThemShowHowOftenWorkersGo(t *testing.T) {
 	quiet := lostRunAfter(t, func(*bench) {})
 	stormy := lostRunAfter(t, func(b *bench) { b.loseIdleWorkers(6, 1200*time.Millisecond) })
@@ -109,7 +109,7 @@
 	require.Greater(t, task.suspicion.EvidenceVsChance(), 0.0)
 }
 
-// replaceAllWorkers replaces every worker by another one.
+// replaceAllWorkers replaces every worker by another worker.
 func (b *bench) replaceAllWorkers() {
 	b.now = b.now.Add(2 * time.Second)
 	list := b.Workers()
--- a/services/dispatch/checkpoint_fault_test.go
+++ b/services/dispatch/checkpoint_fault_test.go
@@ -11,15 +11,15 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// Runs on real processes were started with checkpoints of other tasks. The tests of this file cover the faults that
-// were found in the owner during the search for the cause: a checkpoint was kept by the order in which reports
-// arrived, whatever run it came from. They were found by TestStartsBringTheNewestTextOfTheirTask or by reading the
-// code. In all of them the checkpoint is the task's own, so none alone explains what was observed.
+// Runs in real processes were started with checkpoints of other tasks. The tests of this file cover faults that were
+// found in the owner during the search for the cause, by TestStartsBringTheNewestTextOfTheirTask or by reading the code:
+// the owner kept the checkpoint of the report that arrived last, whatever run it came from. In all these faults the
+// checkpoint is the task's own, so none of them alone explains what was observed.
 
 // previousRuns are three runs of previous owners, the latest last.
 var previousRuns = []jobs.RunID{4097, 4098, 8193}
 
-// newTakeoverBench makes an owner that has just taken a cell with one task that saves checkpoints.
+// newTakeoverBench makes an owner that has just taken over a cell with one task that saves checkpoints.
 func newTakeoverBench(t *testing.T, workers int) *bench {
 	t.Helper()
 	b := newBench(t, workers)
@@ -40,8 +40,8 @@
 	require.EqualValues(t, "newer", starts[0].Call.Checkpoint)
 }
 
-// TestEndThatIsListedAgainDoesNotReplaceANewerText covers a worker that was taken for lost, comes back as a new one
-// and lists its ends again, while a later run has saved more.
+// TestEndThatIsListedAgainDoesNotReplaceANewerText covers a worker that was taken for lost, is added again as a new
+// worker and lists its ended runs again, while a later run has saved a newer checkpoint.
 func TestEndThatIsListedAgainDoesNotReplaceANewerText(t *testing.T) {
 	b := newBench(t, 2)
 	b.AddJob(b.job(checkpointStep), jobs.Progress{}, true, b.now)
@@ -56,8 +56,8 @@
 	require.EqualValues(t, "newer", b.starts()[0].Call.Checkpoint)
 }
 
-// TestOldRunThatIsTakenOverDoesNotReplaceANewerText covers a run that still is on a worker when a newer one has
-// ended elsewhere: the old run goes on, but the checkpoint of the newer one stays.
+// TestOldRunThatIsTakenOverDoesNotReplaceANewerText covers a run that is still on a worker when a newer run has ended
+// elsewhere: the old run continues, but the checkpoint of the newer run stays.
 func TestOldRunThatIsTakenOverDoesNotReplaceANewerText(t *testing.T) {
 	b := newTakeoverBench(t, 2)
 	b.report(0, endOf(1, previousRuns[1], jobs.EndStopped, "newer"))
@@ -84,8 +84,8 @@
 	require.EqualValues(t, "at the stop", b.starts()[0].Call.Checkpoint)
 }
 
-// TestTextOfARunThatNobodyOrderedIsNotTaken covers a worker that reports a run with a number that no owner up to
-// this one can have given: the run is kept from running beside another, and its checkpoint is ignored. No worker has
+// TestTextOfARunThatNobodyOrderedIsNotTaken covers a worker that reports a run with an id that no owner up to this one
+// can have assigned: the run is kept from running beside another, and its checkpoint is ignored. No worker has
 // been observed to do this; the rule is a precaution.
 func TestTextOfARunThatNobodyOrderedIsNotTaken(t *testing.T) {
 	for _, invented := range []jobs.Report{
@@ -122,9 +122,9 @@
 	require.EqualValues(t, "at its stop", b.starts()[0].Call.Checkpoint)
 }
 
-// TestNumbersOfRunsRiseOverOwnersAfterAMove guards against two owners that give the same run numbers, so that these
-// do not tell which run is newer. Tasks that come from another cell bring the number of their latest run there; this
-// happened when that number was above those of this cell's epochs.
+// TestNumbersOfRunsRiseOverOwnersAfterAMove guards against two owners that assign the same run ids, so that the ids do
+// not tell which run is newer. Tasks that come from another cell bring the id of their latest run there; the ids
+// repeated when that id was above the ids of this cell's epochs.
 func TestNumbersOfRunsRiseOverOwnersAfterAMove(t *testing.T) {
 	lasting := checkpointStep
 	lasting.LongRunning = true
--- a/services/dispatch/checkpoint_model_test.go
+++ b/services/dispatch/checkpoint_model_test.go
@@ -36,8 +36,8 @@
 	checkpoints      map[jobs.Text]checkpointOrigin
 	ordered          map[taskRun]jobs.StartCall
 	runs             map[jobs.TaskID][]jobs.RunID    // ordered runs
-	highest          map[jobs.TaskID]jobs.RunID      // of the ordered, invented and elsewhere started runs
-	highestElsewhere map[jobs.ID]jobs.RunID          // highest number that other cells gave to tasks that came back
+	highest          map[jobs.TaskID]jobs.RunID      // of the ordered and invented runs, and of the runs that other cells started
+	highestElsewhere map[jobs.ID]jobs.RunID          // highest run id that other cells assigned before their tasks were moved back
 	shown            map[jobs.TaskID]shownCheckpoint // to this owner
 }
 
@@ -54,24 +54,24 @@
 	clear(m.shown)
 }
 
-// minInventedRun is above all numbers that owners up to the present one can have given to runs of the task, unless
-// an invented run has raised them.
+// minInventedRun is above all run ids that owners up to the present one can have assigned to the task, unless a worker
+// has reported an invented run, which raises later ids.
 func (m *checkpointModel) minInventedRun(task jobs.TaskID) jobs.RunID {
 	return m.highestElsewhere[task.Job] + jobs.RunID(m.owner+1)*runsPerEpoch
 }
 
-// inventedRunOffset is above the numbers of all owners of a simulation: an invented number just above those of one
-// owner may be one of its successor's.
+// inventedRunOffset is above the run ids of all owners of a simulation: an id just above those of one owner could be one
+// that its successor assigns.
 const inventedRunOffset = 1 << 40
 
-// inventRun returns the number of a run that no owner can have ordered, nor will a later one.
+// inventRun returns a run id that no owner has assigned or will assign.
 func (m *checkpointModel) inventRun(task jobs.TaskID) jobs.RunID {
 	m.highest[task] = max(m.highest[task], m.minInventedRun(task)+inventedRunOffset) + 1
 	return m.highest[task]
 }
 
-// mayBeOrderedRun reports whether the owner can take a run for an ordered one: it is the owner's own present run, or
-// may be a previous owner's.
+// mayBeOrderedRun reports whether the owner must accept a run as ordered: the run is the present one, ordered by this
+// owner, or may be a previous owner's.
 func (m *checkpointModel) mayBeOrderedRun(t *task, run jobs.RunID) bool {
 	own := t.run == run && m.ordered[taskRun{t.id(), run}].Fence.Epoch() == m.owner
 	return own || m.isOrdered(t.id(), run) && run < m.minInventedRun(t.id())
@@ -88,7 +88,7 @@
 	return ordered
 }
 
-// recordShown records that a row of an ordered run has shown a checkpoint. A run's end is its final row.
+// recordShown records that a report row of an ordered run has shown a checkpoint. A run's end is its final row.
 func (m *checkpointModel) recordShown(core *Core, task jobs.TaskID, shown shownCheckpoint) {
 	t := core.find(task)
 	if shown.text == "" || t == nil || !t.step.spec.Checkpoints || !m.mayBeOrderedRun(t, shown.run) {
@@ -103,7 +103,7 @@
 
 // reportBefore is what an owner knows of a worker before its report arrives.
 type reportBefore struct {
-	taken   bool // no later report has overtaken the report
+	taken   bool // no later report was applied before this one
 	lastEnd uint64
 }
 
@@ -115,8 +115,8 @@
 	return reportBefore{taken: true, lastEnd: w.lastEnd}
 }
 
-// endReport records what the owner has been shown: running rows of the run that the owner takes for the task's, and
-// ends the first time that they are listed, except those of failed runs.
+// endReport records the checkpoints that the owner has been shown: in running rows of the run that the owner has assigned
+// to the task, and in ends that are listed for the first time, except ends of failed runs.
 func (m *checkpointModel) endReport(core *Core, f flight, before reportBefore) {
 	if !before.taken {
 		return
--- a/services/dispatch/checkpoint_random_test.go
+++ b/services/dispatch/checkpoint_random_test.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// changeRun lets a run on a worker save or end.
+// changeRun lets a run on a worker save a checkpoint or end.
 func (w *checkpointWorld) changeRun(worker *checkpointWorker, what string) {
 	runs := worker.runs()
 	if len(runs) == 0 {
@@ -181,10 +181,9 @@
 	w.list()
 }
 
-// reportUnaccountedRun lets a worker report a run that no order of this cell explains: an older run of the task that
-// has ended or runs there, or a run that nobody ordered. Older runs must have numbers that no invented run has
-// raised: of such numbers the owner accepts only that of the run that it ordered itself, at the worker where it
-// ordered the run.
+// reportUnaccountedRun lets a worker report a run that no order of this cell explains: an older run of the task that has
+// ended or runs there, or a run that nobody ordered. Older runs must have run ids that no invented run has raised: of
+// raised ids the owner accepts only that of the run that it ordered itself, at the worker where it ordered the run.
 func (w *checkpointWorld) reportUnaccountedRun(worker *checkpointWorker, task jobs.TaskID, what string) {
 	if len(w.runs[task]) == 0 || worker.replaced || worker.running[task] != nil {
 		return
@@ -218,8 +217,8 @@
 	}
 }
 
-// moveAwayAndBack hands a task to another cell and takes it back, with runs there in between. Numbers that an
-// invented run has raised are not handed over: then they would count as ordered.
+// moveAwayAndBack hands a task to another cell and takes it back, with runs there in between. Run ids that an invented
+// run has raised are not handed over, because they would count as ordered then.
 func (w *checkpointWorld) moveAwayAndBack(task jobs.TaskID) {
 	record := w.records[task.Job]
 	if !record.Spec.Divisible() || record.Ended != "" {
--- a/services/dispatch/checkpoint_test.go
+++ b/services/dispatch/checkpoint_test.go
@@ -17,19 +17,19 @@
 // checkpointStep is a step whose runs save checkpoints.
 var checkpointStep = jobs.Step{Count: 1, Size: models.Resources{CPU: 1000, Memory: 100}, Estimate: 5000, Checkpoints: true}
 
-// running is a report with a row of a running run that has saved a checkpoint.
+// running returns a report that shows a running run with a checkpoint.
 func running(run jobs.RunID, text jobs.Text) jobs.Report {
 	return jobs.Report{Running: []jobs.Run{{Task: taskOf(0), Run: run, Checkpoint: text}}}
 }
 
-// endOf is a report with an end of a run that has saved a checkpoint.
+// endOf returns a report that shows an ended run with a checkpoint.
 func endOf(number uint64, run jobs.RunID, how jobs.End, text jobs.Text) jobs.Report {
 	return jobs.Report{Ended: []jobs.Ended{{Number: number, Task: taskOf(0), Run: run, How: how, Checkpoint: text}}}
 }
 
-// TestLogsTellWhereATextIsFrom checks that the log line of a start with a checkpoint names the run, worker and row
-// that the checkpoint came from, and that of an end what became of its checkpoint. Both identify the checkpoint by a
-// digest, because it is the caller's data.
+// TestLogsTellWhereATextIsFrom checks that the log line of a start with a checkpoint names the run, worker and row that
+// the checkpoint came from, and that the log line of an end says what became of its checkpoint. Both identify the
+// checkpoint by a digest, because it is the caller's data.
 func TestLogsTellWhereATextIsFrom(t *testing.T) {
 	const secret = jobs.Text("what the caller saved")
 	b := newBench(t, 1)
@@ -74,17 +74,17 @@
 	require.Zero(t, b.Counts().StartsFromText)
 }
 
-// TestNumbersOfRunsRiseOverOwnersThatMoveWhatTheyHaveNotStarted guards against a cell that gives lower run numbers
-// than the cell that a task came from, so that workers refuse its starts as old. A successor handed over tasks of a
-// lost worker that only its previous owner had given run numbers.
+// TestNumbersOfRunsRiseOverOwnersThatMoveWhatTheyHaveNotStarted guards against a cell that assigns lower run ids than
+// the cell that a task came from, so that workers refuse its starts as old. This happened when a successor handed over
+// tasks of a lost worker to which only the previous owner had assigned run ids.
 func TestNumbersOfRunsRiseOverOwnersThatMoveWhatTheyHaveNotStarted(t *testing.T) {
-	lasting := singleTaskStep
-	lasting.LongRunning = true
+	longRunning := singleTaskStep
+	longRunning.LongRunning = true
 	previous := newBench(t, 1)
-	record := previous.job(lasting)
+	record := previous.job(longRunning)
 	previous.AddJob(record, jobs.Progress{}, true, previous.now)
 	previous.report(0, jobs.Report{})
-	given := previous.starts()[0].Call.Run
+	assigned := previous.starts()[0].Call.Run
 
 	here := newBench(t, 1)
 	here.config.Epoch = previous.config.Epoch + 1
@@ -97,5 +97,5 @@
 	there.config.Epoch = previous.config.Epoch - 2
 	there.AddJob(record.NewPart(move.Tasks, move.LeastRun), jobs.Progress{}, true, there.now)
 	there.report(0, jobs.Report{})
-	require.Greater(t, there.starts()[0].Call.Run, given)
+	require.Greater(t, there.starts()[0].Call.Run, assigned)
 }
--- a/services/dispatch/checkpoint_world_test.go
+++ b/services/dispatch/checkpoint_world_test.go
@@ -16,14 +16,14 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// flight is a report on its way to the owner.
+// flight is a report in transit to the owner.
 type flight struct {
 	worker *checkpointWorker
 	sent   time.Time
 	report jobs.Report
 }
 
-// sentOrder is an order on its way to a worker.
+// sentOrder is an order in transit to a worker.
 type sentOrder struct {
 	order Order
 	owner *Core
@@ -64,7 +64,7 @@
 	return w
 }
 
-// takeOver replaces the owner by a new one that has nothing but the store.
+// takeOver replaces the owner by a new one that knows only what is stored.
 func (w *checkpointWorld) takeOver() {
 	w.epoch++
 	w.core = New(Config{
@@ -183,12 +183,12 @@
 // orderOutcomes are the possible outcomes of an order.
 var orderOutcomes = []string{"done", "done", "done", "answer lost", "order lost", "order late", "not done", "not sent"}
 
-// resolveOrder lets an order reach its worker, or meet another fate.
-func (w *checkpointWorld) resolveOrder(n int, fate string) {
+// resolveOrder carries out an order with the given one of orderOutcomes.
+func (w *checkpointWorld) resolveOrder(n int, outcome string) {
 	sent := w.orders[n]
 	w.orders = append(w.orders[:n:n], w.orders[n+1:]...)
 	result := Result{Outcome: OutcomeUnknown}
-	switch fate {
+	switch outcome {
 	case "done":
 		result = w.obey(sent.order)
 	case "answer lost":
--- a/services/dispatch/evidence_simulation_test.go
+++ b/services/dispatch/evidence_simulation_test.go
@@ -249,9 +249,9 @@
 	}
 }
 
-// TestEvidenceOfLostRuns checks the error rates promised for tasks that lose workers, also where workers are lost in
-// bursts or one by one all the time: few jobs are abandoned of a million innocent runs that are lost, and few of a
-// thousand tasks that crash their workers are started a sixth time.
+// TestEvidenceOfLostRuns checks the promised error rates, also where workers are lost in bursts or one by one all the
+// time: per million lost runs of tasks that crash nothing, few jobs are abandoned, and per thousand tasks that crash
+// their workers, few are started a sixth time.
 func TestEvidenceOfLostRuns(t *testing.T) {
 	simulateLosses(t, "testdata/evidence_plays.json", simulationsInCI)
 }
--- a/services/dispatch/evidence_test.go
+++ b/services/dispatch/evidence_test.go
@@ -43,9 +43,9 @@
 				}
 				e.neighbours = append(e.neighbours, neighbour{runtime: ran.Duration(), crasherProbability: share})
 			}
-			doubt, weight := e.evidence()
-			require.InDelta(t, c.Doubt, doubt, 0.01)
-			require.InDelta(t, c.Weight, weight, 0.01)
+			vsChance, vsAll := e.evidence()
+			require.InDelta(t, c.Doubt, vsChance, 0.01)
+			require.InDelta(t, c.Weight, vsAll, 0.01)
 		})
 	}
 }
@@ -54,7 +54,7 @@
 // rate of the constants, until a run goes on for long enough: no more tasks are abandoned than the bound allows.
 func TestTasksThatLoseWorkersByChanceAreNotGivenUp(t *testing.T) {
 	draw := rand.New(rand.NewPCG(1, 2))
-	givenUp := 0
+	abandoned := 0
 	for range 20_000 {
 		var tried task
 		for {
@@ -62,21 +62,21 @@
 			if ran >= maxTimeToCrash {
 				break
 			}
-			doubt, weight := lossContext{runtime: ran, chanceRate: baselineLossRate}.evidence()
-			tried.suspicion.Lost = append(tried.suspicion.Lost, jobs.LostRun{EvidenceVsChance: doubt, EvidenceVsAll: weight})
+			vsChance, vsAll := lossContext{runtime: ran, chanceRate: baselineLossRate}.evidence()
+			tried.suspicion.Lost = append(tried.suspicion.Lost, jobs.LostRun{EvidenceVsChance: vsChance, EvidenceVsAll: vsAll})
 		}
 		if tried.crashesWorkers() {
-			givenUp++
+			abandoned++
 		}
 	}
-	require.LessOrEqual(t, givenUp, 1)
+	require.LessOrEqual(t, abandoned, 1)
 }
 
-// TestLossLongAgoMakesNoLaterOneLikelierByChance guards against a first loss after a quiet time that is weighed as
-// if workers lost minutes ago had been lost just before: that gave too little evidence against the task that had
-// caused the loss.
+// TestLossLongAgoMakesNoLaterOneLikelierByChance guards against weighing the first loss after a time without losses as
+// if workers lost minutes ago had been lost just before: this gave too little evidence against the task that had caused
+// the loss.
 func TestLossLongAgoMakesNoLaterOneLikelierByChance(t *testing.T) {
-	weightAfter := func(earlier int) float64 {
+	evidenceAfter := func(earlier int) float64 {
 		b := newBench(t, 4)
 		for n := range b.ids {
 			b.report(n, jobs.Report{})
@@ -94,12 +94,12 @@
 		require.Len(t, lost, 1)
 		return lost[0].EvidenceVsAll
 	}
-	require.Equal(t, weightAfter(0), weightAfter(3))
+	require.Equal(t, evidenceAfter(0), evidenceAfter(3))
 }
 
-// TestTimeOfALossThatNobodySawIsNotTakenForItsEnd guards against a loss that is weighed as of the time when it was
-// detected. A worker's calls timed out until 0.8 s after the start of a task that had crashed others after 0.15 s;
-// weighed as a loss after 0.8 s it spoke for the task, and a sixth start followed.
+// TestTimeOfALossThatNobodySawIsNotTakenForItsEnd guards against taking the time at which a loss was detected for the
+// time of the loss. A worker's calls timed out until 0.8 s after the start of a task that had crashed others after 0.15
+// s; weighed as a loss after 0.8 s, the loss spoke for the task, and a sixth start followed.
 func TestTimeOfALossThatNobodySawIsNotTakenForItsEnd(t *testing.T) {
 	loss := lossContext{runtime: 814 * time.Millisecond, earlierRuntimes: []time.Duration{152 * time.Millisecond}, chanceRate: 0.048}
 	_, observed := loss.evidence()
--- a/services/dispatch/gone_test.go
+++ b/services/dispatch/gone_test.go
@@ -12,7 +12,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// TestWorkerThatCertainlyRunsNothingIsNotInTheRoster checks that the next owner does not wait for such a worker.
+// TestWorkerThatCertainlyRunsNothingIsNotInTheRoster checks that the next owner does not wait for a silent worker whose
+// lease is over.
 func TestWorkerThatCertainlyRunsNothingIsNotInTheRoster(t *testing.T) {
 	previous := newBench(t, 3)
 	previous.report(2, jobs.Report{})
--- a/services/dispatch/incarnation_test.go
+++ b/services/dispatch/incarnation_test.go
@@ -13,7 +13,8 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// The start times of two incarnations. The time of day is set back between them, so the later one is smaller.
+// The start times of two incarnations. The time of day is set back between them, so that the second start time is
+// smaller.
 const (
 	firstStartTime  = models.UnixMilli(2_000_000)
 	secondStartTime = models.UnixMilli(1_000_000)
@@ -28,8 +29,8 @@
 	return b, start
 }
 
-// newIncarnationStart makes a core with so many workers, one of which reports its start time and has not answered
-// yet to the start of a task.
+// newIncarnationStart makes a core with the given number of workers. One of them reports its start time and has not
+// answered the start of a task yet.
 func newIncarnationStart(t *testing.T, workers int) (b *bench, start StartOrder) {
 	t.Helper()
 	b = newBench(t, workers)
@@ -55,8 +56,8 @@
 	b.call(0, report)
 }
 
-// TestReportOfAnotherIncarnationEndsTheFormerOne guards against state that is kept by id: the clock, the numbers of
-// ends and the acknowledgements of them, and the runs.
+// TestReportOfAnotherIncarnationEndsTheFormerOne guards against state that outlives an incarnation because it is kept by
+// the worker's id: the clock, the numbers and acknowledgements of ended runs, and the runs.
 func TestReportOfAnotherIncarnationEndsTheFormerOne(t *testing.T) {
 	b, start := newIncarnationBench(t)
 	b.report(0, jobs.Report{Born: firstStartTime, Ended: []jobs.Ended{{Number: 7, Task: taskOf(9), Run: 1, How: jobs.EndStopped}}})
@@ -99,7 +100,8 @@
 	require.True(t, b.usable(b.workers[b.ids[0]], b.now))
 }
 
-// TestLateReportOfAFormerIncarnationIsPassedOver guards against answers that overtake each other.
+// TestLateReportOfAFormerIncarnationIsPassedOver guards against a report of a previous incarnation that arrives after one
+// of the next incarnation and is taken for a newer one.
 func TestLateReportOfAFormerIncarnationIsPassedOver(t *testing.T) {
 	b, start := newIncarnationBench(t)
 	sent := b.now
@@ -112,8 +114,8 @@
 	require.EqualValues(t, 1, b.Counts().ReportsPassedOver)
 }
 
-// TestOrderThatMeetsAnotherIncarnationTellsOfIt checks that such an order shows the loss of its run, and that a
-// second order that was on its way changes nothing.
+// TestOrderThatMeetsAnotherIncarnationTellsOfIt checks that an order answered by another incarnation shows the loss of
+// the previous incarnation's runs, and that a second order in transit changes nothing.
 func TestOrderThatMeetsAnotherIncarnationTellsOfIt(t *testing.T) {
 	b, start := newIncarnationBench(t)
 	stop := StopOrder{Worker: start.Worker, Call: jobs.StopCall{Task: start.Call.Task, Run: start.Call.Run}}
@@ -128,7 +130,7 @@
 	require.Nil(t, b.jobs[testJob].steps[0].tasks[0].worker, "the answer of the previous incarnation is late")
 }
 
-// TestStartOfAWorkerIsLearnedFromItsFirstReportThatNamesIt covers entries and reports that begin to contain the
+// TestStartOfAWorkerIsLearnedFromItsFirstReportThatNamesIt covers list entries and reports that begin to contain the
 // start time while an owner runs, because the software of the workers or of the owner was upgraded.
 func TestStartOfAWorkerIsLearnedFromItsFirstReportThatNamesIt(t *testing.T) {
 	b := newBench(t, 1)
@@ -155,16 +157,16 @@
 	require.Nil(t, b.jobs[testJob].steps[0].tasks[0].worker, "the clock has begun anew, so the incarnation is another")
 }
 
-// TestFormerOwnersRunIsLostWithItsIncarnation guards against a takeover that takes the answer of the next
-// incarnation for an answer of the one in the roster.
+// TestFormerOwnersRunIsLostWithItsIncarnation guards against a takeover that takes the answer of the next incarnation for
+// an answer of the incarnation in the roster.
 func TestFormerOwnersRunIsLostWithItsIncarnation(t *testing.T) {
 	for _, listed := range []models.UnixMilli{firstStartTime, secondStartTime} {
 		b := newBench(t, 0)
 		info := jobs.Worker{ID: "w0", Pool: testPool, Address: "w0", Capacity: models.Resources{CPU: 4000, Memory: 8000}, Born: firstStartTime}
 		b.ids = []jobs.WorkerID{info.ID}
-		open := &jobs.UnresolvedRun{LostRun: jobs.LostRun{Run: 3, RanAtMost: 300, EvidenceVsChance: 2, EvidenceVsAll: 2}, Worker: info.ID, Born: firstStartTime}
+		unresolved := &jobs.UnresolvedRun{LostRun: jobs.LostRun{Run: 3, RanAtMost: 300, EvidenceVsChance: 2, EvidenceVsAll: 2}, Worker: info.ID, Born: firstStartTime}
 		b.RestoreRoster(jobs.Roster{Workers: []jobs.Worker{info}}, b.now)
-		b.AddJob(b.job(singleTaskStep), jobs.Progress{Suspected: jobs.Suspicions{0: {0: {Unresolved: open}}}}, false, b.now)
+		b.AddJob(b.job(singleTaskStep), jobs.Progress{Suspected: jobs.Suspicions{0: {0: {Unresolved: unresolved}}}}, false, b.now)
 		info.Born = listed
 		b.SetWorkers([]jobs.Worker{info}, b.now)
 		b.reportIncarnation(secondStartTime, 30, jobs.Report{})
@@ -175,7 +177,8 @@
 	}
 }
 
-// TestIncarnationThatWasReplacedMayComeAgainUnderItsID guards against ids that are barred for good.
+// TestIncarnationThatWasReplacedMayComeAgainUnderItsID guards against barring an id for good because one incarnation with
+// the id was replaced.
 func TestIncarnationThatWasReplacedMayComeAgainUnderItsID(t *testing.T) {
 	b, _ := newIncarnationBench(t)
 	entry := b.Worker(b.ids[0])
@@ -205,8 +208,8 @@
 	require.Len(t, b.storedStarts(), 1, "the next roster names this incarnation")
 }
 
-// TestRestartedWorkerHasNotSeenTheEpoch guards against a previous owner's leases that count as over too early: their
-// time runs from when most workers had seen the new epoch.
+// TestRestartedWorkerHasNotSeenTheEpoch guards against counting a previous owner's leases as over too early: their
+// remaining time is counted from when most workers have seen the new epoch.
 func TestRestartedWorkerHasNotSeenTheEpoch(t *testing.T) {
 	b := newBench(t, 0)
 	b.ids = []jobs.WorkerID{"w0"}
@@ -223,8 +226,8 @@
 	require.False(t, b.fencedAt.IsZero())
 }
 
-// TestFormerOwnersLeaseHoldsForTheIncarnationThatAnswers guards against a takeover that counts a worker as lapsed by
-// its own grants alone: the list's entry may have named an incarnation that has ended.
+// TestFormerOwnersLeaseHoldsForTheIncarnationThatAnswers guards against a successor that counts a worker's lease as over
+// by its own grants alone: the list's entry may have named an incarnation that has ended.
 func TestFormerOwnersLeaseHoldsForTheIncarnationThatAnswers(t *testing.T) {
 	b := newBench(t, 0)
 	info := jobs.Worker{ID: "w0", Pool: testPool, Address: "w0", Born: secondStartTime}
@@ -236,7 +239,7 @@
 	require.GreaterOrEqual(t, b.workers[info.ID].leaseEnd, models.Milli(100+8000))
 }
 
-// TestFenceOfAFormerIncarnationIsNoLaterOwner guards against an owner that gives up its cell because a worker has
+// TestFenceOfAFormerIncarnationIsNoLaterOwner guards against an owner that counts as superseded because a worker has
 // refused an order that was sent to its previous incarnation.
 func TestFenceOfAFormerIncarnationIsNoLaterOwner(t *testing.T) {
 	b, start := newIncarnationBench(t)
@@ -318,20 +321,21 @@
 	require.EqualValues(t, 3, call.Acknowledged)
 }
 
-// TestOpenRunOfAFormerIncarnationIsLost guards against a successor whose roster already names the next incarnation:
-// the report of that incarnation shows its own runs, and nothing of the run that was open on the previous one.
+// TestOpenRunOfAFormerIncarnationIsLost guards against a successor whose roster already names the next incarnation: the
+// report of that incarnation shows its own runs, and nothing of the run that was unresolved on the previous
+// incarnation.
 func TestOpenRunOfAFormerIncarnationIsLost(t *testing.T) {
 	for born, lost := range map[models.UnixMilli]int{firstStartTime: 1, secondStartTime: 0, 0: 0} {
 		b := newBench(t, 0)
 		info := jobs.Worker{ID: "w0", Pool: testPool, Address: "w0", Born: secondStartTime}
 		b.ids = []jobs.WorkerID{info.ID}
-		open := &jobs.UnresolvedRun{LostRun: jobs.LostRun{Run: 3, RanAtMost: 300, EvidenceVsChance: 2, EvidenceVsAll: 2}, Worker: info.ID, Born: born}
+		unresolved := &jobs.UnresolvedRun{LostRun: jobs.LostRun{Run: 3, RanAtMost: 300, EvidenceVsChance: 2, EvidenceVsAll: 2}, Worker: info.ID, Born: born}
 		b.RestoreRoster(jobs.Roster{Workers: []jobs.Worker{info}}, b.now)
-		b.AddJob(b.job(singleTaskStep), jobs.Progress{Suspected: jobs.Suspicions{0: {0: {Unresolved: open}}}}, false, b.now)
+		b.AddJob(b.job(singleTaskStep), jobs.Progress{Suspected: jobs.Suspicions{0: {0: {Unresolved: unresolved}}}}, false, b.now)
 		b.reportIncarnation(secondStartTime, 30, jobs.Report{})
 		task := &b.jobs[testJob].steps[0].tasks[0]
 		require.Nil(t, task.suspicion.Unresolved)
-		require.Len(t, task.suspicion.Lost, lost, "open on the incarnation that started at %d", born)
+		require.Len(t, task.suspicion.Lost, lost, "unresolved on the incarnation that started at %d", born)
 	}
 }
 
--- a/services/dispatch/learned_parameters_test.go
+++ b/services/dispatch/learned_parameters_test.go
@@ -37,9 +37,9 @@
 func (b *bench) factor() jobs.LearnedFactor { return b.Learned()[0] }
 
 // stored returns the parameters as a successor reads them from the store.
-func stored(t *testing.T, knowledge jobs.LearnedParameters) jobs.LearnedParameters {
+func stored(t *testing.T, parameters jobs.LearnedParameters) jobs.LearnedParameters {
 	t.Helper()
-	value, err := json.Marshal(knowledge)
+	value, err := json.Marshal(parameters)
 	require.NoError(t, err)
 	read, err := wire.DecodeBytes[jobs.LearnedParameters](value)
 	require.NoError(t, err)
@@ -47,11 +47,11 @@
 }
 
 func TestSuccessorKnowsWhatItsFormerOwnerLearned(t *testing.T) {
-	former := learnedBench(t)
+	previous := learnedBench(t)
 	successor := newBench(t, 1)
-	successor.now = former.now.Add(500 * time.Millisecond)
-	successor.RestoreParameters(stored(t, former.LearnedParameters(former.now)), successor.now)
-	successor.AddJob(former.job(servingStep), jobs.Progress{}, false, successor.now)
+	successor.now = previous.now.Add(500 * time.Millisecond)
+	successor.RestoreParameters(stored(t, previous.LearnedParameters(previous.now)), successor.now)
+	successor.AddJob(previous.job(servingStep), jobs.Progress{}, false, successor.now)
 	require.InDelta(t, 1.4, successor.factor().Factor, 1e-9)
 	load, variance := successor.jobs[testJob].steps[0].baseline.Predict(successor.now)
 	require.InDelta(t, 0.65, load, 0.03)
@@ -61,25 +61,25 @@
 }
 
 func TestKnowledgeAges(t *testing.T) {
-	former := learnedBench(t)
-	knowledge := stored(t, former.LearnedParameters(former.now))
+	previous := learnedBench(t)
+	parameters := stored(t, previous.LearnedParameters(previous.now))
 	spreadAfter := func(age time.Duration) float64 {
 		successor := newBench(t, 1)
-		successor.RestoreParameters(knowledge, former.now.Add(age))
+		successor.RestoreParameters(parameters, previous.now.Add(age))
 		return successor.factor().StdDev
 	}
 	soon, later, much := spreadAfter(time.Second), spreadAfter(time.Minute), spreadAfter(time.Hour)
 	require.Less(t, soon, later)
-	require.Greater(t, soon, former.factor().StdDev, "a successor trusts its own observations more")
+	require.Greater(t, soon, previous.factor().StdDev, "a successor trusts its own observations more")
 	fresh := newBench(t, 1)
 	fresh.model.Service("serving")
 	fresh.model.Index("heavy")
 	require.InDelta(t, fresh.factor().StdDev, much, 1e-9, "after an hour the parameters have expired")
 	successor := newBench(t, 1)
-	successor.RestoreParameters(knowledge, former.now)
-	successor.AddJob(former.job(servingStep), jobs.Progress{}, false, former.now)
-	load, _ := successor.jobs[testJob].steps[0].baseline.Predict(former.now.Add(time.Minute))
-	unknown, _ := (&contention.BaselineLoad{}).Predict(former.now)
+	successor.RestoreParameters(parameters, previous.now)
+	successor.AddJob(previous.job(servingStep), jobs.Progress{}, false, previous.now)
+	load, _ := successor.jobs[testJob].steps[0].baseline.Predict(previous.now.Add(time.Minute))
+	unknown, _ := (&contention.BaselineLoad{}).Predict(previous.now)
 	require.InDelta(t, unknown, load, 1e-9, "a load changes within seconds")
 }
 
@@ -96,12 +96,12 @@
 }
 
 func TestKnowledgeThatDoesNotFitTogetherIsRejected(t *testing.T) {
-	for name, knowledge := range map[string]jobs.LearnedParameters{
+	for name, parameters := range map[string]jobs.LearnedParameters{
 		"a factor too few":    {Filling: []jobs.ImageName{"a"}, Factors: []jobs.ImageParameters{{Serving: "s", IdleTail: 0.2, TargetRatioSum: 1, ObservedSeconds: 1}}},
 		"a negative variance": {Filling: []jobs.ImageName{"a"}, Factors: []jobs.ImageParameters{{Serving: "s", IdleTail: 0.2, TargetRatioSum: 1, ObservedSeconds: 1, Mean: []float64{1}, Covariance: []float64{-1}}}},
 		"a period's weight":   {Loads: []jobs.StepLoad{{Job: testJob, Weights: []float64{0.5, 0}}}},
 		"a load's variance":   {At: models.UnixMilli(1), Loads: []jobs.StepLoad{{Job: testJob, Covariance: [3][3]float64{{-1}}}}},
 	} {
-		require.Error(t, knowledge.Check(), name)
+		require.Error(t, parameters.Check(), name)
 	}
 }
--- a/services/dispatch/recent_test.go
+++ b/services/dispatch/recent_test.go
@@ -59,8 +59,8 @@
 	require.Less(t, b.jobs[testJob].steps[0].tasks[0].suspicion.Lost[1].EvidenceVsAll, lost[1].EvidenceVsAll-3)
 }
 
-// TestTaskIsGivenUpOnceNoOthersWent checks that the task is abandoned once the losses of other workers would be
-// known.
+// TestTaskIsGivenUpOnceNoOthersWent checks that the task is abandoned once simultaneous losses of other workers would be
+// known and there are none.
 func TestTaskIsGivenUpOnceNoOthersWent(t *testing.T) {
 	b := newRecentBench(t)
 	b.now = b.now.Add(simultaneousLossesKnownAfter)
--- a/services/dispatch/shared_test.go
+++ b/services/dispatch/shared_test.go
@@ -21,8 +21,8 @@
 	lossThird  jobs.WorkerLossID = 9
 )
 
-func lostRunWith(loss jobs.WorkerLossID, run jobs.RunID, doubt, weight float64) jobs.LostRun {
-	return jobs.LostRun{Run: run, RanAtMost: 70, EvidenceVsChance: doubt, EvidenceVsAll: weight, LossID: loss}
+func lostRunWith(loss jobs.WorkerLossID, run jobs.RunID, vsChance, vsAll float64) jobs.LostRun {
+	return jobs.LostRun{Run: run, RanAtMost: 70, EvidenceVsChance: vsChance, EvidenceVsAll: vsAll, LossID: loss}
 }
 
 // newSharedBench makes a core with two jobs of one task each, whose tasks have lost the given runs.
@@ -58,8 +58,8 @@
 	b.Replaced(starts[0].Worker.ID, b.now)
 }
 
-// TestTaskIsNotGivenUpWhileAnotherMayBeTheCause guards against a job that is abandoned for a worker that another
-// task has crashed: both tasks were lost with the worker, and the other task's trial was still open. Nor does the
+// TestTaskIsNotGivenUpWhileAnotherMayBeTheCause guards against failing a job for the loss of a worker that another task
+// has crashed: both tasks were lost with the worker, and the other task's trial was still open. Nor does the
 // task start meanwhile, because it would be started once too often if it does crash its workers.
 func TestTaskIsNotGivenUpWhileAnotherMayBeTheCause(t *testing.T) {
 	b := newSharedBench(t,
@@ -102,7 +102,7 @@
 	require.Empty(t, b.jobs[testJob].end)
 }
 
-// TestTaskWaitsForOthersForSomeTimeOnly guards against tasks that wait for ever for another one that finds no place.
+// TestTaskWaitsForOthersForSomeTimeOnly guards against tasks that wait for ever for another task that finds no place.
 func TestTaskWaitsForOthersForSomeTimeOnly(t *testing.T) {
 	b := newSharedBench(t,
 		[]jobs.LostRun{lostRunWith(lossShared, 1, 7, 6), lostRunWith(lossAlone, 2, 9, 9)},
--- a/services/dispatch/suspicion_test.go
+++ b/services/dispatch/suspicion_test.go
@@ -70,16 +70,16 @@
 	require.Len(t, b.starts(), 1, "the suspect has outlived its trial")
 }
 
-// TestOpenRunsAreLostWithTheirWorkers checks that a successor counts a run that the previous owner stored as open if
-// its worker is lost, and does not if the worker answers.
+// TestOpenRunsAreLostWithTheirWorkers checks that a successor counts a run that the previous owner stored as unresolved
+// if its worker is lost, but not if the worker answers.
 func TestOpenRunsAreLostWithTheirWorkers(t *testing.T) {
-	for _, gone := range []bool{true, false} {
+	for _, workerLost := range []bool{true, false} {
 		b := newBench(t, 2)
 		previous := againstFirst(jobs.LostRun{Run: 7, RanAtMost: 10, EvidenceVsChance: 8, EvidenceVsAll: 8}, &jobs.UnresolvedRun{
 			LostRun: jobs.LostRun{Run: 8, RanAtMost: 10, EvidenceVsChance: 8, EvidenceVsAll: 8}, Worker: b.ids[0],
 		})
 		b.AddJob(b.job(singleTaskStep), jobs.Progress{Suspected: previous}, false, b.now)
-		if gone {
+		if workerLost {
 			b.Replaced(b.ids[0], b.now)
 		} else {
 			b.report(0, jobs.Report{})
@@ -89,7 +89,7 @@
 		require.Equal(t, jobs.StateQueued, state, "the end is not stored yet")
 		changes := b.TakeChanges(10, b.now)
 		require.Len(t, changes.Jobs, 1)
-		if gone {
+		if workerLost {
 			require.Equal(t, jobs.StateFailed, changes.Jobs[0].Ended.Ended)
 		} else {
 			require.Nil(t, changes.Jobs[0].Ended)
@@ -99,13 +99,13 @@
 }
 
 // againstFirst is a suspicion against the first task of a job.
-func againstFirst(lost jobs.LostRun, open *jobs.UnresolvedRun) jobs.Suspicions {
+func againstFirst(lost jobs.LostRun, unresolved *jobs.UnresolvedRun) jobs.Suspicions {
 	all := jobs.Suspicions{}
-	all.Set(0, 0, jobs.Suspicion{Lost: []jobs.LostRun{lost}, Unresolved: open})
+	all.Set(0, 0, jobs.Suspicion{Lost: []jobs.LostRun{lost}, Unresolved: unresolved})
 	return all
 }
 
-// TestWhatIsKnownGoesWithTasksToAnotherCell checks that a suspect stays one in another cell.
+// TestWhatIsKnownGoesWithTasksToAnotherCell checks that a suspect remains a suspect in another cell.
 func TestWhatIsKnownGoesWithTasksToAnotherCell(t *testing.T) {
 	known := againstFirst(jobs.LostRun{Run: 7, RanAtMost: 10, EvidenceVsChance: 8, EvidenceVsAll: 8}, nil)
 	here := newBench(t, 1)
@@ -136,7 +136,8 @@
 	require.Less(t, len(data), 70, "%s", data)
 }
 
-// TestWorkerThatLeavesAsItSaidSaysNothing checks that the tasks of such a worker are lost, but not suspected.
+// TestWorkerThatLeavesAsItSaidSaysNothing checks that the runs of a worker that leaves when it had announced are lost
+// without evidence against their tasks.
 func TestWorkerThatLeavesAsItSaidSaysNothing(t *testing.T) {
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
--- a/services/dispatch/takeover_test.go
+++ b/services/dispatch/takeover_test.go
@@ -30,8 +30,8 @@
 // while all daemons were down: in a simulated day that kept all long-running tasks from running for 14 s.
 func TestWorkerThatHasLeftEndsTheWaitAfterATakeover(t *testing.T) {
 	b := newBench(t, 3)
-	gone := jobs.Worker{ID: "gone", Pool: testPool, Address: "gone"}
-	b.RestoreRoster(jobs.Roster{Workers: []jobs.Worker{gone}}, b.now)
+	left := jobs.Worker{ID: "gone", Pool: testPool, Address: "gone"}
+	b.RestoreRoster(jobs.Roster{Workers: []jobs.Worker{left}}, b.now)
 	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, false, b.now)
 	listed := make([]jobs.Worker, 0, len(b.ids))
 	for _, id := range b.ids {
@@ -45,14 +45,14 @@
 		return b.storedStarts()
 	}
 	require.Empty(t, look(), "the worker that does not answer may run the task")
-	b.Unreached(gone.ID, true, b.now)
+	b.Unreached(left.ID, true, b.now)
 	require.Empty(t, look(), "the worker may be cut off, and be listed again")
 	began := b.now
 	for b.now.Sub(began) <= maxRelistDelay {
-		b.Unreached(gone.ID, false, b.now)
+		b.Unreached(left.ID, false, b.now)
 		require.Empty(t, look(), "a connection that fails without a refusal proves nothing")
 	}
-	b.Unreached(gone.ID, true, b.now)
+	b.Unreached(left.ID, true, b.now)
 	require.Len(t, look(), 1)
 }
 
--- a/services/dispatch/unknown_outcome_test.go
+++ b/services/dispatch/unknown_outcome_test.go
@@ -24,8 +24,8 @@
 	return stops
 }
 
-// TestStopThatIsRefusedBarsNothing guards against a second run of a task whose start had no answer: a stop bars the
-// run, and until a stop is carried out the start may still be, so the task must not start again.
+// TestStopThatIsRefusedBarsNothing guards against a second run of a task whose start had no answer: until a stop has
+// barred the run, the start may still be carried out, so the task must not start again.
 func TestStopThatIsRefusedBarsNothing(t *testing.T) {
 	b := newBench(t, 1)
 	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, true, b.now)
@@ -96,8 +96,7 @@
 	require.Fail(t, "the task does not run again")
 }
 
-// TestHaltWithoutAnswerIsRepeated guards against a pace that is taken to be in force although its order had no
-// answer.
+// TestHaltWithoutAnswerIsRepeated guards against assuming a pace to be in force although its order had no answer.
 func TestHaltWithoutAnswerIsRepeated(t *testing.T) {
 	b := newBench(t, 1)
 	b.AddJob(b.job(servingStep, fillerStep), jobs.Progress{}, true, b.now)
@@ -120,7 +119,7 @@
 				halts++
 				result.Outcome = OutcomeUnknown
 				if halts%2 == 0 {
-					result.Outcome = OutcomeNotDone // says nothing about the order before
+					result.Outcome = OutcomeNotDone // does not show whether the previous order was carried out
 				}
 			}
 			b.Paced(pace, result, b.now)
--- a/services/dispatch/unseen_test.go
+++ b/services/dispatch/unseen_test.go
@@ -46,8 +46,8 @@
 	return changes
 }
 
-// TestLostRunIsStoredBeforeTheNextStart guards against owners that each count from zero: two owners in turn lost two
-// runs of a task each while the store was away.
+// TestLostRunIsStoredBeforeTheNextStart guards against owners that each count a task's losses from zero: two successive
+// owners lost two runs of a task each while the store did not answer.
 func TestLostRunIsStoredBeforeTheNextStart(t *testing.T) {
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
@@ -60,8 +60,8 @@
 	require.Len(t, b.starts(), 1)
 }
 
-// TestRosterKeepsAWorkerUntilItsLostRunsAreStored guards against a successor that knows neither of a worker that has
-// left the roster nor of its lost run, because the run was not stored.
+// TestRosterKeepsAWorkerUntilItsLostRunsAreStored guards against a successor that knows neither of a lost worker, which
+// the roster no longer names, nor of its lost run, which was not stored.
 func TestRosterKeepsAWorkerUntilItsLostRunsAreStored(t *testing.T) {
 	b := newBench(t, 2)
 	b.report(0, jobs.Report{})
@@ -86,17 +86,17 @@
 	require.NotNil(t, second.Roster)
 }
 
-// newSuccessor makes an owner whose predecessor had used a worker that is lost, and had started a task that no
-// worker reports.
+// newSuccessor makes an owner whose previous owner had used a worker that is lost, and may have started a task that no
+// worker reports; before are the epochs with unobserved losses in the stored roster.
 func newSuccessor(t *testing.T, progress jobs.Progress, before ...jobs.Epoch) *bench {
 	t.Helper()
 	b := newBench(t, 2)
-	gone := jobs.Worker{ID: "gone", Pool: testPool, Address: "gone"}
-	b.RestoreRoster(jobs.Roster{Workers: append(b.Workers(), gone), UnobservedEpochs: before}, b.now)
+	lost := jobs.Worker{ID: "gone", Pool: testPool, Address: "gone"}
+	b.RestoreRoster(jobs.Roster{Workers: append(b.Workers(), lost), UnobservedEpochs: before}, b.now)
 	b.AddJob(b.job(singleTaskStep), progress, false, b.now)
 	b.report(0, jobs.Report{})
 	b.report(1, jobs.Report{})
-	b.Replaced(gone.ID, b.now)
+	b.Replaced(lost.ID, b.now)
 	b.Decide(b.now)
 	return b
 }
@@ -116,7 +116,8 @@
 	require.Equal(t, 1, b.jobs[testJob].steps[0].tasks[0].losses())
 }
 
-// TestWorkersThatAllAnswerLeaveNoUnseenLoss checks that no loss is counted and none has to be stored in this case.
+// TestWorkersThatAllAnswerLeaveNoUnseenLoss checks that no unobserved loss is counted or has to be stored when all
+// workers of the previous owner answer.
 func TestWorkersThatAllAnswerLeaveNoUnseenLoss(t *testing.T) {
 	b := newBench(t, 2)
 	b.RestoreRoster(jobs.Roster{Workers: b.Workers()}, b.now)
@@ -127,8 +128,8 @@
 	require.Zero(t, b.jobs[testJob].steps[0].tasks[0].losses())
 }
 
-// TestUnseenLossesAddUpOverOwners checks that losses of earlier takeovers count, unless a run has gone on for long
-// since then or the job was accepted later.
+// TestUnseenLossesAddUpOverOwners checks that unobserved losses of earlier takeovers count, unless a run has cleared the
+// task since then or the job was accepted later.
 func TestUnseenLossesAddUpOverOwners(t *testing.T) {
 	b := newSuccessor(t, jobs.Progress{}, 2, 3, 4)
 	require.Equal(t, 4, b.jobs[testJob].steps[0].tasks[0].losses())
@@ -200,16 +201,16 @@
 func TestRunOnASilentWorkerMayHaveEndedIt(t *testing.T) {
 	b := newRunningBench(t)
 	b.Overdue(b.ids[0], b.now)
-	open := false
+	runStored := false
 	for end := b.now.Add(10 * time.Second); b.now.Before(end); {
 		b.report(1, jobs.Report{})
 		b.starts()
 		if changes := b.store(); len(changes.Jobs) > 0 && changes.Jobs[0].Progress.Suspected[0][0].Unresolved != nil {
-			open = true
+			runStored = true
 			require.NotNil(t, changes.Roster, "the run is stored no later than the roster without its worker")
 		}
 	}
-	require.True(t, open)
+	require.True(t, runStored)
 	require.Equal(t, 1, b.jobs[testJob].steps[0].tasks[0].losses())
 }
 
@@ -229,8 +230,8 @@
 	require.Len(t, b.starts(), 1)
 }
 
-// TestUnseenLossesGoWithATaskToAnotherCell checks that a move includes these losses, because the task's record there is
-// newer than the takeovers here.
+// TestUnseenLossesGoWithATaskToAnotherCell checks that a move includes unobserved losses, because the task's record there
+// is newer than the takeovers here.
 func TestUnseenLossesGoWithATaskToAnotherCell(t *testing.T) {
 	b := newBench(t, 1)
 	b.AddJob(b.job(servingStep), jobs.Progress{}, true, b.now)
@@ -240,17 +241,17 @@
 	require.Equal(t, 2, move.Suspected[0][0].Unobserved)
 }
 
-// TestOpenRunSaysLessTheLaterItsWorkerIsMissed checks that the evidence of an open run decreases with the time until
-// its worker's loss is noticed: the longer that time, the likelier the worker was lost by chance.
+// TestOpenRunSaysLessTheLaterItsWorkerIsMissed checks that the evidence of an unresolved run decreases with the time
+// until its worker's loss is detected: the longer that time, the likelier the worker was lost by chance.
 func TestOpenRunSaysLessTheLaterItsWorkerIsMissed(t *testing.T) {
-	open := &jobs.UnresolvedRun{LostRun: jobs.LostRun{Run: 3}, BeganAt: 1, ChanceRate: 0.02}
-	soon := weighUnobserved(open, 3*time.Second)
-	late := weighUnobserved(open, time.Minute)
+	unresolved := &jobs.UnresolvedRun{LostRun: jobs.LostRun{Run: 3}, BeganAt: 1, ChanceRate: 0.02}
+	soon := weighUnobserved(unresolved, 3*time.Second)
+	late := weighUnobserved(unresolved, time.Minute)
 	require.Greater(t, soon.EvidenceVsAll, 2.0)
 	require.Less(t, late.EvidenceVsAll, soon.EvidenceVsAll)
 	require.Less(t, late.EvidenceVsAll, 0.2)
-	open.NeighbourRate = 1
-	require.Less(t, weighUnobserved(open, 3*time.Second).EvidenceVsAll, 0.0, "another suspect was on the worker")
+	unresolved.NeighbourRate = 1
+	require.Less(t, weighUnobserved(unresolved, 3*time.Second).EvidenceVsAll, 0.0, "another suspect was on the worker")
 }
 
 // TestRunWithoutAnswerMayHaveEndedItsWorker guards against a loss that is not counted: the start had no answer,
@@ -277,12 +278,12 @@
 	require.Equal(t, 2*assumedUnobservedRuntime, suspect.trialTime())
 }
 
-// TestLossThatWasSeenIsNoUnseenOneOfItsTakeover guards against a run that counts twice: among the observed losses,
-// and at later owners as an unobserved loss of that takeover.
+// TestLossThatWasSeenIsNoUnseenOneOfItsTakeover guards against a run that counts twice: as an observed loss, and at later
+// owners also as an unobserved loss of that takeover.
 func TestLossThatWasSeenIsNoUnseenOneOfItsTakeover(t *testing.T) {
-	open := &jobs.UnresolvedRun{LostRun: jobs.LostRun{Run: 3, RanAtMost: 300, EvidenceVsChance: 2, EvidenceVsAll: 2}, Worker: "gone"}
-	b := newSuccessor(t, jobs.Progress{Suspected: jobs.Suspicions{0: {0: {Unresolved: open}}}}, 3)
-	require.Equal(t, 2, b.jobs[testJob].steps[0].tasks[0].losses(), "the open run, and one loss of the earlier takeover")
+	unresolved := &jobs.UnresolvedRun{LostRun: jobs.LostRun{Run: 3, RanAtMost: 300, EvidenceVsChance: 2, EvidenceVsAll: 2}, Worker: "gone"}
+	b := newSuccessor(t, jobs.Progress{Suspected: jobs.Suspicions{0: {0: {Unresolved: unresolved}}}}, 3)
+	require.Equal(t, 2, b.jobs[testJob].steps[0].tasks[0].losses(), "the unresolved run, and one loss of the earlier takeover")
 	changes := b.store()
 	require.Equal(t, []jobs.Epoch{3, 5}, changes.Roster.UnobservedEpochs)
 
@@ -309,16 +310,16 @@
 	require.Zero(t, b.store().Jobs[0].Progress.Suspected[0][0].Unobserved, "a successor is told that the run was not lost")
 }
 
-// TestRunThatHasLapsedWasNotLostAtTheTakeover guards against counting an unobserved loss for tasks whose latest run
-// a worker reports as ended after the takeover.
+// TestRunThatHasLapsedWasNotLostAtTheTakeover guards against counting an unobserved loss for tasks whose latest run a
+// worker reports as lapsed after the takeover.
 func TestRunThatHasLapsedWasNotLostAtTheTakeover(t *testing.T) {
 	b := newBench(t, 2)
-	gone := jobs.Worker{ID: "gone", Pool: testPool, Address: "gone"}
-	b.RestoreRoster(jobs.Roster{Workers: append(b.Workers(), gone)}, b.now)
+	lost := jobs.Worker{ID: "gone", Pool: testPool, Address: "gone"}
+	b.RestoreRoster(jobs.Roster{Workers: append(b.Workers(), lost)}, b.now)
 	b.AddJob(b.job(singleTaskStep), jobs.Progress{}, false, b.now)
 	b.report(0, jobs.Report{Ended: []jobs.Ended{{Number: 1, Task: taskOf(0), Run: 7, How: jobs.EndLapsed}}})
 	b.report(1, jobs.Report{})
-	b.Replaced(gone.ID, b.now)
+	b.Replaced(lost.ID, b.now)
 	require.Len(t, b.storedStarts(), 1)
 	require.Zero(t, b.jobs[testJob].steps[0].tasks[0].losses())
 }
