--- a/services/dispatch/incarnation.go
+++ b/services/dispatch/incarnation.go
@@ -123,19 +123,19 @@
 
 // unansweredStarts returns the tasks on the worker whose start is not answered and may still be carried out.
 func (w *worker) unansweredStarts() []*task {
-	var tasks []*task
+	var unanswered []*task
 	for _, t := range w.tasks {
 		if t.startUnanswered {
-			tasks = append(tasks, t)
+			unanswered = append(unanswered, t)
 		}
 	}
-	return tasks
+	return unanswered
 }
 
 // barStarts keeps tasks from starting elsewhere until a worker's new incarnation has barred their runs or shown that
 // they run there: the new incarnation may carry out a start that was meant for the previous one.
-func (c *Core) barStarts(w *worker, tasks []*task) {
-	for _, t := range tasks {
+func (c *Core) barStarts(w *worker, unanswered []*task) {
+	for _, t := range unanswered {
 		if t.state != taskWaiting {
 			continue // its job has ended
 		}
--- a/services/dispatch/incarnation_test.go
+++ b/services/dispatch/incarnation_test.go
@@ -100,8 +100,8 @@
 	require.True(t, b.usable(b.workers[b.ids[0]], b.now))
 }
 
-// TestLateReportOfAFormerIncarnationIsPassedOver guards against a report of a previous incarnation that arrives after one
-// of the next incarnation and is taken for a newer one.
+// TestLateReportOfAFormerIncarnationIsPassedOver guards against applying a report of the previous incarnation that
+// arrives after a report of the next incarnation, because answers overtake each other.
 func TestLateReportOfAFormerIncarnationIsPassedOver(t *testing.T) {
 	b, start := newIncarnationBench(t)
 	sent := b.now
--- a/services/dispatch/learned_parameters.go
+++ b/services/dispatch/learned_parameters.go
@@ -81,8 +81,8 @@
 func (c *Core) restoreLoads(j *job) {
 	for _, s := range j.steps {
 		key := stepKey{j.spec.ID, s.flat()}
-		if baseline, ok := c.restoredLoads[key]; ok {
-			s.baseline = baseline
+		if load, ok := c.restoredLoads[key]; ok {
+			s.baseline = load
 			delete(c.restoredLoads, key)
 		}
 	}
--- a/services/dispatch/load.go
+++ b/services/dispatch/load.go
@@ -13,11 +13,11 @@
 // Load returns the load of the cell: the CPU that its tasks, waiting tasks included, declare and are expected to use,
 // relative to the capacity of its usable workers.
 func (c *Core) Load(now time.Time) jobs.CellLoad {
-	var reserved, used, fillerCPU, capacity models.MilliCPU
+	var reserved, used, declaredByFillers, capacity models.MilliCPU
 	for _, w := range c.sortedWorkers {
 		reserved += w.used.CPU
 		used += w.used.CPU - models.MilliCPU((1-longRunningUse)*float64(w.longRunningCPU))
-		fillerCPU += w.fillerCPU
+		declaredByFillers += w.fillerCPU
 		if c.usable(w, now) {
 			capacity += w.info.Capacity.CPU
 		}
@@ -25,12 +25,12 @@
 	for _, s := range c.waitingSteps {
 		waiting := models.MilliCPU(s.waiting) * s.spec.Size.CPU
 		if s.spec.Filler {
-			fillerCPU += waiting
+			declaredByFillers += waiting
 		} else {
 			reserved += waiting
 			used += waiting
 		}
 	}
 	divisor := float64(max(1, capacity))
-	return jobs.CellLoad{Reserved: float64(reserved) / divisor, ExpectedUse: float64(used+fillerCPU) / divisor, Capacity: capacity}
+	return jobs.CellLoad{Reserved: float64(reserved) / divisor, ExpectedUse: float64(used+declaredByFillers) / divisor, Capacity: capacity}
 }
--- a/services/dispatch/pace.go
+++ b/services/dispatch/pace.go
@@ -23,7 +23,7 @@
 	if small && !t.paceUncertain {
 		return
 	}
-	c.config.Logger.Info("run is throttled", zap.Stringer("task", t.id()), zap.Int("from", int(t.pace)), zap.Int("to", int(pace)),
+	c.config.Logger.Info("run's pace is changed", zap.Stringer("task", t.id()), zap.Int("from", int(t.pace)), zap.Int("to", int(pace)),
 		zap.String("worker", string(w.info.ID)), zap.Float64("load", w.maxLoad), zap.Int64("figure_age_ms", now.Sub(w.reportedAt).Milliseconds()))
 	before := t.pace
 	t.pace, t.pacedAt = pace, now
--- a/services/dispatch/recent_test.go
+++ b/services/dispatch/recent_test.go
@@ -43,8 +43,8 @@
 	b.Reported(id, b.now, jobs.Report{Born: secondStartTime, Clock: models.Milli(10)}, b.now)
 }
 
-// TestNobodyIsGivenUpBeforeItIsKnownWhichOthersWent guards against a job that is abandoned for a restart of all
-// workers, because the restart of the first one was known some milliseconds before the others.
+// TestNobodyIsGivenUpBeforeItIsKnownWhichOthersWent guards against failing a job for a restart of all workers, because
+// the restart of the first worker was known some milliseconds before the other restarts.
 func TestNobodyIsGivenUpBeforeItIsKnownWhichOthersWent(t *testing.T) {
 	b := newRecentBench(t)
 	lost := b.jobs[testJob].steps[0].tasks[0].suspicion.Lost
--- a/services/dispatch/unseen.go
+++ b/services/dispatch/unseen.go
@@ -138,9 +138,9 @@
 
 // suspicionForMove is the suspicion that is handed to another cell together with the task.
 func (t *task) suspicionForMove() jobs.Suspicion {
-	suspicion := t.suspicion
-	suspicion.Unobserved += t.unobservedAtTakeover
-	return suspicion
+	total := t.suspicion
+	total.Unobserved += t.unobservedAtTakeover
+	return total
 }
 
 // storeSilentRuns stores the young runs on a worker that is about to be left out of the roster, because a successor
