--- a/services/dispatch/chance.go
+++ b/services/dispatch/chance.go
@@ -65,8 +65,8 @@
 // chanceRate estimates how many losses by chance per second each worker had when the given worker was lost. The
 // estimate takes the highest of three rates: the losses of the last seconds, the losses around that time, both without
 // the losses that the tasks on the workers explain, and, when several workers were lost at the same moment, all losses
-// of that moment, whatever ran there. A loss in a burst is compared with all losses, a single loss mostly with other
-// single losses: see discountBursts.
+// of that moment, whatever ran there. A loss in a burst is compared with all losses, a single loss with the other
+// single losses.
 func (c *Core) chanceRate(w *worker, now time.Time) float64 {
 	return c.chanceRateAt(w.info.Incarnation(), w.lastAlive(now), now)
 }
--- a/services/dispatch/core.go
+++ b/services/dispatch/core.go
@@ -120,7 +120,7 @@
 	queueSpeeds       map[jobs.QueueName]*speed // how fast the tasks of each queue progress, relative to their estimates
 	repeats           retryBudget
 	workerLosses      []workerLoss              // worker losses within the window of chance.go
-	unresolvedRuns    map[jobs.WorkerID][]*task // tasks whose stored unresolved run a previous owner started on the worker, until the worker reports
+	unresolvedRuns    map[jobs.WorkerID][]*task // suspects that a previous owner started on the worker, until the worker reports
 	takeovers         takeoverLosses
 	tasksWithLosses   map[*task]struct{}            // tasks that have lost runs; some of them may have ended since
 	tasksToJudge      []*task                       // tasks with newly counted losses, to be judged
--- a/services/dispatch/shared.go
+++ b/services/dispatch/shared.go
@@ -138,7 +138,7 @@
 	return evidence >= t.abandonThreshold()
 }
 
-// isTriedBefore reports whether the task is tried before the others.
+// isTriedBefore reports whether the task is tried before those of the others that wait too.
 func (t *task) isTriedBefore(others []*task) bool {
 	return !slices.ContainsFunc(others, func(other *task) bool { return other.compareTrialOrder(t) < 0 })
 }
--- a/services/dispatch/takeover.go
+++ b/services/dispatch/takeover.go
@@ -25,7 +25,7 @@
 	for _, info := range roster.Workers {
 		w, known := c.workers[info.ID]
 		if !known {
-			// The worker gets starts only once the stored roster covers the leases that this owner grants.
+			// A lease longer than the roster's is granted only once the stored roster names it.
 			w = c.addWorker(info, now)
 			w.inRoster = c.previousLease >= c.config.Lease
 			if info.LeavesAt != 0 {
@@ -48,8 +48,8 @@
 	return roster
 }
 
-// previousOwnerMargin is how long a previous owner may go on after most workers have seen the new epoch: it calls all
-// workers within about 2 s, and learns of the new epoch from the first worker that has seen it.
+// previousOwnerMargin is how long a previous owner may go on after the takeover: it calls all workers within about 2 s,
+// and learns of the new epoch from the first worker that has seen it.
 const previousOwnerMargin = 3 * time.Second
 
 // maxBlindTime is how long after a takeover the runs of silent workers are waited for when most workers never answer, as
--- a/services/dispatch/trial.go
+++ b/services/dispatch/trial.go
@@ -12,11 +12,10 @@
 )
 
 // A suspect starts on the worker with the fewest tasks, where nothing has just been started, and nothing but suspects
-// starts there until the trial is over, which lasts longer than the suspect's lost runs did, up to maxTrialTime. So a
-// loss is evidence against the suspect alone, and costs the least work. A suspect that crashes nothing does not wait
-// long for this: where free capacity is short, suspects with a single loss are tried together. A suspect with several
-// losses waits until it has a worker to itself: a loss beside others would be no evidence, and the task may lose few
-// more runs.
+// starts there until the suspect has run for longer than before. So a loss is evidence against the suspect alone, and
+// costs the least work. A suspect that crashes nothing does not wait long for this: where free capacity is short,
+// suspects with a single loss are tried together. A suspect with several losses waits until it has a worker to itself:
+// a loss beside others would be no evidence, and the task may lose few more runs.
 
 const (
 	// minTrialTime is how long a suspect has its worker to itself at least: the time of several calls by the owner,
--- a/services/dispatch/unseen_test.go
+++ b/services/dispatch/unseen_test.go
@@ -311,7 +311,7 @@
 }
 
 // TestRunThatHasLapsedWasNotLostAtTheTakeover guards against counting an unobserved loss for tasks whose latest run a
-// worker reports as lapsed after the takeover.
+// worker reports as ended after the takeover.
 func TestRunThatHasLapsedWasNotLostAtTheTakeover(t *testing.T) {
 	b := newBench(t, 2)
 	lost := jobs.Worker{ID: "gone", Pool: testPool, Address: "gone"}
