--- a/services/dispatch/core.go
+++ b/services/dispatch/core.go
@@ -12,29 +12,32 @@
 //
 // Files by subject:
 //
-//   - jobs and steps: job.go, step.go, task.go, ended.go; jobs divided between cells: parts.go
+//   - jobs and steps: job.go, step.go, task.go, ended.go; jobs divided between cells: divided_jobs.go
 //   - the order of steps and the placement of their tasks: urgency.go, place.go, places.go,
-//     score.go
-//   - orders and their outcomes: order.go, outcome.go, stop.go
-//   - reports: report.go, end.go; stray runs: stray.go; checkpoints for the next run: saved.go
+//     score.go; capacity that long-running tasks leave to short work: reserve.go
+//   - orders and their outcomes: order.go, outcome.go, stop.go; repeated starts: retry_budget.go
+//   - reports: report.go, end.go; stray runs: stray.go; checkpoints for the next run: checkpoint.go
 //   - what has to be stored: changes.go
-//   - workers: worker.go, room.go, speed.go, lease.go; lost workers: gone.go; workers that
+//   - workers: worker.go, capacity.go, speed.go, lease.go; lost workers: gone.go; workers that
 //     restart under the same id: incarnation.go
 //   - tasks that crash their workers: suspicion.go (suspects, and when a task is abandoned),
-//     evidence.go (the evidence of one loss), chance.go (the base rate of worker losses),
-//     burst.go (workers lost together), recent.go (losses that are re-evaluated when later ones
-//     are known), shared.go (losses shared by several tasks), trial.go (where and how suspects
-//     start), suspicion_store.go (what is stored), unseen.go (runs that may have been lost
-//     without any owner knowing of them)
+//     evidence.go (the evidence of one loss), chance.go (the rate of worker losses by chance),
+//     burst.go (workers lost together), recent.go (losses that are evaluated again when
+//     simultaneous losses are known), shared.go (losses shared by several tasks), trial.go (where
+//     and how suspects start), suspicion_store.go (what is stored), unseen.go (unobserved losses:
+//     runs that may have been lost without any owner knowing of them)
 //   - recovery after a takeover: takeover.go; proof that this process still owns the cell:
-//     proof.go; whether its view of the store is fresh enough to start tasks: stale.go
+//     proof.go; whether its copy of the store's data is fresh enough to start tasks:
+//     store_freshness.go
 //   - work handed to another cell: movable.go (what may move), offer.go (how much work of other
 //     cells fits here), move.go (the tasks while a move is being stored)
-//   - the load of the cell: load.go; figures for operators: summary.go
-//   - interference: the model is package contention; learn.go feeds it; knowledge.go stores its
-//     parameters for a successor
-//   - use of the interference model: expect.go (predicted loads), filling.go (placement and CPU
-//     use of filler tasks), throttle.go (whom to throttle), pace.go (paces ordered and observed)
+//   - the load of the cell: load.go; figures for operators: summary.go, figures.go
+//   - interference: the model is package contention; learn.go feeds it; learned_parameters.go
+//     stores its parameters for a successor
+//   - use of the interference model: expect.go (predicted loads), filler.go (placement and CPU
+//     use of filler tasks), throttle.go (which tasks are throttled), pace.go (paces ordered and
+//     observed)
+//   - conversion between the owner's time and the time of day: time_of_day.go
 //
 // # Usage
 //
@@ -86,7 +89,7 @@
 	jobs            map[jobs.ID]*job
 	repeating       map[jobs.ID]*job // jobs that repeat
 	ended           map[jobs.ID]endedJob
-	movedOut        map[jobs.ID]movedOutJob // jobs whose tasks are all in other cells now
+	movedOut        map[jobs.ID]movedOutJob // jobs whose tasks are all in other cells
 	endedSweptAt    time.Time               // when expired ended jobs were last removed
 	workers         map[jobs.WorkerID]*worker
 	sortedWorkers   []*worker       // sorted by id
@@ -102,9 +105,9 @@
 	fencedAt        time.Time     // when more than half of the workers had reported in this epoch; zero: not yet
 	superseded      bool
 	provedAt        time.Time // when the latest transaction that proves ownership was begun; see mayOrder
-	quorumAskedAt   time.Time // a time such that two thirds of the workers have answered a call sent since
+	quorumAskedAt   time.Time // two thirds of the workers have answered a call that was sent at this time or later
 	quorumCheckedAt time.Time // when the answers of the workers were last counted for mayOrder
-	wantsProof      bool      // a transaction is wanted for its proof of ownership alone
+	wantsProof      bool      // a transaction is wanted for the proof of ownership alone
 	awaitingProof   bool      // orders are held back until ownership is proved again
 	storeFreshness  storeFreshness
 	stopping        map[*task]struct{}
@@ -117,12 +120,12 @@
 	queueSpeeds       map[jobs.QueueName]*speed // how fast the tasks of each queue progress, relative to their estimates
 	repeats           retryBudget
 	workerLosses      []workerLoss              // worker losses within the window of chance.go
-	openRuns          map[jobs.WorkerID][]*task // suspects that a previous owner started on the worker, until the worker reports
+	unresolvedRuns    map[jobs.WorkerID][]*task // suspects that a previous owner started on the worker, until the worker reports
 	takeovers         takeoverLosses
 	tasksWithLosses   map[*task]struct{}            // tasks that have lost runs; some of them may have ended since
 	tasksToJudge      []*task                       // tasks with newly counted losses, to be judged
 	recentLosses      []recentLoss                  // losses to be re-evaluated when later ones are known
-	replaced          map[jobs.Incarnation]struct{} // incarnations proved to have ended that the platform's list still names
+	replaced          map[jobs.Incarnation]struct{} // incarnations that have certainly ended but are still in the platform's list
 	storeUrgently     bool                          // dirty jobs have changes that are to be stored without delay
 	shortWork         shortWork
 	startsLeft        int // how many more starts Decide may order
@@ -137,12 +140,12 @@
 type Counts struct {
 	Starts, Succeeded, Failed, Stopped, Lapsed, Refused, Paces, Unanswered int64
 	WorkersLost                                                            int64 // workers lost while tasks were assigned to them
-	RestartsReported, RestartsMet                                          int64 // restarts of workers under the same id, detected by a report or by a call that was meant for the previous incarnation
+	RestartsReported, RestartsMet                                          int64 // restarts of workers under the same id, found by a report, or by a call that met the next incarnation
 	ReportsPassedOver                                                      int64 // reports discarded as older than one already applied
-	LostUnseen                                                             int64 // runs that may have been lost with a worker, while nobody observed their start or their loss
+	LostUnseen                                                             int64 // runs that may have been lost with a worker, while no owner observed their start or their loss
 	Trials, GivenUp, Cleared                                               int64 // trials of tasks suspected of crashing workers; tasks abandoned; tasks cleared
 	StartsFromText                                                         int64 // starts from a checkpoint
-	// Checkpoints in reports that were not taken, by reason: see checkpointFate.
+	// Checkpoints in reports that were not taken, by reason: see checkpointResult.
 	TextsNotAskedOf, TextsOlder, TextsUnordered, TextsFailed int64
 }
 
@@ -154,7 +157,7 @@
 		previousLease: config.LongestLease, recovering: true, provedAt: config.Taken, model: contention.NewModel(), queueSpeeds: map[jobs.QueueName]*speed{},
 		restoredLoads: map[stepKey]contention.BaselineLoad{}, storeFreshness: storeFreshness{jobsAsOf: config.Taken, workersAsOf: config.Taken},
 		repeats: newRetryBudget(), startsLeft: math.MaxInt,
-		openRuns: map[jobs.WorkerID][]*task{}, tasksWithLosses: map[*task]struct{}{}, replaced: map[jobs.Incarnation]struct{}{},
+		unresolvedRuns: map[jobs.WorkerID][]*task{}, tasksWithLosses: map[*task]struct{}{}, replaced: map[jobs.Incarnation]struct{}{},
 	}
 }
 
