--- a/services/control/crash_mix_test.go
+++ b/services/control/crash_mix_test.go
@@ -20,20 +20,20 @@
 // crashMix is a case of testdata/crashes.json: a share of the jobs has a task that crashes its workers, and workers are
 // lost for other reasons as well.
 type crashMix struct {
-	Name      string       `json:"name"`
-	Bad       float64      `json:"bad"`
-	After     models.Milli `json:"after_ms"`
-	LostEvery models.Milli `json:"lost_every_ms"`
-	Lost      float64      `json:"lost"`
+	Name       string       `json:"name"`
+	CrashShare float64      `json:"bad"`
+	After      models.Milli `json:"after_ms"`
+	LostEvery  models.Milli `json:"lost_every_ms"`
+	Lost       float64      `json:"lost"`
 }
 
 const (
-	mixWorkers = 48
-	mixLasting = 12 // jobs of three long-running tasks
-	mixShort   = 250
-	mixFirst   = 100                    // number of the first short job
-	mixEvery   = 125 * time.Millisecond // uses three quarters of the workers' capacity
-	mixAfter   = 25 * time.Second
+	mixWorkers         = 48
+	mixLongRunningJobs = 12 // jobs of three long-running tasks
+	mixShortJobs       = 250
+	mixFirstShortJob   = 100                    // number of the first short job
+	mixSubmitInterval  = 125 * time.Millisecond // uses three quarters of the workers' capacity
+	mixSettleTime      = 25 * time.Second
 )
 
 // mixRun is one run of a case.
@@ -45,8 +45,9 @@
 	nextLoss time.Time        // when the next workers are lost
 }
 
-// TestOnlyTasksThatCrashWorkersAreGivenUp runs mixes of crashing tasks and lost workers. Each job with a crashing task
-// fails within the limit on its starts, no other job fails, and all long-running tasks run in the end.
+// TestOnlyTasksThatCrashWorkersAreGivenUp runs mixes of crashing tasks and lost workers for 25 seconds of traffic. Each
+// job with a crashing task fails within the limit on its starts, no other job fails, and all long-running tasks run in
+// the end.
 func TestOnlyTasksThatCrashWorkersAreGivenUp(t *testing.T) { runMixes(t, "testdata/crashes.json") }
 
 // TestLateCrashesBesideLostWorkers guards against a crashing task that is started a sixth time while other workers are
@@ -78,8 +79,8 @@
 
 func newMixRun(t *testing.T, mix crashMix, seed uint64) *mixRun {
 	p := &mixRun{mix: mix, draw: rand.New(rand.NewPCG(seed, 1)), crashing: map[jobs.ID]bool{}}
-	for n := range mixShort {
-		p.crashing[jobID(mixFirst+n)] = p.draw.Float64() < mix.Bad
+	for n := range mixShortJobs {
+		p.crashing[jobID(mixFirstShortJob+n)] = p.draw.Float64() < mix.CrashShare
 	}
 	p.testCluster = newTestClusterWithGrid(t, 2, mixWorkers, grid.Config{
 		Workers: mixWorkers, RestartDelay: workerDowntime,
@@ -93,19 +94,19 @@
 }
 
 func (p *mixRun) run() {
-	for n := range mixLasting {
+	for n := range mixLongRunningJobs {
 		p.submit(p.daemons[0], longRunningJob(1+n, 3))
 	}
 	p.nextLoss = time.Now()
-	for n := range mixShort {
+	for n := range mixShortJobs {
 		// The work takes longer than any crash takes to happen.
-		spec := twoStepJob(mixFirst+n, 1100*time.Millisecond+time.Duration(p.draw.IntN(900))*time.Millisecond)
+		spec := twoStepJob(mixFirstShortJob+n, 1100*time.Millisecond+time.Duration(p.draw.IntN(900))*time.Millisecond)
 		spec.Steps[0].Count = 6
 		p.submit(p.daemons[0], spec)
 		p.loseWorkers()
-		time.Sleep(mixEvery)
+		time.Sleep(mixSubmitInterval)
 	}
-	time.Sleep(mixAfter)
+	time.Sleep(mixSettleTime)
 }
 
 // loseWorkers crashes some workers whenever the interval of the mix has passed.
@@ -123,15 +124,15 @@
 
 func (p *mixRun) check() {
 	p.requireNoBreaches()
-	for n := range mixShort {
-		id := jobID(mixFirst + n)
+	for n := range mixShortJobs {
+		id := jobID(mixFirstShortJob + n)
 		want := jobs.StateSucceeded
 		if p.crashing[id] {
 			want = jobs.StateFailed
 		}
 		require.Equal(p.t, want, p.state(p.daemons[0], id), "job %s, crashing: %v", id, p.crashing[id])
 	}
-	for n := range mixLasting {
+	for n := range mixLongRunningJobs {
 		require.Equal(p.t, 3, p.grid.Running(jobID(1+n)), "long-running tasks")
 	}
 }
--- a/services/control/peers.go
+++ b/services/control/peers.go
@@ -78,8 +78,9 @@
 	})
 }
 
-// errNoOwner says that no known daemon owns the cell at present.
-var errNoOwner = errors.New("no daemon answers as the owner of the cell")
+// errNoOwner reports that no known daemon owns the cell at present. Callers see the text in the answer to a failed call
+// of Service.Pending, so it must not change.
+var errNoOwner = errors.New("cell has no owner that answers")
 
 // queryOwner sends a query to the owner of a cell, which may be this daemon or another one.
 func (c *Cells) queryOwner(ctx context.Context, query jobs.Query) (jobs.Answer, error) {
