--- a/models/jobs/learned_parameters.go
+++ b/models/jobs/learned_parameters.go
@@ -56,10 +56,10 @@
 }
 
 // Check rejects parameters whose dimensions don't match, and sums, variances or weights out of range.
-func (k LearnedParameters) Check() error {
-	for _, f := range k.Factors {
-		if len(f.Mean) != len(k.Filling) || len(f.Covariance) != len(k.Filling)*len(k.Filling) {
-			return errors.Newf("interference factors of %s do not match the %d filler images", f.Serving, len(k.Filling))
+func (p LearnedParameters) Check() error {
+	for _, f := range p.Factors {
+		if len(f.Mean) != len(p.Filling) || len(f.Covariance) != len(p.Filling)*len(p.Filling) {
+			return errors.Newf("interference factors of %s do not match the %d filler images", f.Serving, len(p.Filling))
 		}
 		if !(f.IdleTail > 0) || !(f.TargetRatioSum > 0) || !(f.ObservedSeconds > 0) {
 			return errors.Newf("interference factors of %s: idle tail or one of its sums is not positive", f.Serving)
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	for _, l := range k.Loads {
+	for _, l := range p.Loads {
 		for i := range l.State {
 			if !(l.Covariance[i][i] >= 0) {
 				return errors.Newf("baseline load of step %d of %s has the invalid variance %g", l.Number, l.Job, l.Covariance[i][i])
--- a/models/jobs/load.go
+++ b/models/jobs/load.go
@@ -34,10 +34,10 @@
 	if l.Capacity <= 0 {
 		return l // the owner has not reported the load yet, or the cell has no owner
 	}
-	room, filling := spec.demand()
+	reserved, filler := spec.demand()
 	capacity := float64(l.Capacity)
-	l.Reserved += float64(room) / capacity
-	l.ExpectedUse += float64(room+filling) / capacity
+	l.Reserved += float64(reserved) / capacity
+	l.ExpectedUse += float64(reserved+filler) / capacity
 	return l
 }
 
@@ -46,18 +46,18 @@
 	return slices.ContainsFunc(s.Steps, func(step Step) bool { return !step.Filler })
 }
 
-// demand returns the processor time that the steps without predecessors declare: room for tasks that need
-// free capacity, filling for filler tasks.
-func (s *Spec) demand() (room, filling models.MilliCPU) {
+// demand returns the processor time that the steps without predecessors declare: reserved for tasks that need
+// free capacity, filler for filler tasks.
+func (s *Spec) demand() (reserved, filler models.MilliCPU) {
 	for _, step := range s.Steps {
 		size := step.Size.CPU * models.MilliCPU(step.Count)
 		switch {
 		case len(step.After) > 0:
 		case step.Filler:
-			filling += size
+			filler += size
 		default:
-			room += size
+			reserved += size
 		}
 	}
-	return room, filling
+	return reserved, filler
 }
--- a/models/jobs/query.go
+++ b/models/jobs/query.go
@@ -104,7 +104,7 @@
 // outcome can't take effect after the lease is over.
 type Daemon struct {
 	ID string `json:"id"`
-	// Cores is the number of cores that the daemon may use. Daemons with fewer cores leave cells to it.
+	// Cores is the number of cores that the daemon may use. Daemons with fewer cores leave cells to this daemon.
 	Cores float64 `json:"processor,omitempty"`
 	// LinkMbps is the bandwidth in Mbit/s with which the VM may send and receive; 0: not known.
 	LinkMbps float64 `json:"link,omitempty"`
--- a/models/jobs/suspicion.go
+++ b/models/jobs/suspicion.go
@@ -123,7 +123,7 @@
 func (s Suspicion) WithoutRun(run RunID) Suspicion {
 	s.Lost = slices.DeleteFunc(slices.Clone(s.Lost), func(lost LostRun) bool { return lost.Run == run })
 	s.Unobserved -= len(s.UnobservedRuns)
-	s.UnobservedRuns = slices.DeleteFunc(slices.Clone(s.UnobservedRuns), func(unseen RunID) bool { return unseen == run })
+	s.UnobservedRuns = slices.DeleteFunc(slices.Clone(s.UnobservedRuns), func(unobserved RunID) bool { return unobserved == run })
 	s.Unobserved += len(s.UnobservedRuns)
 	return s
 }
--- a/services/contention/idle_tail.go
+++ b/services/contention/idle_tail.go
@@ -70,7 +70,7 @@
 
 // ObserveAlone adds a tail observed without filler tasks beside, with a weight in seconds. If the unit of the
 // service's loads changes, scale is the factor by which the distances of all loads below 1 change, and the caller
-// must convert the loads (Rescaled, Load.Rescale); otherwise scale is 1.
+// must convert the loads (Rescaled, BaselineLoad.Rescale); otherwise scale is 1.
 func (s *Service) ObserveAlone(tail, target int, seconds float64) (scale float64) {
 	fraction := s.idle.observe(tail, target, min(maxObservationSeconds, seconds))
 	scale = fraction / s.idle.fraction
--- a/services/contention/learned_parameters.go
+++ b/services/contention/learned_parameters.go
@@ -17,9 +17,9 @@
 
 // LearnedParameters returns the learned parameters of the images; the caller adds the time, the loads and the speeds.
 func (m *Model) LearnedParameters() jobs.LearnedParameters {
-	k := jobs.LearnedParameters{Filling: m.images()}
+	learned := jobs.LearnedParameters{Filling: m.images()}
 	for serving, s := range m.services {
-		s.grow(len(k.Filling))
+		s.grow(len(learned.Filling))
 		known := jobs.ImageParameters{
 			Serving: serving, Observations: s.observations, IdleTail: s.idle.fraction, TargetRatioSum: s.idle.targetRatioSum, ObservedSeconds: s.idle.observedSeconds,
 		}
@@ -29,22 +29,22 @@
 				known.Covariance = append(known.Covariance, rounded(covariance))
 			}
 		}
-		k.Factors = append(k.Factors, known)
+		learned.Factors = append(learned.Factors, known)
 	}
-	slices.SortFunc(k.Factors, func(a, b jobs.ImageParameters) int { return cmp.Compare(a.Serving, b.Serving) })
-	return k
+	slices.SortFunc(learned.Factors, func(a, b jobs.ImageParameters) int { return cmp.Compare(a.Serving, b.Serving) })
+	return learned
 }
 
 // rounded rounds to five decimals, a hundredth of the smallest standard deviation that matters.
 func rounded(value float64) float64 { return math.Round(value*1e5) / 1e5 }
 
 // Restore loads the parameters that a previous owner saved, given their age in seconds.
-func (m *Model) Restore(k jobs.LearnedParameters, passed float64) {
-	for _, image := range k.Filling {
+func (m *Model) Restore(learned jobs.LearnedParameters, passed float64) {
+	for _, image := range learned.Filling {
 		m.Index(image)
 	}
-	n := len(k.Filling)
-	for _, known := range k.Factors {
+	n := len(learned.Filling)
+	for _, known := range learned.Factors {
 		s := m.Service(known.Serving)
 		s.observations = known.Observations
 		s.idle = idleTail{fraction: known.IdleTail, targetRatioSum: known.TargetRatioSum, observedSeconds: known.ObservedSeconds}
--- a/services/contention/load.go
+++ b/services/contention/load.go
@@ -31,7 +31,7 @@
 	// Bounds of the estimated load: estimates outside them are errors of the model.
 	minLoad = 0.05
 	maxLoad = 0.95
-	// minWeight is the minimum weight of a filter, so that the estimate follows within seconds a load
+	// minWeight is the minimum weight of a filter, so that the estimate adapts within seconds to a load
 	// whose period changes.
 	minWeight = 1e-3
 )
--- a/services/contention/load_test.go
+++ b/services/contention/load_test.go
@@ -14,8 +14,8 @@
 
 // Prediction horizons of the callers.
 const (
-	lead      = 600 * time.Millisecond
-	laterLead = 1800 * time.Millisecond
+	shortHorizon = 600 * time.Millisecond
+	longHorizon  = 1800 * time.Millisecond
 )
 
 // oscillation is a load that oscillates around a mean; the amplitude is a fraction of the mean.
@@ -49,7 +49,7 @@
 		end := time.Duration(max(60, 5*load.period) * float64(time.Second))
 		for at := time.Duration(0); at < end; at += 100 * time.Millisecond { // reports of six tasks, two per second each
 			baseline.Advance(begin.Add(at))
-			baseline.Correct(load.at(at)+0.03*random.NormFloat64(), figureStdDev*figureStdDev)
+			baseline.Correct(load.at(at)+0.03*random.NormFloat64(), reportedTailStdDev*reportedTailStdDev)
 			if at.Seconds() < max(5, 2*load.period) {
 				continue
 			}
@@ -58,9 +58,9 @@
 				require.Less(t, variance, spread*spread, "%v", load)
 				return math.Pow(mean-load.at(at+ahead), 2)
 			}
-			soon += square(lead, 0.05)
-			later += square(laterLead, 0.1)
-			lagged += math.Pow(load.at(at-laterLead)-load.at(at+laterLead), 2)
+			soon += square(shortHorizon, 0.05)
+			later += square(longHorizon, 0.1)
+			lagged += math.Pow(load.at(at-longHorizon)-load.at(at+longHorizon), 2)
 			n++
 		}
 		require.Less(t, math.Sqrt(soon/n), 0.03, "%v", load)
@@ -85,10 +85,10 @@
 			load = after
 		}
 		baseline.Advance(begin.Add(at))
-		baseline.Correct(load.at(at), figureStdDev*figureStdDev)
+		baseline.Correct(load.at(at), reportedTailStdDev*reportedTailStdDev)
 		if at > change+15*time.Second {
-			mean, _ := baseline.Predict(begin.Add(at + lead))
-			squares += math.Pow(mean-load.at(at+lead), 2)
+			mean, _ := baseline.Predict(begin.Add(at + shortHorizon))
+			squares += math.Pow(mean-load.at(at+shortHorizon), 2)
 			n++
 		}
 	}
@@ -100,7 +100,7 @@
 	var baseline BaselineLoad
 	baseline.Advance(begin)
 	for range 20 {
-		baseline.Correct(0.7, figureStdDev*figureStdDev)
+		baseline.Correct(0.7, reportedTailStdDev*reportedTailStdDev)
 	}
 	mean, _ := baseline.Predict(begin)
 	require.InDelta(t, 0.7, mean, 0.05)
--- a/services/contention/observe.go
+++ b/services/contention/observe.go
@@ -20,8 +20,8 @@
 
 // Standard deviations of a reported tail, expressed as a load.
 const (
-	figureStdDev    = 0.05
-	unsettledStdDev = 0.15 // of an unsettled observation
+	reportedTailStdDev = 0.05
+	unsettledStdDev    = 0.15 // of an unsettled observation
 )
 
 // offsetStdDev is the standard deviation between the load of a task and the loads of its step's
@@ -53,7 +53,7 @@
 	if o.Unsettled {
 		return unsettledStdDev * unsettledStdDev
 	}
-	return figureStdDev * figureStdDev
+	return reportedTailStdDev * reportedTailStdDev
 }
 
 // clamp limits a value to the range from -bound to bound.
--- a/services/contention/service_test.go
+++ b/services/contention/service_test.go
@@ -17,7 +17,7 @@
 		shares := []float64{0.1, 0.1}
 		shares[n%2] = 0
 		expected, variance, gain := f.predictAdded(shares)
-		f.correct(1.4*shares[heavy]+0.1*shares[light]-expected, variance+figureStdDev*figureStdDev, gain)
+		f.correct(1.4*shares[heavy]+0.1*shares[light]-expected, variance+reportedTailStdDev*reportedTailStdDev, gain)
 	}
 	m.combine()
 	require.InDelta(t, 1.4, m.Service("serving").Factor(heavy), 0.1)
