--- a/services/control/additional_cells_test.go
+++ b/services/control/additional_cells_test.go
@@ -17,9 +17,9 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// newSpreadWorld makes cells of two workers each, and runs a long-running job with a task on each worker but one, so
+// newSpreadCluster makes cells of two workers each, and runs a long-running job with a task on each worker but one, so
 // that most of its tasks are in cells that its ID does not map to.
-func newSpreadWorld(t *testing.T, cells, daemons int) (w *testCluster, spec jobs.Spec) {
+func newSpreadCluster(t *testing.T, cells, daemons int) (w *testCluster, spec jobs.Spec) {
 	t.Helper()
 	w = newTestClusterWithCells(t, 2*cells, daemons, 2, nil)
 	spec = longRunningJob(1, 2*cells-1)
@@ -44,8 +44,8 @@
 	return keys
 }
 
-// everyDaemonShows waits until each daemon reports the given state of a job.
-func (w *testCluster) everyDaemonShows(id jobs.ID, state jobs.State) {
+// requireStateAtAllDaemons waits until each daemon reports the given state of a job.
+func (w *testCluster) requireStateAtAllDaemons(id jobs.ID, state jobs.State) {
 	w.t.Helper()
 	w.eventually(5*time.Second, "each daemon reports "+string(state), func() bool {
 		for _, d := range w.daemons {
@@ -57,20 +57,20 @@
 	})
 }
 
-// TestJobInManyCellsIsCancelledAndForgotten guards against tasks in further cells that keep running, records that are
+// TestJobInManyCellsIsCancelledAndForgotten guards against tasks in additional cells that keep running, records that are
 // never removed, and a cancellation that exceeds the size of a transaction.
 func TestJobInManyCellsIsCancelledAndForgotten(t *testing.T) {
 	for name, cells := range map[string]int{"four": 4, "seven": 7, "fourteen": 14} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w, spec := newSpreadWorld(t, cells, 2)
-				w.everyDaemonShows(spec.ID, jobs.StateRunning)
+				w, spec := newSpreadCluster(t, cells, 2)
+				w.requireStateAtAllDaemons(spec.ID, jobs.StateRunning)
 				w.submit(w.daemons[1], spec) // already accepted, so the second submission has no effect
 				time.Sleep(3 * time.Second)
 				require.Equal(t, spec.Steps[0].Count, w.grid.Running(spec.ID))
 				require.Equal(t, platform.Done{}, w.daemons[1].Cancel(w.ctx, spec.ID))
 				w.eventually(2*time.Second, "all tasks are stopped", func() bool { return w.grid.Running(spec.ID) == 0 })
-				w.everyDaemonShows(spec.ID, jobs.StateCancelled)
+				w.requireStateAtAllDaemons(spec.ID, jobs.StateCancelled)
 				require.Equal(t, platform.Done{}, w.daemons[0].Cancel(w.ctx, spec.ID), "a second time")
 				time.Sleep(170 * time.Second)
 				require.Empty(t, w.keysOf(spec.ID))
@@ -85,7 +85,7 @@
 func TestCancellationInManyCellsGoesOnWithoutItsDaemon(t *testing.T) {
 	for commits := 1; commits <= 2; commits++ {
 		synctest.Test(t, func(t *testing.T) {
-			w, spec := newSpreadWorld(t, 14, 2)
+			w, spec := newSpreadCluster(t, 14, 2)
 			asked := w.startDaemon()
 			time.Sleep(3 * time.Second)
 			left := commits
@@ -101,27 +101,27 @@
 			require.NotEqual(t, platform.Done{}, asked.Cancel(ctx, spec.ID))
 			w.daemons = w.daemons[:len(w.daemons)-1]
 			w.eventually(20*time.Second, "all tasks are stopped", func() bool { return w.grid.Running(spec.ID) == 0 })
-			w.everyDaemonShows(spec.ID, jobs.StateCancelled)
+			w.requireStateAtAllDaemons(spec.ID, jobs.StateCancelled)
 			w.requireNoBreaches()
 		})
 	}
 }
 
-// TestFurtherCellGivesTasksBack guards against tasks that stay in a further cell whose workers are lost, and against
+// TestFurtherCellGivesTasksBack guards against tasks that stay in an additional cell whose workers are lost, and against
 // records there that are never removed.
 func TestFurtherCellGivesTasksBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, spec := newSpreadWorld(t, 5, 3)
+		w, spec := newSpreadCluster(t, 5, 3)
 		layout := w.daemons[0].Cells.layout()
 		own := cellsForJob(spec.ID, layout)
-		further := ""
+		additional := ""
 		for _, key := range w.keysOf(spec.ID) {
 			if cell := strings.Split(key, "/")[1]; strings.HasPrefix(key, jobPrefix) && cell != string(own[0]) && cell != string(own[1]) && cell != string(own[2]) {
-				further = cell
+				additional = cell
 			}
 		}
-		require.NotEmpty(t, further)
-		places := w.workersOfCell(int(further[0] - '0'))
+		require.NotEmpty(t, additional)
+		places := w.workersOfCell(int(additional[0] - '0'))
 		for _, place := range places {
 			w.grid.SetFaults(place, faultsCut)
 			w.grid.SetListed(place, false)
--- a/services/control/cancel.go
+++ b/services/control/cancel.go
@@ -17,7 +17,7 @@
 )
 
 // Cancel cancels a job: the request is stored in each cell that has tasks of the job, and the owners of the
-// cells act on it. A job that is not stored is barred, so that it can't be stored later.
+// cells act on it. A job that is not stored is barred, so that no daemon can store it later.
 func (s *Service) Cancel(ctx context.Context, id jobs.ID) platform.Outcome {
 	ctx, cancel := withoutCancel(ctx)
 	defer cancel()
@@ -35,7 +35,7 @@
 	case layout == nil:
 		return platform.NotDone{Reason: "cells are not laid out yet", RetryAfter: shortRetryAfter}
 	}
-	unknownOutcome := false // an earlier write of this call may have taken effect; the next read tells
+	unknownOutcome := false // an earlier write of this call may have taken effect; the next read shows whether it did
 	partial := false        // the job is cancelled in some of its cells
 	for {
 		entries, err := s.readEntries(ctx, id, layout)
@@ -117,7 +117,7 @@
 }
 
 // cancellationOf returns a transaction that stores a job's cancellation on condition that its entries are as they
-// were read. If one transaction can't cover all cells, more tells that further ones have to follow.
+// were read. If one transaction can't cover all cells, more tells that further transactions have to follow.
 func cancellationOf(id jobs.ID, entries jobEntries) (txn platform.Txn, more bool, err error) {
 	request := jobs.Cancellation{At: models.UnixMilliOf(time.Now())}
 	txn, err = cancelTxn(id, entries, entries.uncancelled(), request)
@@ -128,9 +128,9 @@
 		txn, err = closeMovesTxn(id, entries, request)
 		return txn, true, err
 	default:
-		open := entries.uncancelled()
-		open = open[:min(len(open), maxCancellationsPerTxn)]
-		txn, err = cancelTxn(id, open, open, request)
+		uncancelled := entries.uncancelled()
+		uncancelled = uncancelled[:min(len(uncancelled), maxCancellationsPerTxn)]
+		txn, err = cancelTxn(id, uncancelled, uncancelled, request)
 		return txn, true, err
 	}
 }
@@ -159,27 +159,27 @@
 	return txn, err
 }
 
-// hasMovableTasks tells whether tasks of the job may still move between cells during its cancellation.
+// hasMovableTasks reports whether tasks of the job may still move between cells during its cancellation.
 func (e jobEntries) hasMovableTasks() bool {
 	return slices.ContainsFunc(e, jobEntry.tasksMayMove)
 }
 
-// tasksMayMove tells whether the further cells that the entry names may move tasks.
+// tasksMayMove reports whether the additional cells that the entry names may move tasks.
 func (e jobEntry) tasksMayMove() bool {
 	return len(e.record.AdditionalCells) > 0 && !e.record.MovesClosed
 }
 
 // closeMovesTxn returns a transaction that cancels a job in the cells that its ID maps to and stops further moves
-// of its tasks: each move by a further cell is conditioned on the record that names that cell. The transactions
+// of its tasks: each move by an additional cell is conditioned on the record that names that cell. The transactions
 // that follow then read entries that no longer change.
 func closeMovesTxn(id jobs.ID, entries jobEntries, request jobs.Cancellation) (platform.Txn, error) {
-	own := slices.DeleteFunc(slices.Clone(entries), func(entry jobEntry) bool { return entry.record.Home != "" })
-	txn, err := cancelTxn(id, own, own.uncancelled(), request)
+	mapped := slices.DeleteFunc(slices.Clone(entries), func(entry jobEntry) bool { return entry.record.Home != "" })
+	txn, err := cancelTxn(id, mapped, mapped.uncancelled(), request)
 	if err != nil {
 		return txn, err
 	}
 	var puts []keyValue
-	for _, entry := range own {
+	for _, entry := range mapped {
 		if entry.tasksMayMove() {
 			record := entry.record
 			record.MovesClosed, record.Rewritten = true, true
@@ -193,7 +193,7 @@
 
 // barOf returns a transaction that stores a record which bars a job. The answer "no such job" promises that the
 // job does not start later, but a write of it by another daemon may still be in flight. The owner of the cell
-// removes the record like those of jobs that ended long ago.
+// removes the record like the records of jobs that ended long ago.
 func barOf(id jobs.ID, entries jobEntries) (platform.Txn, error) {
 	var txn platform.Txn
 	for _, entry := range entries {
--- a/services/control/cancel_test.go
+++ b/services/control/cancel_test.go
@@ -73,7 +73,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, idle, owner := newTwoDaemons(t)
 		w.submit(idle, longRunningJob(2, 1))
-		idle.holdUp(1500 * time.Millisecond)
+		idle.delayStoreWrites(1500 * time.Millisecond)
 		require.IsType(t, platform.MaybeDone{}, idle.Cancel(w.ctx, jobID(2)))
 		w.eventually(5*time.Second, "the delayed cancellation takes effect", func() bool { return w.state(owner, jobID(2)) == jobs.StateCancelled })
 		w.requireNoBreaches()
@@ -123,7 +123,7 @@
 	delay time.Duration
 }
 
-// isJobKey tells whether a key belongs to a job, and is not the marker of a cell's owner among the jobs.
+// isJobKey reports whether a key belongs to a job, and is not the marker of a cell's owner among the jobs.
 func isJobKey(key string) bool {
 	return strings.HasPrefix(key, jobPrefix) && !strings.HasSuffix(key, markerName)
 }
--- a/services/control/cells.go
+++ b/services/control/cells.go
@@ -42,10 +42,10 @@
 	wakeClaim chan struct{} // signals that cells may be without owner
 	wakeLease chan struct{} // signals that this daemon's key has to be written
 
-	workerCalls  atomic.Int64 // calls to workers in flight
-	startLimit   *inflight.Limit
-	resumeCancel func(ctx context.Context, id jobs.ID) platform.Outcome // resumes the cancellation of a job
-	lastYield    atomic.Pointer[time.Time]                              // when this daemon last handed a cell over to a daemon with more capacity
+	workerCalls   atomic.Int64 // calls to workers in flight
+	startLimit    *inflight.Limit
+	resumeCancel  func(ctx context.Context, id jobs.ID) platform.Outcome // resumes the cancellation of a job
+	lastRebalance atomic.Pointer[time.Time]                              // when this daemon last handed a cell over to a daemon with more capacity
 }
 
 // ownerRecord is the owner of a cell as the store names it, and what this daemon has observed about the owner.
@@ -73,7 +73,7 @@
 	group.Go(func() { c.watchLoop(ctx) })
 	group.Go(func() { c.claimLoop(ctx) })
 	group.Go(func() { c.loadLoop(ctx) })
-	group.Go(func() { c.yieldLoop(ctx) })
+	group.Go(func() { c.rebalanceLoop(ctx) })
 	group.Wait()
 	c.dropAllOwners("daemon stops")
 	c.group.Wait()
@@ -171,7 +171,7 @@
 
 // Release hands over all cells of this daemon: it stores their state and then removes the owner's
 // keys, so that no other daemon has to wait for the lease to expire. While the store is down no
-// daemon could claim the cells, so this one goes on running them until ctx ends. The daemon keeps
+// daemon could claim the cells, so this daemon goes on running them until ctx ends. The daemon keeps
 // its lease throughout, because it still accepts jobs from connected callers.
 func (c *Cells) Release(ctx context.Context) error {
 	c.mu.Lock()
@@ -201,7 +201,7 @@
 
 // handOver stores a cell's state and removes its owner's keys, so that another daemon can claim
 // the cell at once. This daemon runs the cell until the keys are removed, because the store may
-// have gone down since its last answer. The next owner fences this one as it would a frozen one.
+// have gone down since its last answer. The next owner fences this owner as it would fence a frozen owner.
 func (c *Cells) handOver(ctx context.Context, cell jobs.CellName, owner *Owner, reason string) error {
 	owner.flush(ctx)
 	err := c.removeOwner(ctx, cell, platform.Version(owner.epoch))
--- a/services/control/checkpoint_random_test.go
+++ b/services/control/checkpoint_random_test.go
@@ -57,27 +57,27 @@
 
 // savingScenario is the configuration in which a script runs.
 type savingScenario struct {
-	perCell  int
-	showsOwn bool // see grid.Config
+	perCell            int
+	ownCheckpointsOnly bool // see grid.Config.OwnCheckpointsOnly
 }
 
 var savingScenarios = map[string]savingScenario{
 	"one cell":                        {perCell: scriptWorkers},
 	"two cells":                       {perCell: scriptWorkers / 2},
-	"two cells, own checkpoints only": {perCell: scriptWorkers / 2, showsOwn: true},
+	"two cells, own checkpoints only": {perCell: scriptWorkers / 2, ownCheckpointsOnly: true},
 }
 
 // savingStats counts what happened in all scripts of a test.
 type savingStats struct {
-	scripts, startsWithCheckpoint, startsBehind int
-	workLost                                    time.Duration
-	stops                                       map[string]int // by reason
+	scripts, startsWithCheckpoint, staleCheckpointStarts int
+	workLost                                             time.Duration
+	stops                                                map[string]int // by reason
 }
 
 func (s *savingStats) add(w *testCluster) {
 	s.scripts++
 	s.startsWithCheckpoint += w.grid.StartsFromCheckpoint()
-	s.startsBehind += len(w.grid.StaleCheckpointStarts())
+	s.staleCheckpointStarts += len(w.grid.StaleCheckpointStarts())
 	s.workLost += w.grid.WorkLost()
 	for _, entry := range w.logged.FilterMessage("run is to stop").All() {
 		s.stops[fmt.Sprint(entry.ContextMap()["reason"])]++
@@ -102,7 +102,7 @@
 					rt.Fatalf("%s\n%s", failure, data)
 				}
 			})
-			t.Logf("%d scripts, %d starts with checkpoints, %d behind, work lost: %s, stops: %v", stats.scripts, stats.startsWithCheckpoint, stats.startsBehind, stats.workLost, stats.stops)
+			t.Logf("%d scripts, %d starts with checkpoints, %d with stale checkpoints, work lost: %s, stops: %v", stats.scripts, stats.startsWithCheckpoint, stats.staleCheckpointStarts, stats.workLost, stats.stops)
 			require.Greater(t, stats.startsWithCheckpoint, minStartsWithCheckpoint*stats.scripts)
 		})
 	}
@@ -130,7 +130,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := savingRun{&scriptRun{cancelled: map[jobs.ID]bool{}, maybeCancelled: map[jobs.ID]bool{}, crashing: map[jobs.ID]time.Duration{}}}
 		s.testCluster = newTestClusterWithGrid(t, scriptDaemons, in.perCell, grid.Config{
-			Workers: scriptWorkers, RestartDelay: workerDowntime, CheckpointInterval: scriptSave, RestoreTime: scriptRestore, OwnCheckpointsOnly: in.showsOwn,
+			Workers: scriptWorkers, RestartDelay: workerDowntime, CheckpointInterval: scriptSave, RestoreTime: scriptRestore, OwnCheckpointsOnly: in.ownCheckpointsOnly,
 			Services: scriptServices,
 		})
 		time.Sleep(5 * time.Second)
@@ -164,9 +164,9 @@
 	case "submit saving filling":
 		s.submitSaving(d, scriptFillerJob(s.jobCount+1, work))
 	case "submit saving lasting":
-		s.submitSavingLasting(d, 1)
+		s.submitSavingLongRunning(d, 1)
 	case "submit saving wide":
-		s.submitSavingLasting(d, wideTasks)
+		s.submitSavingLongRunning(d, wideTasks)
 	case "worker fails all":
 		s.workerFailsAll = true
 		s.grid.SetFaults(step.Place, grid.Faults{FailRuns: true})
@@ -190,8 +190,9 @@
 	s.trySubmit(d, withCheckpoints(spec))
 }
 
-// submitSavingLasting submits a job of long-running tasks that save checkpoints, if all of them still fit on the workers.
-func (s savingRun) submitSavingLasting(d *testDaemon, tasks int) {
+// submitSavingLongRunning submits a job of long-running tasks that save checkpoints, if all of them still fit on the
+// workers.
+func (s savingRun) submitSavingLongRunning(d *testDaemon, tasks int) {
 	if s.longRunningTasks+tasks <= maxLongRunningTasks {
 		s.longRunningTasks += tasks
 		s.submitSaving(d, longRunningJob(s.jobCount+1, tasks))
--- a/services/control/checkpoint_test.go
+++ b/services/control/checkpoint_test.go
@@ -16,7 +16,7 @@
 
 // TestMixedUpTextsAreNotBrought guards against a run that is started with the checkpoint of another task, because a
 // worker that fails all its runs reports their ends with the checkpoints of other tasks. That workers do so is assumed:
-// runs were started with wrong checkpoints while workers failed all their runs, but what those reported is not on
+// runs were started with wrong checkpoints while workers failed all their runs, but their reports are not on
 // record. With such a worker, each restart got the wrong checkpoint.
 func TestMixedUpTextsAreNotBrought(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/services/control/claim.go
+++ b/services/control/claim.go
@@ -45,10 +45,10 @@
 // claimDelay returns how long this daemon leaves a cell without owner to other daemons. The smaller the
 // share of the cell's workers that this daemon can handle, the longer the delay, so that the cell goes
 // to a daemon that can handle all of them if there is one. A daemon that has just handed a cell over
-// waits as if it could handle none, because it is the first to see that the cell is free.
+// waits as if it could handle no worker, because it is the first to see that the cell is free.
 func (c *Cells) claimDelay(owned int) time.Duration {
 	shortfall := max(0, 1-float64(workerCapacity(c.self()))/float64(c.cellSize()))
-	if since := c.lastYield.Load(); since != nil && c.config.Clock.Since(*since) < yieldCooldown {
+	if since := c.lastRebalance.Load(); since != nil && c.config.Clock.Since(*since) < rebalanceCooldown {
 		shortfall = 1
 	}
 	return time.Duration(owned)*claimDelayPerCell + time.Duration(shortfall*float64(maxShortfallDelay))
@@ -97,7 +97,7 @@
 	for cell, version := range stale {
 		err := c.removeOwner(ctx, cell, version)
 		c.health.record(err)
-		c.config.Logger.Info("stale claim removed", append(log.Err(err), zap.String("cell", string(cell)))...)
+		c.config.Logger.Info("tried to remove a stale claim", append(log.Err(err), zap.String("cell", string(cell)))...)
 	}
 }
 
--- a/services/control/control.go
+++ b/services/control/control.go
@@ -24,9 +24,9 @@
 //   - a part: the cell has the tasks that the part names; the other records name the other tasks
 //   - a part without tasks: the cell has moved all of its tasks away; the record stays until
 //     the job is forgotten, so that all daemons find the job also during a move
-//   - a part in a further cell, which does not follow from the job's id: the record in one of the job's own
-//     cells names the further cell for as long as the part exists, so that a reader of the own cells finds
-//     every part
+//   - a part in an additional cell, which does not follow from the job's id: the record in one of the job's own
+//     cells names the additional cell for as long as the part exists, so that a reader of the job's own cells
+//     finds every part
 //   - an ended record: the job has ended, whatever the other records say
 //   - an ended record with the state jobs.StateBarred: the job was cancelled before it was
 //     stored; the record is not shown to callers and prevents writes still in flight from storing the job
@@ -63,7 +63,7 @@
 // Config holds the settings and dependencies of a Service.
 type Config struct {
 	Self     string
-	Address  string // at which the other daemons call this one
+	Address  string // at which the other daemons call this daemon
 	Settings setting.Jobs
 	Store    platform.TxnStore
 	Workers  platform.JobWorkers
--- a/services/control/crash_test.go
+++ b/services/control/crash_test.go
@@ -25,13 +25,13 @@
 // workerDowntime is how long a crashed worker is down, as on the users' platform.
 const workerDowntime = 3300 * time.Millisecond
 
-// newCrashWorld makes a world in which the first task of each job in bad crashes its worker.
-func newCrashWorld(t *testing.T, workers, daemons int, after time.Duration, bad ...jobs.ID) *testCluster {
+// newCrashCluster makes a cluster in which the first task of each of the given jobs crashes its worker.
+func newCrashCluster(t *testing.T, workers, daemons int, after time.Duration, crashing ...jobs.ID) *testCluster {
 	t.Helper()
 	w := newTestClusterWithGrid(t, daemons, testSettings.WorkersPerCell, grid.Config{
 		Workers: workers, RestartDelay: workerDowntime,
 		Crash: func(task jobs.TaskID, _ jobs.RunID) (time.Duration, bool) {
-			return after, slices.Contains(bad, task.Job) && task.Step == 0 && task.Index == 0
+			return after, slices.Contains(crashing, task.Job) && task.Step == 0 && task.Index == 0
 		},
 	})
 	w.eventually(10*time.Second, "cell has an owner", func() bool { return w.owner() != nil })
@@ -47,23 +47,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bad := jobID(1)
-				w := newCrashWorld(t, 8, 2, after, bad)
+				crashing := jobID(1)
+				w := newCrashCluster(t, 8, 2, after, crashing)
 				d := w.daemons[0]
 				w.submit(d, twoStepJob(1, 2*time.Second))
 				for n := 2; n <= 7; n++ {
 					w.submit(d, twoStepJob(n, 2*time.Second))
 				}
 				w.submit(d, longRunningJob(8, 3))
-				w.eventually(40*time.Second, "crashing job has failed", func() bool { return w.state(d, bad) == jobs.StateFailed })
-				require.Equal(t, jobs.StateFailed, w.state(w.daemons[1], bad), "each daemon reports the failure")
+				w.eventually(40*time.Second, "crashing job has failed", func() bool { return w.state(d, crashing) == jobs.StateFailed })
+				require.Equal(t, jobs.StateFailed, w.state(w.daemons[1], crashing), "each daemon reports the failure")
 				for n := 2; n <= 7; n++ {
 					w.eventually(20*time.Second, "other job has succeeded", func() bool { return w.state(d, jobID(n)) == jobs.StateSucceeded })
 				}
 				w.eventually(20*time.Second, "long-running job is running", func() bool { return w.grid.Running(jobID(8)) == 3 })
 				time.Sleep(20 * time.Second)
 				require.Equal(t, jobs.StateRunning, w.state(d, jobID(8)))
-				require.Zero(t, w.grid.Running(bad))
+				require.Zero(t, w.grid.Running(crashing))
 				w.requireNoBreaches()
 			})
 		})
@@ -74,12 +74,12 @@
 // testLongRunningTaskIsAbandoned checks the same for long-running tasks, whose runs have no other limit.
 func testLongRunningTaskIsAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bad := jobID(1)
-		w := newCrashWorld(t, 6, 1, 10*time.Millisecond, bad)
+		crashing := jobID(1)
+		w := newCrashCluster(t, 6, 1, 10*time.Millisecond, crashing)
 		d := w.daemons[0]
 		w.submit(d, longRunningJob(2, 4))
 		w.submit(d, longRunningJob(1, 3))
-		w.eventually(40*time.Second, "crashing job has failed", func() bool { return w.state(d, bad) == jobs.StateFailed })
+		w.eventually(40*time.Second, "crashing job has failed", func() bool { return w.state(d, crashing) == jobs.StateFailed })
 		w.eventually(20*time.Second, "the other job is running", func() bool { return w.grid.Running(jobID(2)) == 4 })
 		w.requireNoBreaches()
 	})
@@ -89,8 +89,8 @@
 // task of a wide step. Only the job of the crashing task fails.
 func TestTasksBesideACrashAreNotGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bad := jobID(1)
-		w := newCrashWorld(t, 4, 1, 10*time.Millisecond, bad)
+		crashing := jobID(1)
+		w := newCrashCluster(t, 4, 1, 10*time.Millisecond, crashing)
 		d := w.daemons[0]
 		small := func(n, tasks int) jobs.Spec {
 			return jobs.Spec{ID: jobID(n), Payload: "small", Steps: []jobs.Step{{
@@ -100,7 +100,7 @@
 		for n := 1; n <= 6; n++ {
 			w.submit(d, small(n, 12))
 		}
-		w.eventually(40*time.Second, "crashing job has failed", func() bool { return w.state(d, bad) == jobs.StateFailed })
+		w.eventually(40*time.Second, "crashing job has failed", func() bool { return w.state(d, crashing) == jobs.StateFailed })
 		for n := 2; n <= 6; n++ {
 			w.eventually(30*time.Second, "other job has succeeded", func() bool { return w.state(d, jobID(n)) == jobs.StateSucceeded })
 		}
@@ -112,7 +112,7 @@
 // tasks run. No job fails.
 func TestWorkersThatCrashByThemselvesCostNoJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCrashWorld(t, 8, 1, 0)
+		w := newCrashCluster(t, 8, 1, 0)
 		d := w.daemons[0]
 		w.submit(d, longRunningJob(100, 4))
 		for n := 1; n <= 24; n++ {
@@ -137,14 +137,14 @@
 	for name, pause := range map[string]time.Duration{"at once": 20 * time.Millisecond, "soon": time.Second, "once it is known": 4 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bad := jobID(1)
-				w := newCrashWorld(t, 6, 2, 10*time.Millisecond, bad)
+				crashing := jobID(1)
+				w := newCrashCluster(t, 6, 2, 10*time.Millisecond, crashing)
 				w.submit(w.daemons[0], twoStepJob(1, 2*time.Second))
 				for crashes := 1; crashes <= 3; crashes++ {
 					w.eventually(30*time.Second, "crash, or failure of the job", func() bool {
-						return w.grid.Crashes(bad) >= crashes || w.state(w.daemons[len(w.daemons)-1], bad) == jobs.StateFailed
+						return w.grid.Crashes(crashing) >= crashes || w.state(w.daemons[len(w.daemons)-1], crashing) == jobs.StateFailed
 					})
-					if w.grid.Crashes(bad) < crashes {
+					if w.grid.Crashes(crashing) < crashes {
 						break
 					}
 					time.Sleep(pause)
@@ -154,7 +154,7 @@
 					}
 				}
 				last := w.daemons[len(w.daemons)-1]
-				w.eventually(60*time.Second, "crashing job has failed", func() bool { return w.state(last, bad) == jobs.StateFailed })
+				w.eventually(60*time.Second, "crashing job has failed", func() bool { return w.state(last, crashing) == jobs.StateFailed })
 				w.requireNoBreaches()
 			})
 		})
--- a/services/control/dead_owners.go
+++ b/services/control/dead_owners.go
@@ -16,11 +16,11 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// When a daemon's process has ended, its owner keys stay until its lease in the store expires, 2 s later. A
-// daemon that calls it meanwhile gets a refused connection from its VM at once and removes the keys, so that
-// the cell has another owner within some tenths of a second. Proof is not needed: the next owner fences a
-// previous owner that is still running, as it fences one that was frozen. A VM without power refuses nothing;
-// there the lease has to expire.
+// When a daemon's process has ended, its owner keys stay until its lease in the store expires, 2 s later. Another
+// daemon that calls the ended daemon in that time gets a refused connection from its VM at once and removes the keys,
+// so that the cell has another owner within some tenths of a second. The removal needs no proof that the owner has
+// ended: the next owner fences a previous owner that is still running, as it fences an owner that was frozen. A VM
+// without power refuses no connection; the keys of its daemons stay until the lease expires.
 
 // Limits for network failures that look the same between daemons that all reach the store: they change the
 // owner of a cell once in minOwnerAge at most.
@@ -31,7 +31,7 @@
 	minOwnerAge = 5 * time.Second
 )
 
-// connectionRefused tells whether a call failed because no process listens at the address.
+// connectionRefused reports whether a call failed because no process listens at the address.
 func connectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // suspectOwner marks the owner of a cell as suspected because its address refused a connection, and wakes the loop
@@ -79,7 +79,7 @@
 		}
 		err = c.removeOwner(ctx, cell, version)
 		c.health.record(err)
-		c.config.Logger.Info("owner has ended, its keys are removed", append(log.Err(err), zap.String("cell", string(cell)),
+		c.config.Logger.Info("owner has ended; tried to remove its keys", append(log.Err(err), zap.String("cell", string(cell)),
 			zap.Uint64("epoch", uint64(version)))...)
 	}
 }
--- a/services/control/entries.go
+++ b/services/control/entries.go
@@ -22,7 +22,7 @@
 type jobEntries []jobEntry
 
 // readEntries reads what the store holds about a job: first in the cells that follow from its id, then in the
-// further cells that the records there name.
+// additional cells that the records there name.
 func (s *Service) readEntries(ctx context.Context, id jobs.ID, layout *jobs.Layout) (jobEntries, error) {
 	if !s.health.available() {
 		return nil, platform.ErrUnavailable
@@ -31,8 +31,8 @@
 	if err != nil {
 		return nil, err
 	}
-	further, err := s.readEntriesIn(ctx, entries.furtherCells(), id)
-	return append(entries, further...), err
+	additional, err := s.readEntriesIn(ctx, entries.additionalCells(), id)
+	return append(entries, additional...), err
 }
 
 // readEntriesIn reads the entries of a job in the given cells.
@@ -48,8 +48,8 @@
 	return entries, nil
 }
 
-// furtherCells returns the further cells that the records name, without duplicates.
-func (e jobEntries) furtherCells() []jobs.CellName {
+// additionalCells returns the additional cells that the records name, without duplicates.
+func (e jobEntries) additionalCells() []jobs.CellName {
 	var cells []jobs.CellName
 	for _, entry := range e {
 		cells = append(cells, entry.record.AdditionalCells...)
--- a/services/control/faulty_store_test.go
+++ b/services/control/faulty_store_test.go
@@ -32,7 +32,7 @@
 	outcomeWritesLimited callOutcome = "writes limited"
 )
 
-// refuses tells whether the store performs nothing for a call with this outcome.
+// refuses reports whether the store performs nothing for a call with this outcome.
 func (f callOutcome) refuses() bool {
 	return f == outcomeSilent || f == outcomeUnavailable || f == outcomeLimited
 }
@@ -125,7 +125,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	before := r.records(id)
-	r.noteRemoval(d, txn)
+	r.recordRemoval(d, txn)
 	version, err := local.Commit(context.Background(), txn)
 	if err == nil && id != "" && len(before) == 0 && len(r.records(id)) > 0 {
 		r.creations = append(r.creations, creation{job: id, daemon: d.name, call: by, sentSeq: sent})
@@ -133,8 +133,8 @@
 	return version, err
 }
 
-// noteRemoval records jobs that have not ended and whose records a transaction deletes.
-func (r *commitRecorder) noteRemoval(d *testDaemon, txn platform.Txn) {
+// recordRemoval records jobs that have not ended and whose records a transaction deletes.
+func (r *commitRecorder) recordRemoval(d *testDaemon, txn platform.Txn) {
 	for _, key := range txn.Delete {
 		id := jobOfStoreKey(key)
 		if id == "" || strings.HasSuffix(key, cancelSuffix) {
@@ -209,7 +209,7 @@
 	s.daemon.set(func() { s.daemon.storeCut = outcome == outcomeUnavailable || outcome == outcomeSilent })
 }
 
-// unusable tells whether the store has performed nothing for the daemon for the given time.
+// unusable reports whether the store has performed nothing for the daemon for the given time.
 func (s *faultyStore) unusable(atLeast time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/services/control/journal.go
+++ b/services/control/journal.go
@@ -15,8 +15,8 @@
 
 // journal orders the transactions of an owner. Each transaction writes the journal's key, and requires
 // that the key is unchanged and that the owner's key still exists. A transaction whose answer was lost
-// can therefore not be applied after a later one. The entry identifies the transaction, so that one
-// that is applied late is not mistaken for another.
+// can therefore not be applied after a later one. The entry identifies the transaction, so that a transaction
+// that is applied late is not mistaken for another transaction.
 type journal struct {
 	attempts uint64           // transactions tried in this epoch
 	last     journalEntry     // the entry that the store holds
--- a/services/control/keys.go
+++ b/services/control/keys.go
@@ -32,8 +32,8 @@
 func cellName(number int) jobs.CellName { return jobs.CellName(strconv.Itoa(number)) }
 
 // cellsPerJob is the number of cells in which a job is looked up. Each cell costs a precondition when the
-// job is accepted, a key to delete when it is forgotten, and a query when nobody knows where it is.
-// Long-running tasks may be in further cells, which the records in these cells name.
+// job is accepted, a key to delete when it is forgotten, and a query when no daemon knows in which cell it is.
+// Long-running tasks may be in additional cells, which the records in these cells name.
 const cellsPerJob = 3
 
 // cellsForJob returns the cells for one of which a job is accepted. They never change, so that a job that is
@@ -77,7 +77,7 @@
 	return keys
 }
 
-// markerKey returns the second key of a cell's owner, which is among the cell's jobs: whoever watches
+// markerKey returns the second key of a cell's owner, which is among the cell's jobs: a watch of
 // the jobs sees a change of owner before any job that was accepted after the change.
 func markerKey(cell jobs.CellName) string { return jobKeyPrefix(cell) + markerName }
 
--- a/services/control/late_test.go
+++ b/services/control/late_test.go
@@ -16,7 +16,7 @@
 )
 
 // An overloaded owner sends its orders late and reads changes late. Its orders must do no harm then, whatever the load:
-// workers refuse starts that are too old, and an owner whose information is stale sends none.
+// workers refuse starts that are too old, and an owner whose information is stale sends no starts.
 
 // TestStartThatIsLateIsRefused delays an owner's orders to the workers by three seconds. The workers begin to drain
 // meanwhile, after which nothing may start there.
--- a/services/control/learn.go
+++ b/services/control/learn.go
@@ -11,7 +11,7 @@
 )
 
 // learnInterval is the interval at which an owner asks the owners of the other cells for their learned
-// parameters: the interference factors of images change slowly once they are known.
+// factors. The interference factors of images change slowly once they are known.
 const learnInterval = 1500 * time.Millisecond
 
 // learnLoop merges what the owners of the other cells have learned about images into the core.
--- a/services/control/learned_parameters_test.go
+++ b/services/control/learned_parameters_test.go
@@ -82,13 +82,13 @@
 
 func TestKnowledgeThatCannotBeEncodedKeepsNothingFromBeingStored(t *testing.T) {
 	o := &Owner{config: Config{Logger: zap.NewNop()}, cell: cellName(0)}
-	knowledge := &jobs.LearnedParameters{Speeds: []jobs.QueueSpeed{{Queue: testQueue, Mean: math.NaN()}}}
-	txn, err := o.buildTxn(dispatch.Changes{Roster: &jobs.Roster{}, LearnedParameters: knowledge})
+	learned := &jobs.LearnedParameters{Speeds: []jobs.QueueSpeed{{Queue: testQueue, Mean: math.NaN()}}}
+	txn, err := o.buildTxn(dispatch.Changes{Roster: &jobs.Roster{}, LearnedParameters: learned})
 	require.NoError(t, err)
 	require.Len(t, txn.Put, 1)
 	require.Equal(t, rosterKey(cellName(0)), txn.Put[0].Key)
-	knowledge.Speeds[0].Mean = 1
-	txn, err = o.buildTxn(dispatch.Changes{Roster: &jobs.Roster{}, LearnedParameters: knowledge})
+	learned.Speeds[0].Mean = 1
+	txn, err = o.buildTxn(dispatch.Changes{Roster: &jobs.Roster{}, LearnedParameters: learned})
 	require.NoError(t, err)
 	require.Len(t, txn.Put, 2)
 }
--- a/services/control/manual_owner_test.go
+++ b/services/control/manual_owner_test.go
@@ -145,8 +145,8 @@
 	require.False(t, known, "its tasks would run again here")
 }
 
-// TestMoveIsOffOnlyIfTheStoreSaysSo guards against a move that counts as rejected after an error of no class, although
-// its write took effect or may still do so.
+// TestMoveIsOffOnlyIfTheStoreSaysSo guards against a move that counts as rejected after an error that the store does not
+// define, although its write took effect or may still do so.
 func TestMoveIsOffOnlyIfTheStoreSaysSo(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer error
--- a/services/control/move.go
+++ b/services/control/move.go
@@ -20,13 +20,13 @@
 // move is a move of work to another cell that is not finished.
 type move struct {
 	dispatch.Move
-	// further tells that the job's ID does not map to the other cell.
-	further bool
-	// unresolved tells that a transaction of unknown outcome may have moved the work, or may still do so.
+	// toAdditionalCell is set if the job's ID does not map to the other cell.
+	toAdditionalCell bool
+	// unresolved is set if a transaction of unknown outcome may have moved the work, or may still do so.
 	unresolved bool
 }
 
-// moveOutcome is the combined outcome of all attempts of a move: moveDone, moveJobGone, moveRejected or
+// moveOutcome is the combined outcome of all attempts of a move: moveDone, moveJobMissing, moveRejected or
 // moveUnresolved. The set is closed and each value is exactly one of them, so that the refusal of the last
 // attempt can't be mistaken for that of an earlier attempt of unknown outcome.
 type moveOutcome interface {
@@ -34,24 +34,24 @@
 	cause() error
 }
 
-// moveDone tells that the move is stored; version is that of the job's key.
+// moveDone means that the move is stored; version is the version of the job's key in this cell.
 type moveDone struct{ version platform.Version }
 
-// moveJobGone tells that the store no longer holds the job: it has ended, in this cell or the other one.
-type moveJobGone struct{}
+// moveJobMissing means that the store no longer holds the job: it has ended, in this cell or in the other cell.
+type moveJobMissing struct{}
 
-// moveRejected tells that no attempt has moved the work, and that none still in flight can.
+// moveRejected means that no attempt has moved the work, and that none still in flight can.
 type moveRejected struct {
 	err error
-	// permanent tells that the job as a whole can never be moved to that cell.
+	// permanent is set if the job as a whole can never be moved to that cell.
 	permanent bool
 }
 
-// moveUnresolved tells that an attempt may have moved the work, or may still do so.
+// moveUnresolved means that an attempt may have moved the work, or may still do so.
 type moveUnresolved struct{ err error }
 
 func (moveDone) cause() error         { return nil }
-func (moveJobGone) cause() error      { return nil }
+func (moveJobMissing) cause() error   { return nil }
 func (o moveRejected) cause() error   { return o.err }
 func (o moveUnresolved) cause() error { return o.err }
 
@@ -89,7 +89,7 @@
 	case moveDone:
 		o.core.Moved(m.Move, uint64(outcome.version))
 		o.config.Scope.Counter("jobs_moved").Inc(1)
-	case moveJobGone:
+	case moveJobMissing:
 		o.core.MoveJobMissing(m.Move)
 	case moveRejected:
 		o.core.CancelMove(m.Move, outcome.permanent)
@@ -109,16 +109,16 @@
 // adds them to the record in the other cell.
 func (o *Owner) executeMove(ctx context.Context, m *move) moveOutcome {
 	// The other records are read before the record in this cell. If they forbid the move, no earlier attempt
-	// can take effect from then on, and the record in this cell then shows whether one did before. In the
+	// can take effect from then on, and the record in this cell then shows whether an attempt did before. In the
 	// other order, an attempt that takes effect between the reads, and whose work ends at once, would be
-	// mistaken for one that can't take effect.
+	// mistaken for an attempt that can't take effect.
 	records, err := o.readRecords(ctx, m)
 	if err != nil {
 		return m.failure(err)
 	}
 	switch here := records[o.cell]; {
 	case here.Version == 0:
-		return moveJobGone{}
+		return moveJobMissing{}
 	case here.Ended != "": // ended by this owner: the job was cancelled here, which forbids all attempts
 		return moveRejected{err: errJobEnded}
 	case !o.stillMoving(m, here):
@@ -132,7 +132,7 @@
 }
 
 // moveRecords are the records of a job that a move depends on, by cell: those of the source cell and the target
-// cell and, if the source is a further cell, that of the cell whose record names the source.
+// cell and, if the source is an additional cell, that of the cell whose record names the source.
 type moveRecords map[jobs.CellName]jobs.Record
 
 // readRecords reads the records that a move depends on, that of this cell last.
@@ -148,7 +148,7 @@
 	return records, nil
 }
 
-// forbidMove tells whether the job has ended in one of the cells, or is closed to moves.
+// forbidMove reports whether the job has ended in one of the cells, or is closed to moves.
 func (r moveRecords) forbidMove() bool {
 	for _, record := range r {
 		if record.Ended != "" || record.MovesClosed {
@@ -158,7 +158,7 @@
 	return false
 }
 
-// stillMoving tells whether the tasks of a move are still in this cell, by its current record.
+// stillMoving reports whether the tasks of a move are still in this cell, by its current record.
 func (o *Owner) stillMoving(m *move, here jobs.Record) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -194,7 +194,7 @@
 	after := records.afterMove(m, o.cell)
 	var puts []keyValue
 	for cell, record := range after {
-		if record.Home != "" && record.AllTasksMoved() { // a further cell that has no tasks left keeps no keys
+		if record.Home != "" && record.AllTasksMoved() { // an additional cell that has no tasks left keeps no keys
 			txn.Delete = append(txn.Delete, jobKey(cell, m.Job), progressKey(cell, m.Job))
 			continue
 		}
@@ -210,16 +210,16 @@
 	here := r[from]
 	rest, received := here.WithoutTasks(m.Tasks), r.receivingRecord(m, from)
 	namingCell := cmp.Or(m.Home, from)
-	entersFurther := m.further && r[m.To].Version == 0
-	if entersFurther {
+	entersAdditional := m.toAdditionalCell && r[m.To].Version == 0
+	if entersAdditional {
 		received.Home = namingCell
 	}
 	after := moveRecords{from: rest, m.To: received}
-	if entersFurther {
-		after.setFurther(r, namingCell, func(cells []jobs.CellName) []jobs.CellName { return append(cells, m.To) })
+	if entersAdditional {
+		after.updateAdditionalCells(r, namingCell, func(cells []jobs.CellName) []jobs.CellName { return append(cells, m.To) })
 	}
 	if m.Home != "" && rest.AllTasksMoved() {
-		after.setFurther(r, namingCell, func(cells []jobs.CellName) []jobs.CellName {
+		after.updateAdditionalCells(r, namingCell, func(cells []jobs.CellName) []jobs.CellName {
 			return slices.DeleteFunc(cells, func(cell jobs.CellName) bool { return cell == from })
 		})
 	}
@@ -237,9 +237,9 @@
 	return received
 }
 
-// setFurther changes the list of further cells that a cell's record names. A record that the move has not changed
-// yet is taken from before.
-func (r moveRecords) setFurther(before moveRecords, cell jobs.CellName, change func([]jobs.CellName) []jobs.CellName) {
+// updateAdditionalCells changes the list of additional cells that a cell's record names. A record that the move has
+// not changed yet is taken from before.
+func (r moveRecords) updateAdditionalCells(before moveRecords, cell jobs.CellName, change func([]jobs.CellName) []jobs.CellName) {
 	record, changed := r[cell]
 	if !changed {
 		record = before[cell]
--- a/services/control/move_test.go
+++ b/services/control/move_test.go
@@ -15,9 +15,9 @@
 	"rillsail.example/rillsail/services/platform"
 )
 
-// newTwoCellWorld makes a world of two cells with two workers each, one of which is filled by a long-running job; full
+// newTwoCellCluster makes a cluster of two cells with two workers each. A long-running job fills one of the cells; full
 // is the number of that cell.
-func newTwoCellWorld(t *testing.T) (w *testCluster, full int) {
+func newTwoCellCluster(t *testing.T) (w *testCluster, full int) {
 	t.Helper()
 	w = newTestClusterWithCells(t, 4, 3, 2, nil)
 	w.submit(w.daemons[0], longRunningJob(1, 4))
@@ -83,7 +83,7 @@
 
 func TestLostTasksOfAFullCellRunInAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, full := newTwoCellWorld(t)
+		w, full := newTwoCellCluster(t)
 		w.loseWorker(w.workersOfCell(full)[0])
 		w.requireLostTasksMoved()
 		require.Equal(t, platform.Done{}, w.daemons[2].Cancel(w.ctx, jobID(1)))
@@ -118,7 +118,7 @@
 
 func TestJobThatFindsNoPlaceMovesAsAWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, full := newTwoCellWorld(t)
+		w, full := newTwoCellCluster(t)
 		w.submitTo(full, largeJob(2))
 		w.eventually(5*time.Second, "job succeeds in the other cell", func() bool { return w.state(w.daemons[1], jobID(2)) == jobs.StateSucceeded })
 		w.submit(w.daemons[2], largeJob(2)) // already accepted, so the second submission has no effect
@@ -140,7 +140,7 @@
 
 func TestMovedJobCanBeCancelledBeforeItStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, full := newTwoCellWorld(t)
+		w, full := newTwoCellCluster(t)
 		w.submitTo(full, largeJob(2))
 		w.eventually(5*time.Second, "job is running", func() bool { return w.grid.Running(jobID(2)) == 3 })
 		require.Equal(t, platform.Done{}, w.daemons[1].Cancel(w.ctx, jobID(2)))
@@ -156,7 +156,7 @@
 	for _, lost := range []string{"owner that handed over", "owner that took over", "all daemons"} {
 		t.Run(lost, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w, full := newTwoCellWorld(t)
+				w, full := newTwoCellCluster(t)
 				w.loseWorker(w.workersOfCell(full)[0])
 				w.requireLostTasksMoved()
 				w.loseDaemons(lost, full)
@@ -199,7 +199,7 @@
 	for _, late := range []time.Duration{300 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second} {
 		t.Run(late.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w, full := newTwoCellWorld(t)
+				w, full := newTwoCellCluster(t)
 				owner := w.ownerOfCell(cellName(full))
 				w.loseWorker(w.workersOfCell(full)[0])
 				owner.mu.Lock()
@@ -221,7 +221,7 @@
 
 func TestJobMovesBeforeAPartOfItStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, full := newTwoCellWorld(t)
+		w, full := newTwoCellCluster(t)
 		w.submitTo(full, twoStepJob(2, 5*time.Second)) // two of its three tasks would fit there
 		w.eventually(time.Second, "all tasks of the first step are running", func() bool { return w.grid.Running(jobID(2)) == 3 })
 		w.requireNoBreaches()
--- a/services/control/offer.go
+++ b/services/control/offer.go
@@ -51,13 +51,13 @@
 }
 
 // offerAll offers work to one cell after the other until all of it is being moved. The cells that the job's ID maps
-// to come first, because a job is found there without reading which further cells it has.
+// to come first, because a job is found there without reading which additional cells it has.
 func (o *Owner) offerAll(ctx context.Context, layout *jobs.Layout) {
 	offers := o.movableWork()
-	for _, further := range []bool{false, true} {
+	for _, additional := range []bool{false, true} {
 		for _, cell := range o.cells.otherCells(o.cell) {
 			if len(offers) > 0 {
-				offers = o.offerTo(ctx, offerTarget{cell: cell, further: further}, offers, layout)
+				offers = o.offerTo(ctx, offerTarget{cell: cell, additional: additional}, offers, layout)
 			}
 		}
 	}
@@ -66,17 +66,17 @@
 // offerTarget is a cell that work is offered to.
 type offerTarget struct {
 	cell jobs.CellName
-	// further tells that the cell is offered jobs whose ID does not map to it, instead of jobs whose ID does.
-	further bool
+	// additional is set if the cell is offered jobs whose ID does not map to it, instead of jobs whose ID does.
+	additional bool
 }
 
-// accepts tells whether work may be offered to the cell. A job that moves as a whole stays in the cells that its ID
+// accepts reports whether work may be offered to the cell. A job that moves as a whole stays in the cells that its ID
 // maps to.
 func (t offerTarget) accepts(offer dispatch.Move, layout *jobs.Layout) bool {
-	if t.further && offer.Whole {
+	if t.additional && offer.Whole {
 		return false
 	}
-	return slices.Contains(cellsForJob(offer.Job, layout), t.cell) != t.further
+	return slices.Contains(cellsForJob(offer.Job, layout), t.cell) != t.additional
 }
 
 // movableWork lists the work to offer; it is empty while moves are in progress.
@@ -134,17 +134,18 @@
 		return false
 	}
 	offer.To = to.cell
-	o.moves = append(o.moves, &move{Move: offer, further: to.further})
+	o.moves = append(o.moves, &move{Move: offer, toAdditionalCell: to.additional})
 	return true
 }
 
-// finishCancellations continues the cancellation of closed jobs, because the daemon that began it may be lost.
+// finishCancellations continues the cancellation of jobs that are closed to moves (jobs.Record.MovesClosed), because
+// the daemon that began the cancellation may be lost.
 func (o *Owner) finishCancellations(ctx context.Context) {
 	o.mu.Lock()
-	closed := o.unfinishedCancels
+	unfinished := o.unfinishedCancels
 	o.unfinishedCancels = nil
 	o.mu.Unlock()
-	for _, id := range closed {
+	for _, id := range unfinished {
 		if _, done := o.cells.resumeCancel(ctx, id).(platform.Done); done {
 			continue
 		}
--- a/services/control/owner.go
+++ b/services/control/owner.go
@@ -124,8 +124,8 @@
 		if state, ok := o.core.State(id); ok {
 			answer.States[id] = state
 		}
-		if further := o.core.AdditionalCells(id); len(further) > 0 {
-			answer.AdditionalCells[id] = further
+		if additional := o.core.AdditionalCells(id); len(additional) > 0 {
+			answer.AdditionalCells[id] = additional
 		}
 	}
 	if query.Pending {
--- a/services/control/owner_jobs.go
+++ b/services/control/owner_jobs.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return 0, err
 	}
-	knowledge, err := o.loadLearned(ctx)
+	learned, err := o.loadLearned(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -66,7 +66,7 @@
 	defer o.mu.Unlock()
 	now := o.config.Clock.Now()
 	o.core.RestoreRoster(roster, now)
-	o.core.RestoreParameters(knowledge, now)
+	o.core.RestoreParameters(learned, now)
 	if !o.applyAll(records, progress, now) {
 		return 0, errCellLost
 	}
@@ -74,7 +74,7 @@
 	o.loaded = true
 	o.config.Logger.Info("cell is loaded", zap.String("cell", string(o.cell)), zap.Int("keys", len(records)),
 		zap.Int("roster", len(roster.Workers)),
-		zap.Int("images_learned", len(knowledge.Factors)), zap.Duration("after", now.Sub(o.takenAt)))
+		zap.Int("images_learned", len(learned.Factors)), zap.Duration("after", now.Sub(o.takenAt)))
 	return at, nil
 }
 
@@ -88,12 +88,12 @@
 	if err != nil {
 		return jobs.LearnedParameters{}, err
 	}
-	knowledge, err := decode[jobs.LearnedParameters](record)
+	learned, err := decode[jobs.LearnedParameters](record)
 	if err != nil {
 		o.config.Logger.Error("learned parameters of the previous owner cannot be decoded; learning starts over", append(log.Err(err), zap.String("cell", string(o.cell)))...)
 		return jobs.LearnedParameters{}, nil
 	}
-	return knowledge, nil
+	return learned, nil
 }
 
 // loadProgress reads the progress of the cell's active jobs.
@@ -115,7 +115,7 @@
 	return progress, nil
 }
 
-// errCellLost says that the cell has another owner or none.
+// errCellLost reports that the cell has another owner or none.
 var errCellLost = errors.New("cell is lost")
 
 // applyAll applies the complete list of keys with the cell's job prefix. It reports false if the cell is
--- a/services/control/owner_orders.go
+++ b/services/control/owner_orders.go
@@ -32,7 +32,7 @@
 		decided := o.config.Clock.Read()
 		orders := o.core.Decide(decided)
 		superseded := o.core.Superseded()
-		ends := o.core.HasUrgentChanges()
+		urgent := o.core.HasUrgentChanges()
 		held := o.core.TakeJobsHeld()
 		o.mu.Unlock()
 		if held {
@@ -42,7 +42,7 @@
 			o.cells.dropOwner(o.cell, o, "a worker has seen a later owner")
 			return
 		}
-		if ends {
+		if urgent {
 			wake(o.wakeStore)
 		}
 		for _, order := range orders {
@@ -91,7 +91,7 @@
 }
 
 // recordResult records in the core what became of an order that was decided and sent at the given times,
-// and wakes the loop that decides.
+// and wakes decideLoop.
 func (o *Owner) recordResult(sent, decided time.Time, err error, record func(result dispatch.Result, now time.Time)) {
 	result := classifyCall(err)
 	o.endCall(sent, 0, result.Outcome)
--- a/services/control/owner_store.go
+++ b/services/control/owner_store.go
@@ -99,7 +99,7 @@
 			txn.Delete = append(txn.Delete, cancelKey(o.cell, change.ID))
 		}
 	}
-	for _, id := range changes.Forget { // also in the cells of other parts, and the cell it was moved from
+	for _, id := range changes.Forget { // other cells may hold parts of the job, or the records that it left when it moved
 		cells := cellsForJob(id, o.cells.layout())
 		if !slices.Contains(cells, o.cell) {
 			cells = append(cells, o.cell)
@@ -114,11 +114,11 @@
 // encodeLearned returns the write of the learned parameters, if there are any. Parameters that cannot be
 // encoded cost the next owner some seconds of learning, and must not prevent the other changes from being
 // stored.
-func (o *Owner) encodeLearned(knowledge *jobs.LearnedParameters) []platform.Write {
-	if knowledge == nil {
+func (o *Owner) encodeLearned(learned *jobs.LearnedParameters) []platform.Write {
+	if learned == nil {
 		return nil
 	}
-	writes, err := encodeWrites([]keyValue{{learnedKey(o.cell), knowledge}})
+	writes, err := encodeWrites([]keyValue{{learnedKey(o.cell), learned}})
 	if err != nil {
 		o.config.Logger.Error("learned parameters cannot be encoded; not storing them", append(log.Err(err), zap.String("cell", string(o.cell)))...)
 	}
--- a/services/control/owner_workers.go
+++ b/services/control/owner_workers.go
@@ -155,12 +155,12 @@
 		o.core.Overdue(worker.ID, now)
 		changed = false
 	}
-	ends := o.core.HasUrgentChanges()
+	urgent := o.core.HasUrgentChanges()
 	o.mu.Unlock()
 	if changed {
 		wake(o.wakeDecide)
 	}
-	if ends {
+	if urgent {
 		wake(o.wakeStore)
 	}
 	o.config.Scope.Counter("reports").Inc(1)
--- a/services/control/random_test.go
+++ b/services/control/random_test.go
@@ -111,7 +111,7 @@
 	workers        int // 0: scriptWorkers; scripts affect the first scriptWorkers only
 	perCell        int // workers to a cell
 	naming         grid.Naming
-	forgetsAhead   bool // see grid.Config
+	ackFutureEnds  bool // see grid.Config.AckFutureEnds
 	maxLongRunning int  // 0: maxLongRunningTasks
 }
 
@@ -182,7 +182,7 @@
 		s := &scriptRun{cancelled: map[jobs.ID]bool{}, maybeCancelled: map[jobs.ID]bool{}, crashing: map[jobs.ID]time.Duration{}}
 		s.scenario = in
 		s.testCluster = newTestClusterWithGrid(t, scriptDaemons, in.perCell, grid.Config{
-			Workers: cmp.Or(in.workers, scriptWorkers), RestartDelay: workerDowntime, Crash: s.crashOf, Naming: in.naming, AckFutureEnds: in.forgetsAhead,
+			Workers: cmp.Or(in.workers, scriptWorkers), RestartDelay: workerDowntime, Crash: s.crashOf, Naming: in.naming, AckFutureEnds: in.ackFutureEnds,
 		})
 		time.Sleep(5 * time.Second)
 		for _, step := range script {
@@ -198,7 +198,7 @@
 	return failure
 }
 
-// crashOf tells whether a task crashes its worker, and how long after its start.
+// crashOf reports whether a task crashes its worker, and how long after its start.
 func (s *scriptRun) crashOf(task jobs.TaskID, _ jobs.RunID) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -220,9 +220,9 @@
 		s.jobCount++
 		s.trySubmit(d, twoStepJob(s.jobCount, time.Duration(step.Work)*time.Millisecond))
 	case "submit lasting":
-		s.submitLasting(d, 1)
+		s.submitLongRunning(d, 1)
 	case "submit wide":
-		s.submitLasting(d, wideTasks)
+		s.submitLongRunning(d, wideTasks)
 	case "submit spread":
 		s.submitSpread(d)
 	case "submit crashing":
@@ -324,8 +324,8 @@
 	}
 }
 
-// submitLasting submits a job of long-running tasks if all of them still fit on the workers.
-func (s *scriptRun) submitLasting(d *testDaemon, tasks int) {
+// submitLongRunning submits a job of long-running tasks if all of them still fit on the workers.
+func (s *scriptRun) submitLongRunning(d *testDaemon, tasks int) {
 	if s.longRunningTasks+tasks > cmp.Or(s.scenario.maxLongRunning, maxLongRunningTasks) {
 		return
 	}
--- a/services/control/rebalance_test.go
+++ b/services/control/rebalance_test.go
@@ -25,7 +25,7 @@
 		w.daemonCores = 1
 		strong := w.startDaemon()
 		w.eventually(4*time.Second, "the strong daemon owns the cell", func() bool { return w.owner() == strong })
-		time.Sleep(2 * yieldCooldown)
+		time.Sleep(2 * rebalanceCooldown)
 		require.Equal(t, strong, w.owner(), "the cell stays there")
 		require.Equal(t, 3, w.grid.Running(long.ID))
 		w.requireNoBreaches()
@@ -43,7 +43,7 @@
 		w.daemonLinkMbit = 200
 		wide := w.startDaemon()
 		w.eventually(4*time.Second, "the daemon behind the wide link owns the cell", func() bool { return w.owner() == wide })
-		time.Sleep(2 * yieldCooldown)
+		time.Sleep(2 * rebalanceCooldown)
 		require.Equal(t, wide, w.owner(), "the cell stays there")
 		w.requireNoBreaches()
 	})
@@ -65,7 +65,7 @@
 		second := w.startDaemon()
 		w.eventually(4*time.Second, "each daemon owns one cell", func() bool { return owned(first) == 1 && owned(second) == 1 })
 		third := w.startDaemon()
-		time.Sleep(3 * yieldCooldown)
+		time.Sleep(3 * rebalanceCooldown)
 		require.Equal(t, []int{1, 1, 0}, []int{owned(first), owned(second), owned(third)}, "the cells stay there")
 		require.Equal(t, 4, w.grid.Running(long.ID))
 		w.requireNoBreaches()
--- a/services/control/refusals_judge_test.go
+++ b/services/control/refusals_judge_test.go
@@ -26,7 +26,7 @@
 	})
 }
 
-// reportedAccepted tells whether the daemon of a refusal had already reported the job as accepted to another caller.
+// reportedAccepted reports whether the daemon of a refusal had already reported the job as accepted to another caller.
 func (p *refusalRun) reportedAccepted(refusal *refusalCall) bool {
 	return slices.ContainsFunc(p.calls, func(c *refusalCall) bool {
 		return c.kind == stepSubmit && c.job == refusal.job && c.daemon == refusal.daemon && c.endedSeq < refusal.endedSeq && c.reply.kind == replyDone
--- a/services/control/refusals_random_test.go
+++ b/services/control/refusals_random_test.go
@@ -110,9 +110,9 @@
 
 var refusalSize = models.Resources{CPU: 1500, Memory: 500}
 
-func drawPlan(rt *rapid.T, name string, fates []callOutcome) []plannedCall {
+func drawPlan(rt *rapid.T, name string, outcomes []callOutcome) []plannedCall {
 	return rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) plannedCall {
-		planned := plannedCall{Outcome: rapid.SampledFrom(fates).Draw(rt, "fate")}
+		planned := plannedCall{Outcome: rapid.SampledFrom(outcomes).Draw(rt, "fate")}
 		if planned.Outcome == outcomeLate {
 			planned.Late = time.Duration(rapid.IntRange(200, 5000).Draw(rt, "late")) * time.Millisecond
 		}
--- a/services/control/refusals_test.go
+++ b/services/control/refusals_test.go
@@ -21,7 +21,7 @@
 
 var testQueueTerms = jobs.Queue{Name: testQueue, Terms: testTerms}
 
-// newTwoDaemons makes a world with two daemons that accept jobs; owner owns the only cell, idle owns none.
+// newTwoDaemons makes a cluster with two daemons that accept jobs; owner owns the only cell, idle owns none.
 func newTwoDaemons(t *testing.T) (w *testCluster, idle, owner *testDaemon) {
 	t.Helper()
 	w = newTestCluster(t, 2, 2, nil)
@@ -44,8 +44,8 @@
 	return spec
 }
 
-// holdUp delays the daemon's transactions on their way to the store; they get no answer.
-func (d *testDaemon) holdUp(by time.Duration) {
+// delayStoreWrites delays the daemon's transactions on their way to the store; they get no answer.
+func (d *testDaemon) delayStoreWrites(by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.storeWriteDelay = by
@@ -62,12 +62,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, idle, owner := newTwoDaemons(t)
 		spec := w.expected(2)
-		idle.holdUp(1200 * time.Millisecond)
+		idle.delayStoreWrites(1200 * time.Millisecond)
 		go idle.Submit(w.ctx, spec, testQueueTerms)
 		time.Sleep(500 * time.Millisecond)
 		require.Equal(t, noSuchJob, owner.Cancel(w.ctx, spec.ID))
 		require.Equal(t, noSuchJob, owner.Cancel(w.ctx, spec.ID), "also the second time")
-		idle.holdUp(0)
+		idle.delayStoreWrites(0)
 		time.Sleep(15 * time.Second)
 		require.False(t, w.grid.Ran(spec.ID), "none of its tasks runs")
 		_, err := owner.State(w.ctx, spec.ID)
@@ -96,7 +96,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, idle, _ := newTwoDaemons(t)
 		spec := w.expected(2)
-		idle.holdUp(600 * time.Millisecond)
+		idle.delayStoreWrites(600 * time.Millisecond)
 		first := make(chan platform.Outcome, 1)
 		go func() { first <- idle.Submit(w.ctx, spec, testQueueTerms) }()
 		time.Sleep(100 * time.Millisecond)
@@ -205,12 +205,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, idle, _ := newTwoDaemons(t)
 		spec := w.expected(2)
-		idle.holdUp(8 * time.Second)
+		idle.delayStoreWrites(8 * time.Second)
 		require.IsType(t, platform.MaybeDone{}, idle.Submit(w.ctx, spec, testQueueTerms))
 		_, err := idle.State(w.ctx, spec.ID)
 		require.Error(t, err)
 		require.NotErrorIs(t, err, platform.ErrNotFound, "the job may still be stored")
-		idle.holdUp(0)
+		idle.delayStoreWrites(0)
 		w.eventually(3*time.Second, "the daemon is registered again", func() bool { return idle.Cells.registrationVersion() != 0 })
 		_, err = idle.State(w.ctx, spec.ID)
 		require.ErrorIs(t, err, platform.ErrNotFound)
@@ -226,9 +226,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, idle, _ := newTwoDaemons(t)
 		spec := w.expected(2)
-		idle.holdUp(900 * time.Millisecond) // takes effect without an answer
+		idle.delayStoreWrites(900 * time.Millisecond) // takes effect without an answer
 		require.IsType(t, platform.MaybeDone{}, idle.Submit(w.ctx, spec, testQueueTerms))
-		idle.holdUp(0)
+		idle.delayStoreWrites(0)
 		w.eventually(3*time.Second, "the daemon is registered again", func() bool { return idle.Cells.registrationVersion() != 0 })
 		idle.cutStore(true)
 		require.IsType(t, platform.MaybeDone{}, idle.Submit(w.ctx, spec, testQueueTerms), "the store can't be read")
--- a/services/control/starts.go
+++ b/services/control/starts.go
@@ -10,11 +10,11 @@
 	"rillsail.example/rillsail/services/dispatch"
 )
 
-// An owner whose link or processor cannot handle all the starts of its cell first does what must not be
+// An owner whose link or processor cannot handle all the starts of its cell gives priority to work that must not be
 // late: it renews its lease in the store and the leases of running work, receives reports, and sends
-// stops and throttling orders. Starts get the remaining capacity. Their number in flight is limited to
-// what workers answer in time. The core keeps starts until they are sent, so that the most urgent one
-// goes next and none expires on the way. Last, reports become less frequent.
+// stops and throttling orders. Starts get the remaining capacity: the number of starts in flight is limited to
+// what workers answer in time. The core keeps starts until they are sent, so that the most urgent start
+// is sent next and none expires on the way. As the last measure, reports become less frequent.
 
 // Limits of the orders in flight from this daemon. They apply to all its cells together, which share its link.
 const (
@@ -48,7 +48,7 @@
 	return start && o.config.Clock.Read().Sub(decided) > maxStartAge
 }
 
-// Reports become less frequent while orders take longer than those of an owner that keeps up. The pause
+// Reports become less frequent while orders take longer than the orders of an owner that keeps up. The pause
 // between reports is reportPauseFactor times the excess over normalAnswerTime, up to maxReportPause,
 // which still delivers every end of a run well within the second that a report may wait.
 const (
--- a/services/control/state.go
+++ b/services/control/state.go
@@ -23,9 +23,9 @@
 	if layout == nil {
 		return "", platform.ErrUnavailable
 	}
-	known, further := s.queryState(ctx, id, cellsForJob(id, layout))
-	if (known == "" || known == jobs.StateQueued) && len(further) > 0 { // all running tasks may be in further cells
-		there, _ := s.queryState(ctx, id, further)
+	known, additional := s.queryState(ctx, id, cellsForJob(id, layout))
+	if (known == "" || known == jobs.StateQueued) && len(additional) > 0 { // all running tasks may be in additional cells
+		there, _ := s.queryState(ctx, id, additional)
 		known = cmp.Or(there, known)
 	}
 	if known != "" {
@@ -35,13 +35,13 @@
 }
 
 // queryState asks the owners of cells for the state of a job; the state is empty if none of them knows the job.
-// It also returns the further cells that they name.
-func (s *Service) queryState(ctx context.Context, id jobs.ID, cells []jobs.CellName) (known jobs.State, further []jobs.CellName) {
+// It also returns the additional cells that they name.
+func (s *Service) queryState(ctx context.Context, id jobs.ID, cells []jobs.CellName) (known jobs.State, additional []jobs.CellName) {
 	for _, cell := range cells {
 		answer, err := s.Cells.queryOwner(ctx, jobs.Query{Cell: cell, Jobs: []jobs.ID{id}})
 		state, ok := answer.States[id]
 		if err == nil {
-			further = append(further, answer.AdditionalCells[id]...)
+			additional = append(additional, answer.AdditionalCells[id]...)
 		}
 		switch {
 		case err != nil || !ok:
@@ -51,7 +51,7 @@
 			known = state // tasks in another cell may be running
 		}
 	}
-	return known, further
+	return known, additional
 }
 
 // storedState reads a job's state from the store.
--- a/services/control/stored_status.go
+++ b/services/control/stored_status.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// registrationChanged tells whether this daemon's own key certainly no longer has the given version.
+// registrationChanged reports whether this daemon's own key certainly no longer has the given version.
 func (s *Service) registrationChanged(ctx context.Context, registered platform.Version) bool {
 	record, err := s.config.Store.Get(ctx, daemonKey(s.config.Self))
 	s.health.record(err)
--- a/services/control/submissions.go
+++ b/services/control/submissions.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// pendingWriteState tells whether a write of this daemon may still store a job.
+// pendingWriteState describes whether a write of this daemon may still store a job.
 type pendingWriteState uint8
 
 const (
@@ -123,7 +123,7 @@
 	writeUnresolved                          // the outcome of a write is unknown
 )
 
-// pendingWrite tells whether a write may still store the job. For a write of unknown outcome it also
+// pendingWrite reports whether a write may still store the job. For a write of unknown outcome it also
 // returns the version that the write is conditioned on.
 func (s *submissions) pendingWrite(id jobs.ID) (pendingWriteState, platform.Version) {
 	s.mu.Lock()
--- a/services/control/worker_calls.go
+++ b/services/control/worker_calls.go
@@ -18,8 +18,8 @@
 // half a second more than that gets no starts.
 const maxWorkerCallTimeout = 2 * time.Second
 
-// NewWorkerCallLimit creates the adaptive timeout of calls to workers, which is never below the one in the
-// settings. That one is short: a worker counts as silent after a time without answer, and the shorter
+// NewWorkerCallLimit creates the adaptive timeout of calls to workers, which is never below the timeout in the
+// settings. The timeout in the settings is short: a worker counts as silent after a time without answer, and the shorter
 // the timeout, the more calls can be tried within that time when single calls get lost. An owner whose
 // own calls take longer than the timeout would cancel each of them and retry at once on a new connection,
 // which adds load and never ends; therefore the timeout adapts.
@@ -65,12 +65,12 @@
 // publishConnections publishes how many connections were opened and how many were closed as silent. Both
 // counts rise once when all open connections go silent, and keep rising when calls get lost.
 func (m *callMonitor) publishConnections(now idleconn.Counts) {
-	scope, givenUp := m.cells.config.Scope, now.ClosedSilent-m.lastConns.ClosedSilent
+	scope, closed := m.cells.config.Scope, now.ClosedSilent-m.lastConns.ClosedSilent
 	scope.Counter("connections_opened").Inc(now.Opened - m.lastConns.Opened)
-	scope.Counter("connections_given_up").Inc(givenUp)
+	scope.Counter("connections_given_up").Inc(closed)
 	m.lastConns = now
-	if givenUp > 0 {
-		m.closedConns.Observe(errors.Newf("%d connections closed", givenUp))
+	if closed > 0 {
+		m.closedConns.Observe(errors.Newf("%d connections closed", closed))
 		return
 	}
 	m.closedConns.Observe(nil)
--- a/services/control/worker_capacity.go
+++ b/services/control/worker_capacity.go
@@ -14,9 +14,10 @@
 	"rillsail.example/rillsail/modules/log"
 )
 
-// Cells are as large as one owner can manage, because a full cell can't use free capacity of other cells; they are
-// no larger, because an owner that can't keep up leaves workers idle. The load of an owner grows with the starts and
-// reports of its workers: 2.7 of each per second for a worker of 16 cores with tasks of one to three seconds.
+// Cells are as large as one owner can manage, because a full cell can't use free capacity of other cells. Cells are
+// not larger than that, because an owner that can't keep up leaves workers idle. The load of an owner grows with the
+// starts and reports of its workers: 2.7 of each per second for a worker of 16 cores with tasks of one to three
+// seconds.
 const (
 	// workersPerCore uses less than half of an owner's processor time: its busiest second takes 0.7 ms of it for
 	// each worker.
@@ -42,8 +43,9 @@
 // them may be lost.
 const capableDaemonsPerCell = 2
 
-// chooseCellCount returns the number of cells for a number of workers: the smallest that the settings allow and for which
-// enough daemons can own cells of that size. If there is none, the cells are as many as the daemons can share.
+// chooseCellCount returns the number of cells for a number of workers: the smallest that the settings allow and for
+// which enough daemons can own cells of that size. If there is no such number, the number of cells is the largest for
+// which there are capableDaemonsPerCell daemons for each cell, and at least the smallest that the settings allow.
 func chooseCellCount(workers, perCell int, daemons []jobs.Daemon) int {
 	least := max(1, ceilDiv(workers, perCell))
 	most := max(least, len(daemons)/capableDaemonsPerCell)
@@ -72,8 +74,8 @@
 	return ceilDiv(layout.Workers, layout.Cells)
 }
 
-// ceilDiv returns n divided by by, rounded up.
-func ceilDiv(n, by int) int { return (n + by - 1) / by }
+// ceilDiv returns the quotient of n and divisor, rounded up.
+func ceilDiv(n, divisor int) int { return (n + divisor - 1) / divisor }
 
 // countDaemons returns the number of daemons that match.
 func countDaemons(daemons []jobs.Daemon, matches func(jobs.Daemon) bool) int {
--- a/services/control/worker_restarts_test.go
+++ b/services/control/worker_restarts_test.go
@@ -18,8 +18,8 @@
 	"rillsail.example/rillsail/services/standin/grid"
 )
 
-// newSameIDWorld makes a world whose workers restart under the same IDs.
-func newSameIDWorld(t *testing.T, workers, daemons int) *testCluster {
+// newSameIDCluster makes a cluster whose workers restart under the same IDs.
+func newSameIDCluster(t *testing.T, workers, daemons int) *testCluster {
 	t.Helper()
 	return newTestClusterWithGrid(t, daemons, testSettings.WorkersPerCell, grid.Config{Workers: workers, Naming: grid.SameID, RestartDelay: workerDowntime})
 }
@@ -35,7 +35,7 @@
 // because the end numbers of its previous incarnation are acknowledged to the current one.
 func TestWorkerThatStartsAgainUnderItsIDRunsNothingTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSameIDWorld(t, 2, 1)
+		w := newSameIDCluster(t, 2, 1)
 		time.Sleep(3 * time.Second)
 		for n := range 4 {
 			w.submit(w.daemons[0], shortTasks(1+n, 12, 200*time.Millisecond))
@@ -57,11 +57,11 @@
 // TestLateAcknowledgementReachesTheNextIncarnation guards against an acknowledgement that arrives late, at the next
 // incarnation of a worker, before the first call to that incarnation: ends count as acknowledged that no owner has read.
 func TestLateAcknowledgementReachesTheNextIncarnation(t *testing.T) {
-	where := twoCellScenario.sameIDs()
-	where.forgetsAhead = true
+	in := twoCellScenario.sameIDs()
+	in.ackFutureEnds = true
 	casefile.Each(t, "testdata/restarts/*.json", func(t *testing.T, script []scriptStep) {
 		for range 20 {
-			require.Empty(t, runScript(t, script, where))
+			require.Empty(t, runScript(t, script, in))
 		}
 	})
 }
@@ -84,7 +84,7 @@
 // previous one.
 func TestWorkIsTakenUpAtOnceFromAWorkerThatStartsAgainUnderItsID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSameIDWorld(t, 4, 1)
+		w := newSameIDCluster(t, 4, 1)
 		time.Sleep(3 * time.Second)
 		spec := longRunningJob(1, maxLongRunningTasks)
 		w.submit(w.daemons[0], spec)
@@ -181,7 +181,7 @@
 	w.requireNoBreaches()
 }
 
-// allBusy tells whether each worker in the places from first up to, not including, after runs a task.
+// allBusy reports whether each worker in the places from first up to, not including, after runs a task.
 func (w *testCluster) allBusy(first, after int) bool {
 	for place := first; place < after; place++ {
 		if w.grid.RunningOn(place) == 0 {
@@ -195,7 +195,7 @@
 // breaking its connections.
 func TestNewIncarnationIsAskedWhenTheListNamesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSameIDWorld(t, 1, 1)
+		w := newSameIDCluster(t, 1, 1)
 		time.Sleep(3 * time.Second)
 		spec := longRunningJob(1, 1)
 		w.submit(w.daemons[0], spec)
@@ -240,7 +240,7 @@
 // although it crashes again at once: its tasks are lost repeatedly until their jobs fail.
 func TestWorkerThatStartsAgainAllTheTimeHarmsNoJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSameIDWorld(t, 4, 1)
+		w := newSameIDCluster(t, 4, 1)
 		time.Sleep(3 * time.Second)
 		w.submit(w.daemons[0], longRunningJob(1, 4))
 		const count = 25
--- a/services/control/write.go
+++ b/services/control/write.go
@@ -23,22 +23,22 @@
 )
 
 // writeOutcome is what all tries of a transaction together say about it. The types below are the only
-// outcomes. An error cannot express them, because the store's answer to the last try and the fate of the
+// outcomes. An error cannot express them, because the store's answer to the last try and the outcome of the
 // earlier tries are independent: an error that carried both was mistaken for a rejection of writes that
 // had been applied.
 type writeOutcome interface{ writeOutcome() }
 
 type (
-	// committed says that the transaction was applied.
+	// committed means that the transaction was applied.
 	committed struct{}
-	// conflicted says that a precondition does not hold.
+	// conflicted means that a precondition does not hold.
 	conflicted struct {
 		// maybeCommitted: the outcome of an earlier try is unknown, and it may have been applied.
 		maybeCommitted bool
 	}
-	// rejected says that the transaction was not sent, or that the store rejected its only try.
+	// rejected means that the transaction was not sent, or that the store rejected its only try.
 	rejected struct{ cause error }
-	// undetermined says that a try may have been applied, or may still be.
+	// undetermined means that a try may have been applied, or may still be.
 	undetermined struct{ cause error }
 )
 
@@ -75,7 +75,7 @@
 			}
 		}
 		if s.config.Clock.Since(start) > maxWriteTime || ctx.Err() != nil {
-			s.config.Logger.Info("outcome of a write is unknown, giving up", zap.Int("tries", tries), zap.NamedError("first", first), zap.NamedError("last", err))
+			s.config.Logger.Info("outcome of a write is unknown; not retrying it any more", zap.Int("tries", tries), zap.NamedError("first", first), zap.NamedError("last", err))
 			return undetermined{errstep.Wrap(platform.AsUnknownOutcome(first), "write", "store")}
 		}
 		sleep(ctx, writeRetryPause)
