--- a/models/config_head.go
+++ b/models/config_head.go
@@ -68,8 +68,8 @@
 type ConfigHead struct {
 	Revision Revision                  `json:"revision"`
 	Buckets  map[BucketName]BucketHash `json:"buckets"`
-	// The revisions of the most recent changes by write ID. A writer that got no answer from the store finds
-	// its write ID here if its change took effect.
+	// RecentWrites holds the revisions of the most recent changes by write ID. A writer that got no answer from
+	// the store finds its write ID here if its change took effect.
 	RecentWrites map[string]Revision `json:"writes"`
 	Retired      []RetiredBucket     `json:"retired,omitempty"`
 }
--- a/models/ids.go
+++ b/models/ids.go
@@ -72,8 +72,8 @@
 // MilliOf converts d to milliseconds and truncates fractions.
 func MilliOf(d time.Duration) Milli { return Milli(d / time.Millisecond) }
 
-// UnixMilli is a wall-clock time in milliseconds since 1970. It is only shown and
-// used for age; no decision compares the clocks of two VMs.
+// UnixMilli is a wall-clock time in milliseconds since 1970. It is only displayed
+// and used to compute ages; no decision compares the clocks of two VMs.
 type UnixMilli int64
 
 // UnixMilliOf converts t to a UnixMilli.
--- a/models/job.go
+++ b/models/job.go
@@ -86,8 +86,8 @@
 // Remaining returns the number of tasks that have not ended, including the tasks without a record.
 func (j Job) Remaining() int { return j.Tasks - j.endedTasks() }
 
-// NewTask returns a queued record for the job's task with the given index. Code that stores the record must
-// also advance the index of the job's first task without a record.
+// NewTask returns a queued record for the job's task with the given index. The caller that stores the
+// record must also advance NextIndex, the index of the job's first task without a record.
 func (j Job) NewTask(index int) Task {
 	return Task{
 		ID: JobTaskID(j.ID, index), Kind: TaskBatch, Job: j.ID, Index: index, Team: j.Team, Labels: j.Labels,
--- a/models/peer_config.go
+++ b/models/peer_config.go
@@ -35,8 +35,8 @@
 	SnapshotSequence Sequence  `json:"snapshot_at"` // sequence of the last entry that the snapshot holds
 	SlotVersions     []uint64  `json:"versions"`    // versions of the journal's ring slots
 	State            CellState `json:"state"`
-	// The encoded journal entry whose append has an unknown outcome; the next owner goes on settling it under
-	// the same write ID.
+	// PendingEntry is the encoded journal entry whose append has an unknown outcome. The next owner continues to
+	// settle the entry under the same write ID.
 	PendingEntry []byte `json:"pending,omitempty"`
 }
 
--- a/services/cell/calls.go
+++ b/services/cell/calls.go
@@ -102,19 +102,19 @@
 
 // Dump is the complete state of an owner.
 type Dump struct {
-	Cell       models.CellID                         `json:"cell"`
-	Epoch      models.Epoch                          `json:"epoch"`
-	Sequence   models.Sequence                       `json:"sequence"`
-	State      models.CellState                      `json:"state"`
-	Workers    []models.WorkerStatus                 `json:"workers"`
-	Waiting    int                                   `json:"waiting"`
-	Unsettled  bool                                  `json:"unsettled"`
-	StoreFails bool                                  `json:"store_fails"`
-	Counts     Counts                                `json:"counts"`
-	Holds      map[models.VMID]models.TaskID         `json:"holds"`
-	Throttles  map[models.VMID]map[models.TaskID]int `json:"throttles"`
-	Promised   map[models.CellID]models.Resources    `json:"promised"`
-	Decisions  []models.Decision                     `json:"decisions"`
+	Cell             models.CellID                         `json:"cell"`
+	Epoch            models.Epoch                          `json:"epoch"`
+	Sequence         models.Sequence                       `json:"sequence"`
+	State            models.CellState                      `json:"state"`
+	Workers          []models.WorkerStatus                 `json:"workers"`
+	Waiting          int                                   `json:"waiting"`
+	Unsettled        bool                                  `json:"unsettled"`
+	StoreFails       bool                                  `json:"store_fails"`
+	Counts           Counts                                `json:"counts"`
+	Holds            map[models.VMID]models.TaskID         `json:"holds"`
+	Throttles        map[models.VMID]map[models.TaskID]int `json:"throttles"`
+	OfferedResources map[models.CellID]models.Resources    `json:"promised"`
+	Decisions        []models.Decision                     `json:"decisions"`
 }
 
 func (o *Owner) dump() Dump {
@@ -122,7 +122,7 @@
 		Cell: o.config.Cell, Epoch: o.config.Epoch, Sequence: o.sequence, State: o.working.Clone(),
 		Workers: o.workerStatuses(), Waiting: o.countWaiting(), Unsettled: o.unsettled, StoreFails: o.storeFails.Load(),
 		Counts: o.counts, Holds: map[models.VMID]models.TaskID{}, Throttles: map[models.VMID]map[models.TaskID]int{},
-		Promised: maps.Clone(o.offeredResources), Decisions: o.decisions.all(),
+		OfferedResources: maps.Clone(o.offeredResources), Decisions: o.decisions.all(),
 	}
 	for vm, h := range o.holds {
 		d.Holds[vm] = h.task
--- a/services/cell/link_test.go
+++ b/services/cell/link_test.go
@@ -18,18 +18,18 @@
 type unansweringWorkers struct{ starts int }
 
 // Start implements platform.Workers.
-func (d *unansweringWorkers) Start(context.Context, string, models.StartCall) (models.StartAnswer, error) {
-	d.starts++
+func (w *unansweringWorkers) Start(context.Context, string, models.StartCall) (models.StartAnswer, error) {
+	w.starts++
 	return models.StartAnswer{}, errLost
 }
 
 // Renew implements platform.Workers.
-func (d *unansweringWorkers) Renew(context.Context, string, models.RenewCall) (models.RenewAnswer, error) {
+func (w *unansweringWorkers) Renew(context.Context, string, models.RenewCall) (models.RenewAnswer, error) {
 	return models.RenewAnswer{}, errLost
 }
 
 // Stop implements platform.Workers.
-func (d *unansweringWorkers) Stop(context.Context, string, models.StopCall) (models.StopAnswer, error) {
+func (w *unansweringWorkers) Stop(context.Context, string, models.StopCall) (models.StopAnswer, error) {
 	return models.StopAnswer{}, errLost
 }
 
--- a/services/cell/manager.go
+++ b/services/cell/manager.go
@@ -50,9 +50,9 @@
 // Manager runs the owners of the cells that rendezvous hashing assigns to this daemon. While the
 // store can't be written, it acts as caretaker of the cells assigned to it that have no owner.
 type Manager struct {
-	config ManagerConfig
-	group  conc.WaitGroup
-	nudge  chan struct{}
+	config             ManagerConfig
+	group              conc.WaitGroup
+	reconcileRequested chan struct{}
 
 	mu          sync.Mutex
 	owners      map[models.CellID]*runningOwner
@@ -82,7 +82,7 @@
 // NewManager returns a manager that owns no cells yet.
 func NewManager(c ManagerConfig) *Manager {
 	return &Manager{
-		config: c, nudge: make(chan struct{}, 1),
+		config: c, reconcileRequested: make(chan struct{}, 1),
 		owners: map[models.CellID]*runningOwner{}, takeovers: map[models.CellID]bool{},
 		epochs: map[models.CellID]models.Epoch{}, holdOffs: map[models.CellID]holdOff{},
 		caretakerOf: map[models.CellID]bool{},
@@ -107,7 +107,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-m.nudge:
+		case <-m.reconcileRequested:
 		}
 	}
 }
@@ -116,7 +116,7 @@
 // cell map.
 func (m *Manager) Nudge() {
 	select {
-	case m.nudge <- struct{}{}:
+	case m.reconcileRequested <- struct{}{}:
 	default:
 	}
 }
@@ -282,7 +282,7 @@
 	}
 }
 
-// Cells implements Peers. Of several entries for a cell, the one of the latest epoch counts.
+// Cells implements Peers. Of several entries for a cell, the entry of the latest epoch counts.
 func (m *Manager) Cells() map[models.CellID]models.CellBeat {
 	cells := map[models.CellID]models.CellBeat{}
 	for _, beat := range m.config.Members.Heartbeats() {
--- a/services/cell/owner.go
+++ b/services/cell/owner.go
@@ -147,13 +147,13 @@
 
 // Counts holds the totals of an owner since it took over its cell.
 type Counts struct {
-	Started   int64 `json:"started"`
-	Finished  int64 `json:"finished"`
-	Failed    int64 `json:"failed"`
-	Evictions int64 `json:"evictions"`
-	Throttles int64 `json:"throttles"`
-	Offers    int64 `json:"offers"`
-	Taken     int64 `json:"taken"` // offers of other cells that were placed here
+	Started        int64 `json:"started"`
+	Finished       int64 `json:"finished"`
+	Failed         int64 `json:"failed"`
+	Evictions      int64 `json:"evictions"`
+	Throttles      int64 `json:"throttles"`
+	Offers         int64 `json:"offers"`
+	OffersAccepted int64 `json:"taken"` // offers of other cells that were placed here
 }
 
 const inboxSize = 256
--- a/services/cell/pressure.go
+++ b/services/cell/pressure.go
@@ -25,7 +25,7 @@
 const relaxBelow = 0.6
 
 // maxEvictions is the number of evictions after which a batch task is only throttled, so that no
-// task is evicted endlessly.
+// task is evicted again and again without end.
 const maxEvictions = 3
 
 // processLatencies passes the latencies of a worker's report to the learner. It throttles or evicts
@@ -43,7 +43,7 @@
 	}
 	switch {
 	case worst != nil:
-		o.relieve(l, *worst, neighbours, batch, now)
+		o.mitigate(l, *worst, neighbours, batch, now)
 	case calm:
 		o.raiseShare(l, now)
 	}
@@ -95,8 +95,8 @@
 	return worst, calm
 }
 
-// relieve throttles the first batch task to yield by one step, or evicts it.
-func (o *Owner) relieve(l *link, service models.Task, neighbours []interference.Neighbour, batch []models.Task, now time.Time) {
+// mitigate throttles the first batch task in the yield order by one step, or evicts that task.
+func (o *Owner) mitigate(l *link, service models.Task, neighbours []interference.Neighbour, batch []models.Task, now time.Time) {
 	victim, ok := o.chooseVictim(service, neighbours, batch)
 	if !ok {
 		return
--- a/services/cell/queue.go
+++ b/services/cell/queue.go
@@ -25,7 +25,7 @@
 
 // admit returns the candidates of this cycle in order: services, then urgent tasks, then tasks of
 // the team that uses the smallest share of its quota, then the longest queued. A job that found
-// no place is skipped for skipTicks, so that it doesn't block the others.
+// no place is skipped for skipTicks, so that it doesn't block other jobs.
 func (o *Owner) admit() []candidate {
 	queue := o.queue()
 	if len(queue) == 0 {
@@ -121,7 +121,7 @@
 // unlimitedQuota replaces the missing CPU quota of a team when shares are compared.
 const unlimitedQuota models.MilliCPU = 1_000_000
 
-// withinQuota reports whether usage is within those limits of the quota that are set.
+// withinQuota reports whether usage is within the quota. A resource whose quota is 0 is not limited.
 func withinQuota(usage, quota models.Resources) bool {
 	return (quota.CPU == 0 || usage.CPU <= quota.CPU) &&
 		(quota.Memory == 0 || usage.Memory <= quota.Memory) &&
--- a/services/cell/random_test.go
+++ b/services/cell/random_test.go
@@ -163,7 +163,7 @@
 	case "drain":
 		m.drain(s.Worker)
 	case "cut daemon", "join":
-		m.setFaults(func(f *worldFaults) { f.cutFrom[s.Daemon] = s.What == "cut daemon" })
+		m.setFaults(func(f *worldFaults) { f.cutOff[s.Daemon] = s.What == "cut daemon" })
 	case "service":
 		m.replicas(s.Number)
 	case "wait":
@@ -175,7 +175,7 @@
 func (m *machine) handOver(daemon int, cell models.CellID) {
 	o := m.owner(cell)
 	m.mu.Lock()
-	blocked := m.faults.lateCalls[daemon] != nil || m.faults.lateCalls[o.daemon] != nil
+	blocked := m.faults.paused[daemon] != nil || m.faults.paused[o.daemon] != nil
 	m.mu.Unlock()
 	ctx, cancel := context.WithTimeout(m.ctx, 3*time.Second)
 	defer cancel()
@@ -193,7 +193,7 @@
 // tryTakeOver takes over a cell, unless the daemon is paused or the store has an outage.
 func (m *machine) tryTakeOver(daemon int, cell models.CellID) (*testOwner, error) {
 	m.mu.Lock()
-	blocked := m.faults.lateCalls[daemon] != nil || m.faults.outage
+	blocked := m.faults.paused[daemon] != nil || m.faults.outage
 	m.mu.Unlock()
 	if blocked {
 		return nil, ErrStoreUnavailable
@@ -229,21 +229,21 @@
 	fresh := testJob(models.JobID(fmt.Sprintf("job-%d", number)), s.Number+1, s.Work)
 	// The job's home is the cell that it was first submitted to.
 	answer, err := m.forward(m.owner(m.homes[known.ID]), models.ForwardCall{Submit: []models.JobSpec{known, fresh}})
-	told := forwarded{answer, err}
+	result := forwarded{answer, err}
 	m.homes[fresh.ID] = m.homes[known.ID]
-	switch told.outcomeOf(known.ID) {
-	case toldAccepted:
+	switch result.outcomeOf(known.ID) {
+	case answerAccepted:
 		m.accepted[known.ID] = true
-	case toldRefused:
+	case answerRefused:
 		m.refused[known.ID] = m.refused[known.ID] || !errors.Is(err, ErrNotOwner)
-	case toldUnknown:
+	case answerUnknown:
 	}
-	switch told.outcomeOf(fresh.ID) {
-	case toldRefused:
+	switch result.outcomeOf(fresh.ID) {
+	case answerRefused:
 		m.refused[fresh.ID] = true
 	default:
 		m.specs[fresh.ID] = fresh
-		m.accepted[fresh.ID] = told.outcomeOf(fresh.ID) == toldAccepted
+		m.accepted[fresh.ID] = result.outcomeOf(fresh.ID) == answerAccepted
 	}
 }
 
--- a/services/cell/refusal_test.go
+++ b/services/cell/refusal_test.go
@@ -19,13 +19,13 @@
 // These tests check that a refusal is about the job and not about the call that it answers: a refused
 // job will not run, whatever earlier calls with the job have done.
 
-// toldOutcome is the outcome of a job as a call's answer tells it.
-type toldOutcome string
+// answerOutcome is the outcome of a job according to the answer to a call.
+type answerOutcome string
 
 const (
-	toldAccepted toldOutcome = "accepted"
-	toldRefused  toldOutcome = "refused"
-	toldUnknown  toldOutcome = "unknown"
+	answerAccepted answerOutcome = "accepted"
+	answerRefused  answerOutcome = "refused"
+	answerUnknown  answerOutcome = "unknown"
 )
 
 type forwarded struct {
@@ -33,20 +33,20 @@
 	err    error
 }
 
-// outcomeOf returns the outcome that the answer tells of one job.
-func (f forwarded) outcomeOf(id models.JobID) toldOutcome {
+// outcomeOf returns the outcome of one job according to the answer.
+func (f forwarded) outcomeOf(id models.JobID) answerOutcome {
 	for _, job := range append(f.answer.Submitted, f.answer.Cancelled...) {
 		if job.ID == id {
-			return toldAccepted
+			return answerAccepted
 		}
 	}
 	if _, refused := f.answer.Refused[id]; refused {
-		return toldRefused
+		return answerRefused
 	}
 	if _, refused := RefusalOf(f.err); refused {
-		return toldRefused
+		return answerRefused
 	}
-	return toldUnknown
+	return answerUnknown
 }
 
 // refusalWorld returns a world with one cell, which daemon 0 owns.
@@ -101,11 +101,11 @@
 		mixed := w.startConcurrently(func() forwarded { return w.submit(o, spec, other) })
 		w.setFaults(func(f *worldFaults) { f.lostAnswers = 1 })
 		w.resume(0)
-		require.Equal(t, toldUnknown, (<-first).outcomeOf("first"))
-		require.Equal(t, toldUnknown, (<-again).outcomeOf("first"), "the job is written")
+		require.Equal(t, answerUnknown, (<-first).outcomeOf("first"))
+		require.Equal(t, answerUnknown, (<-again).outcomeOf("first"), "the job is written")
 		both := <-mixed
-		require.Equal(t, toldUnknown, both.outcomeOf("first"), "the job is written")
-		require.Equal(t, toldRefused, both.outcomeOf("other"), "no append contains the job")
+		require.Equal(t, answerUnknown, both.outcomeOf("first"), "the job is written")
+		require.Equal(t, answerRefused, both.outcomeOf("other"), "no append contains the job")
 		w.untilJob(o, "first")
 	})
 }
@@ -116,13 +116,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, o := refusalWorld(t)
 		spec, other := testJob("first", 1, 100), testJob("other", 1, 100)
-		require.Equal(t, toldAccepted, w.submit(o, spec).outcomeOf("first"))
+		require.Equal(t, answerAccepted, w.submit(o, spec).outcomeOf("first"))
 		w.setFaults(func(f *worldFaults) { f.outage = true })
-		require.Equal(t, toldRefused, w.submit(o, other).outcomeOf("other"))
-		require.Equal(t, toldAccepted, w.submit(o, spec).outcomeOf("first"), "the job is journalled")
+		require.Equal(t, answerRefused, w.submit(o, other).outcomeOf("other"))
+		require.Equal(t, answerAccepted, w.submit(o, spec).outcomeOf("first"), "the job is journalled")
 		mixed := w.submit(o, spec, other)
-		require.Equal(t, toldAccepted, mixed.outcomeOf("first"), "the job is journalled")
-		require.Equal(t, toldRefused, mixed.outcomeOf("other"))
+		require.Equal(t, answerAccepted, mixed.outcomeOf("first"), "the job is journalled")
+		require.Equal(t, answerRefused, mixed.outcomeOf("other"))
 	})
 }
 
@@ -132,12 +132,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, o := refusalWorld(t)
 		first, second := testJob("first", 1, 100), testJob("second", 1, 100)
-		require.Equal(t, toldAccepted, w.submit(o, first, second).outcomeOf("first"))
+		require.Equal(t, answerAccepted, w.submit(o, first, second).outcomeOf("first"))
 		changed := testJob("second", 2, 100)
-		require.Equal(t, toldRefused, w.submit(o, changed).outcomeOf("second"))
+		require.Equal(t, answerRefused, w.submit(o, changed).outcomeOf("second"))
 		mixed := w.submit(o, first, changed)
-		require.Equal(t, toldAccepted, mixed.outcomeOf("first"), "the job is journalled")
-		require.Equal(t, toldRefused, mixed.outcomeOf("second"))
+		require.Equal(t, answerAccepted, mixed.outcomeOf("first"), "the job is journalled")
+		require.Equal(t, answerRefused, mixed.outcomeOf("second"))
 	})
 }
 
@@ -147,14 +147,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, o := refusalWorld(t)
 		spec, open := testJob("first", 1, 100), testJob("open", 1, 100)
-		require.Equal(t, toldAccepted, w.submit(o, spec).outcomeOf("first"))
+		require.Equal(t, answerAccepted, w.submit(o, spec).outcomeOf("first"))
 		w.setFaults(func(f *worldFaults) { f.lostAnswers = 1 })
-		require.Equal(t, toldUnknown, w.submit(o, open).outcomeOf("open"))
+		require.Equal(t, answerUnknown, w.submit(o, open).outcomeOf("open"))
 		reply := make(chan models.HandoverCall, 1)
 		_, err := awaitReply(w.ctx, o.Owner, freezeMessage{reply: reply}, reply)
 		require.NoError(t, err)
-		require.Equal(t, toldAccepted, w.submit(o, spec).outcomeOf("first"), "the job is journalled")
-		require.NotEqual(t, toldRefused, w.submit(o, open).outcomeOf("open"), "the append with the job is handed over")
+		require.Equal(t, answerAccepted, w.submit(o, spec).outcomeOf("first"), "the job is journalled")
+		require.NotEqual(t, answerRefused, w.submit(o, open).outcomeOf("open"), "the append with the job is handed over")
 	})
 }
 
@@ -182,8 +182,8 @@
 		o.commit(w.ctx)
 		o.inbox <- forwardMessage{call: call, reply: again}
 		o.refusePending()
-		require.Equal(t, toldUnknown, forwardedOf(<-first).outcomeOf("first"), "the job may be written")
-		require.Equal(t, toldUnknown, forwardedOf(<-again).outcomeOf("first"), "the job may be written")
+		require.Equal(t, answerUnknown, forwardedOf(<-first).outcomeOf("first"), "the job may be written")
+		require.Equal(t, answerUnknown, forwardedOf(<-again).outcomeOf("first"), "the job may be written")
 	})
 }
 
@@ -201,7 +201,7 @@
 		o.cancelAppend()
 		o.handle(<-o.inbox)
 		o.refusePending()
-		require.Equal(t, toldUnknown, forwardedOf(<-first).outcomeOf("first"), "the job may be written")
+		require.Equal(t, answerUnknown, forwardedOf(<-first).outcomeOf("first"), "the job may be written")
 	})
 }
 
@@ -219,7 +219,7 @@
 		o.commit(w.ctx)
 		o.handle(<-o.inbox) // the answer is lost
 		w.pause(0)
-		require.Equal(t, toldUnknown, forwardedOf(<-first).outcomeOf("first"))
+		require.Equal(t, answerUnknown, forwardedOf(<-first).outcomeOf("first"))
 		for range w.settings.RingSlots + 1 {
 			_, j, err := w.newDependencies(1, worldCells[0])
 			require.NoError(t, err)
@@ -231,27 +231,27 @@
 			o.handle(<-o.inbox)
 		}
 		o.handleForward(forwardMessage{call: call, reply: again})
-		require.Equal(t, toldUnknown, forwardedOf(<-again).outcomeOf("first"), "the job was written")
+		require.Equal(t, answerUnknown, forwardedOf(<-again).outcomeOf("first"), "the job was written")
 	})
 }
 
 func forwardedOf(r forwardReply) forwarded { return forwarded{r.answer, r.err} }
 
 // TestRepeatedCancellation cancels jobs again while the store can't be written. A job whose first
-// cancellation was journalled is accepted, and one whose first answer was lost must not be refused.
+// cancellation was journalled is accepted, and a job whose first answer was lost must not be refused.
 func TestRepeatedCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, o := refusalWorld(t)
-		require.Equal(t, toldAccepted, w.submit(o, testJob("first", 1, 100_000), testJob("second", 1, 100_000)).outcomeOf("first"))
-		require.Equal(t, toldAccepted, w.cancelJob(o, "first").outcomeOf("first"))
+		require.Equal(t, answerAccepted, w.submit(o, testJob("first", 1, 100_000), testJob("second", 1, 100_000)).outcomeOf("first"))
+		require.Equal(t, answerAccepted, w.cancelJob(o, "first").outcomeOf("first"))
 		w.setFaults(func(f *worldFaults) { f.lostAnswers = 1 })
 		w.pause(0)
 		lost := w.startConcurrently(func() forwarded { return w.cancelJob(o, "second") })
 		w.resume(0)
-		require.Equal(t, toldUnknown, (<-lost).outcomeOf("second"))
+		require.Equal(t, answerUnknown, (<-lost).outcomeOf("second"))
 		w.setFaults(func(f *worldFaults) { f.outage = true })
-		require.NotEqual(t, toldRefused, w.cancelJob(o, "second").outcomeOf("second"), "the cancellation may be written")
-		require.Equal(t, toldAccepted, w.cancelJob(o, "first").outcomeOf("first"), "the cancellation is journalled")
+		require.NotEqual(t, answerRefused, w.cancelJob(o, "second").outcomeOf("second"), "the cancellation may be written")
+		require.Equal(t, answerAccepted, w.cancelJob(o, "first").outcomeOf("first"), "the cancellation is journalled")
 	})
 }
 
@@ -267,14 +267,14 @@
 		o.handleForward(forwardMessage{call: cancel, reply: cancelled})
 		o.commit(w.ctx)
 		o.handle(<-o.inbox)
-		require.Equal(t, toldAccepted, forwardedOf(<-submitted).outcomeOf("first"))
+		require.Equal(t, answerAccepted, forwardedOf(<-submitted).outcomeOf("first"))
 		require.Empty(t, cancelled, "the cancellation is not journalled yet")
 		w.advance(w.settings.Append)
 		o.commit(w.ctx)
 		o.handle(<-o.inbox)
 		answer := forwardedOf(<-cancelled)
-		require.Equal(t, toldAccepted, answer.outcomeOf("first"))
-		require.Equal(t, toldRefused, answer.outcomeOf("none"))
+		require.Equal(t, answerAccepted, answer.outcomeOf("first"))
+		require.Equal(t, answerRefused, answer.outcomeOf("none"))
 		require.Equal(t, models.JobCancelled, o.journal.State().Jobs["first"].State)
 	})
 }
--- a/services/cell/replica.go
+++ b/services/cell/replica.go
@@ -56,7 +56,8 @@
 }
 
 // reconcileServices creates and retires the replicas whose home is this cell as the configuration
-// requires. At revision 0 no configuration has been read yet, so nothing is retired for lack of one.
+// requires. At revision 0 no configuration has been read yet, and nothing is done: the empty
+// configuration would retire all replicas.
 func (o *Owner) reconcileServices() {
 	view := o.config.View()
 	if view.Revision() == 0 {
@@ -125,7 +126,7 @@
 
 // reconcileReplica ensures that one replica has a healthy task. A task that is lost, on a drained VM
 // or of an outdated size is first replaced, and retired once its replacement runs; a lost task is
-// retired as soon as its worker answers.
+// stopped as soon as its worker answers.
 func (o *Owner) reconcileReplica(service models.Service, replica int, tasks []models.Task) {
 	var healthy []models.Task
 	for _, t := range tasks {
--- a/services/cell/spill.go
+++ b/services/cell/spill.go
@@ -210,7 +210,7 @@
 	if !choice.Found {
 		return false
 	}
-	o.counts.Taken++
+	o.counts.OffersAccepted++
 	o.putTask(t)
 	o.start(candidate{task: t}, choice)
 	return true
--- a/services/cell/world_test.go
+++ b/services/cell/world_test.go
@@ -35,13 +35,13 @@
 // world is a store, a fleet and any number of owners in one process, on the clock of a synctest
 // bubble. The owners are the real ones; only the network connections are replaced.
 type world struct {
-	t      require.TestingT
-	ctx    context.Context
-	store  *kv.Service
-	fleet  *fleet.Fleet
-	view   *config.View
-	owners map[models.CellID][]*testOwner // the latest owner last
-	made   int
+	t         require.TestingT
+	ctx       context.Context
+	store     *kv.Service
+	fleet     *fleet.Fleet
+	view      *config.View
+	owners    map[models.CellID][]*testOwner // the latest owner last
+	idsIssued int
 
 	settings setting.Cell
 	learner  func() Learner
@@ -54,13 +54,13 @@
 type worldFaults struct {
 	outage       bool
 	lostAnswers  int              // number of store writes that take effect and whose answers are lost
-	lateCalls    map[int]chan any // by daemon: its calls wait until the channel is closed
+	paused       map[int]chan any // by daemon: the calls of a paused daemon wait until the channel is closed
 	repeatCalls  bool             // calls to workers are delivered twice
 	lostReplies  int              // number of answers of workers that are lost
 	lossyReplies *rand.Rand       // draws the answers of workers that are lost, 3 of 10
 	lateStarts   int              // number of calls to workers that arrive after the caller has timed out
 	lateOffers   int              // number of offers of which a second copy arrives later
-	cutFrom      map[int]bool     // daemons that can't reach any worker
+	cutOff       map[int]bool     // daemons that can't reach any worker
 }
 
 type testOwner struct {
@@ -92,7 +92,7 @@
 		settings: settings,
 		learner:  func() Learner { return interference.New(interference.Config{}) },
 		view:     viewOf(1, models.Team{Name: "office"}),
-		faults:   worldFaults{lateCalls: map[int]chan any{}, cutFrom: map[int]bool{}},
+		faults:   worldFaults{paused: map[int]chan any{}, cutOff: map[int]bool{}},
 	}
 	go f.Advance(ctx)
 	t.Cleanup(func() {
@@ -125,17 +125,17 @@
 // pause makes all calls of a daemon wait, as when its process is frozen.
 func (w *world) pause(daemon int) {
 	w.setFaults(func(f *worldFaults) {
-		if f.lateCalls[daemon] == nil {
-			f.lateCalls[daemon] = make(chan any)
+		if f.paused[daemon] == nil {
+			f.paused[daemon] = make(chan any)
 		}
 	})
 }
 
 func (w *world) resume(daemon int) {
 	w.setFaults(func(f *worldFaults) {
-		if f.lateCalls[daemon] != nil {
-			close(f.lateCalls[daemon])
-			delete(f.lateCalls, daemon)
+		if f.paused[daemon] != nil {
+			close(f.paused[daemon])
+			delete(f.paused, daemon)
 		}
 	})
 }
@@ -146,7 +146,7 @@
 	}
 	w.setFaults(func(f *worldFaults) {
 		f.outage, f.lostAnswers, f.repeatCalls, f.lostReplies, f.lateStarts, f.lateOffers = false, 0, false, 0, 0, 0
-		f.cutFrom = map[int]bool{}
+		f.cutOff = map[int]bool{}
 	})
 	for _, vm := range w.fleet.VMs().VMs {
 		_ = w.fleet.Apply(fleet.Control{VM: vm.ID, Action: fleet.ActionHeal})
@@ -157,7 +157,7 @@
 // waitWhilePaused blocks a call of a paused daemon until the daemon is resumed or ctx ends.
 func (w *world) waitWhilePaused(ctx context.Context, daemon int) error {
 	w.mu.Lock()
-	late := w.faults.lateCalls[daemon]
+	late := w.faults.paused[daemon]
 	w.mu.Unlock()
 	if late == nil {
 		return nil
@@ -202,7 +202,7 @@
 			}
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if w.faults.cutFrom[daemon] {
+			if w.faults.cutOff[daemon] {
 				return errLost
 			}
 			if after && w.faults.lossyReplies != nil && w.faults.lossyReplies.IntN(10) < 3 {
@@ -295,8 +295,8 @@
 func (w *world) newID() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.made++
-	return fmt.Sprint("id-", w.made)
+	w.idsIssued++
+	return fmt.Sprint("id-", w.idsIssued)
 }
 
 // worldPeers delivers calls to the latest owner of each cell.
--- a/services/claim/claim.go
+++ b/services/claim/claim.go
@@ -9,7 +9,7 @@
 // request only if all grant the key. The first home therefore decides between two requests
 // with the same key. A daemon that has run for less than the retention time cannot know all
 // keys, so the next daemons in the order are asked as well, until two that have run for long
-// enough have answered. If both former homes of a key were lost within the retention time, no
+// enough have answered. If both previous homes of a key were lost within the retention time, no
 // daemon knows whether the key was used, and the answer is "unknown". A daemon that leaves as
 // planned transfers its keys to their next homes.
 //
@@ -18,8 +18,8 @@
 //	claims := claim.New(claim.Config{Members: members, Client: client, Keep: 10 * time.Minute})
 //	state, ended, err := claims.Claim(ctx, key, requestID)
 //	claims.End(key, requestID, notRun)
-//	answer := claims.Serve(call)      // a call from a peer
-//	err := claims.Carry(ctx)          // planned stop
+//	answer, err := claims.Serve(call) // a call from a peer
+//	err := claims.TransferKeys(ctx)   // planned stop
 //
 // docs/design/claims.md compares this design with claims in the platform's store.
 package claim
@@ -139,7 +139,7 @@
 	return order
 }
 
-// homesLost reports whether both former homes of the key were lost within Config.Keep.
+// homesLost reports whether both previous homes of the key were lost within Config.Keep.
 func (s *Service) homesLost(key string) bool {
 	lost := s.config.Members.LostSince(s.config.Keep)
 	if len(lost) < requiredHomes {
@@ -171,7 +171,7 @@
 	return s.config.Client.Claim(ctx, m.PeerAddress, call)
 }
 
-// End tells the homes that the request has ended; if notRun is set, the key is freed.
+// End tells the homes that the request has ended; if notRun is set, the key is released.
 func (s *Service) End(key, holder string, notRun bool) {
 	action := models.ClaimComplete
 	if notRun {
@@ -198,14 +198,14 @@
 // notifyTimeout bounds the time for which a caller waits until the homes are notified of the end.
 const notifyTimeout = time.Second
 
-// notify tells homes that a claim has ended or is freed. A home that is not reached keeps the
-// key as taken, which is safe.
+// notify tells homes that the request that holds the key has ended, or that the key is released. A home
+// that is not reached keeps the key as taken, which is safe.
 func (s *Service) notify(homes []models.MemberID, action models.ClaimAction, key, holder string) {
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	call := models.ClaimCall{Action: action, Records: []models.ClaimRecord{{Key: key, Holder: holder}}}
 	for _, home := range homes {
-		_, _ = s.ask(ctx, home, call) // errors are ignored, as the doc comment explains
+		_, _ = s.ask(ctx, home, call) // a home that is not reached keeps the key as taken
 	}
 }
 
@@ -217,18 +217,18 @@
 	s.sweep(now)
 	switch call.Action {
 	case models.ClaimAcquire:
-		return s.take(call.Records[0], now)
+		return s.acquire(call.Records[0], now)
 	case models.ClaimComplete:
-		s.end(call.Records[0], now)
+		s.complete(call.Records[0], now)
 	case models.ClaimRelease:
-		s.free(call.Records[0])
+		s.release(call.Records[0])
 	case models.ClaimTransfer:
 		s.importRecords(call.Records, now)
 	}
 	return models.ClaimAnswer{State: models.ClaimGranted}, nil
 }
 
-func (s *Service) take(r models.ClaimRecord, now time.Time) (models.ClaimAnswer, error) {
+func (s *Service) acquire(r models.ClaimRecord, now time.Time) (models.ClaimAnswer, error) {
 	held, ok := s.records[r.Key]
 	if ok && held.holder != r.Holder {
 		return models.ClaimAnswer{State: models.ClaimTaken, Ended: held.ended}, nil
@@ -240,13 +240,13 @@
 	return models.ClaimAnswer{State: models.ClaimGranted}, nil
 }
 
-func (s *Service) end(r models.ClaimRecord, now time.Time) {
+func (s *Service) complete(r models.ClaimRecord, now time.Time) {
 	if held, ok := s.records[r.Key]; ok && held.holder == r.Holder {
 		s.records[r.Key] = record{holder: r.Holder, ended: true, updatedAt: now}
 	}
 }
 
-func (s *Service) free(r models.ClaimRecord) {
+func (s *Service) release(r models.ClaimRecord) {
 	if held, ok := s.records[r.Key]; ok && held.holder == r.Holder {
 		delete(s.records, r.Key)
 	}
@@ -296,7 +296,7 @@
 	for home, records := range byHome {
 		for batch := range slices.Chunk(records, models.MaxClaimRecords) {
 			_, err := s.ask(ctx, home, models.ClaimCall{Action: models.ClaimTransfer, Records: batch})
-			failures = errors.CombineErrors(failures, errstep.Wrap(err, "carry claims", string(home)))
+			failures = errors.CombineErrors(failures, errstep.Wrap(err, "transfer keys", string(home)))
 		}
 	}
 	return failures
--- a/services/claim/claim_test.go
+++ b/services/claim/claim_test.go
@@ -70,7 +70,7 @@
 }
 
 // TestOneOfTwoIsGranted claims the same keys through several daemons: only the first claim is granted,
-// until it is freed.
+// until it is released.
 func TestOneOfTwoIsGranted(t *testing.T) {
 	homes := newHomes(t, 4)
 	for i := range 50 {
--- a/services/config/apply.go
+++ b/services/config/apply.go
@@ -283,7 +283,7 @@
 		if err == nil {
 			break
 		}
-		s.config.Logger.Warn("cannot read back whether a configuration change took effect", log.Err(err)...)
+		s.config.Logger.Warn("configuration head can't be read back after a write without an answer; the outcome of the change stays unknown until a retry succeeds", log.Err(err)...)
 	}
 	return errstep.Wrap(ErrMaybeApplied, "swap configuration head", "store")
 }
--- a/services/config/config.go
+++ b/services/config/config.go
@@ -8,7 +8,7 @@
 //
 // # Usage
 //
-//	service := config.New(config.Config{Store: store, Fetch: fetch, …})
+//	service := config.New(config.Config{Store: store, FromPeers: fetch, …})
 //	manager.Loop("configuration", service.Run)
 //	view := service.View()                     // the configuration in force here
 //	result, err := service.Apply(ctx, change)  // *models.ConflictError, *RefusedError
--- a/services/entry/claim.go
+++ b/services/entry/claim.go
@@ -40,7 +40,7 @@
 }
 
 // endClaim reports the end of a request that holds its key. The key of a request that did
-// not run is freed before the caller receives the refusal.
+// not run is released before the caller receives the refusal.
 func (s *Service) endClaim(req *request, o outcome) {
 	if !req.class.Unrepeatable || req.key == "" {
 		return
--- a/services/entry/entry.go
+++ b/services/entry/entry.go
@@ -13,7 +13,7 @@
 // # Usage
 //
 //	service := entry.New(entry.Config{…})
-//	service.Sync(upstreams, peers)          // with each heartbeat and VM list
+//	service.Sync(vms, live, beats)          // with each heartbeat and VM list
 //	server := &http.Server{Handler: service}
 //	service.Drain(ctx)                      // planned stop: returns when nothing is in flight
 package entry
@@ -40,7 +40,7 @@
 	// Claim requests the right to send the request that holder names. If the key is
 	// already taken, ended reports whether the request that holds the key has ended.
 	Claim(ctx context.Context, key, holder string) (state models.ClaimState, ended bool, err error)
-	// End reports that the request that holds the key has ended; notRun frees the key.
+	// End reports that the request that holds the key has ended; notRun releases the key.
 	End(key, holder string, notRun bool)
 }
 
--- a/services/entry/grant.go
+++ b/services/entry/grant.go
@@ -97,8 +97,9 @@
 	}
 }
 
-// grantNext grants a slot to the first queue that can use one: queues whose floor is due come
-// first, then the order is by priority, then by age. It reports whether a slot was granted.
+// grantNext grants a slot to the first queue that can use a slot: queues that have earned a
+// grant by their floor come first, then the order is by priority, then by age. grantNext
+// reports whether a slot was granted.
 func (g *gate) grantNext() bool {
 	for _, q := range g.queuesInServiceOrder() {
 		w := q.waiters[0]
@@ -187,7 +188,7 @@
 	return g.picker.pick(candidates)
 }
 
-// fallbackCandidates returns every upstream that serves the class, for requests that have tried all healthy ones.
+// fallbackCandidates returns every upstream that serves the class, for requests that have tried all healthy upstreams.
 func (g *gate) fallbackCandidates(class models.Class) []*upstream {
 	var candidates []*upstream
 	for _, u := range g.sorted {
--- a/services/interference/learner.go
+++ b/services/interference/learner.go
@@ -184,10 +184,10 @@
 		return
 	}
 	var oldest pair
-	var seen time.Time
+	var oldestAt time.Time
 	for p, e := range l.pairs {
-		if seen.IsZero() || e.UpdatedAt.Before(seen) {
-			oldest, seen = p, e.UpdatedAt
+		if oldestAt.IsZero() || e.UpdatedAt.Before(oldestAt) {
+			oldest, oldestAt = p, e.UpdatedAt
 		}
 	}
 	delete(l.pairs, oldest)
@@ -215,21 +215,21 @@
 	return max(0, base.Target/base.Alone-1), true
 }
 
-// RankByImpact returns the indexes of the batch tasks beside a service, ordered by their contribution to its slowdown with the
-// largest first. A pair that was never observed counts with the initial variance.
+// RankByImpact returns the indexes of the batch tasks beside a service, ordered by their contribution to its slowdown,
+// the largest first. A pair that was never observed counts with the initial variance.
 func (l *Learner) RankByImpact(service map[string]string, batch []Neighbour) []int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	parts := make([]float64, len(batch))
+	contributions := make([]float64, len(batch))
 	order := make([]int, len(batch))
 	for i, n := range batch {
 		order[i] = i
-		parts[i] = initialVariance * n.Share
+		contributions[i] = initialVariance * n.Share
 		if e, ok := l.pairs[pair{labelKey(service), labelKey(n.Labels)}]; ok {
-			parts[i] = (e.Mean + e.Variance) * n.Share
+			contributions[i] = (e.Mean + e.Variance) * n.Share
 		}
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(parts[b], parts[a]) })
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(contributions[b], contributions[a]) })
 	return order
 }
 
--- a/services/inventory/inventory.go
+++ b/services/inventory/inventory.go
@@ -37,8 +37,8 @@
 
 // Service holds the VM list and the cell map. It is safe for concurrent use.
 type Service struct {
-	config  Config
-	trouble *log.OutageLogger
+	config    Config
+	outageLog *log.OutageLogger
 
 	mu        sync.RWMutex
 	list      models.VMList
@@ -53,9 +53,9 @@
 func New(config Config) *Service {
 	return &Service{
 		config: config, vms: map[models.VMID]models.VM{}, removedAt: map[models.VMID]time.Time{},
-		trouble: log.NewOutageLogger(log.OutageLoggerConfig{
+		outageLog: log.NewOutageLogger(log.OutageLoggerConfig{
 			Logger: config.Logger,
-			Began:  "VM list or cell map cannot be refreshed; the last known ones stay in use",
+			Began:  "VM list or cell map cannot be refreshed; the last known versions stay in use",
 			Ended:  "VM list and cell map are refreshed again",
 		}),
 	}
@@ -81,7 +81,7 @@
 	if err != nil {
 		s.config.Scope.Counter("reads_failed").Inc(1)
 	}
-	s.trouble.Observe(err)
+	s.outageLog.Observe(err)
 }
 
 // Refresh reads the list once and adds new racks to the cell map.
@@ -138,7 +138,7 @@
 
 // Listed reports whether the VM is in the list and, if it is not, since when this daemon has known that the VM is
 // missing. A VM that was never in the list counts as missing since the first read of the list.
-func (s *Service) Listed(id models.VMID) (listed bool, goneSince time.Time) {
+func (s *Service) Listed(id models.VMID) (listed bool, missingSince time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.vms[id]; ok || s.readAt.IsZero() {
--- a/services/member/live.go
+++ b/services/member/live.go
@@ -100,7 +100,7 @@
 }
 
 // OwnerOf returns the peer whose heartbeat claims ownership of the cell; if several do, the
-// one with the highest epoch.
+// peer with the highest epoch.
 func (s *Service) OwnerOf(cell models.CellID) (owner models.Member, epoch models.Epoch, ok bool) {
 	for _, beat := range s.Heartbeats() {
 		if c, owned := beat.Cells[cell]; owned && (!ok || c.Epoch > epoch) {
--- a/services/member/member.go
+++ b/services/member/member.go
@@ -10,7 +10,7 @@
 // # Usage
 //
 //	members := member.New(member.Config{Self: self, Store: store, Client: client, …})
-//	members.AddSource(func(b *models.Heartbeat) { b.Load = entry.Load() })
+//	members.AddSource(entry.FillHeartbeat)
 //	manager.Loop("members", members.Run)
 //	for _, m := range members.Live() { … }
 package member
@@ -73,7 +73,7 @@
 	return &Service{
 		config: config, self: config.Self, peers: map[models.MemberID]*peerState{}, lostAt: map[models.MemberID]time.Time{},
 		roundRequested: make(chan struct{}, 1), started: time.Now(),
-		registration: registration{trouble: log.NewOutageLogger(log.OutageLoggerConfig{
+		registration: registration{outageLog: log.NewOutageLogger(log.OutageLoggerConfig{
 			Logger: config.Logger,
 			Began:  "cannot keep the membership key in the store; heartbeats continue without it",
 			Ended:  "membership key is in the store again",
--- a/services/member/register.go
+++ b/services/member/register.go
@@ -25,10 +25,10 @@
 
 // registration is the state of this daemon's own key in the store.
 type registration struct {
-	regMu   sync.Mutex
-	lease   platform.LeaseID
-	version platform.Version
-	trouble *log.OutageLogger
+	regMu     sync.Mutex
+	lease     platform.LeaseID
+	version   platform.Version
+	outageLog *log.OutageLogger
 }
 
 func (s *Service) key() string { return Prefix + string(s.config.Self.ID) }
@@ -42,7 +42,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		s.trouble.Observe(err)
+		s.outageLog.Observe(err)
 		select {
 		case <-ctx.Done():
 			return
