--- a/models/peer.go
+++ b/models/peer.go
@@ -5,7 +5,8 @@
 
 import "github.com/cockroachdb/errors"
 
-// OfferCall offers tasks of one cell to another cell. Epoch is the epoch of the other cell that the sender knows.
+// OfferCall offers tasks of one cell to another cell. Epoch is the latest epoch
+// of the other cell that the sender knows.
 type OfferCall struct {
 	From  CellID `json:"from"`
 	To    CellID `json:"to"`
--- a/services/cell/caretaker.go
+++ b/services/cell/caretaker.go
@@ -32,7 +32,7 @@
 	defer m.mu.Unlock()
 	if !m.caretakerOf[cell] {
 		m.caretakerOf[cell] = true
-		m.config.Logger.Warn("cell has no owner and the store can't be written; this daemon renews the leases of its running tasks",
+		m.config.Logger.Warn("cell has no owner and the store can't be written; this daemon renews the leases of the cell's running tasks",
 			zap.String("cell", string(cell)))
 	}
 }
--- a/services/cell/commit.go
+++ b/services/cell/commit.go
@@ -60,8 +60,8 @@
 	return c
 }
 
-// restore marks the records of a change that was not written as dirty again. Records that have
-// been marked since keep their newer mark.
+// restore marks the records of a change as dirty again after the change was not written. Records
+// that have been marked since keep their newer mark.
 func (d dirty) restore(c models.CellChange) {
 	for _, t := range c.Tasks {
 		if _, newer := d.tasks[t.ID]; !newer {
--- a/services/cell/world_test.go
+++ b/services/cell/world_test.go
@@ -33,7 +33,7 @@
 var viewOf = config.ViewOf
 
 // world is a store, a fleet and any number of owners in one process, on the clock of a synctest
-// bubble. The owners are the real ones; only the network connections are replaced.
+// bubble. The owners are real; only the network connections are replaced.
 type world struct {
 	t         require.TestingT
 	ctx       context.Context
--- a/services/config/apply.go
+++ b/services/config/apply.go
@@ -302,7 +302,7 @@
 	return ok, nil
 }
 
-// removeWritten deletes the buckets written for a change that lost against a concurrent one. A bucket that cannot be
+// removeWritten deletes the buckets written for a change that lost against a concurrent change. A bucket that cannot be
 // deleted is harmless, because no head names it.
 func (s *Service) removeWritten(ctx context.Context, p plan) {
 	for name, hash := range p.written {
--- a/services/entry/slot.go
+++ b/services/entry/slot.go
@@ -86,7 +86,7 @@
 	}
 	if s.upstream.record(v, now) {
 		g.config.Scope.Counter("ejections").Inc(1)
-		g.config.Logger.Warn("upstream ejected after failures; afterwards it gets one request at a time until one succeeds",
+		g.config.Logger.Warn("upstream ejected after failures; after the ejection it gets one request at a time until a request succeeds",
 			zap.String("upstream", string(s.upstream.id())), zap.Duration("for", s.upstream.ejectedUntil.Sub(now)))
 	}
 	g.dispatch()
--- a/services/inventory/cells.go
+++ b/services/inventory/cells.go
@@ -84,8 +84,8 @@
 	s.config.Changed()
 }
 
-// AcceptPeerCells adopts a peer's cell map while this daemon has not read the map from the store, as during a store outage, if
-// the peer's map has more cells.
+// AcceptPeerCells adopts a peer's cell map if the peer's map has more cells and this daemon has not read the map from
+// the store, as during a store outage.
 func (s *Service) AcceptPeerCells(cells models.CellMap) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/services/journal/journal.go
+++ b/services/journal/journal.go
@@ -39,7 +39,7 @@
 	// ErrSuperseded says that another daemon has become the owner of the cell.
 	ErrSuperseded = errors.New("cell has another owner")
 	// ErrPending says that the last entry may have been written. The journal accepts no further entry until the
-	// outcome of this one is resolved.
+	// outcome of that entry is resolved.
 	ErrPending = errors.New("last append is not settled")
 	// ErrDamaged says that the journal's keys in the store contradict each other.
 	ErrDamaged = errors.New("journal is damaged")
@@ -129,8 +129,8 @@
 	return j.write(ctx, j.epoch, change)
 }
 
-// ResolvePending finds out whether the pending entry was written by writing it again; the compare-and-swap ensures that it is
-// written at most once. It does nothing when no entry is pending.
+// ResolvePending finds out whether the pending entry was written, by writing the entry again; the compare-and-swap
+// ensures that the entry is written at most once. ResolvePending does nothing when no entry is pending.
 func (j *Journal) ResolvePending(ctx context.Context) error {
 	if j.pending == nil {
 		return nil
--- a/services/member/register.go
+++ b/services/member/register.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// ensureRegistered renews the lease, or registers again if there is none or it has lapsed.
+// ensureRegistered renews the lease, or registers again if there is no lease or the lease has lapsed.
 func (s *Service) ensureRegistered(ctx context.Context) error {
 	if s.Self().Leaving {
 		return nil
--- a/services/operate/operate_test.go
+++ b/services/operate/operate_test.go
@@ -127,17 +127,17 @@
 // TestRefusalBesideCallUnderWay submits a job again while the first call with the job is in flight.
 func TestRefusalBesideCallUnderWay(t *testing.T) {
 	d := newTestDaemon(t)
-	arrived, goOn, first := make(chan bool), make(chan bool), make(chan models.JobResult, 1)
+	arrived, proceed, first := make(chan bool), make(chan bool), make(chan models.JobResult, 1)
 	d.owners.answer = func(call models.ForwardCall) (models.ForwardAnswer, error) {
 		arrived <- true
-		<-goOn
+		<-proceed
 		return acceptAll(call)
 	}
 	go func() { first <- d.submit(jobSpec("first")) }()
 	<-arrived
 	d.owners.answer = failWith(cell.ErrNotOwner)
 	require.Equal(t, models.RequestUnknown, d.submit(jobSpec("first")).Outcome, "the first call is in flight")
-	close(goOn)
+	close(proceed)
 	require.NotNil(t, (<-first).Job)
 }
 
@@ -169,7 +169,7 @@
 	require.NotEmpty(t, s.List(t.Context(), models.ForwardCall{ListJobs: true}).Missing, "an empty listing would say that nothing exists")
 }
 
-// TestCancelAfterCellsWereAdded cancels a job whose home cell was another one when the job was accepted, because cells
+// TestCancelAfterCellsWereAdded cancels a job whose home cell was another cell when the job was accepted, because cells
 // were added to the cell map since.
 func TestCancelAfterCellsWereAdded(t *testing.T) {
 	d := newTestDaemon(t)
--- a/services/platform/jobs.go
+++ b/services/platform/jobs.go
@@ -47,7 +47,8 @@
 	Revoke(ctx context.Context, lease LeaseID) error
 }
 
-// Errors of calls to job workers. Only after ErrUnknownOutcome may the worker have executed the call, or still execute it.
+// Errors of calls to job workers. Only after ErrUnknownOutcome may the worker have executed the call, or still
+// execute it.
 var (
 	// ErrIncarnationMismatch says that the worker at the address is another incarnation than the call names.
 	ErrIncarnationMismatch = errors.New("another incarnation of the worker runs at the address")
@@ -59,8 +60,8 @@
 	ErrConnectionRefused = errors.New("connection refused: no process listens at the worker's address")
 )
 
-// IncarnationMismatchError is an ErrIncarnationMismatch that identifies the incarnation found at the address. That incarnation
-// did not execute the call.
+// IncarnationMismatchError is an ErrIncarnationMismatch that identifies the incarnation found at the address. That
+// incarnation did not execute the call.
 type IncarnationMismatchError struct {
 	StartTime models.UnixMilli // start time of the incarnation found; 0 if unknown
 }
