--- a/services/cell/owner.go
+++ b/services/cell/owner.go
@@ -15,7 +15,7 @@
 // # Usage
 //
 //	manager := cell.NewManager(cell.ManagerConfig{…})
-//	graceful.Loop("cells", manager.Run)
+//	daemon.Loop("cells", manager.Run) // daemon is a *graceful.Manager
 //	answer, err := manager.Forward(ctx, models.ForwardCall{Cell: c, Submit: jobs})
 package cell
 
