--- a/services/config/apply.go
+++ b/services/config/apply.go
@@ -283,7 +283,7 @@
 		if err == nil {
 			break
 		}
-		s.config.Logger.Warn("cannot read back whether a configuration change took effect", log.Err(err)...)
+		s.config.Logger.Warn("configuration head can't be read back after a write without an answer; the outcome of the change stays unknown until a retry succeeds", log.Err(err)...)
 	}
 	return errstep.Wrap(ErrMaybeApplied, "swap configuration head", "store")
 }
@@ -302,7 +302,7 @@
 	return ok, nil
 }
 
-// removeWritten deletes the buckets written for a change that lost against a concurrent one. A bucket that cannot be
+// removeWritten deletes the buckets written for a change that lost against a concurrent change. A bucket that cannot be
 // deleted is harmless, because no head names it.
 func (s *Service) removeWritten(ctx context.Context, p plan) {
 	for name, hash := range p.written {
