--- a/cmd/rillsaild/main.go
+++ b/cmd/rillsaild/main.go
@@ -54,7 +54,7 @@
 		return err
 	}
 	if settings.CheckOnly {
-		fmt.Println("settings are good")
+		fmt.Println("settings are valid")
 		return nil
 	}
 	logger, err := log.New(log.Config{Level: settings.Daemon.LogLevel, Process: "rillsaild", ID: settings.Daemon.ID})
--- a/modules/calltime/calltime.go
+++ b/modules/calltime/calltime.go
@@ -9,10 +9,10 @@
 //
 // # Usage
 //
-//	limit := calltime.New(calltime.Config{Least: 400 * time.Millisecond, Most: 2 * time.Second})
+//	limit := calltime.New(calltime.Config{Min: 400 * time.Millisecond, Max: 2 * time.Second})
 //	ctx, cancel := context.WithTimeout(ctx, limit.Current())
 //	… // make the call
-//	limit.Note(calltime.Call{Took: time.Since(began), Answered: err == nil})
+//	limit.Record(calltime.Call{Took: time.Since(began), Answered: err == nil})
 package calltime
 
 import (
--- a/modules/clock/suspension.go
+++ b/modules/clock/suspension.go
@@ -95,7 +95,7 @@
 // TimeOfDay converts a time of this clock to a time of day.
 func (c *Clock) TimeOfDay(t time.Time) time.Time { return t.Add(-c.Suspended()) }
 
-// minSuspension tells suspensions from the time between two readings: a thread that gets no
+// minSuspension distinguishes suspensions from the time between two readings: a thread that gets no
 // processor between them makes the difference larger, and later readings without it smaller.
 const minSuspension = 20 * time.Millisecond
 
--- a/modules/graceful/graceful.go
+++ b/modules/graceful/graceful.go
@@ -10,7 +10,7 @@
 //	manager := graceful.New(graceful.Config{Logger: logger})
 //	manager.Loop("heartbeat", members.loop)
 //	manager.OnStop("drain entry", entry.Drain)
-//	err := manager.Run(ctx) // returns after ctx ends and all steps and loops are over
+//	manager.Run(ctx) // returns after ctx ends and all steps and loops are over
 package graceful
 
 import (
--- a/modules/idleconn/idleconn.go
+++ b/modules/idleconn/idleconn.go
@@ -18,7 +18,7 @@
 //	client := &http.Client{Transport: &http.Transport{DialContext: conns.Dial}}
 //	sent := time.Now()
 //	if _, err := client.Do(request); … { // there is no answer
-//		conns.Stalled(request.URL.Host, sent) // before the next call
+//		conns.OnStall(request.URL.Host, sent) // before the next call
 //	}
 package idleconn
 
--- a/modules/inflight/inflight.go
+++ b/modules/inflight/inflight.go
@@ -10,7 +10,7 @@
 //
 // # Usage
 //
-//	limit := inflight.New(inflight.Config{Least: 8, First: 64, Most: 512, Quick: 100 * time.Millisecond, Late: 200 * time.Millisecond})
+//	limit := inflight.New(inflight.Config{Min: 8, Initial: 64, Max: 512, Quick: 100 * time.Millisecond, Late: 200 * time.Millisecond})
 //	for range limit.Free() {
 //		limit.Begin()
 //		… // make a call
--- a/modules/inflight/inflight_test.go
+++ b/modules/inflight/inflight_test.go
@@ -62,7 +62,7 @@
 	require.Zero(t, limit.Free())
 }
 
-func TestTypicalForgets(t *testing.T) {
+func TestMeanLatencyExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limit := inflight.New(testConfig)
 		for range 10 {
--- a/modules/log/trouble.go
+++ b/modules/log/outage.go
@@ -28,16 +28,16 @@
 func NewOutageLogger(config OutageLoggerConfig) *OutageLogger { return &OutageLogger{config: config} }
 
 // Observe takes the result of an attempt, and logs if the operation starts or stops failing.
-func (t *OutageLogger) Observe(err error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if failing := err != nil; failing == t.failing {
+func (o *OutageLogger) Observe(err error) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if failing := err != nil; failing == o.failing {
 		return
 	}
-	t.failing = err != nil
-	if t.failing {
-		t.config.Logger.Warn(t.config.Began, Err(err)...)
+	o.failing = err != nil
+	if o.failing {
+		o.config.Logger.Warn(o.config.Began, Err(err)...)
 		return
 	}
-	t.config.Logger.Info(t.config.Ended)
+	o.config.Logger.Info(o.config.Ended)
 }
--- a/modules/log/writer_test.go
+++ b/modules/log/writer_test.go
@@ -21,17 +21,17 @@
 	written bytes.Buffer
 }
 
-func (s *blockedOutput) Write(p []byte) (int, error) {
-	<-s.unblock
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.written.Write(p)
+func (o *blockedOutput) Write(p []byte) (int, error) {
+	<-o.unblock
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.written.Write(p)
 }
 
-func (s *blockedOutput) String() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.written.String()
+func (o *blockedOutput) String() string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.written.String()
 }
 
 func TestReaderThatDoesNotReadNeverBlocks(t *testing.T) {
--- a/modules/pack/pack.go
+++ b/modules/pack/pack.go
@@ -6,7 +6,7 @@
 //
 // # Usage
 //
-//	packer := pack.New(pack.Config{Dictionary: dictionary, From: 128, Limit: 64 << 20})
+//	packer := pack.New(pack.Config{Dictionary: dictionary, MinDeflate: 128, MaxInflated: 64 << 20})
 //	data, err := packer.Pack(value)
 //	plain, err := packer.Unpack(data) // the JSON
 //
--- a/modules/setting/cell.go
+++ b/modules/setting/cell.go
@@ -14,7 +14,7 @@
 	RingSlots   int           // number of keys in a journal's ring
 	KeepJobs    int           // number of ended jobs kept for each cell
 	SettleAfter time.Duration // after an action, reports older than this are not judged
-	Policy      string        // placement beside noisy tasks
+	Policy      string        // placement policy of tasks beside services
 }
 
 func defaultCell() Cell {
@@ -32,7 +32,7 @@
 
 func (c *Cell) register(r *registry) {
 	r.duration("lease", &c.Lease, 200*time.Millisecond, time.Hour, "lease of tasks on workers")
-	r.duration("renew", &c.Renew, 20*time.Millisecond, time.Minute, "how often tasks' leases are renewed")
+	r.duration("renew", &c.Renew, 20*time.Millisecond, time.Minute, "interval at which the leases of tasks are renewed")
 	r.duration("append", &c.Append, time.Millisecond, 10*time.Second, "minimum time between two appends to a journal under load")
 	r.duration("tick", &c.Tick, 10*time.Millisecond, time.Minute, "how often an owner checks its cell without an event")
 	r.number("ring_slots", &c.RingSlots, 4, 1024, "number of keys in a journal's ring; the same at all daemons")
--- a/modules/setting/jobs.go
+++ b/modules/setting/jobs.go
@@ -35,11 +35,11 @@
 
 func (j *Jobs) register(r *registry) {
 	r.duration("owner_lease", &j.OwnerLease, time.Second, time.Minute, "lease of a cell's owner in the store")
-	r.duration("worker_lease", &j.WorkerLease, time.Second, time.Hour, "lease of the runs on a worker")
+	r.duration("worker_lease", &j.WorkerLease, time.Second, time.Hour, "lease of the runs on a worker, at least twice owner_lease and at most longest_lease")
 	r.duration("longest_lease", &j.LongestLease, time.Second, time.Hour, "longest lease that a worker grants")
 	r.duration("report_wait", &j.ReportWait, 50*time.Millisecond, 2*time.Second, "how long a worker may hold its report back until a run ends")
 	r.duration("report_pause", &j.ReportPause, 0, 2*time.Second, "pause between two reports of a worker")
-	r.duration("store_every", &j.StoreEvery, 10*time.Millisecond, 10*time.Second, "how often progress of jobs is stored")
+	r.duration("store_every", &j.StoreEvery, 10*time.Millisecond, 10*time.Second, "interval at which the progress of jobs is stored")
 	r.duration("stop_grace", &j.StopGrace, time.Second, time.Hour, "time from the order to stop until the process must have ended")
 	r.fraction("processor", &j.Processor, 0.01, 1024, "cores that this daemon may use; daemons with few cores leave cells to others")
 	r.fraction("link", &j.Link, 0, 1_000_000, "Mbit/s that this daemon may send and receive, or 0 if unknown; cells are laid out by the capacity of the daemons")
--- a/modules/setting/listen.go
+++ b/modules/setting/listen.go
@@ -41,7 +41,7 @@
 	r.address("operator", &l.Operator, "address for calls of operators")
 	r.address("peer", &l.Peer, "address for calls of the other daemons, to which it is advertised")
 	r.address("peer_advertised", &l.PeerAdvertised, "on the users' platform: address advertised to the other daemons; peer by default")
-	r.address("ready", &l.Ready, "address where the users' platform checks whether this daemon accepts callers")
+	r.address("ready", &l.Ready, "address where the users' platform checks whether this daemon accepts callers; must be given there")
 	r.address("metrics", &l.Metrics, "on the users' platform: address of metrics and the state dump")
 	r.text("operator_token", &l.OperatorToken, "token that calls of operators must carry")
 	r.text("peer_token", &l.PeerToken, "token that calls of daemons must carry; the same at all daemons")
--- a/modules/setting/member.go
+++ b/modules/setting/member.go
@@ -7,7 +7,7 @@
 
 // Member is section [member]: membership of the daemons.
 type Member struct {
-	Lease       time.Duration // of this daemon's key in the store
+	Lease       time.Duration // of this daemon's membership key in the store
 	Heartbeat   time.Duration
 	SilentAfter time.Duration // time without heartbeats after which a peer's cells are taken over
 	Sync        time.Duration // how often the members are read while no watch answers
@@ -24,7 +24,7 @@
 }
 
 func (m *Member) register(r *registry) {
-	r.duration("lease", &m.Lease, 200*time.Millisecond, 10*time.Minute, "lease of this daemon's key in the store")
+	r.duration("lease", &m.Lease, 200*time.Millisecond, 10*time.Minute, "lease of this daemon's membership key in the store")
 	r.duration("heartbeat", &m.Heartbeat, 20*time.Millisecond, time.Minute, "how often load and cells are sent to the peers")
 	r.duration("silent_after", &m.SilentAfter, 50*time.Millisecond, 10*time.Minute, "time without heartbeats after which a peer counts as lost")
 	r.duration("sync", &m.Sync, 100*time.Millisecond, 10*time.Minute, "how often the members are read while no watch answers")
--- a/modules/setting/platform.go
+++ b/modules/setting/platform.go
@@ -37,9 +37,9 @@
 
 func (p *Platform) register(r *registry) {
 	r.choice("adapter", &p.Adapter, "platform that the daemon runs on", AdapterOwn, AdapterUsers)
-	r.address("store", &p.Store, "the platform's key-value service")
-	r.address("list", &p.List, "the platform's VM list")
-	r.duration("list_every", &p.ListEvery, 50*time.Millisecond, time.Minute, "how often the VM list is read")
+	r.address("store", &p.Store, "address of the platform's key-value service, called the store")
+	r.address("list", &p.List, "address of the platform's VM list; not used on the users' platform")
+	r.duration("list_every", &p.ListEvery, 50*time.Millisecond, time.Minute, "interval between reads of the VM list")
 	r.duration("call_timeout", &p.CallTimeout, 50*time.Millisecond, time.Minute, "how long a call may go without progress: no answer, or an answer that does not continue")
 	r.duration("worker_timeout", &p.WorkerTimeout, 50*time.Millisecond, time.Minute, "minimum time that a call to a worker on the users' platform may go without progress; the limit grows while answers come late")
 	r.duration("dial_timeout", &p.DialTimeout, 10*time.Millisecond, time.Minute, "time limit for connecting to the platform")
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -43,8 +43,8 @@
 	if config.Output != nil {
 		r.flags.SetOutput(config.Output)
 	}
-	r.flags.BoolVar(&settings.CheckOnly, "check", false, "check the settings and end")
-	_ = r.flags.String("config", "", "settings file in INI")
+	r.flags.BoolVar(&settings.CheckOnly, "check", false, "check the settings and exit")
+	_ = r.flags.String("config", "", "settings file in INI format")
 	err := ff.Parse(r.flags, config.Args,
 		ff.WithEnvVarPrefix(EnvironmentPrefix),
 		ff.WithConfigFileFlag("config"),
@@ -137,7 +137,7 @@
 	case r.flags.Lookup(name) == nil:
 		err.Allowed = "unknown key; -help lists the keys"
 	case len(key.ValueWithShadows()) > 1:
-		err.Allowed = "the key stands twice"
+		err.Allowed = "the key is given more than once"
 	default:
 		return set(name, key.Value())
 	}
--- a/modules/stall/stall.go
+++ b/modules/stall/stall.go
@@ -12,7 +12,7 @@
 //	conns := idleconn.New(idleconn.Config{Dial: (&net.Dialer{}).DialContext})
 //	client := &stall.Client{
 //		HTTP: &http.Client{Transport: &http.Transport{DialContext: conns.Dial}}, Conns: conns,
-//		Limits: stall.Evenly(time.Second),
+//		Limits: stall.Uniform(time.Second),
 //	}
 //	response, err := client.Do(request)
 //	if errors.Is(err, stall.ErrStalled) { … } // reading response.Body may return it too
