--- a/services/daemon/daemon.go
+++ b/services/daemon/daemon.go
@@ -6,8 +6,8 @@
 //
 // # Usage
 //
-//	d, err := daemon.New(daemon.Config{Settings: settings, Logger: logger})
-//	err = d.Run(ctx) // until ctx ends and the planned stop is over
+//	d, err := daemon.New(daemon.Config{Settings: settings, Logger: logger, Routers: routers.For})
+//	d.Run(ctx) // until ctx ends and the planned stop is over
 package daemon
 
 import (
@@ -79,8 +79,8 @@
 	return &idGenerator{prefix: hex.EncodeToString(random[:])}, nil
 }
 
-func (m *idGenerator) newID() string {
-	return m.prefix + "-" + strconv.FormatUint(m.counter.Add(1), 36)
+func (g *idGenerator) newID() string {
+	return g.prefix + "-" + strconv.FormatUint(g.counter.Add(1), 36)
 }
 
 // New returns a daemon with open listeners.
@@ -145,8 +145,8 @@
 	d.Members.AddSource(func(b *models.Heartbeat) { b.Revision = d.Config.View().Revision() })
 }
 
-// registerLoops registers the loops and the steps of a planned stop, in order: announce it to the peers, wait for the
-// balancer and the requests in flight, hand over the cells and the claims.
+// registerLoops registers the loops, and the steps of a planned stop in order: announce the stop to the peers, wait for
+// the load balancer and the requests in flight, hand over the cells and the claims.
 func (d *Daemon) registerLoops() {
 	d.manager.Loop("inventory", d.Inventory.Run)
 	d.manager.Loop("configuration", d.Config.Run)
@@ -159,7 +159,7 @@
 	d.manager.OnStop("leave the members", d.leave)
 	d.manager.OnStop("drain the entry", d.drain)
 	d.manager.OnStop("release the cells", d.release)
-	d.manager.OnStop("carry the claims", d.Claims.TransferKeys)
+	d.manager.OnStop("transfer the claims", d.Claims.TransferKeys)
 }
 
 // Run runs the daemon until the context ends and the planned stop is complete.
--- a/services/daemon/scheduler.go
+++ b/services/daemon/scheduler.go
@@ -72,7 +72,7 @@
 	s.manager.Loop("configuration", s.control.Configurations.Run)
 	s.manager.Loop("cells", s.control.Cells.Run)
 	s.manager.Loop("metrics", s.control.Cells.RunMetrics)
-	s.manager.OnStop("ask for no more callers", s.control.BeginStop)
+	s.manager.OnStop("report not ready", s.control.BeginStop)
 	s.manager.OnStop("hand over the cells and drain the callers", s.release)
 	return s, nil
 }
@@ -87,7 +87,7 @@
 		{"callers", l.Caller, c.Callers(s.control)},
 		{"readiness", l.Ready, c.Ready(s.control.Ready)},
 		{"peers", l.Peer, listen.LimitBody(int64(l.MaxBody), s.control.Handler())},
-		{"figures", l.Metrics, s.metricsHandler()},
+		{"metrics and state", l.Metrics, s.metricsHandler()},
 	} {
 		if each.address == "" {
 			continue
@@ -122,8 +122,8 @@
 // in reserve.
 const (
 	releaseShare  = 0.6  // for handing over the cells, which waits for the store during an outage
-	drainShare    = 0.45 // for connected callers, and those that connect until the balancer has noticed the stop
-	shutdownShare = 0.2  // for requests that are still in flight then
+	drainShare    = 0.45 // for connected callers, and callers that connect before the balancer has noticed the stop
+	shutdownShare = 0.2  // for requests that are still in flight after the drain
 )
 
 // shareOf returns a share of the time for a planned stop.
--- a/services/standin/demo/demo.go
+++ b/services/standin/demo/demo.go
@@ -6,7 +6,7 @@
 //
 // # Usage
 //
-//	err := demo.Run(ctx, demo.Config{Out: os.Stdout, Next: printNext})
+//	err := demo.Run(ctx, demo.Config{Out: os.Stdout, PrintNextSteps: printNext, Routers: routers.For})
 package demo
 
 import (
--- a/services/standin/fleet/fleet.go
+++ b/services/standin/fleet/fleet.go
@@ -220,8 +220,8 @@
 	}
 }
 
-// sizeFactor is by how much a task's true size and run time differ from what was
-// declared; it is the same for all tasks of a job.
+// sizeFactor returns the ratio of a task's actual size and run time to the declared ones; it is the same for all tasks
+// of a job.
 func (f *Fleet) sizeFactor(call models.StartCall) float64 {
 	if f.config.SizeError == 0 {
 		return 1
--- a/services/standin/grid/faults.go
+++ b/services/standin/grid/faults.go
@@ -61,24 +61,24 @@
 func (g *Grid) SetListed(place int, listed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.unlisted[g.slots[place]] = !listed
-	g.noteChange(g.slots[place])
+	g.unlisted[g.idsByPlace[place]] = !listed
+	g.noteChange(g.idsByPlace[place])
 }
 
 // Drain marks the worker in a place as draining, to leave after the remaining time.
 func (g *Grid) Drain(place int, remaining time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.draining[g.slots[place]] = time.Now().Add(remaining)
-	g.noteChange(g.slots[place])
+	g.draining[g.idsByPlace[place]] = time.Now().Add(remaining)
+	g.noteChange(g.idsByPlace[place])
 }
 
 // StopDraining marks the worker in a place as no longer draining.
 func (g *Grid) StopDraining(place int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.draining, g.slots[place])
-	g.noteChange(g.slots[place])
+	delete(g.draining, g.idsByPlace[place])
+	g.noteChange(g.idsByPlace[place])
 }
 
 // Crash ends the worker in a place with all its runs and starts another incarnation at its address at once.
@@ -138,9 +138,9 @@
 
 // replace starts another incarnation at the address of a worker that has ended.
 func (g *Grid) replace(w *incarnation) {
-	g.slots[w.place] = g.boot(w.place)
+	g.idsByPlace[w.place] = g.boot(w.place)
 	g.noteChange(w.info.ID)
-	g.noteChange(g.slots[w.place])
+	g.noteChange(g.idsByPlace[w.place])
 }
 
 // staleEntryLifetime is how long the entry of a crashed worker stays in the list: three of its heartbeats, as on
--- a/services/standin/grid/grid.go
+++ b/services/standin/grid/grid.go
@@ -82,7 +82,7 @@
 	config       Config
 	mu           sync.Mutex
 	workers      map[jobs.WorkerID]*incarnation
-	slots        []jobs.WorkerID // the incarnation in each place
+	idsByPlace   []jobs.WorkerID // ids of the latest incarnations, by place
 	incarnations int             // started so far
 	begin        time.Time
 	audit        *audit
@@ -130,7 +130,7 @@
 		changed: make(chan struct{}),
 	}
 	for n := range config.Workers {
-		g.slots = append(g.slots, g.boot(n))
+		g.idsByPlace = append(g.idsByPlace, g.boot(n))
 	}
 	return g
 }
@@ -166,18 +166,18 @@
 
 // reportedStartTime returns the start time that an incarnation which starts now reports; no two are equal.
 func (g *Grid) reportedStartTime(now time.Time) models.UnixMilli {
-	step := startTimeOffsets[g.incarnations%len(startTimeOffsets)]
-	return models.UnixMilliOf(now.Add(step)) + models.UnixMilli(g.incarnations)
+	offset := startTimeOffsets[g.incarnations%len(startTimeOffsets)]
+	return models.UnixMilliOf(now.Add(offset)) + models.UnixMilli(g.incarnations)
 }
 
 // incarnationAt returns the incarnation in a place, whether it is up or has ended.
-func (g *Grid) incarnationAt(place int) *incarnation { return g.workers[g.slots[place]] }
+func (g *Grid) incarnationAt(place int) *incarnation { return g.workers[g.idsByPlace[place]] }
 
 // IDs returns the ids of the workers that are up, by place.
 func (g *Grid) IDs() []jobs.WorkerID {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return slices.Clone(g.slots)
+	return slices.Clone(g.idsByPlace)
 }
 
 // Worker returns the description of the incarnation in a place, whether it is up or has ended.
--- a/services/standin/grid/list.go
+++ b/services/standin/grid/list.go
@@ -20,13 +20,13 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var list []jobs.Worker
-	for _, id := range g.slots {
+	for _, id := range g.idsByPlace {
 		if worker, listed := g.listed(id); listed {
 			list = append(list, worker)
 		}
 	}
 	for id := range g.staleEntries {
-		if !slices.Contains(g.slots, id) {
+		if !slices.Contains(g.idsByPlace, id) {
 			list = append(list, g.workers[id].info)
 		}
 	}
@@ -64,7 +64,7 @@
 		worker.Draining = true
 		worker.Remaining = max(0, time.Until(leaves))
 	}
-	return worker, !g.unlisted[id] && (slices.Contains(g.slots, id) || g.staleEntries[id])
+	return worker, !g.unlisted[id] && (slices.Contains(g.idsByPlace, id) || g.staleEntries[id])
 }
 
 // noteChange records a change of a worker's entry and wakes the calls that wait for one.
--- a/services/standin/load/load.go
+++ b/services/standin/load/load.go
@@ -6,7 +6,7 @@
 //
 // # Usage
 //
-//	report, err := load.Run(ctx, load.Config{Targets: addresses, Rate: 200, For: time.Minute, Mix: mix})
+//	report, err := load.Run(ctx, load.Config{Targets: addresses, Rate: 200, Duration: time.Minute, Mix: mix})
 package load
 
 import (
