--- a/cmd/rillsail-soak/main.go
+++ b/cmd/rillsail-soak/main.go
@@ -55,8 +55,8 @@
 		return 0, err
 	}
 	began := time.Now()
-	for n := 0; ctx.Err() == nil && o.playsAnother(n, time.Since(began)); n++ {
-		failed, err := o.playSeed(ctx, o.Seed+uint64(n))
+	for n := 0; ctx.Err() == nil && o.hasNextSeed(n, time.Since(began)); n++ {
+		failed, err := o.runSeed(ctx, o.Seed+uint64(n))
 		if err != nil {
 			return broken, err
 		}
@@ -67,11 +67,11 @@
 	return broken, nil
 }
 
-// playsAnother reports whether another seed is run after the given number of seeds and the given time.
+// hasNextSeed reports whether another seed is run after the given number of seeds and the given time.
 // With negative minutes the command runs until it is interrupted.
-func (o *options) playsAnother(played int, elapsed time.Duration) bool {
+func (o *options) hasNextSeed(completed int, elapsed time.Duration) bool {
 	if o.minutes == 0 {
-		return played < o.seeds
+		return completed < o.seeds
 	}
 	return o.minutes < 0 || elapsed.Minutes() < o.minutes
 }
@@ -105,8 +105,8 @@
 	return o, nil
 }
 
-// playSeed runs one seed and prints its result. The run's files are removed if no guarantee was broken.
-func (o *options) playSeed(ctx context.Context, seed uint64) (failed bool, err error) {
+// runSeed runs one seed and prints its result. The run's files are removed if no guarantee was broken.
+func (o *options) runSeed(ctx context.Context, seed uint64) (failed bool, err error) {
 	config := o.Config
 	config.Seed = seed
 	config.Folder = filepath.Join(o.folder, fmt.Sprintf("seed-%d", seed))
@@ -131,9 +131,9 @@
 	for _, n := range report.Faults {
 		faults += n
 	}
-	fmt.Printf("seed %d: %d faults, jobs %v, %d written without answer, %d said not to be there, %d answers of %d, %d starts with checkpoints, %d behind by %s, %d broken, %s\n",
+	fmt.Printf("seed %d: %d faults, jobs %v, %d writes of jobs not answered, %d cancellations answered with no such job, %d of %d queries answered, %d starts from checkpoints, %d starts behind the reported work by %s, %d breaches, %s\n",
 		report.Seed, faults, report.Jobs, report.LostAnswers, report.NotFoundCancels, report.Queries-report.UnansweredQueries, report.Queries,
-		report.StartsWithCheckpoint, report.StartsBehind, report.WorkRedone.Round(time.Millisecond), len(report.Breaches), report.Duration.Round(time.Millisecond))
+		report.StartsFromCheckpoint, report.StartsBehind, report.WorkRedone.Round(time.Millisecond), len(report.Breaches), report.Duration.Round(time.Millisecond))
 	for _, b := range report.Breaches {
 		fmt.Printf("  %s %s: %s\n", b.At.Round(time.Millisecond), b.SeenBy, b.What)
 	}
--- a/cmd/rillsail-standin/demo.go
+++ b/cmd/rillsail-standin/demo.go
@@ -18,9 +18,9 @@
 
 func demoCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("demo", flag.ExitOnError)
-	once := flags.Bool("once", false, "end when the main job has been shown")
+	once := flags.Bool("once", false, "exit after the demonstration instead of running on")
 	return &ffcli.Command{
-		Name: "demo", ShortHelp: "run store, fleet and three daemons in one process and show the main job", FlagSet: flags,
+		Name: "demo", ShortHelp: "run store, fleet and three daemons in one process and show their main functions", FlagSet: flags,
 		Exec: func(ctx context.Context, _ []string) error {
 			return demo.Run(ctx, demo.Config{Out: os.Stdout, Once: *once, PrintNextSteps: printNext, Routers: routers.For})
 		},
--- a/cmd/rillsail/change.go
+++ b/cmd/rillsail/change.go
@@ -22,8 +22,8 @@
 		Name: "config", ShortUsage: "rillsail config <get|apply|diff|delete>", ShortHelp: "the configuration in force",
 		Subcommands: []*ffcli.Command{
 			t.noArgCommand("get", "print the configuration in force", t.getConfig),
-			t.fileCommand("apply", "put a change in force", func(ctx context.Context, file string) error { return t.applyFile(ctx, file, false) }),
-			t.fileCommand("diff", "say what a change would do", func(ctx context.Context, file string) error { return t.applyFile(ctx, file, true) }),
+			t.fileCommand("apply", "apply a change", func(ctx context.Context, file string) error { return t.applyFile(ctx, file, false) }),
+			t.fileCommand("diff", "show what a change would do, without applying it", func(ctx context.Context, file string) error { return t.applyFile(ctx, file, true) }),
 			t.oneArgCommand("delete", "<kind/[team/]name>", "delete one object", t.deleteObject),
 		},
 		Exec: func(context.Context, []string) error { return flag.ErrHelp },
--- a/cmd/rillsail/jobs.go
+++ b/cmd/rillsail/jobs.go
@@ -23,7 +23,7 @@
 		Name: "jobs", ShortUsage: "rillsail jobs [list|submit|cancel]", ShortHelp: "batch jobs",
 		Subcommands: []*ffcli.Command{
 			t.noArgCommand("list", "list the jobs of all cells", t.listJobs),
-			t.fileCommand("submit", "submit jobs; the same id is taken only once", t.submit),
+			t.fileCommand("submit", "submit jobs; each id is accepted only once", t.submit),
 			{
 				Name: "cancel", ShortUsage: "rillsail jobs cancel <job> ...", ShortHelp: "cancel jobs",
 				Exec: t.cancel,
--- a/cmd/rillsail/main.go
+++ b/cmd/rillsail/main.go
@@ -86,7 +86,7 @@
 	return []*ffcli.Command{
 		t.noArgCommand("status", "daemons, cells and upstreams", t.status),
 		t.noArgCommand("cells", "cells with their owners", t.cells),
-		t.noArgCommand("workers", "workers with what is committed there", t.workers),
+		t.noArgCommand("workers", "workers with their committed resources", t.workers),
 		t.noArgCommand("services", "services with their replicas", t.services),
 		t.noArgCommand("tasks", "tasks of all cells", t.tasks),
 		t.noArgCommand("dump", "whole state of the asked daemon, as JSON", t.dump),
--- a/tests/integration/config_faults_test.go
+++ b/tests/integration/config_faults_test.go
@@ -87,7 +87,7 @@
 // seconds and never revert.
 func TestConfigurationOutlivesOutage(t *testing.T) {
 	c := newCluster(t, clusterConfig{daemons: 3, fleetFlags: smallFleet})
-	// The store is gone for all but the daemon that accepts: the peers have it from there.
+	// The outage begins when only the accepting daemon is sure to have the change: its peers get it from there.
 	fourth := c.startDaemon(3, nil)
 	c.daemons = append(c.daemons, fourth)
 	eventually(t, "the fourth daemon knows all members", func() bool {
--- a/tests/integration/measure_test.go
+++ b/tests/integration/measure_test.go
@@ -76,8 +76,8 @@
 	service := testService
 	service.Replicas = s.services
 	c.apply(c.daemons[0], testTeam, service)
-	filling := batchJob("filling", s.batch, 3_600_000)
-	c.submit(c.daemons[0], filling)
+	filler := batchJob("filling", s.batch, 3_600_000)
+	c.submit(c.daemons[0], filler)
 	eventually(t, "all services and batch tasks run", func() bool { return c.audit().Running >= s.services+s.batch })
 	before := c.readCounters()
 	c.generateLoad(s, length)
--- a/tests/integration/soak_test.go
+++ b/tests/integration/soak_test.go
@@ -25,7 +25,7 @@
 	resumed := 0
 	for _, seed := range soakSeeds(t) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
-			resumed += playSoak(t, soak.Config{Seed: seed}).StartsWithCheckpoint
+			resumed += runSoak(t, soak.Config{Seed: seed}).StartsFromCheckpoint
 		})
 	}
 	require.NotZero(t, resumed, "starts with a checkpoint, in all runs together")
@@ -37,15 +37,15 @@
 // TestSoakOfRestarts restarts workers while they are cut off, while calls to them are carried out late, and
 // all at once, for each naming of incarnations with a start time.
 func TestSoakOfRestarts(t *testing.T) {
-	for _, naming := range []soak.Naming{soak.SameID, soak.NewIDsWithStartTime} {
+	for _, naming := range []soak.Naming{soak.SameID, soak.NewIDsAndStartTime} {
 		t.Run(string(naming), func(t *testing.T) {
-			playSoak(t, soak.Config{Seed: restartSeed, Naming: naming, Restarts: true})
+			runSoak(t, soak.Config{Seed: restartSeed, Naming: naming, Restarts: true})
 		})
 	}
 }
 
-// playSoak runs one seed and returns its report.
-func playSoak(t *testing.T, config soak.Config) *soak.Report {
+// runSoak runs one seed and returns its report.
+func runSoak(t *testing.T, config soak.Config) *soak.Report {
 	t.Helper()
 	config.Daemon, config.Folder, config.Length = programPath(t, "rillsaild"), t.TempDir(), soakLength
 	config.Daemons, config.Workers, config.WorkersPerCell, config.Rate = 3, 8, 4, 8
--- a/tests/soak/acceptances_test.go
+++ b/tests/soak/acceptances_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestRefusalBesideARequestThatIsReadLater covers what seed 502012 showed: three submissions of a job
+// TestRefusalBesideARequestThatIsReadLater covers a case found by seed 502012: three submissions of a job
 // waited at a paused daemon, which refused the last one first and accepted another 4 ms later. That is
 // no breach. Without the pause, or if the write arrived before the refusal, it is one.
 func TestRefusalBesideARequestThatIsReadLater(t *testing.T) {
--- a/tests/soak/check.go
+++ b/tests/soak/check.go
@@ -65,7 +65,7 @@
 			return
 		}
 	}
-	sleep(ctx, time.Until(r.site.storeFaults.heldUntil().Add(heldWriteStartDelay)))
+	sleep(ctx, time.Until(r.site.storeFaults.delayedUntil().Add(delayedWriteStartDelay)))
 	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	checks := pool.New().WithMaxGoroutines(maxConcurrentChecks)
@@ -117,13 +117,14 @@
 }
 
 const (
-	// heldWriteStartDelay is how long after a delayed write its job has started, once all faults are cleared.
-	heldWriteStartDelay = 1500 * time.Millisecond
+	// delayedWriteStartDelay bounds the time from the effect of a delayed write to the start of its job, once all faults are
+	// cleared.
+	delayedWriteStartDelay = 1500 * time.Millisecond
 	// maxStartAfterCancel bounds how long tasks may be started after a cancellation was answered.
 	maxStartAfterCancel = 3 * time.Second
 )
 
-// checkGuarantees checks, at the very end, that nothing has happened that daemons' answers had ruled out.
+// checkGuarantees checks, at the end of the run, that nothing has happened that daemons' answers had ruled out.
 func (r *run) checkGuarantees() {
 	for _, j := range r.record.jobs {
 		r.checkNeverRan(j)
--- a/tests/soak/plan.go
+++ b/tests/soak/plan.go
@@ -86,7 +86,7 @@
 	For    time.Duration `json:"for"` // until the fault is cleared; for a daemon, until it runs again
 	Kind   Kind          `json:"kind"`
 	Target int           `json:"target"` // number of the daemon or worker
-	// Overlapping says that a fault of the store comes over its other ones.
+	// Overlapping tells that the fault is applied in addition to other faults of its target.
 	Overlapping bool `json:"over,omitempty"`
 	// Every restricts a fault of the store to one daemon in so many, counted from Target; 0: all.
 	Every int `json:"every,omitempty"`
--- a/tests/soak/report.go
+++ b/tests/soak/report.go
@@ -31,7 +31,7 @@
 	NotFoundCancels      int             `json:"gone"`     // cancellations of jobs of unknown outcome that were answered with "no such job"
 	LostAnswers          int             `json:"lost"`     // writes of jobs that the store committed without answering
 	Duration             time.Duration   `json:"took"`     // from the first fault to the last check
-	StartsWithCheckpoint int             `json:"resumed"`  // starts with a checkpoint
+	StartsFromCheckpoint int             `json:"resumed"`  // starts with a checkpoint
 	StartsBehind         int             `json:"behind"`   // starts with less work done than a report had shown
 	WorkRedone           time.Duration   `json:"redone"`   // work that the starts behind had to redo
 	Breaches             []Breach        `json:"breaches"` // empty: all guarantees were kept
@@ -50,7 +50,7 @@
 	r.report.LateRefusals = r.record.lateRefusals
 	r.report.NotFoundCancels, r.report.LostAnswers = r.record.notFoundCancels, r.site.storeFaults.accepted.lostAnswers
 	workers := r.site.emulator.Grid
-	r.report.StartsWithCheckpoint, r.report.StartsBehind, r.report.WorkRedone = workers.StartsFromCheckpoint(), len(workers.StaleCheckpointStarts()), workers.WorkLost()
+	r.report.StartsFromCheckpoint, r.report.StartsBehind, r.report.WorkRedone = workers.StartsFromCheckpoint(), len(workers.StaleCheckpointStarts()), workers.WorkLost()
 	r.report.Duration = time.Since(r.begin)
 	r.report.Breaches = r.record.breaches
 }
--- a/tests/soak/restart.go
+++ b/tests/soak/restart.go
@@ -22,12 +22,12 @@
 	NewIDs Naming = "new"
 	// SameID keeps the id of a worker that restarts; the worker reports its start time.
 	SameID Naming = "same"
-	// NewIDsWithStartTime gives each incarnation an id of its own; the worker reports its start time.
-	NewIDsWithStartTime Naming = "born"
+	// NewIDsAndStartTime gives each incarnation an id of its own; the worker reports its start time.
+	NewIDsAndStartTime Naming = "born"
 )
 
 // gridNamings maps namings to the stand-in's values.
-var gridNamings = map[Naming]grid.Naming{"": grid.NewIDs, NewIDs: grid.NewIDs, SameID: grid.SameID, NewIDsWithStartTime: grid.NewIDsAndStartTime}
+var gridNamings = map[Naming]grid.Naming{"": grid.NewIDs, NewIDs: grid.NewIDs, SameID: grid.SameID, NewIDsAndStartTime: grid.NewIDsAndStartTime}
 
 // check rejects an unknown naming; the empty naming means NewIDs.
 func (n Naming) check() error {
--- a/tests/soak/site_test.go
+++ b/tests/soak/site_test.go
@@ -15,9 +15,9 @@
 )
 
 // TestRunThatCanNotBeginLeavesNoDaemons checks that a run ends the daemons that it has started if one of them
-// does not become ready in time, as happened on a busy machine. The site was closed only once all of it had
-// been started, so the daemons went on without their parent process. They used the addresses of a store that
-// the next run had got meanwhile, and would have taken part in that run.
+// does not become ready in time, which happened on a busy machine. The site used to be closed only if all of it had
+// been started, so the daemons continued without their parent process. The next run had got the same address for its
+// store, so they would have taken part in that run.
 func TestRunThatCanNotBeginLeavesNoDaemons(t *testing.T) {
 	folder := t.TempDir()
 	program := filepath.Join(folder, "never-ready")
--- a/tests/soak/soak.go
+++ b/tests/soak/soak.go
@@ -11,8 +11,8 @@
 //
 // The files: plan.go draws the faults, site.go and daemon.go start platform and daemons, inject.go
 // applies faults, store.go applies the store's faults, acceptances.go records the acceptances that the
-// store sees, trouble.go has workers misbehave, jobs.go draws jobs, callers.go runs callers, behaviors.go
-// draws how they behave, record.go records what they observe, configuration.go changes and checks the
+// store sees, misbehavior.go makes workers misbehave, jobs.go draws jobs, callers.go runs callers, behavior.go
+// draws how callers behave, record.go records what they observe, configuration.go changes and checks the
 // configuration, check.go and races.go check the guarantees, report.go and plot.go write the results.
 package soak
 
@@ -74,7 +74,7 @@
 		config: config, site: s, plan: plan, begin: time.Now(), record: newCallerRecord(),
 		report: &Report{Seed: config.Seed, Faults: map[Kind]int{}},
 	}
-	r.play(ctx)
+	r.execute(ctx)
 	r.finish(ctx)
 	return r.report, r.writeResults()
 }
@@ -100,8 +100,8 @@
 	report *Report
 }
 
-// play runs callers, checks and faults for the length of the run.
-func (r *run) play(ctx context.Context) {
+// execute runs callers, checks and faults for the length of the run.
+func (r *run) execute(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.config.Length)
 	defer cancel()
 	var group conc.WaitGroup
--- a/tests/soak/store.go
+++ b/tests/soak/store.go
@@ -70,10 +70,10 @@
 
 // storeFaults holds the active faults of the store. It is safe for concurrent use.
 type storeFaults struct {
-	accepted      *acceptanceLog
-	mu            sync.Mutex
-	active        []*kv.Fault // the newest first
-	lastHeldUntil time.Time   // when the last delayed write is committed
+	accepted         *acceptanceLog
+	mu               sync.Mutex
+	active           []*kv.Fault // the newest first
+	lastDelayedUntil time.Time   // when the last of the delayed writes takes effect
 }
 
 // add activates a fault in addition to the others, until remove is called.
@@ -115,18 +115,18 @@
 // delayWrite blocks a write for the given time before it takes effect.
 func (f *storeFaults) delayWrite(d time.Duration) {
 	f.mu.Lock()
-	if until := time.Now().Add(d); until.After(f.lastHeldUntil) {
-		f.lastHeldUntil = until
+	if until := time.Now().Add(d); until.After(f.lastDelayedUntil) {
+		f.lastDelayedUntil = until
 	}
 	f.mu.Unlock()
 	time.Sleep(d)
 }
 
-// heldUntil returns when the last delayed write takes effect.
-func (f *storeFaults) heldUntil() time.Time {
+// delayedUntil returns when the last of the delayed writes takes effect.
+func (f *storeFaults) delayedUntil() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lastHeldUntil
+	return f.lastDelayedUntil
 }
 
 // Parameters of the store's faults: slow answers arrive within callTimeout, late writes
