--- a/tests/integration/race_on_test.go
+++ b/tests/integration/race_on_test.go
@@ -17,6 +17,6 @@
 // TestSoakWithRaceDetector runs one seed; a data race that the detector reports in a daemon is a breach.
 func TestSoakWithRaceDetector(t *testing.T) {
 	for _, seed := range soakSeeds(t)[:1] {
-		playSoak(t, soak.Config{Seed: seed})
+		runSoak(t, soak.Config{Seed: seed})
 	}
 }
