--- a/tests/soak/jobs.go
+++ b/tests/soak/jobs.go
@@ -36,7 +36,7 @@
 	fillerWeight      = 3
 )
 
-// noCheckpointOneIn is the share of jobs whose tasks take no checkpoints: one in so many. For filler jobs
+// noCheckpointOneIn is the share of jobs whose tasks make no checkpoints: one in so many. For filler jobs
 // it is drawn instead.
 const noCheckpointOneIn = 3
 
