--- a/models/jobs/learned_parameters.go
+++ b/models/jobs/learned_parameters.go
@@ -14,11 +14,11 @@
 type LearnedParameters struct {
 	// At is when the parameters were saved, by the owner's clock.
 	At models.UnixMilli `json:"at"`
-	// Filling lists the images of filler tasks, in the order of the coefficients in Factors.
-	Filling []ImageName       `json:"filling,omitempty"`
-	Factors []ImageParameters `json:"factors,omitempty"`
-	Loads   []StepLoad        `json:"loads,omitempty"`
-	Speeds  []QueueSpeed      `json:"speeds,omitempty"`
+	// FillerImages lists the images of filler tasks, in the order of the coefficients in Factors.
+	FillerImages []ImageName       `json:"filling,omitempty"`
+	Factors      []ImageParameters `json:"factors,omitempty"`
+	Loads        []StepLoad        `json:"loads,omitempty"`
+	Speeds       []QueueSpeed      `json:"speeds,omitempty"`
 }
 
 // ImageParameters holds the interference factors of all filler images on one serving image.
@@ -58,8 +58,8 @@
 // Check rejects parameters whose dimensions don't match, and sums, variances or weights out of range.
 func (p LearnedParameters) Check() error {
 	for _, f := range p.Factors {
-		if len(f.Mean) != len(p.Filling) || len(f.Covariance) != len(p.Filling)*len(p.Filling) {
-			return errors.Newf("interference factors of %s do not match the %d filler images", f.Serving, len(p.Filling))
+		if len(f.Mean) != len(p.FillerImages) || len(f.Covariance) != len(p.FillerImages)*len(p.FillerImages) {
+			return errors.Newf("interference factors of %s do not match the %d filler images", f.Serving, len(p.FillerImages))
 		}
 		if !(f.IdleTail > 0) || !(f.TargetRatioSum > 0) || !(f.ObservedSeconds > 0) {
 			return errors.Newf("interference factors of %s: idle tail or one of its sums is not positive", f.Serving)
--- a/models/jobs/query.go
+++ b/models/jobs/query.go
@@ -60,7 +60,7 @@
 func (a Answer) Check() error {
 	for _, l := range a.Learned {
 		if !(l.IdleTail > 0) {
-			return errors.Newf("factor of %s beside %s has no unit", l.Filling, l.Serving)
+			return errors.Newf("factor of %s beside %s has no unit", l.Filler, l.Serving)
 		}
 	}
 	return nil
@@ -69,7 +69,7 @@
 // LearnedFactor is the estimated interference factor of a pair of images.
 type LearnedFactor struct {
 	Serving ImageName `json:"serving"`
-	Filling ImageName `json:"filling"`
+	Filler  ImageName `json:"filling"`
 	// Factor is the load that the filler image adds to the serving image when it uses a whole worker.
 	Factor float64 `json:"factor"`
 	// StdDev is the standard deviation of the factor.
--- a/services/cell/handover.go
+++ b/services/cell/handover.go
@@ -49,7 +49,7 @@
 	deadline := time.Now().Add(wait)
 	for m.peersCanTakeOver() && time.Now().Before(deadline) {
 		m.removeSuperseded()
-		clock.Sleep(ctx, m.config.Every/4)
+		clock.Sleep(ctx, m.config.ReconcileInterval/4)
 	}
 	for _, cell := range m.OwnedCells() {
 		m.handOver(ctx, cell)
--- a/services/cell/manager.go
+++ b/services/cell/manager.go
@@ -31,20 +31,20 @@
 
 // ManagerConfig holds the settings and dependencies of a manager.
 type ManagerConfig struct {
-	Self      models.MemberID
-	Settings  setting.Cell
-	Every     time.Duration // interval between two checks of the ownership of all cells
-	HoldOff   time.Duration // delay before a lost cell is taken back; doubles with each loss
-	Store     platform.Store
-	Workers   platform.Workers
-	Inventory *inventory.Service
-	View      func() *config.View
-	Members   *member.Service
-	Client    *peer.Client
-	Learner   *interference.Learner
-	Logger    *zap.Logger
-	Scope     tally.Scope
-	NewID     func() string
+	Self              models.MemberID
+	Settings          setting.Cell
+	ReconcileInterval time.Duration // interval between two checks of the ownership of all cells
+	HoldOff           time.Duration // delay before a lost cell is taken back; doubles with each loss
+	Store             platform.Store
+	Workers           platform.Workers
+	Inventory         *inventory.Service
+	View              func() *config.View
+	Members           *member.Service
+	Client            *peer.Client
+	Learner           *interference.Learner
+	Logger            *zap.Logger
+	Scope             tally.Scope
+	NewID             func() string
 }
 
 // Manager runs the owners of the cells that rendezvous hashing assigns to this daemon. While the
@@ -99,7 +99,7 @@
 }
 
 func (m *Manager) loop(ctx context.Context) {
-	ticker := time.NewTicker(m.config.Every)
+	ticker := time.NewTicker(m.config.ReconcileInterval)
 	defer ticker.Stop()
 	for {
 		m.reconcile(ctx)
@@ -112,9 +112,9 @@
 	}
 }
 
-// Nudge requests an immediate reconciliation after a change of the members, the VM list or the
+// RequestReconcile requests an immediate reconciliation after a change of the members, the VM list or the
 // cell map.
-func (m *Manager) Nudge() {
+func (m *Manager) RequestReconcile() {
 	select {
 	case m.reconcileRequested <- struct{}{}:
 	default:
--- a/services/contention/idle_tail.go
+++ b/services/contention/idle_tail.go
@@ -65,8 +65,8 @@
 // TargetLoad returns the load at which the service's tail reaches its target.
 func (s *Service) TargetLoad() float64 { return s.idle.targetLoad() }
 
-// LoadOf returns the load that corresponds to a tail.
-func (s *Service) LoadOf(tail, target int) float64 { return s.idle.loadFromTail(tail, target) }
+// LoadFromTail returns the load that corresponds to a tail.
+func (s *Service) LoadFromTail(tail, target int) float64 { return s.idle.loadFromTail(tail, target) }
 
 // ObserveAlone adds a tail observed without filler tasks beside, with a weight in seconds. If the unit of the
 // service's loads changes, scale is the factor by which the distances of all loads below 1 change, and the caller
--- a/services/contention/learned_parameters.go
+++ b/services/contention/learned_parameters.go
@@ -17,9 +17,9 @@
 
 // LearnedParameters returns the learned parameters of the images; the caller adds the time, the loads and the speeds.
 func (m *Model) LearnedParameters() jobs.LearnedParameters {
-	learned := jobs.LearnedParameters{Filling: m.images()}
+	learned := jobs.LearnedParameters{FillerImages: m.images()}
 	for serving, s := range m.services {
-		s.grow(len(learned.Filling))
+		s.grow(len(learned.FillerImages))
 		known := jobs.ImageParameters{
 			Serving: serving, Observations: s.observations, IdleTail: s.idle.fraction, TargetRatioSum: s.idle.targetRatioSum, ObservedSeconds: s.idle.observedSeconds,
 		}
@@ -40,10 +40,10 @@
 
 // Restore loads the parameters that a previous owner saved, given their age in seconds.
 func (m *Model) Restore(learned jobs.LearnedParameters, passed float64) {
-	for _, image := range learned.Filling {
+	for _, image := range learned.FillerImages {
 		m.Index(image)
 	}
-	n := len(learned.Filling)
+	n := len(learned.FillerImages)
 	for _, known := range learned.Factors {
 		s := m.Service(known.Serving)
 		s.observations = known.Observations
--- a/services/contention/load.go
+++ b/services/contention/load.go
@@ -139,8 +139,8 @@
 	return load
 }
 
-// LoadOf restores an estimate from its summary and its time.
-func LoadOf(summary jobs.StepLoad, at time.Time) BaselineLoad {
+// LoadFromTail restores an estimate from its summary and its time.
+func RestoreBaselineLoad(summary jobs.StepLoad, at time.Time) BaselineLoad {
 	var l BaselineLoad
 	l.reset(at)
 	for i := range l.filters {
--- a/services/contention/sharing.go
+++ b/services/contention/sharing.go
@@ -16,12 +16,12 @@
 	for serving, service := range m.services {
 		for filling, i := range m.index {
 			if i < len(service.mean) {
-				list = append(list, jobs.LearnedFactor{Serving: serving, Filling: filling, Factor: max(0, service.mean[i]), StdDev: service.stdDev(i), IdleTail: service.idle.fraction, Observations: service.observations})
+				list = append(list, jobs.LearnedFactor{Serving: serving, Filler: filling, Factor: max(0, service.mean[i]), StdDev: service.stdDev(i), IdleTail: service.idle.fraction, Observations: service.observations})
 			}
 		}
 	}
 	slices.SortFunc(list, func(a, b jobs.LearnedFactor) int {
-		return cmp.Or(cmp.Compare(a.Serving, b.Serving), cmp.Compare(a.Filling, b.Filling))
+		return cmp.Or(cmp.Compare(a.Serving, b.Serving), cmp.Compare(a.Filler, b.Filler))
 	})
 	return list
 }
@@ -31,7 +31,7 @@
 	m.remote[cell] = learned
 	for _, l := range learned {
 		m.Service(l.Serving)
-		m.Index(l.Filling)
+		m.Index(l.Filler)
 	}
 	m.combine()
 }
@@ -53,7 +53,7 @@
 		for _, l := range learned {
 			scale := m.services[l.Serving].idle.fraction / l.IdleTail
 			precision := 1 / max(l.StdDev*l.StdDev*scale*scale, minFactorVariance)
-			s := &sums[l.Serving][m.index[l.Filling]]
+			s := &sums[l.Serving][m.index[l.Filler]]
 			s.weighted += l.Factor * scale * precision
 			s.weights += precision
 		}
--- a/services/control/learned_parameters_test.go
+++ b/services/control/learned_parameters_test.go
@@ -29,7 +29,7 @@
 // learnedFactor returns what the owner at a daemon has learned about the only pair of images.
 func learnedFactor(d *testDaemon) (learned jobs.LearnedFactor, ok bool) {
 	for _, l := range d.Cells.Answer(jobs.Query{Cell: cellName(0), Learned: true}).Learned {
-		if l.Serving == "serving" && l.Filling == "filling" {
+		if l.Serving == "serving" && l.Filler == "filling" {
 			return l, true
 		}
 	}
--- a/services/control/move.go
+++ b/services/control/move.go
@@ -229,9 +229,9 @@
 // receivingRecord returns the record of the target cell after the move.
 func (r moveRecords) receivingRecord(m *move, from jobs.CellName) jobs.Record {
 	here, there := r[from], r[m.To]
-	received := here.NewPart(m.Tasks, m.LeastRun)
+	received := here.NewPart(m.Tasks, m.HighestRun)
 	if there.Version != 0 {
-		received = there.WithTasks(m.Tasks, m.LeastRun)
+		received = there.WithTasks(m.Tasks, m.HighestRun)
 	}
 	received.Suspected = received.Suspected.MergedWith(m.Suspected)
 	return received
--- a/services/control/peers_test.go
+++ b/services/control/peers_test.go
@@ -39,7 +39,7 @@
 		owner := &stubOwner{}
 		for i := range 20_000 {
 			owner.learned = append(owner.learned, jobs.LearnedFactor{
-				Serving: jobs.ImageName(fmt.Sprintf("serving-%d", i)), Filling: jobs.ImageName(fmt.Sprintf("filling-%d", i)),
+				Serving: jobs.ImageName(fmt.Sprintf("serving-%d", i)), Filler: jobs.ImageName(fmt.Sprintf("filling-%d", i)),
 				Factor: draw.Float64(), StdDev: draw.Float64(), IdleTail: draw.Float64() + 1, Observations: draw.IntN(1000),
 			})
 		}
--- a/services/daemon/daemon.go
+++ b/services/daemon/daemon.go
@@ -115,7 +115,7 @@
 	d.client = peer.New(peer.Config{Self: self.ID, Token: s.Listen.PeerToken, Timeout: s.Platform.CallTimeout})
 	d.Members = member.New(member.Config{
 		Self: self, Store: store, Client: d.client, Logger: d.Logger, Scope: scope.SubScope("member"),
-		Lease: s.Member.Lease, Heartbeat: s.Member.Heartbeat, SilentAfter: s.Member.SilentAfter, Sync: s.Member.Sync,
+		Lease: s.Member.Lease, Heartbeat: s.Member.Heartbeat, SilentAfter: s.Member.SilentAfter, MaxRelistDelay: s.Member.Sync,
 		Seeds: s.Member.Seeds,
 	})
 	d.Inventory = inventory.New(inventory.Config{
@@ -127,7 +127,7 @@
 		FromPeers: d.configFromPeers, Accepted: d.configAccepted, VMs: d.Inventory.VMs, NewID: ids.newID,
 	})
 	d.Cells = cell.NewManager(cell.ManagerConfig{
-		Self: self.ID, Settings: s.Cell, Every: s.Member.Heartbeat, HoldOff: s.Member.SilentAfter, Store: store,
+		Self: self.ID, Settings: s.Cell, ReconcileInterval: s.Member.Heartbeat, HoldOff: s.Member.SilentAfter, Store: store,
 		Workers:   platform.NewHTTPWorkers(platform.HTTPConfig{CallTimeout: s.Platform.CallTimeout}),
 		Inventory: d.Inventory, View: d.Config.View, Members: d.Members, Client: d.client, Learner: d.Learner,
 		Logger: d.Logger, Scope: scope.SubScope("cell"), NewID: ids.newID,
@@ -217,7 +217,7 @@
 
 func (d *Daemon) inventoryChanged() {
 	d.syncEntry()
-	d.Cells.Nudge()
+	d.Cells.RequestReconcile()
 }
 
 func (d *Daemon) configAccepted(*config.View) {
--- a/services/dispatch/bench_test.go
+++ b/services/dispatch/bench_test.go
@@ -94,7 +94,7 @@
 
 // setInterference makes the core certain of the interference factor of a filler image on the serving image.
 func (b *bench) setInterference(filling jobs.ImageName, factor float64) {
-	b.Core.model.Restore(jobs.LearnedParameters{Filling: []jobs.ImageName{filling}, Factors: []jobs.ImageParameters{{
+	b.Core.model.Restore(jobs.LearnedParameters{FillerImages: []jobs.ImageName{filling}, Factors: []jobs.ImageParameters{{
 		Serving: servingStep.Image, IdleTail: 0.2, TargetRatioSum: 1000, ObservedSeconds: 1000 * 0.2 / 0.55, Mean: []float64{factor}, Covariance: []float64{0},
 	}}}, 0)
 }
--- a/services/dispatch/checkpoint_test.go
+++ b/services/dispatch/checkpoint_test.go
@@ -95,7 +95,7 @@
 
 	there := newBench(t, 1)
 	there.config.Epoch = previous.config.Epoch - 2
-	there.AddJob(record.NewPart(move.Tasks, move.LeastRun), jobs.Progress{}, true, there.now)
+	there.AddJob(record.NewPart(move.Tasks, move.HighestRun), jobs.Progress{}, true, there.now)
 	there.report(0, jobs.Report{})
 	require.Greater(t, there.starts()[0].Call.Run, assigned)
 }
--- a/services/dispatch/learn.go
+++ b/services/dispatch/learn.go
@@ -41,7 +41,7 @@
 	if started {
 		c.learnUnit(w, t, service, now)
 	}
-	load := service.LoadOf(t.figure, int(t.step.spec.Target))
+	load := service.LoadFromTail(t.figure, int(t.step.spec.Target))
 	t.recordLoad(load)
 	w.maxLoad = max(w.maxLoad, load)
 	w.maxExcess = max(w.maxExcess, load-service.TargetLoad())
--- a/services/dispatch/learned_parameters.go
+++ b/services/dispatch/learned_parameters.go
@@ -70,7 +70,7 @@
 func (c *Core) RestoreParameters(k jobs.LearnedParameters, now time.Time) {
 	c.model.Restore(k, max(0, now.Sub(c.timeAt(k.At, now)).Seconds()))
 	for _, l := range k.Loads {
-		c.restoredLoads[stepKey{l.Job, l.Number}] = contention.LoadOf(l, c.timeAt(l.At, now))
+		c.restoredLoads[stepKey{l.Job, l.Number}] = contention.RestoreBaselineLoad(l, c.timeAt(l.At, now))
 	}
 	for _, s := range k.Speeds {
 		c.queueSpeeds[s.Queue] = &speed{mean: s.Mean, samples: s.Samples}
--- a/services/dispatch/learned_parameters_test.go
+++ b/services/dispatch/learned_parameters_test.go
@@ -97,8 +97,8 @@
 
 func TestKnowledgeThatDoesNotFitTogetherIsRejected(t *testing.T) {
 	for name, parameters := range map[string]jobs.LearnedParameters{
-		"a factor too few":    {Filling: []jobs.ImageName{"a"}, Factors: []jobs.ImageParameters{{Serving: "s", IdleTail: 0.2, TargetRatioSum: 1, ObservedSeconds: 1}}},
-		"a negative variance": {Filling: []jobs.ImageName{"a"}, Factors: []jobs.ImageParameters{{Serving: "s", IdleTail: 0.2, TargetRatioSum: 1, ObservedSeconds: 1, Mean: []float64{1}, Covariance: []float64{-1}}}},
+		"a factor too few":    {FillerImages: []jobs.ImageName{"a"}, Factors: []jobs.ImageParameters{{Serving: "s", IdleTail: 0.2, TargetRatioSum: 1, ObservedSeconds: 1}}},
+		"a negative variance": {FillerImages: []jobs.ImageName{"a"}, Factors: []jobs.ImageParameters{{Serving: "s", IdleTail: 0.2, TargetRatioSum: 1, ObservedSeconds: 1, Mean: []float64{1}, Covariance: []float64{-1}}}},
 		"a period's weight":   {Loads: []jobs.StepLoad{{Job: testJob, Weights: []float64{0.5, 0}}}},
 		"a load's variance":   {At: models.UnixMilli(1), Loads: []jobs.StepLoad{{Job: testJob, Covariance: [3][3]float64{{-1}}}}},
 	} {
--- a/services/dispatch/load_unit_test.go
+++ b/services/dispatch/load_unit_test.go
@@ -48,7 +48,7 @@
 	here, _ := serveAlone(t, 0.2)
 	there, _ := serveAlone(t, 0.1)
 	unit := func(b *bench) float64 { return 1 - b.model.Service("serving").TargetLoad() }
-	here.LearnFromCell("1", []jobs.LearnedFactor{{Serving: "serving", Filling: "heavy", Factor: 0.7, StdDev: 0.01, IdleTail: unit(there)}})
+	here.LearnFromCell("1", []jobs.LearnedFactor{{Serving: "serving", Filler: "heavy", Factor: 0.7, StdDev: 0.01, IdleTail: unit(there)}})
 	require.Greater(t, unit(here)/unit(there), 1.5)
 	require.InDelta(t, 0.7*unit(here)/unit(there), here.model.Service("serving").Factor(here.model.Index("heavy")), 0.02)
 }
--- a/services/dispatch/movable.go
+++ b/services/dispatch/movable.go
@@ -22,8 +22,8 @@
 	To     jobs.CellName // the cell that can place the tasks; set when the move begins
 	Home   jobs.CellName // the cell whose record names this one; empty: it follows from the job's id
 	Tasks  jobs.TaskSet
-	// LeastRun is no lower than any run id that the tasks have had.
-	LeastRun jobs.RunID
+	// HighestRun is no lower than any run id that the tasks have had.
+	HighestRun jobs.RunID
 	// Suspected are the suspicions against the tasks.
 	Suspected jobs.Suspicions
 }
@@ -95,7 +95,7 @@
 
 // moveFor returns what may be moved of the step's job.
 func (c *Core) moveFor(s *step) (Move, bool) {
-	move := Move{Job: s.job.spec.ID, Demand: jobs.Demand{Job: s.job.spec.ID, Number: s.flat(), Pool: c.terms(s.job).Pool, Step: *s.spec}, Tasks: jobs.TaskSet{}, Suspected: jobs.Suspicions{}, LeastRun: c.highestRunOf(s.job), Home: s.job.home}
+	move := Move{Job: s.job.spec.ID, Demand: jobs.Demand{Job: s.job.spec.ID, Number: s.flat(), Pool: c.terms(s.job).Pool, Step: *s.spec}, Tasks: jobs.TaskSet{}, Suspected: jobs.Suspicions{}, HighestRun: c.highestRunOf(s.job), Home: s.job.home}
 	move.Demand.Step.Count = s.waiting
 	switch {
 	case s.job.spec.Divisible():
@@ -131,7 +131,7 @@
 	for i := range s.tasks {
 		if t := &s.tasks[i]; t.state == taskWaiting {
 			m.Tasks[s.flat()] = append(m.Tasks[s.flat()], i)
-			m.LeastRun = max(m.LeastRun, t.run)
+			m.HighestRun = max(m.HighestRun, t.run)
 			if suspicion := t.suspicionForMove(); !suspicion.Empty() {
 				m.Suspected.Set(s.flat(), i, suspicion)
 			}
--- a/services/dispatch/suspicion_test.go
+++ b/services/dispatch/suspicion_test.go
@@ -116,7 +116,7 @@
 	require.Equal(t, known, move.Suspected)
 
 	there := newBench(t, 1)
-	part := record.NewPart(move.Tasks, move.LeastRun)
+	part := record.NewPart(move.Tasks, move.HighestRun)
 	part.Suspected = part.Suspected.MergedWith(move.Suspected)
 	there.AddJob(part, jobs.Progress{}, true, there.now)
 	require.True(t, there.jobs[testJob].steps[0].tasks[0].suspected())
--- a/services/member/member.go
+++ b/services/member/member.go
@@ -38,10 +38,10 @@
 	Logger *zap.Logger
 	Scope  tally.Scope
 
-	Lease       time.Duration // of the member key in the store
-	Heartbeat   time.Duration // interval between heartbeats
-	SilentAfter time.Duration // time without a heartbeat after which a peer is not live
-	Sync        time.Duration // longest wait before the member list is read again after a failed watch
+	Lease          time.Duration // of the member key in the store
+	Heartbeat      time.Duration // interval between heartbeats
+	SilentAfter    time.Duration // time without a heartbeat after which a peer is not live
+	MaxRelistDelay time.Duration // longest wait before the member list is read again after a failed watch
 	// Seeds are addresses of peers that receive heartbeats even if the store cannot be read.
 	Seeds []string
 }
--- a/services/member/register.go
+++ b/services/member/register.go
@@ -122,7 +122,7 @@
 			}
 		}
 		s.config.Scope.Counter("watch_failed").Inc(1)
-		clock.Sleep(ctx, min(s.config.Sync, s.config.Heartbeat))
+		clock.Sleep(ctx, min(s.config.MaxRelistDelay, s.config.Heartbeat))
 	}
 }
 
