--- a/services/dispatch/core.go
+++ b/services/dispatch/core.go
@@ -18,13 +18,13 @@
 //   - orders and their outcomes: order.go, outcome.go, stop.go; repeated starts: retry_budget.go
 //   - reports: report.go, end.go; stray runs: stray.go; checkpoints for the next run: checkpoint.go
 //   - what has to be stored: changes.go
-//   - workers: worker.go, capacity.go, speed.go, lease.go; lost workers: gone.go; workers that
+//   - workers: worker.go, capacity.go, speed.go, lease.go; lost workers: lost_workers.go; workers that
 //     restart under the same id: incarnation.go
 //   - tasks that crash their workers: suspicion.go (suspects, and when a task is abandoned),
 //     evidence.go (the evidence of one loss), chance.go (the rate of worker losses by chance),
 //     burst.go (workers lost together), recent.go (losses that are evaluated again when
 //     simultaneous losses are known), shared.go (losses shared by several tasks), trial.go (where
-//     and how suspects start), suspicion_store.go (what is stored), unseen.go (unobserved losses:
+//     and how suspects start), suspicion_store.go (what is stored), unobserved_losses.go (unobserved losses:
 //     runs that may have been lost without any owner knowing of them)
 //   - recovery after a takeover: takeover.go; proof that this process still owns the cell:
 //     proof.go; whether its copy of the store's data is fresh enough to start tasks:
--- a/services/dispatch/task.go
+++ b/services/dispatch/task.go
@@ -36,7 +36,7 @@
 	chanceLosses         []jobs.LostRun // losses that chance explains better than the task, unless a later loss is similar; known to this owner only
 	onTrial              bool           // a suspect that has not run for long enough yet
 	lossVersion          uint64         // the job's version when a loss was last counted
-	unobservedAtTakeover int            // runs that may have been lost between two owners, not yet in suspicion.Unobserved; see unseen.go
+	unobservedAtTakeover int            // runs that may have been lost between two owners, not yet in suspicion.Unobserved; see unobserved_losses.go
 	lapsedRun            jobs.RunID     // the latest run, if a worker has reported since the takeover that it lapsed; 0: no such report
 
 	run                     jobs.RunID
