--- a/services/contention/load.go
+++ b/services/contention/load.go
@@ -139,7 +139,7 @@
 	return load
 }
 
-// LoadFromTail restores an estimate from its summary and its time.
+// RestoreBaselineLoad restores an estimate from its summary and its time.
 func RestoreBaselineLoad(summary jobs.StepLoad, at time.Time) BaselineLoad {
 	var l BaselineLoad
 	l.reset(at)
