--- a/services/contention/load.go
+++ b/services/contention/load.go
@@ -31,7 +31,7 @@
 	// Bounds of the estimated load: estimates outside them are errors of the model.
 	minLoad = 0.05
 	maxLoad = 0.95
-	// minWeight is the minimum weight of a filter, so that the estimate follows within seconds a load
+	// minWeight is the minimum weight of a filter, so that the estimate adapts within seconds to a load
 	// whose period changes.
 	minWeight = 1e-3
 )
@@ -139,8 +139,8 @@
 	return load
 }
 
-// LoadOf restores an estimate from its summary and its time.
-func LoadOf(summary jobs.StepLoad, at time.Time) BaselineLoad {
+// RestoreBaselineLoad restores an estimate from its summary and its time.
+func RestoreBaselineLoad(summary jobs.StepLoad, at time.Time) BaselineLoad {
 	var l BaselineLoad
 	l.reset(at)
 	for i := range l.filters {
--- a/services/control/knowledge_test.go
+++ b/services/control/learned_parameters_test.go
@@ -29,7 +29,7 @@
 // learnedFactor returns what the owner at a daemon has learned about the only pair of images.
 func learnedFactor(d *testDaemon) (learned jobs.LearnedFactor, ok bool) {
 	for _, l := range d.Cells.Answer(jobs.Query{Cell: cellName(0), Learned: true}).Learned {
-		if l.Serving == "serving" && l.Filling == "filling" {
+		if l.Serving == "serving" && l.Filler == "filling" {
 			return l, true
 		}
 	}
@@ -82,13 +82,13 @@
 
 func TestKnowledgeThatCannotBeEncodedKeepsNothingFromBeingStored(t *testing.T) {
 	o := &Owner{config: Config{Logger: zap.NewNop()}, cell: cellName(0)}
-	knowledge := &jobs.LearnedParameters{Speeds: []jobs.QueueSpeed{{Queue: testQueue, Mean: math.NaN()}}}
-	txn, err := o.buildTxn(dispatch.Changes{Roster: &jobs.Roster{}, LearnedParameters: knowledge})
+	learned := &jobs.LearnedParameters{Speeds: []jobs.QueueSpeed{{Queue: testQueue, Mean: math.NaN()}}}
+	txn, err := o.buildTxn(dispatch.Changes{Roster: &jobs.Roster{}, LearnedParameters: learned})
 	require.NoError(t, err)
 	require.Len(t, txn.Put, 1)
 	require.Equal(t, rosterKey(cellName(0)), txn.Put[0].Key)
-	knowledge.Speeds[0].Mean = 1
-	txn, err = o.buildTxn(dispatch.Changes{Roster: &jobs.Roster{}, LearnedParameters: knowledge})
+	learned.Speeds[0].Mean = 1
+	txn, err = o.buildTxn(dispatch.Changes{Roster: &jobs.Roster{}, LearnedParameters: learned})
 	require.NoError(t, err)
 	require.Len(t, txn.Put, 2)
 }
--- a/services/daemon/daemon.go
+++ b/services/daemon/daemon.go
@@ -6,8 +6,8 @@
 //
 // # Usage
 //
-//	d, err := daemon.New(daemon.Config{Settings: settings, Logger: logger})
-//	err = d.Run(ctx) // until ctx ends and the planned stop is over
+//	d, err := daemon.New(daemon.Config{Settings: settings, Logger: logger, Routers: routers.For})
+//	d.Run(ctx) // until ctx ends and the planned stop is over
 package daemon
 
 import (
@@ -79,8 +79,8 @@
 	return &idGenerator{prefix: hex.EncodeToString(random[:])}, nil
 }
 
-func (m *idGenerator) newID() string {
-	return m.prefix + "-" + strconv.FormatUint(m.counter.Add(1), 36)
+func (g *idGenerator) newID() string {
+	return g.prefix + "-" + strconv.FormatUint(g.counter.Add(1), 36)
 }
 
 // New returns a daemon with open listeners.
@@ -115,7 +115,7 @@
 	d.client = peer.New(peer.Config{Self: self.ID, Token: s.Listen.PeerToken, Timeout: s.Platform.CallTimeout})
 	d.Members = member.New(member.Config{
 		Self: self, Store: store, Client: d.client, Logger: d.Logger, Scope: scope.SubScope("member"),
-		Lease: s.Member.Lease, Heartbeat: s.Member.Heartbeat, SilentAfter: s.Member.SilentAfter, Sync: s.Member.Sync,
+		Lease: s.Member.Lease, Heartbeat: s.Member.Heartbeat, SilentAfter: s.Member.SilentAfter, MaxRelistDelay: s.Member.Sync,
 		Seeds: s.Member.Seeds,
 	})
 	d.Inventory = inventory.New(inventory.Config{
@@ -127,7 +127,7 @@
 		FromPeers: d.configFromPeers, Accepted: d.configAccepted, VMs: d.Inventory.VMs, NewID: ids.newID,
 	})
 	d.Cells = cell.NewManager(cell.ManagerConfig{
-		Self: self.ID, Settings: s.Cell, Every: s.Member.Heartbeat, HoldOff: s.Member.SilentAfter, Store: store,
+		Self: self.ID, Settings: s.Cell, ReconcileInterval: s.Member.Heartbeat, HoldOff: s.Member.SilentAfter, Store: store,
 		Workers:   platform.NewHTTPWorkers(platform.HTTPConfig{CallTimeout: s.Platform.CallTimeout}),
 		Inventory: d.Inventory, View: d.Config.View, Members: d.Members, Client: d.client, Learner: d.Learner,
 		Logger: d.Logger, Scope: scope.SubScope("cell"), NewID: ids.newID,
@@ -145,8 +145,8 @@
 	d.Members.AddSource(func(b *models.Heartbeat) { b.Revision = d.Config.View().Revision() })
 }
 
-// registerLoops registers the loops and the steps of a planned stop, in order: announce it to the peers, wait for the
-// balancer and the requests in flight, hand over the cells and the claims.
+// registerLoops registers the loops, and the steps of a planned stop in order: announce the stop to the peers, wait for
+// the load balancer and the requests in flight, hand over the cells and the claims.
 func (d *Daemon) registerLoops() {
 	d.manager.Loop("inventory", d.Inventory.Run)
 	d.manager.Loop("configuration", d.Config.Run)
@@ -159,7 +159,7 @@
 	d.manager.OnStop("leave the members", d.leave)
 	d.manager.OnStop("drain the entry", d.drain)
 	d.manager.OnStop("release the cells", d.release)
-	d.manager.OnStop("carry the claims", d.Claims.TransferKeys)
+	d.manager.OnStop("transfer the claims", d.Claims.TransferKeys)
 }
 
 // Run runs the daemon until the context ends and the planned stop is complete.
@@ -217,7 +217,7 @@
 
 func (d *Daemon) inventoryChanged() {
 	d.syncEntry()
-	d.Cells.Nudge()
+	d.Cells.RequestReconcile()
 }
 
 func (d *Daemon) configAccepted(*config.View) {
--- a/services/dispatch/checkpoint_random_test.go
+++ b/services/dispatch/checkpoint_random_test.go
@@ -108,7 +108,7 @@
 		w.decide()
 	case "carry":
 		if len(w.orders) > 0 {
-			w.resolveOrder(rapid.IntRange(0, len(w.orders)-1).Draw(w.T, "order"), rapid.SampledFrom(orderFates).Draw(w.T, "fate"))
+			w.resolveOrder(rapid.IntRange(0, len(w.orders)-1).Draw(w.T, "order"), rapid.SampledFrom(orderOutcomes).Draw(w.T, "fate"))
 		}
 	case "store":
 		w.store()
@@ -155,7 +155,7 @@
 	}
 }
 
-// changeRun lets a run on a worker save or end.
+// changeRun lets a run on a worker save a checkpoint or end.
 func (w *checkpointWorld) changeRun(worker *checkpointWorker, what string) {
 	runs := worker.runs()
 	if len(runs) == 0 {
@@ -172,21 +172,20 @@
 
 // replace puts another incarnation in the place of a worker.
 func (w *checkpointWorld) replace(worker *checkpointWorker) {
-	if worker.gone || len(w.workers) > 2*checkpointWorkers {
+	if worker.replaced || len(w.workers) > 2*checkpointWorkers {
 		return
 	}
-	worker.gone, worker.listed = true, rapid.Bool().Draw(w.T, "its entry stays")
+	worker.replaced, worker.listed = true, rapid.Bool().Draw(w.T, "its entry stays")
 	id := jobs.WorkerID(fmt.Sprint("w", len(w.workers)))
 	w.workers = append(w.workers, newCheckpointWorker(id, worker.info.Address, w.now))
 	w.list()
 }
 
-// reportUnaccountedRun lets a worker report a run that no order of this cell explains: an older run of the task that
-// has ended or runs there, or a run that nobody ordered. Older runs must have numbers that no invented run has
-// raised: of such numbers the owner accepts only that of the run that it ordered itself, at the worker where it
-// ordered the run.
+// reportUnaccountedRun lets a worker report a run that no order of this cell explains: an older run of the task that has
+// ended or runs there, or a run that nobody ordered. Older runs must have run ids that no invented run has raised: of
+// raised ids the owner accepts only that of the run that it ordered itself, at the worker where it ordered the run.
 func (w *checkpointWorld) reportUnaccountedRun(worker *checkpointWorker, task jobs.TaskID, what string) {
-	if len(w.runs[task]) == 0 || worker.gone || worker.running[task] != nil {
+	if len(w.runs[task]) == 0 || worker.replaced || worker.running[task] != nil {
 		return
 	}
 	run := &checkpointRun{task: task, run: rapid.SampledFrom(w.runs[task]).Draw(w.T, "older run")}
@@ -218,8 +217,8 @@
 	}
 }
 
-// moveAwayAndBack hands a task to another cell and takes it back, with runs there in between. Numbers that an
-// invented run has raised are not handed over: then they would count as ordered.
+// moveAwayAndBack hands a task to another cell and takes it back, with runs there in between. Run ids that an invented
+// run has raised are not handed over, because they would count as ordered then.
 func (w *checkpointWorld) moveAwayAndBack(task jobs.TaskID) {
 	record := w.records[task.Job]
 	if !record.Spec.Divisible() || record.Ended != "" {
--- a/services/dispatch/checkpoint_world_test.go
+++ b/services/dispatch/checkpoint_world_test.go
@@ -16,14 +16,14 @@
 	"rillsail.example/rillsail/models/jobs"
 )
 
-// flight is a report on its way to the owner.
+// flight is a report in transit to the owner.
 type flight struct {
 	worker *checkpointWorker
 	sent   time.Time
 	report jobs.Report
 }
 
-// sentOrder is an order on its way to a worker.
+// sentOrder is an order in transit to a worker.
 type sentOrder struct {
 	order Order
 	owner *Core
@@ -64,7 +64,7 @@
 	return w
 }
 
-// takeOver replaces the owner by a new one that has nothing but the store.
+// takeOver replaces the owner by a new one that knows only what is stored.
 func (w *checkpointWorld) takeOver() {
 	w.epoch++
 	w.core = New(Config{
@@ -143,7 +143,7 @@
 	call, known := w.core.LeaseCall(worker.info.ID, 0, w.now)
 	switch {
 	case !known:
-	case worker.gone:
+	case worker.replaced:
 		w.core.Replaced(worker.info.ID, w.now)
 	case worker.cut:
 		w.core.Overdue(worker.info.ID, w.now)
@@ -180,15 +180,15 @@
 	}
 }
 
-// orderFates are the possible outcomes of an order.
-var orderFates = []string{"done", "done", "done", "answer lost", "order lost", "order late", "not done", "not sent"}
+// orderOutcomes are the possible outcomes of an order.
+var orderOutcomes = []string{"done", "done", "done", "answer lost", "order lost", "order late", "not done", "not sent"}
 
-// resolveOrder lets an order reach its worker, or meet another fate.
-func (w *checkpointWorld) resolveOrder(n int, fate string) {
+// resolveOrder carries out an order with the given one of orderOutcomes.
+func (w *checkpointWorld) resolveOrder(n int, outcome string) {
 	sent := w.orders[n]
 	w.orders = append(w.orders[:n:n], w.orders[n+1:]...)
 	result := Result{Outcome: OutcomeUnknown}
-	switch fate {
+	switch outcome {
 	case "done":
 		result = w.obey(sent.order)
 	case "answer lost":
@@ -234,7 +234,7 @@
 // find returns a worker that can be reached, or nil.
 func (w *checkpointWorld) find(id jobs.WorkerID) *checkpointWorker {
 	for _, worker := range w.workers {
-		if worker.info.ID == id && !worker.cut && !worker.gone {
+		if worker.info.ID == id && !worker.cut && !worker.replaced {
 			return worker
 		}
 	}
--- a/services/dispatch/recent_test.go
+++ b/services/dispatch/recent_test.go
@@ -43,8 +43,8 @@
 	b.Reported(id, b.now, jobs.Report{Born: secondStartTime, Clock: models.Milli(10)}, b.now)
 }
 
-// TestNobodyIsGivenUpBeforeItIsKnownWhichOthersWent guards against a job that is abandoned for a restart of all
-// workers, because the restart of the first one was known some milliseconds before the others.
+// TestNobodyIsGivenUpBeforeItIsKnownWhichOthersWent guards against failing a job for a restart of all workers, because
+// the restart of the first worker was known some milliseconds before the other restarts.
 func TestNobodyIsGivenUpBeforeItIsKnownWhichOthersWent(t *testing.T) {
 	b := newRecentBench(t)
 	lost := b.jobs[testJob].steps[0].tasks[0].suspicion.Lost
@@ -59,8 +59,8 @@
 	require.Less(t, b.jobs[testJob].steps[0].tasks[0].suspicion.Lost[1].EvidenceVsAll, lost[1].EvidenceVsAll-3)
 }
 
-// TestTaskIsGivenUpOnceNoOthersWent checks that the task is abandoned once the losses of other workers would be
-// known.
+// TestTaskIsGivenUpOnceNoOthersWent checks that the task is abandoned once simultaneous losses of other workers would be
+// known and there are none.
 func TestTaskIsGivenUpOnceNoOthersWent(t *testing.T) {
 	b := newRecentBench(t)
 	b.now = b.now.Add(simultaneousLossesKnownAfter)
