--- a/modules/peerrpc/clients.go
+++ b/modules/peerrpc/clients.go
@@ -5,26 +5,27 @@
 
 import "sync"
 
-// Clients keeps one twirp client for each address.
+// Clients keeps one twirp client of type C per address. It is safe for concurrent use.
 type Clients[C any] struct {
-	mu      sync.Mutex
-	create  func(base string, http HTTPClient) C
-	http    HTTPClient
-	clients map[string]C
+	mu         sync.Mutex
+	newClient  func(baseURL string, httpClient HTTPClient) C
+	httpClient HTTPClient
+	clients    map[string]C
 }
 
-// NewClients makes a set; create is the generated function that makes a client.
-func NewClients[C any](create func(base string, http HTTPClient) C, http HTTPClient) *Clients[C] {
-	return &Clients[C]{create: create, http: http, clients: map[string]C{}}
+// NewClients returns an empty set of clients. newClient creates a client, usually with a generated constructor; all
+// clients use httpClient.
+func NewClients[C any](newClient func(baseURL string, httpClient HTTPClient) C, httpClient HTTPClient) *Clients[C] {
+	return &Clients[C]{newClient: newClient, httpClient: httpClient, clients: map[string]C{}}
 }
 
-// At gives the client for an address.
+// At returns the client for an address, and creates the client on first use.
 func (c *Clients[C]) At(address string) C {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	client, ok := c.clients[address]
 	if !ok {
-		client = c.create("http://"+address, c.http)
+		client = c.newClient("http://"+address, c.httpClient)
 		c.clients[address] = client
 	}
 	return client
--- a/modules/peerrpc/exchange.go
+++ b/modules/peerrpc/exchange.go
@@ -13,18 +13,18 @@
 	"rillsail.example/rillsail/modules/wire"
 )
 
-// Method is one call of a twirp client.
+// Method is a method of a twirp client, which performs one remote call.
 type Method func(context.Context, *Envelope) (*Envelope, error)
 
-// Call sends a domain type in an envelope and decodes the one that comes back. Errors say
-// the step and the peer's address.
-func Call[A wire.Checker](ctx context.Context, self, step, address string, do Method, body any) (A, error) {
+// Call sends body, a value of a domain type, in an envelope from the daemon self and decodes the domain type in the
+// answer. Errors say the step and the peer's address.
+func Call[A wire.Checker](ctx context.Context, self, step, address string, method Method, body any) (A, error) {
 	var zero A
 	data, err := Pack(body)
 	if err != nil {
 		return zero, errors.Wrap(err, step)
 	}
-	envelope, err := do(ctx, &Envelope{From: self, Body: data})
+	envelope, err := method(ctx, &Envelope{From: self, Body: data})
 	if err != nil {
 		return zero, errstep.Wrap(err, step, address)
 	}
@@ -36,8 +36,8 @@
 	return answer, errstep.Wrap(err, step, address)
 }
 
-// Serve decodes one call, performs it and encodes the answer. Errors of perform go to the
-// caller as they are.
+// Serve decodes one call, performs it and encodes the answer, in an envelope from the daemon self. Errors of perform
+// are returned unchanged. A call that can't be decoded is answered with twirp.InvalidArgument.
 func Serve[C wire.Checker, A any](self string, in *Envelope, perform func(C) (A, error)) (*Envelope, error) {
 	plain, err := Unpack(in.GetBody())
 	if err != nil {
