--- a/services/control/cancel_test.go
+++ b/services/control/cancel_test.go
@@ -131,7 +131,7 @@
 func (s *delayedJobWrites) Commit(ctx context.Context, txn platform.Txn) (platform.Version, error) {
 	switch key := txn.Put[0].Key; {
 	case isJobKey(key):
-		time.AfterFunc(s.delay, func() { _, _ = s.TxnStore.Commit(context.Background(), txn) }) // the result reaches nobody
+		time.AfterFunc(s.delay, func() { _, _ = s.TxnStore.Commit(context.Background(), txn) }) // the result is discarded
 		sleep(ctx, testCallTimeout)
 		return 0, platform.ErrUnknownOutcome
 	case strings.HasPrefix(key, daemonPrefix):
--- a/services/control/journal.go
+++ b/services/control/journal.go
@@ -69,7 +69,7 @@
 	case verdictConflict:
 		return o.resolveCommit(ctx, entry, err)
 	default:
-		// The store may reject the reads of resolveCommit, which says nothing about the transaction.
+		// If the store rejects the reads of resolveCommit, the outcome of the transaction is still unknown.
 		version, err = o.resolveCommit(ctx, entry, err)
 		return version, platform.AsUnknownOutcome(err)
 	}
--- a/services/control/owner_workers.go
+++ b/services/control/owner_workers.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// pollWorker renews the lease of a worker and records the report in the answer. A call that this daemon
-// cancelled before the answer says nothing about the worker.
+// pollWorker renews the lease of a worker and records the report in the answer. The result of a call that
+// this daemon cancelled is not recorded, because it does not show the state of the worker.
 func (o *Owner) pollWorker(ctx context.Context, worker jobs.Worker, call jobs.LeaseCall) error {
 	sent := o.beginCall()
 	report, err := o.config.Workers.RenewLease(ctx, worker, call)
--- a/services/control/watch.go
+++ b/services/control/watch.go
@@ -97,7 +97,8 @@
 		c.owners[cell] = ownerRecord{Owner: owner, version: record.Version, seenAt: c.config.Clock.Now()}
 	}
 	local := c.owned[cell]
-	// A watch that lags behind reports keys of previous owners, whose removal says nothing about this owner.
+	// A watch that lags behind reports keys of previous owners, whose removal does not mean
+	// that this owner has lost the cell.
 	lost := local != nil && record.Version >= platform.Version(local.epoch) &&
 		(record.Deleted || record.Version > platform.Version(local.epoch))
 	c.mu.Unlock()
--- a/services/control/write.go
+++ b/services/control/write.go
@@ -57,7 +57,7 @@
 	var first error // the error of the first try of unknown outcome
 	for tries := 1; ; tries++ {
 		_, err := s.config.Store.Commit(ctx, txn)
-		if ctx.Err() == nil { // a call that the deadline of ctx has ended says nothing about the store
+		if ctx.Err() == nil { // the error of a call that ctx has ended does not show the store's health
 			s.health.record(err)
 		}
 		switch classifyCommit(err) {
--- a/services/dispatch/checkpoint_random_test.go
+++ b/services/dispatch/checkpoint_random_test.go
@@ -44,8 +44,8 @@
 
 // TestStartsBringTheNewestTextOfTheirTask simulates an owner among workers that save, end, are lost and come back,
 // list ends late, again and in any order, and invent runs. Every start that is not a repetition must bring the
-// newest checkpoint of the newest run of its own task that has shown one to this owner, and never a checkpoint of a
-// run that nobody ordered.
+// newest checkpoint of the newest run of its own task of which this owner has received a checkpoint, and never a
+// checkpoint of a run that was not ordered.
 func TestStartsBringTheNewestTextOfTheirTask(t *testing.T) {
 	starts, resumed := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -182,7 +182,7 @@
 }
 
 // reportUnaccountedRun lets a worker report a run that no order of this cell explains: an older run of the task that has
-// ended or runs there, or a run that nobody ordered. Older runs must have run ids that no invented run has raised: of
+// ended or runs there, or a run that was not ordered. Older runs must have run ids that no invented run has raised: of
 // raised ids the owner accepts only that of the run that it ordered itself, at the worker where it ordered the run.
 func (w *checkpointWorld) reportUnaccountedRun(worker *checkpointWorker, task jobs.TaskID, what string) {
 	if len(w.runs[task]) == 0 || worker.replaced || worker.running[task] != nil {
--- a/services/dispatch/evidence.go
+++ b/services/dispatch/evidence.go
@@ -16,9 +16,9 @@
 // any time after its start, with the same probability in each order of magnitude of the runtime; so the shorter the
 // run, the likelier the task is the cause. Without this task the worker would have been lost by chance or by one of its
 // neighbours on the worker. The evidence of a loss is the logarithm of the ratio of the likelihoods with and without
-// the task as the cause; below zero it speaks for the task. The evidence of several losses adds up, because each loss
-// is of another run on another worker. A task that crashes nothing reaches a sum of x with a probability of at most e
-// to the minus x, however many losses the task has.
+// the task as the cause; a negative value is evidence that the task is not the cause. The evidence of several
+// losses adds up, because each loss is of another run on another worker. A task that crashes nothing reaches a sum of x
+// with a probability of at most e to the minus x, however many losses the task has.
 
 const (
 	// meanTimeBetweenLosses is how long a worker runs on average between two losses by chance. On the worst days of
--- a/services/dispatch/figures.go
+++ b/services/dispatch/figures.go
@@ -40,8 +40,8 @@
 	Starts []FirstStart
 }
 
-// maxJobFigures bounds the figures kept for an operator's metrics in case nobody takes them: a few minutes of
-// jobs at the size for which one cell is planned.
+// maxJobFigures bounds the figures kept for an operator's metrics in case TakeJobFigures is not called: a few minutes
+// of jobs at the size for which one cell is planned.
 const maxJobFigures = 10_000
 
 // TakeJobFigures returns the figures recorded since it was last called.
--- a/services/dispatch/speed.go
+++ b/services/dispatch/speed.go
@@ -24,7 +24,7 @@
 	queueSpeedWeight  = 0.02                      // of a new sample in the usual speed of a queue
 	stalledBelow      = 0.05                      // of the usual speed
 	stalledPause      = 2500 * time.Millisecond   // until a stalled worker gets tasks again
-	minSampledPace    = 50 * jobs.FullSpeed / 100 // below this pace, a task's progress says nothing about its worker
+	minSampledPace    = 50 * jobs.FullSpeed / 100 // below this pace, a task's progress does not show its worker's speed
 	restartGrace      = 300 * time.Millisecond    // a restart from a checkpoint makes no progress at first
 	minQueueSamples   = 20                        // needed before a worker is compared with the queue's usual speed
 )
--- a/services/dispatch/takeover.go
+++ b/services/dispatch/takeover.go
@@ -17,7 +17,7 @@
 func (c *Core) RestoreRoster(roster jobs.Roster, now time.Time) {
 	c.takeovers.epochs = roster.UnobservedEpochs
 	switch {
-	case len(roster.Workers) == 0: // nobody has started anything
+	case len(roster.Workers) == 0: // no previous owner has started anything
 		c.previousLease = c.config.Lease
 	case roster.MaxLease > 0:
 		c.previousLease = min(roster.MaxLease.Duration(), c.config.LongestLease)
--- a/services/dispatch/task.go
+++ b/services/dispatch/task.go
@@ -111,7 +111,7 @@
 	}
 	c.clearUnresolvedRun(t)
 	t.pace = jobs.FullSpeed
-	// The end of this run says nothing about earlier ones: a worker that has not reported since the takeover
+	// The end of this run does not show how earlier runs ended: a worker that has not reported since the takeover
 	// may know of failures that use up the task's attempts. Long-running tasks have no such limit.
 	if c.mayRunUnobserved(t) && !t.step.spec.LongRunning {
 		if t.state == taskWaiting {
--- a/services/dispatch/unobserved_losses.go
+++ b/services/dispatch/unobserved_losses.go
@@ -19,8 +19,8 @@
 //
 //   - for all tasks that no worker reports after a takeover, when a worker that a previous owner used is lost
 //     without an answer: the roster is written once for the whole cell, before any of these tasks starts;
-//   - for a run whose start nobody observed, because the run was taken over from a previous owner or its start was not
-//     answered;
+//   - for a run whose start this owner did not observe, because the run was taken over from a previous owner or its
+//     start was not answered;
 //   - for a young run on a worker that was silent until its lease was over, or that has drained and left.
 //
 // Such losses are no evidence against a task by themselves, but they lower the evidence from observed losses that is
@@ -178,9 +178,9 @@
 	}
 }
 
-// startUnobserved reports whether nobody knows when a run began that was lost with its worker, while it may have
-// begun shortly before: the run was taken over from a previous owner, or ordered without an answer when the worker
-// did not answer other calls.
+// startUnobserved reports whether this owner does not know when a run that was lost with its worker began, and the run
+// may have begun shortly before the loss: the run was taken over from a previous owner, or ordered without an answer
+// when the worker did not answer other calls.
 func (c *Core) startUnobserved(w *worker, t *task, now time.Time) bool {
 	ran := w.lastAlive(now).Sub(t.startedAt)
 	return ran < 0 || !t.orderedHere && ran < maxTimeToCrash
--- a/services/dispatch/urgency.go
+++ b/services/dispatch/urgency.go
@@ -11,8 +11,8 @@
 )
 
 // longRunningYield is how long past its objective a long-running task still yields capacity to ordinary work of
-// its priority that can meet its own objective: ordinary work takes the capacity for a second, the long-running task
-// for a minute.
+// its priority that can meet its own objective: ordinary work occupies the capacity for a second, the long-running
+// task for a minute.
 const longRunningYield = 10_000 // milliseconds
 
 // urgency determines the order in which steps' tasks are placed; lower comes first.
--- a/services/journal/journal.go
+++ b/services/journal/journal.go
@@ -143,7 +143,7 @@
 }
 
 // asPending returns an error with the text of err whose only class is ErrPending. The other classes of err are
-// hidden, because the certain rejection of a later attempt says nothing about the first attempt.
+// hidden, because a definite rejection of a later attempt does not show that the first was rejected.
 func asPending(err error) error { return errclass.Only(err, ErrPending) }
 
 func (j *Journal) write(ctx context.Context, epoch models.Epoch, change models.CellChange) error {
